--- /dev/null
+++ b/cmd/eiderfleet/golden_test.go
@@ -0,0 +1,17 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"eiderspread/internal/lab/golden"
+)
+
+// Guards the keys of the operator's file of an upgrade.
+func TestGoldenUpgradeFile(t *testing.T) {
+	var out strings.Builder
+	if err := upgrade([]string{"-check", golden.Path("upgrade.toml")}, &out); err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "upgrade.out", []byte(out.String()))
+}
--- /dev/null
+++ b/cmd/simhost/golden_test.go
@@ -0,0 +1,20 @@
+package main
+
+import (
+	"bytes"
+	"testing"
+
+	"eiderspread/internal/lab/golden"
+)
+
+// Guards the simulator's lines and the decisions behind them: recorded inputs, one with health checks and one of another kind of site with streams,
+// give the same bytes as ever.
+func TestGoldenRuns(t *testing.T) {
+	for _, name := range []string{"checks", "streams"} {
+		var out bytes.Buffer
+		if err := run(bytes.NewReader(golden.Load(t, name+".in.gz")), &out); err != nil {
+			t.Fatal(err)
+		}
+		golden.Check(t, name+".out.gz", out.Bytes())
+	}
+}
--- /dev/null
+++ b/internal/agent/golden_test.go
@@ -0,0 +1,40 @@
+package agent
+
+import (
+	"context"
+	"net/http/httptest"
+	"testing"
+
+	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/member"
+)
+
+// Guards the file that an agent keeps across restarts, the operator's file and the status.
+func TestGoldenForms(t *testing.T) {
+	golden.JSON(t, "state.json", &memory{})
+	golden.JSON(t, "status.json", &Status{})
+	golden.TOML(t, "agent.toml", &File{})
+}
+
+// Guards what an agent serves: nothing yet, the whole list, and the lines of a watch.
+func TestGoldenList(t *testing.T) {
+	p := newPublisher(7)
+	get := func(name, path string) {
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel() // a watch ends after what is there
+		w := httptest.NewRecorder()
+		p.ServeHTTP(w, httptest.NewRequestWithContext(ctx, "GET", path, nil))
+		golden.Check(t, name, w.Body.Bytes())
+	}
+	get("early.txt", "/api/targets")
+	p.serve()
+	p.aged(1.5)
+	for _, state := range []member.State{member.Up, member.Draining, member.Gone, member.Up} {
+		p.publish([]member.Entry{{Node: member.Node{Identity: member.Identity{ID: "a", Addr: "127.0.0.1:1", StartedMS: 2}, State: state, Zone: "z", Cell: 3,
+			Weight: 4.5}, Why: "not served"}})
+	}
+	get("whole.json", "/api/targets")
+	get("watch.json", "/api/targets?watch=1&after=7")
+	get("watch-all.json", "/api/targets?watch=1")
+	get("none.txt", "/api/other")
+}
--- /dev/null
+++ b/internal/etcdsource/golden_test.go
@@ -0,0 +1,18 @@
+package etcdsource
+
+import (
+	"testing"
+
+	"eiderspread/internal/lab/golden"
+)
+
+// Guards the value of a node's key in etcd, its keys' folders and the status of the source.
+func TestGoldenForms(t *testing.T) {
+	golden.JSON(t, "value.json", &value{})
+	golden.JSON(t, "status.json", &Status{})
+	for key, want := range map[string]string{"nodes/a": nodesDir, "drain/a": drainDir} {
+		if dir, id, ok := split(key); dir != want || id != "a" || !ok {
+			t.Errorf("%s is read as %q, %q, %v", key, dir, id, ok)
+		}
+	}
+}
--- /dev/null
+++ b/internal/forward/golden_test.go
@@ -0,0 +1,18 @@
+package forward
+
+import (
+	"testing"
+
+	"eiderspread/internal/lab/golden"
+)
+
+// Guards a forwarder's status and the keys of its operator's file.
+func TestGoldenForms(t *testing.T) {
+	golden.JSON(t, "status.json", &Status{})
+	f, err := ReadFile(golden.Path("forwarder.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Same(t, "names", f.Names, []string{"planner-0", "planner-1"})
+	golden.Same(t, "planners", f.PlannersAt, []string{"127.0.0.1:7800", "127.0.0.1:7801"})
+}
--- /dev/null
+++ b/internal/kept/golden_test.go
@@ -0,0 +1,19 @@
+package kept
+
+import (
+	"testing"
+
+	"eiderspread/internal/lab/golden"
+)
+
+// Guards what processes of two versions hand to each other at a hot restart.
+func TestGoldenForms(t *testing.T) {
+	golden.JSON(t, "part.json", &Part{})
+	golden.JSON(t, "event.json", &Event{})
+	golden.JSON(t, "order.json", &Order{})
+	for i, kind := range []OrderKind{Send, Refuse, Fail, Cancel, Hold} {
+		if int(kind) != i {
+			t.Errorf("order %d is %d on the link", i, kind)
+		}
+	}
+}
--- /dev/null
+++ b/internal/planner/golden_test.go
@@ -0,0 +1,19 @@
+package planner
+
+import (
+	"testing"
+
+	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/overload"
+)
+
+// Guards a planner's status and the keys of its operator's file.
+func TestGoldenForms(t *testing.T) {
+	golden.JSON(t, "status.json", &Status{})
+	f, err := ReadFile(golden.Path("planner.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Same(t, "file", []any{f.Listen, f.Console, f.Trace, f.TraceMB, f.Allowed, f.Base.Settings.Overload},
+		[]any{"127.0.0.1:7800", "127.0.0.1:9920", "testdata", 256, []string{"forwarder-0", "forwarder-1"}, overload.Config{On: true, Floor: 0.05}})
+}
--- /dev/null
+++ b/internal/takeover/golden_test.go
@@ -0,0 +1,58 @@
+package takeover
+
+import (
+	"bytes"
+	"net"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"eiderspread/internal/lab/golden"
+)
+
+// Guards the messages of a hot restart and the names of the files by which two processes find each other.
+func TestGoldenMessages(t *testing.T) {
+	l, err := Listen(filepath.Join(t.TempDir(), "s"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	raw, err := net.DialUnix("unixpacket", nil, l.l.Addr().(*net.UnixAddr))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer raw.Close()
+	link, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer link.Close()
+	var packets [][]byte
+	kinds := []Kind{Hello, Sockets, Ready, Kept, Go, Client, Value, Event, Order}
+	for i, kind := range kinds {
+		if err := link.Send(kind, []byte{Version, byte(i)}, time.Minute); err != nil {
+			t.Fatal(err)
+		}
+		b := make([]byte, 64)
+		n, err := raw.Read(b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		packets = append(packets, b[:n])
+	}
+	path, err := Path("/folder", "a/name")
+	if err != nil {
+		t.Fatal(err)
+	}
+	packets = append(packets, []byte(path), []byte(NewLock("/folder", "a/name").path))
+	stored := bytes.Split(golden.Check(t, "messages.bin", bytes.Join(packets, []byte{'\n'})), []byte{'\n'})
+	for i, kind := range kinds {
+		if _, err := raw.Write(stored[i]); err != nil {
+			t.Fatal(err)
+		}
+		m, err := link.Expect(kind, 0, time.Minute)
+		if err != nil || !bytes.Equal(m.Body, []byte{Version, byte(i)}) {
+			t.Errorf("message %d is read as %q, %v", i, m.Body, err)
+		}
+	}
+}
