--- a/cmd/eidertrace/main.go
+++ b/cmd/decisiontrace/main.go
@@ -1,4 +1,4 @@
-// Command eidertrace reads the traces of decisions of all ingresses of a run, joins them, and tells why.
+// Command decisiontrace reads the traces of decisions of all ingresses of a run, joins them, and tells why.
 package main
 
 import (
@@ -43,7 +43,7 @@
 		return nil, nil, err
 	}
 	if run.Lost > 0 || run.Cut > 0 {
-		fmt.Fprintf(os.Stderr, "eidertrace: %d records were lost for want of room, %d of %d files are cut off: counts are too low\n", run.Lost, run.Cut, run.Files)
+		fmt.Fprintf(os.Stderr, "decisiontrace: %d records were lost for want of room, %d of %d files are cut off: counts are too low\n", run.Lost, run.Cut, run.Files)
 	}
 	return run, func(r analyse.Record) bool {
 		at := r.At - run.Start
@@ -185,7 +185,7 @@
 		Reasons  reasonsCmd  `cmd:"" help:"The list of reasons."`
 		Overload overloadCmd `cmd:"" help:"Pictures of runs under overload: worth by second, and the levels that ingresses held."`
 	}
-	ctx := kong.Parse(&cli, kong.Name("eidertrace"), kong.Description("Reads traces of decisions of all ingresses of a run, and tells why."), kong.UsageOnError())
+	ctx := kong.Parse(&cli, kong.Name("decisiontrace"), kong.Description("Reads traces of decisions of all ingresses of a run, and tells why."), kong.UsageOnError())
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
--- a/cmd/eidertrace/overload.go
+++ b/cmd/decisiontrace/overload.go
@@ -12,7 +12,7 @@
 )
 
 type overloadCmd struct {
-	Folder string `arg:"" type:"existingdir" help:"Folder of eiderfleet overload -keep; a drawing is put beside each file."`
+	Folder string `arg:"" type:"existingdir" help:"Folder of testbed overload -keep; a drawing is put beside each file."`
 }
 
 func (c *overloadCmd) Run() error {
@@ -21,7 +21,7 @@
 		return err
 	}
 	if len(paths) == 0 {
-		return fmt.Errorf("%s: no figures of eiderfleet overload -keep", c.Folder)
+		return fmt.Errorf("%s: no figures of testbed overload -keep", c.Folder)
 	}
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
--- /dev/null
+++ b/cmd/fleet/main.go
@@ -0,0 +1,89 @@
+// Command fleet runs and operates a fleet of two levels: thin forwarders led by planners.
+package main
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"eiderspread/internal/program"
+)
+
+const usage = `usage: fleet COMMAND ...
+  forwarder [-check] FILE   runs a forwarder by its operator's file (deploy/forwarder.toml)
+  planner [-check] FILE     runs a planner by its operator's file (deploy/planner.toml)
+  upgrade [-check] [-from NAME] FILE   rolls a fleet's programs one by one (deploy/upgrade.toml)
+  status ADDR [ADDR ...]    prints who leads what, by the status addresses of forwarders and planners
+`
+
+func main() {
+	if err := run(os.Args[1:]); err != nil {
+		fmt.Fprintln(os.Stderr, "fleet:", err)
+		os.Exit(1)
+	}
+}
+
+func run(args []string) error {
+	if len(args) == 0 {
+		fmt.Fprint(os.Stderr, usage)
+		return fmt.Errorf("no command given")
+	}
+	switch name, rest := args[0], args[1:]; name {
+	case "forwarder", "planner":
+		return runProgram(name, rest)
+	case "upgrade":
+		return upgrade(rest, os.Stdout)
+	case "status":
+		return status(rest, os.Stdout)
+	case "help", "-h", "--help":
+		fmt.Print(usage)
+		return nil
+	default:
+		fmt.Fprint(os.Stderr, usage)
+		return fmt.Errorf("unknown command %q", name)
+	}
+}
+
+// runProgram runs or checks a forwarder or a planner by its operator's file.
+func runProgram(kind string, args []string) error {
+	set := flag.NewFlagSet(kind, flag.ContinueOnError)
+	check := set.Bool("check", false, "check the file and all that it names, and end")
+	if err := set.Parse(args); err != nil {
+		return err
+	}
+	if set.NArg() != 1 {
+		return fmt.Errorf("%s wants one file", kind)
+	}
+	if *check {
+		return program.Check(kind, set.Arg(0))
+	}
+	return program.Run(kind, set.Arg(0))
+}
+
+// status prints what programs tell of themselves. One that does not answer is an error, after the others.
+func status(addrs []string, w io.Writer) error {
+	client := http.Client{Timeout: 2 * time.Second}
+	var last error
+	for _, a := range addrs {
+		resp, err := client.Get("http://" + a + "/")
+		if err != nil {
+			last = err
+			continue
+		}
+		var v any
+		err = json.NewDecoder(resp.Body).Decode(&v)
+		resp.Body.Close()
+		if err != nil {
+			last = fmt.Errorf("%s: %w", a, err)
+			continue
+		}
+		out := json.NewEncoder(w)
+		out.SetIndent("", " ")
+		out.Encode(v)
+	}
+	return last
+}
--- a/cmd/eiderfleet/main_test.go
+++ b/cmd/fleet/main_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"eiderspread/internal/budget"
-	"eiderspread/internal/lab/sim"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -20,7 +18,6 @@
 		"planner wants one":       {"planner", "-check", "a", "b"},
 		"no such file":            {"planner", "-check", "nowhere.toml"},
 		"flag provided but":       {"forwarder", "-quick", "x"},
-		"size \"x\"":              {"lab", "-cost", "-sizes", "x", "-dir", t.TempDir()},
 		"deploy/forwarder.toml: ": {"planner", "-check", "deploy/forwarder.toml"},
 	} {
 		if err := run(args); err == nil || !strings.Contains(err.Error(), want) {
@@ -55,33 +52,3 @@
 		t.Errorf("got %q, %v", out.String(), err)
 	}
 }
-
-func TestBudgetIsPrinted(t *testing.T) {
-	var out strings.Builder
-	if err := printBudget([]string{"-gateways", "80", "-rate", "25", "-burst", "48"}, &out); err != nil {
-		t.Fatal(err)
-	}
-	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 1+int(budget.Kinds) || !strings.HasPrefix(lines[1], "calm") {
-		t.Errorf("%s", out.String())
-	}
-	for _, bad := range [][]string{{"-rate", "0"}, {"-sides", "1"}, {"-loss", "2"}, {"more"}, {"-gateways", "0"}} {
-		if err := printBudget(bad, &out); err == nil {
-			t.Errorf("%v was taken", bad)
-		}
-	}
-}
-
-func TestCountsArePrinted(t *testing.T) {
-	var out strings.Builder
-	if err := printCounts([]string{"-ingresses", "3", "-seeds", "1"}, &out); err != nil {
-		t.Fatal(err)
-	}
-	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 2+len(sim.CountFailures) {
-		t.Errorf("%s", out.String())
-	}
-	for _, bad := range [][]string{{"-ingresses", "1"}, {"-ingresses", "4,x"}, {"-seeds", "0"}} {
-		if err := printCounts(bad, &out); err == nil {
-			t.Errorf("%v was taken", bad)
-		}
-	}
-}
--- a/cmd/eiderwatch/lab.go
+++ b/cmd/membershipagent/lab.go
@@ -18,7 +18,7 @@
 )
 
 // runLab runs a fleet whose membership comes from the stand-in for etcd through agents, while etcd breaks, and has the auditor
-// judge. eiderfleet and eiderspread must lie beside this program.
+// judge. fleet and eiderspread must lie beside this program.
 func runLab(args []string, w io.Writer) error {
 	set := flag.NewFlagSet("lab", flag.ContinueOnError)
 	forwarders := set.Int("forwarders", 20, "forwarders, or one-program ingresses with -planners 0")
@@ -38,7 +38,7 @@
 	}
 	if *dir == "" {
 		var err error
-		if *dir, err = os.MkdirTemp("", "eiderwatch"); err != nil {
+		if *dir, err = os.MkdirTemp("", "membershipagent"); err != nil {
 			return err
 		}
 	}
@@ -108,6 +108,6 @@
 			c.Env = append(os.Environ(), "EDGE_CONFIG="+file)
 			return c
 		}
-		return exec.Command(filepath.Join(filepath.Dir(self), "eiderfleet"), kind, file)
+		return exec.Command(filepath.Join(filepath.Dir(self), "fleet"), kind, file)
 	}
 }
--- a/cmd/eiderwatch/main.go
+++ b/cmd/membershipagent/main.go
@@ -1,4 +1,4 @@
-// Command eiderwatch joins roster and etcd into one list of zone nodes and serves it in the roster's protocol; its
+// Command membershipagent joins roster and etcd into one list of zone nodes and serves it in the roster's protocol; its
 // nodes commands write to etcd, and standin is an etcd to try them with.
 package main
 
@@ -20,7 +20,7 @@
 	"eiderspread/internal/agent"
 )
 
-const usage = `usage: eiderwatch COMMAND ...
+const usage = `usage: membershipagent COMMAND ...
   run [-check] FILE                  the agent, by its operator's file (deploy/etcd.toml)
   nodes FILE list                    the nodes in etcd, with their marks
   nodes FILE drain [-hold] [-why W] ID   mark a node as draining; with -hold only while this command runs
@@ -34,7 +34,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if err := run(ctx, os.Args[1:], os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "eiderwatch:", err)
+		fmt.Fprintln(os.Stderr, "membershipagent:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts gateways on the simulator's wire. It translates between
+// Command simadapter hosts gateways on the simulator's wire. It translates between
 // the wire and the policy package and decides nothing.
 package main
 
@@ -14,7 +14,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/eiderfleet/lab.go
+++ b/cmd/testbed/lab.go
@@ -34,7 +34,7 @@
 	return rep.Counts, nil
 }
 
-// labRun does what eiderfleet lab is asked for. Its report is nil where that was a measurement.
+// labRun does what testbed lab is asked for. Its report is nil where that was a measurement.
 func labRun(args []string, w io.Writer) (*audit.Report, error) {
 	set := flag.NewFlagSet("lab", flag.ContinueOnError)
 	forwarders := set.Int("forwarders", 20, "forwarders, or one-program ingresses with -planners 0")
@@ -45,7 +45,7 @@
 	every := set.Duration("every", 0, "mean time between two faults, in place of the scenario's")
 	upgrades := set.Int("upgrades", 0, "upgrade the whole fleet so many times meanwhile, program by program")
 	kinds := set.String("kinds", "", "faults to choose from, by commas, in place of the scenario's:\n"+strings.Join(lab.KindNames(), "\n"))
-	record := set.String("record", "", "keep the run in this file, for eiderfleet judge, replay and shrink")
+	record := set.String("record", "", "keep the run in this file, for testbed judge, replay and shrink")
 	replay := set.String("replay", "", "play the faults that this file of -record holds")
 	seed := set.Uint64("seed", 1, "of accounts, traffic and faults")
 	scale := set.Float64("scale", 2, "of the number of accounts")
@@ -62,7 +62,7 @@
 	}
 	if *dir == "" {
 		var err error
-		if *dir, err = os.MkdirTemp("", "eiderfleet"); err != nil {
+		if *dir, err = os.MkdirTemp("", "testbed"); err != nil {
 			return nil, err
 		}
 	}
@@ -173,7 +173,7 @@
 	return rep, nil
 }
 
-// spawner starts the programs under test: this one, and the ingress that lies beside it.
+// spawner starts the programs under test, which lie beside this one.
 func spawner(self string) lab.Spawn {
 	return func(kind, file string) *exec.Cmd {
 		if kind == "ingress" {
@@ -181,6 +181,6 @@
 			c.Env = append(os.Environ(), "EDGE_CONFIG="+file)
 			return c
 		}
-		return exec.Command(self, kind, file)
+		return exec.Command(filepath.Join(filepath.Dir(self), "fleet"), kind, file)
 	}
 }
--- a/cmd/eiderfleet/main.go
+++ b/cmd/testbed/main.go
@@ -1,24 +1,14 @@
-// Command eiderfleet is eiderspread on two levels: forwarders, planners, and what one needs to run and to try them.
+// Command testbed tries the ingress: fleets on sockets and in virtual time with injected faults, judged by an invariant checker.
 package main
 
 import (
-	"encoding/json"
-	"flag"
 	"fmt"
-	"io"
-	"net/http"
 	"os"
-	"time"
 
 	"eiderspread/internal/lab"
-	"eiderspread/internal/program"
 )
 
-const usage = `usage: eiderfleet COMMAND ...
-  forwarder [-check] FILE   a forwarder by its operator's file (deploy/forwarder.toml)
-  planner [-check] FILE     a planner by its operator's file (deploy/planner.toml)
-  upgrade [-check] [-from NAME] FILE   rolls a fleet's programs one by one (deploy/upgrade.toml)
-  status ADDR [ADDR ...]    who leads what, by the status addresses of forwarders and planners
+const usage = `usage: testbed COMMAND ...
   lab [flags]               a fleet with stand-ins on loopback, with faults and an audit; lab -h lists the flags
   soak [flags]              real processes under faults that overlap, drawn from numbers, one run after the other; soak -h lists the flags
   judge FILE                judges a run that lab -record kept, without running it again
@@ -33,7 +23,7 @@
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
-		fmt.Fprintln(os.Stderr, "eiderfleet:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 		os.Exit(1)
 	}
 }
@@ -44,23 +34,6 @@
 		return fmt.Errorf("no command given")
 	}
 	switch name, rest := args[0], args[1:]; name {
-	case "forwarder", "planner":
-		set := flag.NewFlagSet(name, flag.ContinueOnError)
-		check := set.Bool("check", false, "check the file and all that it names, and end")
-		if err := set.Parse(rest); err != nil {
-			return err
-		}
-		if set.NArg() != 1 {
-			return fmt.Errorf("%s wants one file", name)
-		}
-		if *check {
-			return program.Check(name, set.Arg(0))
-		}
-		return program.Run(name, set.Arg(0))
-	case "upgrade":
-		return upgrade(rest, os.Stdout)
-	case "status":
-		return status(rest, os.Stdout)
 	case "lab":
 		return runLab(rest)
 	case "soak":
@@ -94,27 +67,3 @@
 		return fmt.Errorf("unknown command %q", name)
 	}
 }
-
-// status prints what programs tell of themselves. One that does not answer is an error, after the others.
-func status(addrs []string, w io.Writer) error {
-	client := http.Client{Timeout: 2 * time.Second}
-	var last error
-	for _, a := range addrs {
-		resp, err := client.Get("http://" + a + "/")
-		if err != nil {
-			last = err
-			continue
-		}
-		var v any
-		err = json.NewDecoder(resp.Body).Decode(&v)
-		resp.Body.Close()
-		if err != nil {
-			last = fmt.Errorf("%s: %w", a, err)
-			continue
-		}
-		out := json.NewEncoder(w)
-		out.SetIndent("", " ")
-		out.Encode(v)
-	}
-	return last
-}
--- a/cmd/eiderfleet/overload.go
+++ b/cmd/testbed/overload.go
@@ -36,7 +36,7 @@
 	length := set.Duration("for", 25*time.Second, "of each run")
 	sockets := set.Bool("sockets", false, "processes on sockets, one run after the other; else in virtual time")
 	only := set.String("decided", "alone,as one", "which of the two, by commas")
-	keep := set.String("keep", "", "a folder for the figures of each kind's first run, which eidertrace overload draws")
+	keep := set.String("keep", "", "a folder for the figures of each kind's first run, which decisiontrace overload draws")
 	if err := set.Parse(args); err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 }
 
 func (p overloadRun) sockets(seed uint64) (*audit.Report, error) {
-	dir, err := os.MkdirTemp("", "eiderfleet")
+	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/eiderfleet/runs.go
+++ b/cmd/testbed/runs.go
@@ -15,7 +15,7 @@
 
 // kept is what lab -record keeps: the call, the faults, and beside it, in FILE.history, what nodes and clients saw.
 type kept struct {
-	Args   []string    `json:"args"` // of eiderfleet lab
+	Args   []string    `json:"args"` // of testbed lab
 	Faults []lab.Fault `json:"faults"`
 }
 
--- a/cmd/eiderfleet/sim.go
+++ b/cmd/testbed/sim.go
@@ -32,7 +32,7 @@
 	length := set.Duration("for", 30*time.Second, "virtual time of each")
 	jobs := set.Int("jobs", runtime.NumCPU(), "schedules at a time")
 	shrink := set.Bool("shrink", true, "cut a schedule that fails down to the faults that matter")
-	folder := set.String("trace", "", "a folder: decisions of the first schedule's ingresses, or planners, are written there, for eidertrace")
+	folder := set.String("trace", "", "a folder: decisions of the first schedule's ingresses, or planners, are written there, for decisiontrace")
 	shed := set.Bool("overload", false, "ingresses and planners decide on overload as one")
 	rule := set.String("rule", "", "with this, only a breach of this rule fails a schedule")
 	if err := set.Parse(args); err != nil {
--- a/cmd/eiderfleet/soak.go
+++ b/cmd/testbed/soak.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// playSoak plays one run. Its report goes into its folder, and the history of one that breaks a rule, for eiderfleet judge.
+// playSoak plays one run. Its report goes into its folder, and the history of one that breaks a rule, for testbed judge.
 func playSoak(sc lab.Scenario, folder string) (verdict, err error) {
 	report, err := os.Create(filepath.Join(folder, "report.txt"))
 	if err != nil {
--- a/internal/lab/etcdfleet/rig.go
+++ b/internal/lab/etcdfleet/rig.go
@@ -29,7 +29,7 @@
 
 const (
 	prefix   = "/eiderspread/lab/"
-	user     = "eiderwatch"
+	user     = "membershipagent"
 	secret   = "snow on the tracks"
 	staleMS  = 1200
 	etcdStar = 0.3 // seconds a leaderless etcd takes to elect
--- a/internal/lab/mutants/list.go
+++ b/internal/lab/mutants/list.go
@@ -7,8 +7,8 @@
 	labOne      = "lab -forwarders 4 -planners 0 -nodes 6 -for 15s -scenario "
 	drainOne    = "lab -forwarders 6 -planners 0 -nodes 8 -for 14s -scenario soak -kinds drained-deaf -every 500ms"
 	labTwo      = "lab -forwarders 5 -planners 3 -nodes 6 -for 15s -scenario "
-	labEtcd     = "eiderwatch lab -quiet -forwarders 6 -planners 0 -for 60s -every 300ms -seed 4"
-	labEtcdLong = "eiderwatch lab -quiet -forwarders 6 -planners 0 -for 100s -every 300ms -seed 5"
+	labEtcd     = "membershipagent lab -quiet -forwarders 6 -planners 0 -for 60s -every 300ms -seed 4"
+	labEtcdLong = "membershipagent lab -quiet -forwarders 6 -planners 0 -for 100s -every 300ms -seed 5"
 	simCrowd    = "sim -shrink=false -schedules 8 -for 30s -planners 0 -forwarders 12 -scenario "
 	simPlaces   = "sim -shrink=false -schedules 8 -for 12s -planners 0 -forwarders 80 -scenario "
 	simShed     = "sim -overload -shrink=false -schedules 8 -for 25s -planners 0 -forwarders 8 -scenario "
@@ -332,7 +332,7 @@
 		Edits: edit(mover, "\t}\n\tc.usage.lossyAt = now\n\tclear(c.peers)", "\t}\n\tclear(c.peers)"), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/link",
-		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which eiderfleet lab -deaths and -failsafes measure",
+		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
 		Edits: edit("internal/link/conn.go", "NewConn(c net.Conn, silence time.Duration) *Conn {\n", "NewConn(c net.Conn, silence time.Duration) *Conn {\n\tsilence = time.Hour\n"),
 		Runs:  []string{labTwo + "programs"}},
 }
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -24,7 +24,7 @@
 	Name  string // of the guard
 	Rule  string // that it is there for, as the auditor words it
 	Edits []Edit
-	Runs  []string // arguments of eiderfleet, or eiderwatch with its own, that bring the guard's occasions, the likeliest to object first
+	Runs  []string // arguments of testbed, or membershipagent with its own, that bring the guard's occasions, the likeliest to object first
 	Unit  string   // package whose own tests are to fail too, "" if none is
 	Why   string   // of one that no run catches: why it is there all the same
 }
@@ -92,9 +92,9 @@
 		return "", err
 	}
 	bin = filepath.Join(filepath.Dir(overlay), "bin")
-	args := []string{"build", "-overlay", overlay, "-o", bin + "/", "./cmd/eiderfleet", "./cmd/eiderspread"}
+	args := []string{"build", "-overlay", overlay, "-o", bin + "/", "./cmd/testbed", "./cmd/fleet", "./cmd/eiderspread"}
 	if slices.ContainsFunc(m.Runs, func(run string) bool { return strings.HasPrefix(run, watch) }) {
-		args = append(args, "./cmd/eiderwatch")
+		args = append(args, "./cmd/membershipagent")
 	}
 	c := exec.CommandContext(ctx, "go", args...)
 	c.Dir = r.Root
@@ -138,13 +138,13 @@
 	ctx, cancel := context.WithTimeout(ctx, r.Most)
 	defer cancel()
 	if args, ok := strings.CutPrefix(args, watch); ok {
-		return r.run1(ctx, filepath.Join(bin, "eiderwatch"), strings.Fields(args), rule)
+		return r.run1(ctx, filepath.Join(bin, "membershipagent"), strings.Fields(args), rule)
 	}
-	return r.run1(ctx, filepath.Join(bin, "eiderfleet"), strings.Fields(args), rule)
+	return r.run1(ctx, filepath.Join(bin, "testbed"), strings.Fields(args), rule)
 }
 
-// watch stands before runs of eiderwatch.
-const watch = "eiderwatch "
+// watch stands before runs of membershipagent.
+const watch = "membershipagent "
 
 func (r Runner) run1(ctx context.Context, program string, list []string, rule string) (string, error) {
 	if list[0] == "lab" {
--- a/internal/lab/mutants/mutants_test.go
+++ b/internal/lab/mutants/mutants_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// The short form of eiderfleet mutants: the program as it is passes the same runs in which copies without a guard are found
+// The short form of testbed mutants: the program as it is passes the same runs in which copies without a guard are found
 // out.
 func TestLaboratoryFindsMissingGuards(t *testing.T) {
 	if testing.Short() {
--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -22,7 +22,7 @@
 	}
 	sc.Faults = []Fault{{At: 5 * time.Second, For: 2 * time.Second, Kind: "peers"}}
 	sc.Floors = map[string]int{audit.Lost: 1}
-	// A peak of five seconds and a handful of large accounts: lots alone move the worst plan by a third. The full figures are eiderfleet overload's.
+	// A peak of five seconds and a handful of large accounts: lots alone move the worst plan by a third. The full figures are testbed overload's.
 	sc.Stated = audit.Stated{Share: 0.5, Even: 0.4, Back: 60, Spread: 1, Swing: 1, Starved: 0.6, Gone: 0.5}
 	var log strings.Builder
 	doors := 0
--- a/internal/lab/scenarios.go
+++ b/internal/lab/scenarios.go
@@ -81,7 +81,7 @@
 		load: 1, hangUps: 0.03, batches: 0.1, rude: 2,
 		floors: map[string]int{audit.Lost: 200, audit.Answer: 100, audit.Order: 100, audit.Out: 100, audit.Twice: 40, audit.Drains: 4, audit.Cold: 100,
 			audit.Quotas: 100, audit.Ceilings: 100}},
-	"etcd": {what: "membership from etcd, which breaks; eiderwatch lab alone plays it", every: 600 * time.Millisecond, weather: 0.02, load: 0.6,
+	"etcd": {what: "membership from etcd, which breaks; membershipagent lab alone plays it", every: 600 * time.Millisecond, weather: 0.02, load: 0.6,
 		floors: map[string]int{audit.Drains: 10, audit.Stale: 20, audit.Views: 3}},
 	"calm":    {what: "nothing goes wrong", floors: map[string]int{audit.Quotas: 100}},
 	"answers": {what: "nodes err, break off, stay silent, answer late, twice and nonsense; nothing else", weather: 0.35, hangUps: 0.03, batches: 0.1, floors: trouble},
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -74,7 +74,7 @@
 }
 
 func init() {
-	scenarios["soak"] = scenario{what: "operators drain, reload, replace and hold, processes stand still and die, nodes, ways and the roster fail, all at once; eiderfleet soak draws it",
+	scenarios["soak"] = scenario{what: "operators drain, reload, replace and hold, processes stand still and die, nodes, ways and the roster fail, all at once; testbed soak draws it",
 		kinds: soakKinds, every: 400 * time.Millisecond, weather: soakWeather, hangUps: 0.05, batches: 0.2, rude: 2, quota: -1,
 		floors: map[string]int{audit.Lost: 50, audit.Answer: 20, audit.Out: 20, audit.Twice: 10, audit.Drains: 2, audit.DrainEnd: 1, audit.OwnCount: 1, audit.Gone: 1}}
 }
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -9,7 +9,7 @@
 )
 
 // A short soak of processes: operators drain ingresses behind a front that does not notice, have one read its configuration again and replace
-// another, while processes stand still, one is killed, connections come up late and are reset. The long form is eiderfleet soak.
+// another, while processes stand still, one is killed, connections come up late and are reset. The long form is testbed soak.
 func TestSoak(t *testing.T) {
 	sc, err := Soak(2, 7*time.Second, FleetConfig{Forwarders: 5, Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1})
 	if err != nil {
--- a/internal/standin/etcd/cluster_test.go
+++ b/internal/standin/etcd/cluster_test.go
@@ -212,7 +212,7 @@
 		}
 		return cfg
 	}
-	mine := config("eiderwatch")
+	mine := config("membershipagent")
 	c, err := Open(Config{TLS: config("etcd")})
 	if err != nil {
 		t.Fatal(err)
