--- a/internal/forward/core.go
+++ b/internal/forward/core.go
@@ -72,9 +72,15 @@
 
 // Stats counts, from the start on.
 type Stats struct {
-	Requests, Told, Retold, Served, Stale  uint64 // Stale: actions of a planner that is not followed
-	RefusedUnled, RefusedFull, FailedUnled uint64 // in the forwarder's own words
-	Tales                                  uint64 // customers told of to new leaders
+	Requests     uint64 `json:"Requests"`
+	Told         uint64 `json:"Told"`
+	Retold       uint64 `json:"Retold"`
+	Served       uint64 `json:"Served"`
+	Stale        uint64 `json:"Stale"` // Stale: actions of a planner that is not followed
+	RefusedUnled uint64 `json:"RefusedUnled"`
+	RefusedFull  uint64 `json:"RefusedFull"`
+	FailedUnled  uint64 `json:"FailedUnled"` // in the forwarder's own words
+	Tales        uint64 `json:"Tales"`       // customers told of to new leaders
 }
 
 // cell is one cell as this forwarder sees it. epoch, holder, life and until are the promise.
--- a/internal/ingress/flow.go
+++ b/internal/ingress/flow.go
@@ -175,12 +175,12 @@
 
 // carried is a value on its way to the new process, as its message words it.
 type carried struct {
-	Out    []byte // for the client, before anything else
-	Left   int    // of the value, to be read from the backend
-	Rest   []byte // read from the backend beyond that
-	Input  []byte // read from the client and not used
-	Behind []byte // answers that wait behind the value
-	Slots  int    // so many
+	Out    []byte `json:"Out"`    // for the client, before anything else
+	Left   int    `json:"Left"`   // of the value, to be read from the backend
+	Rest   []byte `json:"Rest"`   // read from the backend beyond that
+	Input  []byte `json:"Input"`  // read from the client and not used
+	Behind []byte `json:"Behind"` // answers that wait behind the value
+	Slots  int    `json:"Slots"`  // so many
 }
 
 // movable tells that a value's client waits for nothing but it, and for answers that are known.
--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -58,9 +58,9 @@
 
 // word is what the old process says with Go.
 type word struct {
-	Clients int      // connections that it still has
-	Boot    float64  // the machine's start by its clock, see mono
-	List    *targets `json:",omitempty"` // of backends, as discovery told it
+	Clients int      `json:"Clients"`        // connections that it still has
+	Boot    float64  `json:"Boot"`           // the machine's start by its clock, see mono
+	List    *targets `json:"List,omitempty"` // of backends, as discovery told it
 }
 
 // passing is a connection on its way to the new process.
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -14,8 +14,8 @@
 
 // Config is what operators say of it. Its zero value is off.
 type Config struct {
-	On    bool
-	Floor float64 // of each account's requests, that no level takes; 0 stands for floorShare
+	On    bool    `toml:"on"`
+	Floor float64 `toml:"floor"` // of each account's requests, that no level takes; 0 stands for floorShare
 }
 
 // Check tells what is wrong with it.
--- a/internal/planner/host.go
+++ b/internal/planner/host.go
@@ -55,7 +55,14 @@
 
 // Stats counts, from the start on.
 type Stats struct {
-	Requests, Sends, Refused, Failed, Leads, Lost, Ignored, Tales uint64
+	Requests uint64 `json:"Requests"`
+	Sends    uint64 `json:"Sends"`
+	Refused  uint64 `json:"Refused"`
+	Failed   uint64 `json:"Failed"`
+	Leads    uint64 `json:"Leads"`
+	Lost     uint64 `json:"Lost"`
+	Ignored  uint64 `json:"Ignored"`
+	Tales    uint64 `json:"Tales"`
 }
 
 // cell is what a planner holds of a cell that it leads or claims; gate is nil until it leads.
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -30,30 +30,30 @@
 
 // Class describes one class of request. Times are in seconds.
 type Class struct {
-	Name       string
-	AimS       float64 // an answer within this time earns its full worth
-	AimStretch float64 // the aim grows by this multiple of the request's own work
-	DeadlineS  float64
-	Worth      float64
-	LateWorth  float64 // share of the worth after the aim
-	Effect     Effect
-	KeyScope   Scope
-	KeyTTLS    float64
-	Stream     bool
+	Name       string  `json:"Name"`
+	AimS       float64 `json:"AimS"`       // an answer within this time earns its full worth
+	AimStretch float64 `json:"AimStretch"` // the aim grows by this multiple of the request's own work
+	DeadlineS  float64 `json:"DeadlineS"`
+	Worth      float64 `json:"Worth"`
+	LateWorth  float64 `json:"LateWorth"` // share of the worth after the aim
+	Effect     Effect  `json:"Effect"`
+	KeyScope   Scope   `json:"KeyScope"`
+	KeyTTLS    float64 `json:"KeyTTLS"`
+	Stream     bool    `json:"Stream"`
 }
 
 // Plan describes the quota that each customer of the plan holds over all gateways.
 type Plan struct {
-	Name         string
-	Rate         float64 // units a second; 0: no such quota
-	Burst        float64 // the most units the quota holds
-	Parallel     int     // attempts out at once; 0: no such quota
-	Price        float64 // factor on the worth
-	ExtraWorth   float64 // share of the worth earned beyond the quota
-	ExcessCost   float64 // share of the worth that sending on beyond the quota costs
-	CeilingRate  float64 // 0: no ceiling
-	CeilingBurst float64
-	CeilingSlack float64
+	Name         string  `json:"Name"`
+	Rate         float64 `json:"Rate"`        // units a second; 0: no such quota
+	Burst        float64 `json:"Burst"`       // the most units the quota holds
+	Parallel     int     `json:"Parallel"`    // attempts out at once; 0: no such quota
+	Price        float64 `json:"Price"`       // factor on the worth
+	ExtraWorth   float64 `json:"ExtraWorth"`  // share of the worth earned beyond the quota
+	ExcessCost   float64 `json:"ExcessCost"`  // share of the worth that sending on beyond the quota costs
+	CeilingRate  float64 `json:"CeilingRate"` // 0: no ceiling
+	CeilingBurst float64 `json:"CeilingBurst"`
+	CeilingSlack float64 `json:"CeilingSlack"`
 }
 
 // Settings are fixed for the life of a Gateway. Times are in seconds.
@@ -145,11 +145,15 @@
 
 // Request is a client's request that this gateway now owes one final answer.
 type Request struct {
-	ID, Class, Plan, Customer string
-	DeadlineS                 float64 // clock time at which the client gives up
-	First, Entries            int     // the customer's gateways: Entries in a row from First
-	Units                     float64
-	Retry                     bool
+	ID        string  `json:"ID"`
+	Class     string  `json:"Class"`
+	Plan      string  `json:"Plan"`
+	Customer  string  `json:"Customer"`
+	DeadlineS float64 `json:"DeadlineS"` // clock time at which the client gives up
+	First     int     `json:"First"`
+	Entries   int     `json:"Entries"` // the customer's gateways: Entries in a row from First
+	Units     float64 `json:"Units"`
+	Retry     bool    `json:"Retry"`
 }
 
 // Status is the way an attempt or a probe ended.
@@ -169,18 +173,24 @@
 
 // Load is a server's load report. Fields that were not reported are below 0.
 type Load struct {
-	InFlight, Queue, Util, ServiceMS, ServedPerS, FailedPerS float64
+	InFlight   float64 `json:"InFlight"`
+	Queue      float64 `json:"Queue"`
+	Util       float64 `json:"Util"`
+	ServiceMS  float64 `json:"ServiceMS"`
+	ServedPerS float64 `json:"ServedPerS"`
+	FailedPerS float64 `json:"FailedPerS"`
 }
 
 // Outcome ends one attempt. Over tells that the request needs no answer any more.
 type Outcome struct {
-	ID, Server string
-	Attempt    int
-	Status     Status
-	Over       bool
-	SpentS     float64
-	Units      float64 // the true units, with TrueUp and OK
-	Load       *Load
+	ID      string  `json:"ID"`
+	Server  string  `json:"Server"`
+	Attempt int     `json:"Attempt"`
+	Status  Status  `json:"Status"`
+	Over    bool    `json:"Over"`
+	SpentS  float64 `json:"SpentS"`
+	Units   float64 `json:"Units"` // the true units, with TrueUp and OK
+	Load    *Load   `json:"Load"`
 }
 
 // ProbeResult ends one probe.
