--- a/cmd/decisiontrace/main.go
+++ b/cmd/decisiontrace/main.go
@@ -74,7 +74,7 @@
 		keys = append(keys, key)
 	}
 	rows := run.By(func(r analyse.Record) bool {
-		return inside(r) && (c.Step == "refused" && analyse.Refused(r) || r.Step.String() == c.Step) && (c.Why == "" || r.Why.String() == c.Why) &&
+		return inside(r) && (c.Step == "refused" && analyse.Refused(r) || r.Step.String() == c.Step) && (c.Why == "" || r.Reason.String() == c.Why) &&
 			(c.Plan == "" || r.Plan == c.Plan)
 	}, func(r analyse.Record) string {
 		var parts []string
@@ -107,7 +107,7 @@
 			return fmt.Errorf("account: %w", err)
 		}
 	case c.Account != "":
-		key = peermsg.Point(c.Account) >> 32
+		key = peermsg.HashPoint(c.Account) >> 32
 	case c.ID == "":
 		return fmt.Errorf("a story needs --id or --account")
 	}
--- a/cmd/eiderspread/drain_test.go
+++ b/cmd/eiderspread/drain_test.go
@@ -23,25 +23,25 @@
 	lateInDrain   = 2 * time.Second        // a request that comes later would be too young at the end
 )
 
-// keptConnection is one that a client keeps open between its requests, as long as the ingress does.
-type keptConnection struct {
+// persistentConn is one that a client keeps open between its requests, as long as the ingress does.
+type persistentConn struct {
 	net.Conn
-	reader   *bufio.Reader
-	mu       sync.Mutex
-	requests int
-	lastSent time.Time
-	awaits   bool // an answer
-	ended    bool
+	reader         *bufio.Reader
+	mutex          sync.Mutex
+	requests       int
+	lastSent       time.Time
+	awaitingAnswer bool // an answer
+	ended          bool
 }
 
-// ask sends a request and reads its answer: whether it was served, and whether the connection is still open. A connection that ends between two
+// request sends a request and reads its answer: whether it was served, and whether the connection is still open. A connection that ends between two
 // answers has lost nothing.
-func (k *keptConnection) ask(id string, lost *atomic.Int64) (served, open bool) {
-	k.mu.Lock()
+func (k *persistentConn) request(id string, lost *atomic.Int64) (served, open bool) {
+	k.mutex.Lock()
 	k.requests++
-	k.lastSent, k.awaits = time.Now(), true
+	k.lastSent, k.awaitingAnswer = time.Now(), true
 	first := k.requests == 1
-	k.mu.Unlock()
+	k.mutex.Unlock()
 	fields := "c=look,t=basic,d=2000,units=1,spread=1,first=0"
 	_, err := fmt.Fprintf(k, "*4\r\n$8\r\nCALL.GET\r\n$16\r\n00000000b4d65521\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n", len(id), id, len(fields), fields)
 	line := ""
@@ -52,9 +52,9 @@
 		served = true
 		_, err = k.reader.ReadString('\n')
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.awaits = false
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	k.awaitingAnswer = false
 	if err != nil {
 		k.ended = true
 		if first || line != "" { // nothing was answered on it, or half of an answer
@@ -64,14 +64,14 @@
 	return served, err == nil
 }
 
-// hold tells how the connection breaks the rule at the end of a drain, or "".
-func (k *keptConnection) hold(now time.Time) string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// violation tells how the connection breaks the rule at the end of a drain, or "".
+func (k *persistentConn) violation(now time.Time) string {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
 	switch {
 	case k.ended:
 		return ""
-	case !k.awaits:
+	case !k.awaitingAnswer:
 		return "idle"
 	case now.Sub(k.lastSent) < drainRecent:
 		return "with a recent request"
@@ -79,40 +79,40 @@
 	return ""
 }
 
-// deafFront is clients behind a front that goes on dealing requests to an ingress, whatever that says to PING: each client keeps its
+// persistentFront is clients behind a front that goes on dealing requests to an ingress, whatever that says to PING: each client keeps its
 // connection while it can and opens another when it has ended.
-type deafFront struct {
-	listen     string
-	stop       chan struct{}
-	ids        atomic.Int64
-	lost       atomic.Int64 // requests whose connection ended with no answer on it
-	after      atomic.Int64 // connections opened later than noticedLately after the call
-	servedLate atomic.Int64 // requests that were sent later than lateInDrain after the call, and served
-	called     atomic.Int64 // when operators called, Unix nanoseconds
+type persistentFront struct {
+	listen        string
+	stop          chan struct{}
+	ids           atomic.Int64
+	lost          atomic.Int64 // requests whose connection ended with no answer on it
+	openedLate    atomic.Int64 // connections opened later than noticedLately after the call
+	servedLate    atomic.Int64 // requests that were sent later than lateInDrain after the call, and served
+	drainCalledAt atomic.Int64 // when operators called, Unix nanoseconds
 
-	mu   sync.Mutex
-	open map[*keptConnection]bool
-	wg   sync.WaitGroup
+	mutex   sync.Mutex
+	open    map[*persistentConn]bool
+	clients sync.WaitGroup
 }
 
-func (f *deafFront) client(t *testing.T) {
+func (f *persistentFront) client(t *testing.T) {
 	for {
 		conn, err := net.Dial("tcp", f.listen)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		k := &keptConnection{Conn: conn, reader: bufio.NewReader(conn)}
-		conn.SetDeadline(time.Now().Add(patience))
-		if f.sinceCall() > noticedLately {
-			f.after.Add(1)
+		k := &persistentConn{Conn: conn, reader: bufio.NewReader(conn)}
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		if f.sinceDrainCall() > noticedLately {
+			f.openedLate.Add(1)
 		}
-		f.mu.Lock()
+		f.mutex.Lock()
 		f.open[k] = true
-		f.mu.Unlock()
+		f.mutex.Unlock()
 		for {
-			late := f.sinceCall() > lateInDrain
-			served, open := k.ask(fmt.Sprintf("q-%d", f.ids.Add(1)), &f.lost)
+			late := f.sinceDrainCall() > lateInDrain
+			served, open := k.request(fmt.Sprintf("q-%d", f.ids.Add(1)), &f.lost)
 			if late && served {
 				f.servedLate.Add(1)
 			}
@@ -127,9 +127,9 @@
 			}
 		}
 		conn.Close()
-		f.mu.Lock()
+		f.mutex.Lock()
 		delete(f.open, k)
-		f.mu.Unlock()
+		f.mutex.Unlock()
 		select {
 		case <-f.stop:
 			return
@@ -138,22 +138,22 @@
 	}
 }
 
-// sinceCall is how long ago operators called; 0 before they have.
-func (f *deafFront) sinceCall() time.Duration {
-	called := f.called.Load()
+// sinceDrainCall is how long ago operators called; 0 before they have.
+func (f *persistentFront) sinceDrainCall() time.Duration {
+	called := f.drainCalledAt.Load()
 	if called == 0 {
 		return 0
 	}
 	return time.Duration(time.Now().UnixNano() - called)
 }
 
-// held tells which connections break the rule at one moment.
-func (f *deafFront) held(now time.Time) map[*keptConnection]string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	list := map[*keptConnection]string{}
+// violations tells which connections break the rule at one moment.
+func (f *persistentFront) violations(now time.Time) map[*persistentConn]string {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	list := map[*persistentConn]string{}
 	for k := range f.open {
-		if why := k.hold(now); why != "" {
+		if why := k.violation(now); why != "" {
 			list[k] = why
 		}
 	}
@@ -165,7 +165,7 @@
 // that comes in its second half is served. Each ingress is a process of its own. (That no connection which is opened late is used again was asked
 // here first. It made an ingress end connections after each answer, and pipelined commands cross the end of one after the other: on the bench, rule
 // lost. What is used again late is refused now, which this test asks for instead, beside what is held at the end.)
-func TestDrainedIngressLetsGoOfClientsThatGoOnComing(t *testing.T) {
+func TestDrain_ReleasesPersistentClients(t *testing.T) {
 	for name, answerAfter := range map[string]time.Duration{"quick backend": 20 * time.Millisecond, "slow backend": 600 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -177,9 +177,9 @@
 func drainUnderClients(t *testing.T, answerAfter time.Duration) {
 	console := freeAddress(t)
 	listen, _ := startProgram(t, programOptions{deadline: "2", console: console, answerAfter: answerAfter})
-	front := &deafFront{listen: listen, stop: make(chan struct{}), open: map[*keptConnection]bool{}}
+	front := &persistentFront{listen: listen, stop: make(chan struct{}), open: map[*persistentConn]bool{}}
 	for range drainClients {
-		front.wg.Go(func() { front.client(t) })
+		front.clients.Go(func() { front.client(t) })
 	}
 	time.Sleep(drainWarmUp) // clients are at work when operators call
 	resp, err := http.Post("http://"+console+"/v1/ingress/drain", "", strings.NewReader(""))
@@ -188,19 +188,19 @@
 	}
 	resp.Body.Close()
 	called := time.Now()
-	front.called.Store(called.UnixNano())
+	front.drainCalledAt.Store(called.UnixNano())
 	time.Sleep(time.Until(called.Add(drainTime)))
-	held := front.held(time.Now())
+	held := front.violations(time.Now())
 	time.Sleep(drainSlack)
-	still := front.held(time.Now().Add(-drainSlack))
+	still := front.violations(time.Now().Add(-drainSlack))
 	for k, why := range held {
 		if still[k] != "" {
 			t.Errorf("%v after the call a connection with %d requests is held, %s", drainTime, k.requests, why)
 		}
 	}
 	close(front.stop)
-	front.wg.Wait()
-	if n := front.after.Load(); n < drainClients {
+	front.clients.Wait()
+	if n := front.openedLate.Load(); n < drainClients {
 		t.Errorf("%d connections were opened later than %v after the call: no occasion", n, noticedLately)
 	}
 	if n := front.servedLate.Load(); n > 0 {
@@ -226,7 +226,7 @@
 		if err != nil {
 			return err
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		reader := bufio.NewReader(conn)
 		var open []time.Time // when each was sent
 		send := func() {
@@ -269,7 +269,7 @@
 
 // Guards pipelined commands as an ingress is drained (found by the sweep after the incident of 2026-12-02): a connection ends when all that has come
 // on it is answered, however many commands its client keeps open.
-func TestDrainedIngressAnswersPipelinedCommands(t *testing.T) {
+func TestDrain_AnswersPipelinedCommands(t *testing.T) {
 	console := freeAddress(t)
 	listen, _ := startProgram(t, programOptions{deadline: "2", console: console, answerAfter: 300 * time.Millisecond})
 	stop := make(chan struct{})
@@ -282,7 +282,7 @@
 			}
 		})
 	}
-	for end := time.Now().Add(patience); answered.Load() < drainClients && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); answered.Load() < drainClients && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	before := answered.Load()
 	resp, err := http.Post("http://"+console+"/v1/ingress/drain", "", strings.NewReader(""))
--- a/cmd/eiderspread/main.go
+++ b/cmd/eiderspread/main.go
@@ -17,7 +17,7 @@
 const (
 	// There is one core: a second processor took 1.84 s of CPU a calm day against 1.71 and 1.73 s,
 	// at the same result.
-	processors = 1
+	maxProcs = 1
 )
 
 func main() {
@@ -40,37 +40,37 @@
 	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read when it is taken
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	cfg, err := read(path)
+	cfg, err := readConfig(path)
 	if err != nil || *check {
 		return err
 	}
-	runtime.GOMAXPROCS(processors)
-	ingress.LimitMemory(cfg.MemoryMB, ingress.MemoryShare)
+	runtime.GOMAXPROCS(maxProcs)
+	ingress.LimitMemory(cfg.MemoryMB, ingress.MemoryLimitFraction)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("ingress", cfg.Name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	reread := make(chan ingress.Config)
 	done := make(chan struct{})
 	defer close(done)
-	go rereadOn(hup, done, path, cfg, reread, log)
+	go reloadOnSignal(hup, done, path, cfg, reread, log)
 	return ingress.Run(ctx, cfg, reread, log)
 }
 
-// read reads the configuration, and the operator's file if EDGE_OPERATOR names one.
-func read(path string) (ingress.Config, error) {
+// readConfig reads the configuration, and the operator's file if EDGE_OPERATOR names one.
+func readConfig(path string) (ingress.Config, error) {
 	cfg, err := ingress.ReadConfig(path)
-	if cfg.Console == "" && err == nil {
-		cfg.Console, err = ingress.ConsoleAddr(os.Getenv("EDGE_CONSOLE"))
+	if cfg.AdminAddr == "" && err == nil {
+		cfg.AdminAddr, err = ingress.CheckAdminAddr(os.Getenv("EDGE_CONSOLE"))
 	}
 	if file := os.Getenv("EDGE_OPERATOR"); file != "" && err == nil {
-		cfg.Operator, err = ingress.ReadOperator(file)
+		cfg.OperatorConfig, err = ingress.ReadOperatorConfig(file)
 	}
 	return cfg, err
 }
 
-// rereadOn reads the configuration again at each signal and hands it on. What can't be read is logged,
+// reloadOnSignal reads the configuration again at each signal and hands it on. What can't be read is logged,
 // and the ingress goes on as it is.
-func rereadOn(hup <-chan os.Signal, done <-chan struct{}, path string, first ingress.Config,
+func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, path string, first ingress.Config,
 	to chan<- ingress.Config, log *slog.Logger) {
-	ingress.Reload(hup, done, func() (ingress.Config, error) { return read(path) }, first, to, log)
+	ingress.Reload(hup, done, func() (ingress.Config, error) { return readConfig(path) }, first, to, log)
 }
--- a/cmd/eiderspread/main_test.go
+++ b/cmd/eiderspread/main_test.go
@@ -21,7 +21,7 @@
 
 // Guards against a start that hangs or panics on a configuration that can't be used: it must be
 // told in one plain line.
-func TestBadConfigurationIsOneLine(t *testing.T) {
+func TestRun_BadConfigurationIsOneLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                             "EDGE_CONFIG names no configuration file",
 		"{":                            "unexpected end of JSON input",
@@ -50,7 +50,7 @@
 }
 
 // Guards against a bad file that is taken over, or that ends the rereading.
-func TestBadFileIsNotTakenOver(t *testing.T) {
+func TestReload_BadFileIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -60,7 +60,7 @@
 	hup, done, to := make(chan os.Signal), make(chan struct{}), make(chan ingress.Config, 2)
 	defer close(done)
 	logged, w := io.Pipe()
-	go rereadOn(hup, done, path, ingress.Config{}, to, slog.New(slog.NewTextHandler(w, nil)))
+	go reloadOnSignal(hup, done, path, ingress.Config{}, to, slog.New(slog.NewTextHandler(w, nil)))
 	lines := bufio.NewReader(logged)
 	write(`{"listen":`)
 	hup <- syscall.SIGHUP
@@ -79,11 +79,11 @@
 	}
 }
 
-const patience = 20 * time.Second // when a test gives up on what must come
+const testTimeout = 20 * time.Second // when a test gives up on what must come
 
 // Guards against a reload that ends the process: two SIGHUPs, between them one with a file that can't
 // be read, each followed by the watch at the address that holds, while a client is served throughout.
-func TestReloads(t *testing.T) {
+func TestReload_OnSIGHUP(t *testing.T) {
 	spare := make(chan os.Signal, 8) // SIGHUP must not end the test if the program doesn't take it
 	signal.Notify(spare, syscall.SIGHUP)
 	defer signal.Stop(spare)
@@ -160,7 +160,7 @@
 			if got != want {
 				t.Fatalf("agent %d is watched, want %d", got, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("agent %d is not watched", want)
 		}
 	}
@@ -184,7 +184,7 @@
 				return err
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(3 * patience))
+			c.SetDeadline(time.Now().Add(3 * testTimeout))
 			r := bufio.NewReader(c)
 			for n := 0; ; n++ {
 				fields := "c=look,t=basic,d=20000,units=1,spread=1,first=0"
@@ -226,7 +226,7 @@
 		if err != nil {
 			t.Errorf("the program ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the program did not end after SIGTERM")
 	}
 }
--- a/cmd/eiderspread/term_test.go
+++ b/cmd/eiderspread/term_test.go
@@ -17,10 +17,10 @@
 )
 
 // A test that starts itself with this set is the program.
-const asProgram = "EIDERSPREAD_TEST_RUNS_IT"
+const runAsProgramEnv = "EIDERSPREAD_TEST_RUNS_IT"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	cmd = exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "EDGE_CONFIG="+path, "TMPDIR="+folder)
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "EDGE_CONFIG="+path, "TMPDIR="+folder)
 	if testing.Verbose() {
 		cmd.Stderr = os.Stderr
 	}
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if c, err := net.Dial("tcp", listen); err == nil {
 			c.Close()
 			return listen, cmd
@@ -110,7 +110,7 @@
 
 // Clients that always have requests under way, and new ones, go on through a planned restart: a connection ends between two whole answers,
 // none is reset, and what came whole before the signal is served. A close with a command unread resets it, and takes answers along.
-func TestClientsThatGoOnAfterSIGTERM(t *testing.T) {
+func TestShutdown_ClientsActiveAfterSIGTERM(t *testing.T) {
 	const clients, ahead = 6, 4
 	listen, cmd := startProgram(t, programOptions{deadline: "0.4"})
 	var all, first sync.WaitGroup
@@ -125,7 +125,7 @@
 					return err
 				}
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				r := bufio.NewReader(c)
 				send := func(k int) error {
 					id, fields := fmt.Sprintf("q-%d-%d", n, k), "c=look,t=basic,d=400,units=1,spread=1,first=0"
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -59,7 +59,7 @@
 		return fmt.Errorf("%s wants one file", kind)
 	}
 	if *check {
-		return program.Check(kind, set.Arg(0))
+		return program.CheckConfig(kind, set.Arg(0))
 	}
 	return program.Run(kind, set.Arg(0))
 }
--- a/cmd/fleet/upgrade.go
+++ b/cmd/fleet/upgrade.go
@@ -80,12 +80,12 @@
 	if err := operator.Decode(set.Arg(0), &f); err != nil {
 		return err
 	}
-	times := rollout.Defaults
+	times := rollout.DefaultTimeouts
 	if f.UpS > 0 {
-		times.Up = f.UpS
+		times.StartS = f.UpS
 	}
 	if f.SettleS > 0 {
-		times.Settle = f.SettleS
+		times.StableS = f.SettleS
 	}
 	u := &upgrader{events: make(chan func(float64), 64), asking: make([]bool, len(f.Program)), last: make([]string, len(f.Program)), before: make([]string, len(f.Program)), log: log,
 		client: http.Client{Timeout: doorMost, Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -95,7 +95,7 @@
 		if err := p.check(); err != nil {
 			return fmt.Errorf("%s: %w", set.Arg(0), err)
 		}
-		list, by[p.Name] = append(list, rollout.Program{Name: p.Name, Kind: p.Kind, Beside: len(p.Replace) > 0}), p
+		list, by[p.Name] = append(list, rollout.Program{Name: p.Name, Kind: p.Kind, HotRestart: len(p.Replace) > 0}), p
 	}
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
@@ -122,12 +122,12 @@
 		case <-tick.C:
 			u.r.Tick(now())
 		}
-		done, p, phase := u.r.Where()
+		done, p, phase := u.r.Progress()
 		if say := fmt.Sprintf("%d of %d done; %s %s", done, len(u.list), p.Name, phase); say != said {
 			said = say
 			fmt.Fprintf(log, "%7.2f  %s\n", now(), say)
 		}
-		if over, err := u.r.Over(); over {
+		if over, err := u.r.Done(); over {
 			return err
 		}
 	}
@@ -147,8 +147,8 @@
 	return resp.StatusCode, nil
 }
 
-// Ask implements rollout.Out. No program is asked while an answer of its is outstanding.
-func (u *upgrader) Ask(i int) {
+// CheckReadiness implements rollout.Out. No program is asked while an answer of its is outstanding.
+func (u *upgrader) CheckReadiness(i int) {
 	if u.asking[i] {
 		return
 	}
@@ -176,7 +176,7 @@
 			if yes != "" {
 				u.last[i] = yes
 			}
-			u.r.Answer(now, i, heard, yes != "", busy)
+			u.r.HandleAnswer(now, i, heard, yes != "", busy)
 		}
 	}()
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -26,7 +26,7 @@
 	out   *wire.Writer
 	line  wire.Line
 	gates map[int]*policy.Gateway
-	lists map[int][]policy.Server
+	lists map[int][]policy.Backend
 }
 
 // actions writes the actions of one gateway.
@@ -43,7 +43,7 @@
 	l.End()
 }
 
-func (a actions) Refuse(id string, retryInS float64) {
+func (a actions) Reject(id string, retryInS float64) {
 	l := a.w.Begin("BOUNCE", a.i).ID("id", id)
 	if retryInS > 0 {
 		l.Num("retryInS", retryInS)
@@ -63,7 +63,7 @@
 
 func (a actions) Probe(server string) { a.w.Begin("HEALTH_CHECK", a.i).ID("backend", server).End() }
 
-func (a actions) Tell(gateway int, data []byte) {
+func (a actions) SendPeerMessage(gateway int, data []byte) {
 	a.w.Begin("BROADCAST_TO", a.i).Int("addressee", int64(gateway)).Hex("data", data).End()
 }
 
@@ -72,7 +72,7 @@
 func run(in io.Reader, out io.Writer) error {
 	h := &host{
 		in: wire.NewReader(in), out: wire.NewWriter(out),
-		gates: map[int]*policy.Gateway{}, lists: map[int][]policy.Server{},
+		gates: map[int]*policy.Gateway{}, lists: map[int][]policy.Backend{},
 	}
 	inBatch := false
 	for {
@@ -144,7 +144,7 @@
 	if r.err != nil {
 		return r.err
 	}
-	var list []policy.Server
+	var list []policy.Backend
 	for range n {
 		if err := h.in.Next(&h.line); err == io.EOF {
 			return fmt.Errorf("ITEM: the list ends early")
@@ -154,8 +154,8 @@
 		if h.line.Name != "ITEM" {
 			return fmt.Errorf("%s: ITEM expected", h.line.Name)
 		}
-		s := policy.Server{ID: r.text("backend"), Zone: r.text("hall"), Cell: r.optInt("unitGroup"),
-			Weight: r.optNum("share"), SinceS: r.optNum("sinceS")}
+		s := policy.Backend{ID: r.text("backend"), Zone: r.text("hall"), Cell: r.optInt("unitGroup"),
+			Weight: r.optNum("share"), StartedAt: r.optNum("sinceS")}
 		switch v := r.text("status"); v {
 		case "U":
 			s.State = policy.Up
@@ -206,8 +206,8 @@
 	return s
 }
 
-var statuses = map[int]policy.Status{200: policy.OK, 500: policy.Error, 503: policy.Full, 504: policy.Timeout,
-	502: policy.ConnectFailed, 598: policy.Reset, 499: policy.Cancelled, 410: policy.Moot}
+var statuses = map[int]policy.Status{200: policy.OK, 500: policy.Error, 503: policy.Rejected, 504: policy.Timeout,
+	502: policy.ConnectFailed, 598: policy.Reset, 499: policy.Cancelled, 410: policy.NotSent}
 
 func (f *fields) load() *policy.Load {
 	r := settings.NoLoad
@@ -263,38 +263,38 @@
 		if !ok {
 			return nil, fmt.Errorf("PEERS_KNOWN: field rosterId names no list: \"%d\"", id)
 		}
-		return func(g *policy.Gateway) { g.Servers(h.now, list, kind != "Partial") }, nil
+		return func(g *policy.Gateway) { g.UpdateBackends(h.now, list, kind != "Partial") }, nil
 	},
 	"REQUEST": func(h *host, i int) (func(*policy.Gateway), error) {
 		f := fields{l: &h.line}
-		r := policy.Request{ID: f.text("id"), Class: f.text("kind"), Plan: f.text("tier"), Customer: f.text("holder"),
-			DeadlineS: f.float("dropDeadS"), First: f.optInt("base"), Entries: int(f.optNum("nEntries")),
+		r := policy.Request{ID: f.text("id"), Class: f.text("kind"), Plan: f.text("tier"), Account: f.text("holder"),
+			DeadlineAt: f.float("dropDeadS"), FirstGateway: f.optInt("base"), GatewayCount: int(f.optNum("nEntries")),
 			Units: f.optNum("costUnits"), Retry: f.flag("isRetry")}
-		return func(g *policy.Gateway) { g.Request(h.now, r) }, f.err
+		return func(g *policy.Gateway) { g.HandleRequest(h.now, r) }, f.err
 	},
 	"FLOWING": func(h *host, i int) (func(*policy.Gateway), error) {
 		f := fields{l: &h.line}
 		id, n := f.text("id"), f.num("hop")
-		return func(g *policy.Gateway) { g.Started(h.now, id, n) }, f.err
+		return func(g *policy.Gateway) { g.HandleResponseStart(h.now, id, n) }, f.err
 	},
 	"VERDICT": func(h *host, i int) (func(*policy.Gateway), error) {
 		f := fields{l: &h.line}
-		o := policy.Outcome{ID: f.text("id"), Server: f.text("backend"), Attempt: f.num("hop"), Status: f.status(),
-			Over: f.flag("terminal"), SpentS: f.optNum("spentS"), Units: f.optNum("actual"), Load: f.load()}
-		return func(g *policy.Gateway) { g.Outcome(h.now, o) }, f.err
+		o := policy.Outcome{ID: f.text("id"), Backend: f.text("backend"), Attempt: f.num("hop"), Status: f.status(),
+			Completed: f.flag("terminal"), LatencyS: f.optNum("spentS"), Units: f.optNum("actual"), Load: f.load()}
+		return func(g *policy.Gateway) { g.HandleOutcome(h.now, o) }, f.err
 	},
 	"HANGUP": func(h *host, i int) (func(*policy.Gateway), error) {
 		id, err := h.line.Text("id")
-		return func(g *policy.Gateway) { g.Gone(h.now, id) }, err
+		return func(g *policy.Gateway) { g.HandleDisconnect(h.now, id) }, err
 	},
 	"ALARM": func(h *host, i int) (func(*policy.Gateway), error) {
 		token, err := h.line.Uint("mark")
-		return func(g *policy.Gateway) { g.Timer(h.now, token) }, err
+		return func(g *policy.Gateway) { g.HandleTimer(h.now, token) }, err
 	},
 	"CHECK_RESULT": func(h *host, i int) (func(*policy.Gateway), error) {
 		f := fields{l: &h.line}
-		p := policy.ProbeResult{Server: f.text("backend"), Status: f.status(), SpentS: f.optNum("spentS"), Load: f.load()}
-		return func(g *policy.Gateway) { g.Probed(h.now, p) }, f.err
+		p := policy.ProbeResult{Backend: f.text("backend"), Status: f.status(), LatencyS: f.optNum("spentS"), Load: f.load()}
+		return func(g *policy.Gateway) { g.HandleProbeResult(h.now, p) }, f.err
 	},
 	"DATAGRAM": func(h *host, i int) (func(*policy.Gateway), error) {
 		from, err := h.line.Int("sender")
@@ -302,7 +302,7 @@
 			return nil, err
 		}
 		data, err := h.line.Hex("data")
-		return func(g *policy.Gateway) { g.Peer(h.now, from, data) }, err
+		return func(g *policy.Gateway) { g.HandlePeerMessage(h.now, from, data) }, err
 	},
 	"TALLY_BACK": func(*host, int) (func(*policy.Gateway), error) { return nil, nil },
 }
--- a/cmd/testbed/budget.go
+++ b/cmd/testbed/budget.go
@@ -17,7 +17,7 @@
 	set.IntVar(&a.Gateways, "gateways", 3, "that the account comes through")
 	set.Float64Var(&a.Rate, "rate", 38, "units a second of its plan")
 	set.Float64Var(&a.Burst, "burst", 76, "units that may be used at once")
-	set.Float64Var(&a.Largest, "largest", 3, "units of the largest request")
+	set.Float64Var(&a.LargestRequest, "largest", 3, "units of the largest request")
 	set.Float64Var(&a.Demand, "demand", 0, "units a second that are asked for, at the most; 0: six times the rate")
 	length := set.Duration("for", 5*time.Second, "how long a failure lasts")
 	sides := set.Int("sides", 2, "of a split")
@@ -25,7 +25,7 @@
 	if err := set.Parse(args); err != nil {
 		return err
 	}
-	if a.Gateways < 1 || a.Rate <= 0 || a.Burst <= 0 || a.Largest <= 0 || a.Demand < 0 || *length <= 0 || *sides < 2 || *loss < 0 || *loss > 1 || set.NArg() > 0 {
+	if a.Gateways < 1 || a.Rate <= 0 || a.Burst <= 0 || a.LargestRequest <= 0 || a.Demand < 0 || *length <= 0 || *sides < 2 || *loss < 0 || *loss > 1 || set.NArg() > 0 {
 		return fmt.Errorf("budget wants gateways, rate, burst, largest and -for above 0, sides from 2 on, loss from 0 to 1, and nothing else")
 	}
 	if a.Demand == 0 {
@@ -33,13 +33,13 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "failure\tbeyond, units\tof 10 s\tof 60 s\twithheld, units\tof 10 s\tof 60 s\n")
-	for k := range budget.Kinds {
-		x := budget.Trouble{Kind: k, To: length.Seconds(), Sides: *sides, Loss: *loss}
-		list := []budget.Trouble{x}
+	for k := range budget.FaultKinds {
+		x := budget.Fault{Kind: k, To: length.Seconds(), Sides: *sides, LossRate: *loss}
+		list := []budget.Fault{x}
 		switch k {
-		case budget.Calm:
+		case budget.NoFault:
 			list = nil
-		case budget.OwnerBack:
+		case budget.OwnerRestarted:
 			list[0].To = 0
 		}
 		row := func(of func(from, to float64) float64) (s string) {
@@ -49,8 +49,8 @@
 			}
 			return s
 		}
-		fmt.Fprintf(t, "%v\t%s\t%s\n", k, row(func(from, to float64) float64 { over, _ := budget.Within(a, list, from, to); return over }),
-			row(func(from, to float64) float64 { return budget.Refused(a, list, from, to) }))
+		fmt.Fprintf(t, "%v\t%s\t%s\n", k, row(func(from, to float64) float64 { over, _ := budget.ExcessWithin(a, list, from, to); return over }),
+			row(func(from, to float64) float64 { return budget.RejectionsWithin(a, list, from, to) }))
 	}
 	return t.Flush()
 }
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -26,7 +26,7 @@
 	if err := printBudget([]string{"-gateways", "80", "-rate", "25", "-burst", "48"}, &out); err != nil {
 		t.Fatal(err)
 	}
-	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 1+int(budget.Kinds) || !strings.HasPrefix(lines[1], "calm") {
+	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 1+int(budget.FaultKinds) || !strings.HasPrefix(lines[1], "calm") {
 		t.Errorf("%s", out.String())
 	}
 	for _, bad := range [][]string{{"-rate", "0"}, {"-sides", "1"}, {"-loss", "2"}, {"more"}, {"-gateways", "0"}} {
--- a/cmd/testbed/overload.go
+++ b/cmd/testbed/overload.go
@@ -48,7 +48,7 @@
 				return fmt.Errorf("-ingresses: %q is no number of ingresses", size)
 			}
 			for _, how := range strings.Split(*only, ",") {
-				p := overloadRun{name: name, ingresses: n, planners: *planners, nodes: *nodes, length: *length, cfg: overload.Config{On: how == "as one"}}
+				p := overloadRun{name: name, ingresses: n, planners: *planners, nodes: *nodes, length: *length, cfg: overload.Config{Enabled: how == "as one"}}
 				reps := make([]*audit.Report, *seeds)
 				errs := make([]error, *seeds)
 				var all sync.WaitGroup
@@ -117,7 +117,7 @@
 	}
 	sc := lab.Scenario{Length: p.length, NodesAsked: p.nodes, FleetConfig: lab.FleetConfig{Forwarders: p.ingresses, Planners: p.planners, Nodes: p.nodes, Classes: lab.LabClasses, Plans: lab.LabPlans,
 		Node: lab.LabNode, Seed: seed, Dir: dir, Spawn: spawner(self)}}
-	if p.cfg.On {
+	if p.cfg.Enabled {
 		sc.Operator = "[overload]\non = true\n"
 	}
 	if err := lab.Make(p.name, &sc, nil, 0); err != nil {
--- a/cmd/testbed/sim.go
+++ b/cmd/testbed/sim.go
@@ -67,7 +67,7 @@
 				mu.Lock()
 				size = cfg.Forwarders
 				mu.Unlock()
-				cfg.Overload.On = *shed
+				cfg.Overload.Enabled = *shed
 				var told [][]why.Decision
 				if n == 0 && *folder != "" {
 					told = make([][]why.Decision, cmp.Or(cfg.Planners, cfg.Forwarders))
--- a/cmd/testbed/subsets.go
+++ b/cmd/testbed/subsets.go
@@ -58,8 +58,8 @@
 		best := max(1, most/float64(size)/(sum/float64(nodes))) // the busiest ingress spreads over size nodes and no more
 		for _, way := range []struct {
 			name string
-			f    subset.Way
-		}{{"rendezvous", subset.Rendezvous}, {"bounded", subset.Bounded}, {"rounds", subset.Rounds}} {
+			f    subset.Strategy
+		}{{"rendezvous", subset.Rendezvous}, {"bounded", subset.BoundedRendezvous}, {"rounds", subset.ShuffledRounds}} {
 			if way.name == "bounded" && gateways*nodes > 100000 {
 				continue // each ingress works all others' choices out
 			}
@@ -67,8 +67,8 @@
 			way.f(ids, gateways-1, gateways, size)
 			took := time.Since(began)
 			f := subset.Measure(way.f, ids, traffic, size, replaced, other)
-			fmt.Fprintf(t, "%d/%d\t%d\t%s\t%.2f\t%.2f\t%.2f\t%.1f%%\t%.1f%%\t%d\t%v\n", gateways, nodes, size, way.name, f.Spread, f.Least, best, 100*f.Moved, 100*f.Differ,
-				f.Unasked, took.Round(time.Microsecond))
+			fmt.Fprintf(t, "%d/%d\t%d\t%s\t%.2f\t%.2f\t%.2f\t%.1f%%\t%.1f%%\t%d\t%v\n", gateways, nodes, size, way.name, f.P99Load, f.P1Load, best, 100*f.Churn, 100*f.Divergence,
+				f.Unselected, took.Round(time.Microsecond))
 		}
 	}
 	return t.Flush()
@@ -77,7 +77,7 @@
 // points are the hashes of so many nodes' ids.
 func points(n, from int) (ids []uint64) {
 	for i := range n {
-		ids = append(ids, peermsg.Point(fmt.Sprint("s-", from+i)))
+		ids = append(ids, peermsg.HashPoint(fmt.Sprint("s-", from+i)))
 	}
 	return ids
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -147,7 +147,7 @@
 
 // Open makes an agent and its listener.
 func Open(cfg Config, log *slog.Logger) (*Agent, error) {
-	a := &Agent{cfg: cfg, log: log, clock: mono.New(), events: make(chan func(float64), eventQueue), done: make(chan struct{})}
+	a := &Agent{cfg: cfg, log: log, clock: mono.NewClock(), events: make(chan func(float64), eventQueue), done: make(chan struct{})}
 	was, err := memory{}, error(nil)
 	if cfg.State != "" {
 		if was, err = recall(cfg.State); err != nil {
--- a/internal/agent/cutoff_test.go
+++ b/internal/agent/cutoff_test.go
@@ -34,7 +34,7 @@
 }
 
 func measureCutoff(t *testing.T, by string) {
-	cfg := lab.FleetConfig{Forwarders: 1, Nodes: 6, Classes: lab.LabClasses, Plans: []policy.Plan{{Name: "wide", Rate: 1e5, Burst: 1e5, Price: 1}},
+	cfg := lab.FleetConfig{Forwarders: 1, Nodes: 6, Classes: lab.LabClasses, Plans: []policy.Plan{{Name: "wide", Rate: 1e5, Burst: 1e5, Weight: 1}},
 		Node: node.Config{Cores: 64, Queue: 500, Speed: 1, KeyedS: 4, Work: map[string]float64{"zone-check": 0.005, "slot-hold": 0.005,
 			"courier-send": 0.005}},
 		Seed: 1, Direct: true, Dir: t.TempDir(), MemoryMB: 256, Sockets: 1024,
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// callMost bounds a call from its connection to its answer.
-	callMost = 900 * time.Millisecond
-	// Conns bounds the connections; beyond it the one that has been silent for longest is closed.
-	Conns     = 16
-	headerMax = 8 << 10
-	idMax     = 256
+	// callTimeout bounds a call from its connection to its answer.
+	callTimeout = 900 * time.Millisecond
+	// MaxConns bounds the connections; beyond it the one that has been silent for longest is closed.
+	MaxConns       = 16
+	maxHeaderBytes = 8 << 10
+	maxIDLen       = 256
 )
 
 // ErrUnknown is what an Ingress returns for an id that nobody holds: the answer is 404.
 var ErrUnknown = errors.New("unknown id")
 
-// Ingress carries calls out. Each returns once what was asked for holds, or with an error.
-type Ingress interface {
+// Handler carries calls out. Each returns once what was asked for holds, or with an error.
+type Handler interface {
 	Ready(ctx context.Context) error // nil as long as clients are taken
 	Suspend(ctx context.Context, id string) error
 	Resume(ctx context.Context, id string) error
@@ -41,13 +41,13 @@
 
 // Server answers calls until it is closed.
 type Server struct {
-	in   Ingress
-	http http.Server
-	list *listener
+	handler    Handler
+	httpServer http.Server
+	listener   *boundedListener
 }
 
 // Listen opens the door at addr. Serve answers at it.
-func Listen(addr string, in Ingress) (*Server, error) {
+func Listen(addr string, in Handler) (*Server, error) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
@@ -55,32 +55,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	s := &Server{in: in, list: &listener{Listener: l, open: map[*conn]struct{}{}}}
-	s.http = http.Server{Handler: http.HandlerFunc(s.handle), ReadHeaderTimeout: callMost, ReadTimeout: callMost,
-		WriteTimeout: 2 * callMost, MaxHeaderBytes: headerMax, ErrorLog: log.New(io.Discard, "", 0),
+	s := &Server{handler: in, listener: &boundedListener{Listener: l, conns: map[*boundedConn]struct{}{}}}
+	s.httpServer = http.Server{Handler: http.HandlerFunc(s.handle), ReadHeaderTimeout: callTimeout, ReadTimeout: callTimeout,
+		WriteTimeout: 2 * callTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(io.Discard, "", 0),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
-	s.http.SetKeepAlivesEnabled(false)
+	s.httpServer.SetKeepAlivesEnabled(false)
 	return s, nil
 }
 
 // Addr is where the door is.
-func (s *Server) Addr() net.Addr { return s.list.Addr() }
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Serve answers calls until Close.
-func (s *Server) Serve() { s.http.Serve(s.list) }
+func (s *Server) Serve() { s.httpServer.Serve(s.listener) }
 
 // Close ends the server and all its connections.
-func (s *Server) Close() { s.http.Close() }
+func (s *Server) Close() { s.httpServer.Close() }
 
 type connKey struct{}
 
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), callMost)
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
-	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-		c.asked()
+	if c, ok := r.Context().Value(connKey{}).(*boundedConn); ok {
+		c.markCallStarted()
 	}
 	do, method := s.route(r)
 	switch {
@@ -106,78 +106,78 @@
 func (s *Server) route(r *http.Request) (do func(context.Context) error, method string) {
 	switch path := r.URL.EscapedPath(); path {
 	case "/v1/readyz":
-		return s.in.Ready, http.MethodGet
+		return s.handler.Ready, http.MethodGet
 	case "/v1/ingress/drain":
-		return s.in.Drain, http.MethodPost
+		return s.handler.Drain, http.MethodPost
 	case "/v1/ingress/activate":
-		return s.in.Activate, http.MethodPost
+		return s.handler.Activate, http.MethodPost
 	default:
 		rest, ok := strings.CutPrefix(path, "/v1/backends/")
 		escaped, verb, two := strings.Cut(rest, "/")
 		id, err := url.PathUnescape(escaped)
-		if !ok || !two || err != nil || id == "" || len(id) > idMax {
+		if !ok || !two || err != nil || id == "" || len(id) > maxIDLen {
 			return nil, ""
 		}
 		switch verb {
 		case "suspend":
-			return func(ctx context.Context) error { return s.in.Suspend(ctx, id) }, http.MethodPost
+			return func(ctx context.Context) error { return s.handler.Suspend(ctx, id) }, http.MethodPost
 		case "resume":
-			return func(ctx context.Context) error { return s.in.Resume(ctx, id) }, http.MethodPost
+			return func(ctx context.Context) error { return s.handler.Resume(ctx, id) }, http.MethodPost
 		}
 	}
 	return nil, ""
 }
 
-// listener bounds the connections. A newcomer always gets in: the one that has been silent for longest makes room.
-type listener struct {
+// boundedListener bounds the connections. A newcomer always gets in: the one that has been silent for longest makes room.
+type boundedListener struct {
 	net.Listener
-	mu   sync.Mutex
-	open map[*conn]struct{} // Conns at the most
+	mutex sync.Mutex
+	conns map[*boundedConn]struct{} // Conns at the most
 }
 
-type conn struct {
+type boundedConn struct {
 	net.Conn
-	of   *listener
-	at   time.Time
-	busy bool // its call was read whole; under of.mu
+	listener    *boundedListener
+	acceptedAt  time.Time
+	callStarted bool // its call was read whole; under of.mu
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *boundedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.mu.Lock()
-	var oldest *conn
-	for o := range l.open {
-		if !o.busy && (oldest == nil || o.at.Before(oldest.at)) {
+	l.mutex.Lock()
+	var oldest *boundedConn
+	for o := range l.conns {
+		if !o.callStarted && (oldest == nil || o.acceptedAt.Before(oldest.acceptedAt)) {
 			oldest = o
 		}
 	}
-	full := len(l.open) >= Conns
-	if full && oldest == nil { // calls that are being carried out, all of them: each ends within callMost
-		l.mu.Unlock()
+	full := len(l.conns) >= MaxConns
+	if full && oldest == nil { // calls that are being carried out, all of them: each ends within callTimeout
+		l.mutex.Unlock()
 		c.Close()
 		return l.Accept()
 	}
-	mine := &conn{Conn: c, of: l, at: time.Now()}
-	l.open[mine] = struct{}{}
-	l.mu.Unlock()
+	mine := &boundedConn{Conn: c, listener: l, acceptedAt: time.Now()}
+	l.conns[mine] = struct{}{}
+	l.mutex.Unlock()
 	if full {
 		oldest.Close()
 	}
 	return mine, nil
 }
 
-func (c *conn) asked() {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	c.busy = true
+func (c *boundedConn) markCallStarted() {
+	c.listener.mutex.Lock()
+	defer c.listener.mutex.Unlock()
+	c.callStarted = true
 }
 
-func (c *conn) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.open, c)
-	c.of.mu.Unlock()
+func (c *boundedConn) Close() error {
+	c.listener.mutex.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mutex.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,17 +15,17 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// ingress notes calls and answers with what a test says.
-type ingress struct {
+// fakeHandler notes calls and answers with what a test says.
+type fakeHandler struct {
 	mu    sync.Mutex
 	calls []string
 	err   error
 	block bool // until the call's context ends
 }
 
-func (in *ingress) call(ctx context.Context, text string) error {
+func (in *fakeHandler) call(ctx context.Context, text string) error {
 	in.mu.Lock()
 	in.calls = append(in.calls, text)
 	err, block := in.err, in.block
@@ -36,14 +36,18 @@
 	}
 	return err
 }
-func (in *ingress) Ready(ctx context.Context) error              { return in.call(ctx, "ready") }
-func (in *ingress) Suspend(ctx context.Context, id string) error { return in.call(ctx, "suspend "+id) }
-func (in *ingress) Resume(ctx context.Context, id string) error  { return in.call(ctx, "resume "+id) }
-func (in *ingress) Drain(ctx context.Context) error              { return in.call(ctx, "drain") }
-func (in *ingress) Activate(ctx context.Context) error           { return in.call(ctx, "activate") }
+func (in *fakeHandler) Ready(ctx context.Context) error { return in.call(ctx, "ready") }
+func (in *fakeHandler) Suspend(ctx context.Context, id string) error {
+	return in.call(ctx, "suspend "+id)
+}
+func (in *fakeHandler) Resume(ctx context.Context, id string) error {
+	return in.call(ctx, "resume "+id)
+}
+func (in *fakeHandler) Drain(ctx context.Context) error    { return in.call(ctx, "drain") }
+func (in *fakeHandler) Activate(ctx context.Context) error { return in.call(ctx, "activate") }
 
-func serve(t *testing.T) (*Server, *ingress) {
-	in := &ingress{}
+func serve(t *testing.T) (*Server, *fakeHandler) {
+	in := &fakeHandler{}
 	s, err := Listen("127.0.0.1:0", in)
 	if err != nil {
 		t.Fatal(err)
@@ -53,15 +57,15 @@
 	return s, in
 }
 
-// ask makes one call and returns its status.
-func ask(t *testing.T, s *Server, head string) int {
+// request makes one call and returns its status.
+func request(t *testing.T, s *Server, head string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: x\r\n\r\n", head)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -74,7 +78,7 @@
 	return resp.StatusCode
 }
 
-func TestCalls(t *testing.T) {
+func TestServer_Routes(t *testing.T) {
 	s, in := serve(t)
 	for _, c := range []struct {
 		head, call string
@@ -95,13 +99,13 @@
 		{"POST /v1/backends/s-1/suspend/", "", nil, 404},
 		{"POST /v1/backends/s-1", "", nil, 404},
 		{"POST /v1//ingress/drain", "", nil, 404},
-		{"POST /v1/backends/" + strings.Repeat("x", idMax+1) + "/suspend", "", nil, 404},
+		{"POST /v1/backends/" + strings.Repeat("x", maxIDLen+1) + "/suspend", "", nil, 404},
 		{"GET /", "", nil, 404},
 	} {
 		in.mu.Lock()
 		in.calls, in.err = nil, c.err
 		in.mu.Unlock()
-		got := ask(t, s, c.head)
+		got := request(t, s, c.head)
 		if calls := strings.Join(in.calls, ";"); got != c.want || calls != c.call {
 			t.Errorf("%s: %d and %q, want %d and %q", c.head, got, calls, c.want, c.call)
 		}
@@ -109,10 +113,10 @@
 }
 
 // Guards the door against callers that say nothing, or half a call, in any number.
-func TestSilentCallersMakeRoom(t *testing.T) {
+func TestServer_SilentConnectionsEvicted(t *testing.T) {
 	s, _ := serve(t)
 	var silent []net.Conn
-	for i := range 3 * Conns {
+	for i := range 3 * MaxConns {
 		c, err := net.Dial("tcp", s.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -123,33 +127,33 @@
 		}
 		silent = append(silent, c)
 	}
-	if got := ask(t, s, "GET /v1/readyz"); got != 200 {
+	if got := request(t, s, "GET /v1/readyz"); got != 200 {
 		t.Fatal(got)
 	}
 	for _, c := range silent { // each of them ends too
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal("a silent caller is kept")
 		}
 	}
-	s.list.mu.Lock()
-	defer s.list.mu.Unlock()
-	if len(s.list.open) > Conns {
-		t.Fatal(len(s.list.open), "connections")
+	s.listener.mutex.Lock()
+	defer s.listener.mutex.Unlock()
+	if len(s.listener.conns) > MaxConns {
+		t.Fatal(len(s.listener.conns), "connections")
 	}
 }
 
 // Guards a call whose ingress does not come to it: no is said in time.
-func TestLateIngressIsANo(t *testing.T) {
+func TestServer_HandlerTimeout(t *testing.T) {
 	s, in := serve(t)
 	in.block = true
-	if got := ask(t, s, "POST /v1/ingress/drain"); got != 503 {
+	if got := request(t, s, "POST /v1/ingress/drain"); got != 503 {
 		t.Fatal(got)
 	}
 }
 
-func TestBadAddress(t *testing.T) {
-	if _, err := Listen("nowhere", &ingress{}); err == nil {
+func TestListen_BadAddress(t *testing.T) {
+	if _, err := Listen("nowhere", &fakeHandler{}); err == nil {
 		t.Fatal("taken")
 	}
 }
--- a/internal/fade/fade.go
+++ b/internal/fade/fade.go
@@ -4,43 +4,43 @@
 import "math"
 
 // Rate is an amount a second, fading with a time constant in seconds. Its zero value is none.
-type Rate struct{ Value, At float64 }
+type Rate struct{ Value, UpdatedAt float64 }
 
 // Now is what is left of it.
-func (r *Rate) Now(now, tau float64) float64 { return r.Value * math.Exp((r.At-now)/tau) }
+func (r *Rate) Now(now, tau float64) float64 { return r.Value * math.Exp((r.UpdatedAt-now)/tau) }
 
 // Add takes an amount in.
-func (r *Rate) Add(now, amount, tau float64) { r.Value, r.At = r.Now(now, tau)+amount/tau, now }
+func (r *Rate) Add(now, amount, tau float64) { r.Value, r.UpdatedAt = r.Now(now, tau)+amount/tau, now }
 
-// Log is what was done within a span of time, oldest first. Its zero value is empty; it holds no more than what was added within
+// Window is what was done within a span of time, oldest first. Its zero value is empty; it holds no more than what was added within
 // the last span asked for.
-type Log []Work
+type Window []Entry
 
-// Work is some work at a time, both in seconds.
-type Work struct{ At, Work float64 }
+// Entry is some work at a time, both in seconds.
+type Entry struct{ At, Amount float64 }
 
 // Add puts work on the log.
-func (l *Log) Add(now, work float64) { *l = append(*l, Work{now, work}) }
+func (l *Window) Add(now, work float64) { *l = append(*l, Entry{now, work}) }
 
-// Within sums what was added within the last span, and forgets the rest.
-func (l *Log) Within(now, span float64) (sum float64) {
+// Sum sums what was added within the last span, and forgets the rest.
+func (l *Window) Sum(now, span float64) (sum float64) {
 	keep := (*l)[:0]
 	for _, w := range *l {
 		if now-w.At < span {
 			keep = append(keep, w)
-			sum += w.Work
+			sum += w.Amount
 		}
 	}
 	*l = keep
 	return sum
 }
 
-// Take takes work off again, the oldest first.
-func (l *Log) Take(work float64) {
+// Remove takes work off again, the oldest first.
+func (l *Window) Remove(work float64) {
 	for i := range *l {
 		w := &(*l)[i]
-		off := min(w.Work, work)
-		w.Work -= off
+		off := min(w.Amount, work)
+		w.Amount -= off
 		work -= off
 	}
 }
--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -28,7 +28,7 @@
 // Params translates and checks.
 func (f File) Params() (Params, error) {
 	p := Params{Name: f.Fleet, Forwarders: f.Forwarders, Planners: f.Planners, Cells: f.Cells, LeaseS: f.LeaseMS / 1e3,
-		BeatS: f.BeatMS / 1e3, SilenceS: f.SilenceMS / 1e3, WaitS: f.WaitMS / 1e3, FailsafeS: f.FailsafeMS / 1e3}
+		HeartbeatS: f.BeatMS / 1e3, LinkTimeoutS: f.SilenceMS / 1e3, LeaderWaitS: f.WaitMS / 1e3, FailsafeDelayS: f.FailsafeMS / 1e3}
 	if err := p.Check(); err != nil {
 		return p, err
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,31 +12,31 @@
 
 // Params are the same at every forwarder and planner. Times are in seconds. A field of 0 gets its default.
 type Params struct {
-	Name       string
-	Forwarders int // a majority of which is the quorum
-	Planners   int
-	Cells      int     // what one planner owns or not; the gateways in the module's sense
-	LeaseS     float64 // how long a forwarder holds to a promise
-	BeatS      float64 // how often promises are renewed and every link says something
-	SilenceS   float64 // without a byte for so long a link is closed
-	WaitS      float64 // how long a request waits for a planner to lead its cell
-	FailsafeS  float64 // with no link to any planner for so long all requests are refused at once
+	Name           string
+	Forwarders     int // a majority of which is the quorum
+	Planners       int
+	Cells          int     // what one planner owns or not; the gateways in the module's sense
+	LeaseS         float64 // how long a forwarder holds to a promise
+	HeartbeatS     float64 // how often promises are renewed and every link says something
+	LinkTimeoutS   float64 // without a byte for so long a link is closed
+	LeaderWaitS    float64 // how long a request waits for a planner to lead its cell
+	FailsafeDelayS float64 // with no link to any planner for so long all requests are refused at once
 }
 
 // Defaults, in seconds.
 const (
-	defaultCells    = 6
-	defaultLease    = 0.4
-	defaultBeat     = 0.05
-	defaultSilence  = 0.25
-	defaultWait     = 0.7
-	defaultFailsafe = 0.04
-	// LeadShare of a lease, by which a planner's lead ends before the promises that it rests on. The rest
+	defaultCells          = 6
+	defaultLeaseS         = 0.4
+	defaultHeartbeatS     = 0.05
+	defaultLinkTimeoutS   = 0.25
+	defaultLeaderWaitS    = 0.7
+	defaultFailsafeDelayS = 0.04
+	// LeadFraction of a lease, by which a planner's lead ends before the promises that it rests on. The rest
 	// allows clocks to differ by 5% in their speed over one lease.
-	LeadShare = 0.95
-	// StaggerS is by how much later each further planner in a cell's order claims it.
-	StaggerS  = 0.04
-	mostNodes = 4096
+	LeadFraction = 0.95
+	// ClaimStaggerS is by how much later each further planner in a cell's order claims it.
+	ClaimStaggerS = 0.04
+	maxForwarders = 4096
 )
 
 // Check fills in defaults and tells what is wrong.
@@ -46,8 +46,8 @@
 		name  string
 		value *float64
 		or    float64
-	}{{"lease_ms", &p.LeaseS, defaultLease}, {"beat_ms", &p.BeatS, defaultBeat}, {"silence_ms", &p.SilenceS, defaultSilence},
-		{"wait_ms", &p.WaitS, defaultWait}, {"failsafe_ms", &p.FailsafeS, defaultFailsafe}} {
+	}{{"lease_ms", &p.LeaseS, defaultLeaseS}, {"beat_ms", &p.HeartbeatS, defaultHeartbeatS}, {"silence_ms", &p.LinkTimeoutS, defaultLinkTimeoutS},
+		{"wait_ms", &p.LeaderWaitS, defaultLeaderWaitS}, {"failsafe_ms", &p.FailsafeDelayS, defaultFailsafeDelayS}} {
 		if *t.value = cmp.Or(*t.value, t.or); !(*t.value > 0 && *t.value <= 60) {
 			return fmt.Errorf("%s must be above 0 and a minute at most", t.name)
 		}
@@ -55,15 +55,15 @@
 	switch {
 	case p.Name == "" || len(p.Name) > 64:
 		return fmt.Errorf("fleet must be a name of 1 to 64 bytes")
-	case p.Forwarders < 1 || p.Forwarders > mostNodes:
-		return fmt.Errorf("forwarders must be 1 to %d", mostNodes)
+	case p.Forwarders < 1 || p.Forwarders > maxForwarders:
+		return fmt.Errorf("forwarders must be 1 to %d", maxForwarders)
 	case p.Planners < 1 || p.Planners > 64:
 		return fmt.Errorf("planners must be 1 to 64")
 	case p.Cells < 2 || p.Cells > 1024:
 		return fmt.Errorf("cells must be 2 to 1024")
-	case p.SilenceS < 3*p.BeatS:
+	case p.LinkTimeoutS < 3*p.HeartbeatS:
 		return fmt.Errorf("silence_ms must be three times beat_ms at least")
-	case p.LeaseS < 3*p.BeatS:
+	case p.LeaseS < 3*p.HeartbeatS:
 		return fmt.Errorf("lease_ms must be three times beat_ms at least")
 	}
 	return nil
@@ -78,34 +78,34 @@
 }
 
 // CellOf is the cell of a customer.
-func (p Params) CellOf(customer string) int {
-	h := fnv.New64a()
-	h.Write([]byte(customer))
-	x := h.Sum64() // FNV's low bits alone are poor for names that differ in their last letter
-	x ^= x >> 32
-	x *= 0x9fb21c651e98df25
-	x ^= x >> 28
-	return int(x % uint64(p.Cells))
+func (p Params) CellOf(account string) int {
+	hasher := fnv.New64a()
+	hasher.Write([]byte(account))
+	hash := hasher.Sum64() // FNV's low bits alone are poor for names that differ in their last letter
+	hash ^= hash >> 32
+	hash *= 0x9fb21c651e98df25
+	hash ^= hash >> 28
+	return int(hash % uint64(p.Cells))
 }
 
 // Rank is the place of a planner in a cell's order, from 0. Planners next to each other in number take over
 // different cells of one that fails.
 func (p Params) Rank(cell, planner int) int {
-	turn := cell / p.Planners
-	r := (planner - cell%p.Planners + p.Planners) % p.Planners
-	if r > 0 && p.Planners > 2 { // the others stand in another order every turn
-		r = 1 + (r-1+turn)%(p.Planners-1)
+	rotation := cell / p.Planners
+	rank := (planner - cell%p.Planners + p.Planners) % p.Planners
+	if rank > 0 && p.Planners > 2 { // the others stand in another order every turn
+		rank = 1 + (rank-1+rotation)%(p.Planners-1)
 	}
-	return r
+	return rank
 }
 
-// WindowS is the longest time in which an empty window of any plan fills, and so how far back a tale goes.
-func WindowS(plans []policy.Plan) float64 {
-	w := 1.0
+// LongestWindowS is the longest time in which an empty window of any plan fills, and so how far back a tale goes.
+func LongestWindowS(plans []policy.Plan) float64 {
+	longestS := 1.0
 	for _, p := range plans {
 		if p.Rate > 0 {
-			w = max(w, p.Burst/p.Rate)
+			longestS = max(longestS, p.Burst/p.Rate)
 		}
 	}
-	return w
+	return longestS
 }
--- a/internal/forward/core.go
+++ b/internal/forward/core.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// TickS is how often promises and waiting requests are looked at.
-	TickS     = 0.02
-	wantS     = 0.5      // how long a planner's wish for a cell stands
-	mostOpen  = 16 << 10 // requests told or waiting; further ones are refused
-	mostUsers = 64 << 10 // customers of whom is kept what was passed on
-	keySlackS = 0.05     // taken off the time for which a key is remembered
-	halfShare = 0.5      // of its time, for which a request may wait for a planner
-	hintFrom  = 0.5      // share of the longest hint that the fail-safe gives at least
+	// TickIntervalS is how often promises and waiting requests are looked at.
+	TickIntervalS         = 0.02
+	handbackRequestTTLS   = 0.5      // how long a planner's wish for a cell stands
+	maxOpenRequests       = 16 << 10 // requests told or waiting; further ones are refused
+	maxUsageAccounts      = 64 << 10 // customers of whom is kept what was passed on
+	keyTTLMarginS         = 0.05     // taken off the time for which a key is remembered
+	leaderWaitFraction    = 0.5      // of its time, for which a request may wait for a planner
+	minRetryAfterFraction = 0.5      // share of the longest hint that the fail-safe gives at least
 )
 
 // Config is fixed for the life of a Core.
@@ -38,104 +38,104 @@
 	Seed           uint64
 }
 
-// Out is what a Core asks for. Calls of policy.Actions end up at the ingress, Link and Room at the planners'
+// Output is what a Core asks for. Calls of policy.Actions end up at the ingress, Link and Room at the planners'
 // links. All of it is asked for while one of the Core's methods runs.
-type Out interface {
+type Output interface {
 	policy.Actions
-	Link(planner int, msgs ...link.Msg)
-	Room(planner int) bool         // whether the link keeps up
-	Hold(server string, held bool) // nothing is to be written to it any more, or again
+	SendToPlanner(planner int, msgs ...link.Message)
+	PlannerWritable(planner int) bool         // whether the link keeps up
+	SetCordoned(server string, cordoned bool) // nothing is to be written to it any more, or again
 }
 
 // Core follows planners. It is not safe for concurrent use; times are Unix seconds of this machine and never go
 // back.
 type Core struct {
-	cfg     Config
-	out     Out
-	rng     *rand.Rand
-	now     float64
-	classes map[string]int
-	plans   map[string]int
-	cells   []cell
-	peers   []planner
-	byID    map[string]*open // bounded by mostOpen, and what is over but out
-	told    map[uint64]*open // by handle: those of byID that a planner knows
-	handles uint64
-	orphans map[string]orphans // by customer: attempts out whose request no leader knows; bounded by byID
-	usage   usage
-	beatAt  float64
-	cutAt   float64 // when the last link ended, if none stands
-	words   withhold.Words
-	moved   bool // another process goes on: see Move
-	Stats   Stats
+	cfg             Config
+	out             Output
+	rng             *rand.Rand
+	now             float64
+	classIndex      map[string]int
+	planIndex       map[string]int
+	cells           []cellState
+	planners        []plannerLink
+	requests        map[string]*openRequest // bounded by maxOpenRequests, and what is over but out
+	submitted       map[uint64]*openRequest // by handle: those of requests that a planner knows
+	lastHandle      uint64
+	orphans         map[string]orphanCount // by customer: attempts out whose request no leader knows; bounded by requests
+	usage           usageTable
+	nextHeartbeatAt float64
+	disconnectedAt  float64 // when the last link ended, if none stands
+	cordons         withhold.Registers
+	handedOver      bool // another process goes on: see Move
+	Stats           Stats
 }
 
 // Stats counts, from the start on.
 type Stats struct {
-	Requests     uint64 `json:"Requests"`
-	Told         uint64 `json:"Told"`
-	Retold       uint64 `json:"Retold"`
-	Served       uint64 `json:"Served"`
-	Stale        uint64 `json:"Stale"` // Stale: actions of a planner that is not followed
-	RefusedUnled uint64 `json:"RefusedUnled"`
-	RefusedFull  uint64 `json:"RefusedFull"`
-	FailedUnled  uint64 `json:"FailedUnled"` // in the forwarder's own words
-	Tales        uint64 `json:"Tales"`       // customers told of to new leaders
-}
-
-// cell is one cell as this forwarder sees it. epoch, holder, life and until are the promise.
-type cell struct {
-	epoch   uint64
-	holder  int // -1: none yet
-	life    uint64
-	until   float64
-	led     bool    // the holder has said that it leads, and its link has stood since
-	unledAt float64 // since when it is not
-	want    int
-	wantAt  float64
-	waiting []*open // in the order in which they came
-}
-
-type orphans struct{ plan, out int }
-
-type planner struct {
-	up    bool
-	life  uint64
-	holds bool // it knows records of holds
-}
-
-// open is a request that is owed an answer, or that has attempts out.
-type open struct {
+	Requests           uint64 `json:"Requests"`
+	Submitted          uint64 `json:"Told"`
+	Resubmitted        uint64 `json:"Retold"`
+	Served             uint64 `json:"Served"`
+	StaleActions       uint64 `json:"Stale"` // Stale: actions of a planner that is not followed
+	RejectedNoLeader   uint64 `json:"RefusedUnled"`
+	RejectedAtCapacity uint64 `json:"RefusedFull"`
+	FailedNoLeader     uint64 `json:"FailedUnled"` // in the forwarder's own words
+	UsageReports       uint64 `json:"Tales"`       // customers told of to new leaders
+}
+
+// cellState is one cell as this forwarder sees it. epoch, holder, life and until are the promise.
+type cellState struct {
+	epoch           uint64
+	holder          int // -1: none yet
+	incarnation     uint64
+	promisedUntil   float64
+	hasLeader       bool    // the holder has said that it leads, and its link has stood since
+	leaderlessSince float64 // since when it is not
+	requester       int
+	requestedAt     float64
+	waiting         []*openRequest // in the order in which they came
+}
+
+type orphanCount struct{ plan, attempts int }
+
+type plannerLink struct {
+	linked        bool
+	incarnation   uint64
+	cordonCapable bool // it knows records of holds
+}
+
+// openRequest is a request that is owed an answer, or that has attempts out.
+type openRequest struct {
 	policy.Request
-	class, plan, cell int
-	handle            uint64 // as the planner knows it, 0: none knows it
-	tries             []int  // of this telling: own number by the planner's, -1: not made
-	sentAt            []float64
-	done              []bool
-	out               int
-	counted           bool // its units count as passed on
-	ran               bool // an attempt may have run
-	ranAt             float64
-	over              bool
-	cameAt, waitFrom  float64
-}
-
-// New returns a forwarder's decisions at its start.
-func New(cfg Config, now float64, out Out) *Core {
+	class, plan, cellID      int
+	handle                   uint64 // as the planner knows it, 0: none knows it
+	plannerAttempts          []int  // of this telling: own number by the planner's, -1: not made
+	sentAt                   []float64
+	attemptDone              []bool
+	inFlight                 int
+	unitsCounted             bool // its units count as passed on
+	mayHaveRun               bool // an attempt may have run
+	firstRunAt               float64
+	completed                bool
+	receivedAt, waitingSince float64
+}
+
+// NewCore returns a forwarder's decisions at its start.
+func NewCore(cfg Config, now float64, out Output) *Core {
 	c := &Core{cfg: cfg, out: out, rng: rand.New(rand.NewPCG(cfg.Seed, 0x2545f4914f6cdd1d)), now: now,
-		classes: map[string]int{}, plans: map[string]int{}, cells: make([]cell, cfg.Cells),
-		peers: make([]planner, cfg.Planners), byID: map[string]*open{}, told: map[uint64]*open{}, cutAt: now, orphans: map[string]orphans{},
-		usage: newUsage(fleet.WindowS(cfg.Plans), now, mostUsers)}
+		classIndex: map[string]int{}, planIndex: map[string]int{}, cells: make([]cellState, cfg.Cells),
+		planners: make([]plannerLink, cfg.Planners), requests: map[string]*openRequest{}, submitted: map[uint64]*openRequest{}, disconnectedAt: now, orphans: map[string]orphanCount{},
+		usage: newUsageTable(fleet.LongestWindowS(cfg.Plans), now, maxUsageAccounts)}
 	for i, k := range cfg.Classes {
-		c.classes[k.Name] = i
+		c.classIndex[k.Name] = i
 	}
 	for i, p := range cfg.Plans {
-		c.plans[p.Name] = i
+		c.planIndex[p.Name] = i
 	}
 	for i := range c.cells {
-		k := &c.cells[i]
-		k.holder, k.unledAt, k.want = -1, now, -1
-		k.until = now + cfg.LeaseS // this forwarder's life before may have promised the cell to somebody
+		cell := &c.cells[i]
+		cell.holder, cell.leaderlessSince, cell.requester = -1, now, -1
+		cell.promisedUntil = now + cfg.LeaseS // this forwarder's life before may have promised the cell to somebody
 	}
 	return c
 }
@@ -143,533 +143,533 @@
 // ---- Whom to follow ----
 
 // follows tells whether actions of an epoch are to be followed. The one check of fencing on the forwarder's side.
-func (c *Core) follows(p int, number uint16, epoch uint64) (*cell, bool) {
-	if int(number) >= len(c.cells) {
+func (c *Core) follows(planner int, cellID uint16, epoch uint64) (*cellState, bool) {
+	if int(cellID) >= len(c.cells) {
 		return nil, false
 	}
-	k := &c.cells[number]
-	ok := k.led && k.holder == p && k.epoch == epoch && (c.now < k.until || !fleet.Fenced)
-	return k, ok
+	cell := &c.cells[cellID]
+	ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !fleet.Fenced)
+	return cell, ok
 }
 
-// claim answers a planner's claim: a promise that was given is renewed, a new one given if no other runs.
-func (c *Core) claim(p int, m *link.Msg) {
-	if int(m.Cell) >= len(c.cells) {
+// handleClaim answers a planner's claim: a promise that was given is renewed, a new one given if no other runs.
+func (c *Core) handleClaim(planner int, msg *link.Message) {
+	if int(msg.Cell) >= len(c.cells) {
 		return
 	}
-	k := &c.cells[m.Cell]
-	life := c.peers[p].life
+	cell := &c.cells[msg.Cell]
+	incarnation := c.planners[planner].incarnation
 	switch {
-	case k.holder == p && k.life == life && k.epoch == m.Epoch:
-		if c.now >= k.until && fleet.Fenced {
-			c.unlead(int(m.Cell)) // it ran out in between; the planner says anew that it leads
-		}
-		k.until = c.now + c.cfg.LeaseS
-		c.out.Link(p, link.Msg{Kind: link.Grant, Cell: m.Cell, Epoch: m.Epoch, Round: m.Round})
-	case m.Epoch > k.epoch && (c.now >= k.until || k.holder == p && k.life == life): // its own former one is over
-		c.unlead(int(m.Cell))
-		k.epoch, k.holder, k.life, k.until = m.Epoch, p, life, c.now+c.cfg.LeaseS
-		c.out.Link(p, link.Msg{Kind: link.Grant, Cell: m.Cell, Epoch: m.Epoch, Round: m.Round})
-		c.tale(int(m.Cell))
-		c.views(-1, int(m.Cell))
+	case cell.holder == planner && cell.incarnation == incarnation && cell.epoch == msg.Epoch:
+		if c.now >= cell.promisedUntil && fleet.Fenced {
+			c.becomeLeaderless(int(msg.Cell)) // it ran out in between; the planner says anew that it leads
+		}
+		cell.promisedUntil = c.now + c.cfg.LeaseS
+		c.out.SendToPlanner(planner, link.Message{Kind: link.KindGrant, Cell: msg.Cell, Epoch: msg.Epoch, Round: msg.Round})
+	case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation): // its own former one is over
+		c.becomeLeaderless(int(msg.Cell))
+		cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = msg.Epoch, planner, incarnation, c.now+c.cfg.LeaseS
+		c.out.SendToPlanner(planner, link.Message{Kind: link.KindGrant, Cell: msg.Cell, Epoch: msg.Epoch, Round: msg.Round})
+		c.reportUsage(int(msg.Cell))
+		c.sendViews(-1, int(msg.Cell))
 	default:
-		c.views(p, int(m.Cell))
+		c.sendViews(planner, int(msg.Cell))
 	}
 }
 
-// tale tells a new holder what was passed on of late in its cell. From the promise on no older epoch is followed.
-func (c *Core) tale(number int) {
-	k := &c.cells[number]
-	c.usage.each(c.now, func(customer string, n used) {
-		if c.cfg.CellOf(customer) == number {
-			c.Stats.Tales++
-			c.out.Link(k.holder, link.Msg{Kind: link.Tale, Cell: uint16(number), Epoch: k.epoch, Name: customer,
-				Plan: uint8(n.plan), Handle: n.epoch, Round: n.seq, Value: n.debt, Wait: max(c.now-n.at, 0)})
+// reportUsage tells a new holder what was passed on of late in its cell. From the promise on no older epoch is followed.
+func (c *Core) reportUsage(cellID int) {
+	cell := &c.cells[cellID]
+	c.usage.each(c.now, func(account string, usage windowUsage) {
+		if c.cfg.CellOf(account) == cellID {
+			c.Stats.UsageReports++
+			c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindUsageReport, Cell: uint16(cellID), Epoch: cell.epoch, Name: account,
+				Plan: uint8(usage.plan), Handle: usage.epoch, Round: usage.seq, Units: usage.debt, DurationS: max(c.now-usage.at, 0)})
 		}
 	})
-	c.outs(number)
-	c.out.Link(k.holder, link.Msg{Kind: link.TaleEnd, Cell: uint16(number), Epoch: k.epoch,
+	c.reportOrphans(cellID)
+	c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindUsageReportEnd, Cell: uint16(cellID), Epoch: cell.epoch,
 		Flag: c.usage.complete(c.now)})
 }
 
-// outs tells a cell's holder which attempts are out here that it did not decide.
-func (c *Core) outs(number int) {
-	for _, customer := range slices.Sorted(maps.Keys(c.orphans)) {
-		if c.cfg.CellOf(customer) == number {
-			c.outsOf(customer, c.orphans[customer])
+// reportOrphans tells a cell's holder which attempts are out here that it did not decide.
+func (c *Core) reportOrphans(cellID int) {
+	for _, account := range slices.Sorted(maps.Keys(c.orphans)) {
+		if c.cfg.CellOf(account) == cellID {
+			c.reportOrphansOf(account, c.orphans[account])
 		}
 	}
 }
 
-func (c *Core) outsOf(customer string, n orphans) {
-	cell := c.cfg.CellOf(customer)
-	k := &c.cells[cell]
-	c.out.Link(k.holder, link.Msg{Kind: link.Outs, Cell: uint16(cell), Epoch: k.epoch, Name: customer, Plan: uint8(n.plan),
-		N: uint32(n.out)})
+func (c *Core) reportOrphansOf(account string, orphans orphanCount) {
+	cellID := c.cfg.CellOf(account)
+	cell := &c.cells[cellID]
+	c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindOrphans, Cell: uint16(cellID), Epoch: cell.epoch, Name: account, Plan: uint8(orphans.plan),
+		Number: uint32(orphans.attempts)})
 }
 
-// views tells planner p, or all with -1, how cells stand here: one cell, or all with -1.
-func (c *Core) views(p, number int) {
-	var msgs []link.Msg
+// sendViews tells planner p, or all with -1, how cells stand here: one cell, or all with -1.
+func (c *Core) sendViews(planner, cellID int) {
+	var msgs []link.Message
 	for i := range c.cells {
-		if k := &c.cells[i]; number < 0 || i == number {
-			m := link.Msg{Kind: link.View, Cell: uint16(i), Epoch: k.epoch, N: uint32(k.holder + 1),
-				Wait: max(k.until-c.now, 0)}
-			if k.want >= 0 && c.now < k.wantAt+wantS {
-				m.Want = uint16(k.want + 1)
+		if cell := &c.cells[i]; cellID < 0 || i == cellID {
+			msg := link.Message{Kind: link.KindView, Cell: uint16(i), Epoch: cell.epoch, Number: uint32(cell.holder + 1),
+				DurationS: max(cell.promisedUntil-c.now, 0)}
+			if cell.requester >= 0 && c.now < cell.requestedAt+handbackRequestTTLS {
+				msg.Requester = uint16(cell.requester + 1)
 			}
-			msgs = append(msgs, m)
+			msgs = append(msgs, msg)
 		}
 	}
-	for i := range c.peers {
-		if c.peers[i].up && (p < 0 || i == p) {
-			c.out.Link(i, msgs...)
+	for i := range c.planners {
+		if c.planners[i].linked && (planner < 0 || i == planner) {
+			c.out.SendToPlanner(i, msgs...)
 		}
 	}
 }
 
-// lead takes the holder's word that it leads: what waits is told to it.
-func (c *Core) lead(p int, m *link.Msg) {
-	if int(m.Cell) >= len(c.cells) {
+// followLeader takes the holder's word that it leads: what waits is told to it.
+func (c *Core) followLeader(planner int, msg *link.Message) {
+	if int(msg.Cell) >= len(c.cells) {
 		return
 	}
-	k := &c.cells[m.Cell]
-	if k.led || k.holder != p || k.epoch != m.Epoch || c.now >= k.until && fleet.Fenced {
+	cell := &c.cells[msg.Cell]
+	if cell.hasLeader || cell.holder != planner || cell.epoch != msg.Epoch || c.now >= cell.promisedUntil && fleet.Fenced {
 		return
 	}
-	k.led = true
-	c.outs(int(m.Cell))
-	waiting := k.waiting
-	k.waiting = nil
-	for _, o := range waiting {
+	cell.hasLeader = true
+	c.reportOrphans(int(msg.Cell))
+	waiting := cell.waiting
+	cell.waiting = nil
+	for _, request := range waiting {
 		switch {
-		case o.over:
-		case !c.out.Room(p):
-			c.Stats.RefusedFull++
-			c.end(o)
+		case request.completed:
+		case !c.out.PlannerWritable(planner):
+			c.Stats.RejectedAtCapacity++
+			c.finishWithoutLeader(request)
 		default:
-			c.tell(o)
+			c.submit(request)
 		}
 	}
 }
 
-// unlead stops following a cell's holder. Requests that it knows are on their own: those with nothing out wait
+// becomeLeaderless stops following a cell's holder. Requests that it knows are on their own: those with nothing out wait
 // for a successor, the others end with their attempts or wait then.
-func (c *Core) unlead(number int) {
-	k := &c.cells[number]
-	if !k.led {
+func (c *Core) becomeLeaderless(cellID int) {
+	cell := &c.cells[cellID]
+	if !cell.hasLeader {
 		return
 	}
-	k.led, k.unledAt = false, c.now
-	var lost []*open
-	for _, o := range c.told {
-		if o.cell == number {
-			lost = append(lost, o)
+	cell.hasLeader, cell.leaderlessSince = false, c.now
+	var abandoned []*openRequest
+	for _, request := range c.submitted {
+		if request.cellID == cellID {
+			abandoned = append(abandoned, request)
 		}
 	}
-	slices.SortFunc(lost, func(a, b *open) int { return cmp.Compare(a.handle, b.handle) })
-	for _, o := range lost {
-		if c.peers[k.holder].up {
-			c.out.Link(k.holder, link.Msg{Kind: link.Untold, Handle: o.handle})
+	slices.SortFunc(abandoned, func(a, b *openRequest) int { return cmp.Compare(a.handle, b.handle) })
+	for _, request := range abandoned {
+		if c.planners[cell.holder].linked {
+			c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindWithdraw, Handle: request.handle})
 		}
-		c.untell(o)
-		if !o.over && o.out == 0 {
-			c.again(o)
+		c.withdraw(request)
+		if !request.completed && request.inFlight == 0 {
+			c.dispatch(request)
 		}
-		c.forget(o)
+		c.releaseIfDone(request)
 	}
 }
 
 // LinkUp takes a new link to a planner of the given life.
-func (c *Core) LinkUp(now float64, p int, life uint64) {
-	if c.now = now; c.moved {
+func (c *Core) LinkUp(now float64, planner int, incarnation uint64) {
+	if c.now = now; c.handedOver {
 		return
 	}
-	c.peers[p] = planner{up: true, life: life}
-	c.out.Link(p, link.Msg{Kind: link.Gone, Handle: link.KnowsHoldsHandle})
-	c.views(p, -1)
+	c.planners[planner] = plannerLink{linked: true, incarnation: incarnation}
+	c.out.SendToPlanner(planner, link.Message{Kind: link.KindDisconnected, Handle: link.CordonCapableHandle})
+	c.sendViews(planner, -1)
 }
 
 // LinkDown takes the end of a link. The promises stand: they were given to the planner, not to the link.
-func (c *Core) LinkDown(now float64, p int) {
+func (c *Core) LinkDown(now float64, planner int) {
 	c.now = now
-	c.peers[p].up, c.peers[p].holds = false, false
-	c.cutAt = now
+	c.planners[planner].linked, c.planners[planner].cordonCapable = false, false
+	c.disconnectedAt = now
 	for i := range c.cells {
-		if c.cells[i].holder == p {
-			c.unlead(i)
+		if c.cells[i].holder == planner {
+			c.becomeLeaderless(i)
 		}
 	}
 }
 
-// Msg takes what a planner says.
-func (c *Core) Msg(now float64, p int, m *link.Msg) {
-	if c.now = now; c.moved {
+// HandleMessage takes what a planner says.
+func (c *Core) HandleMessage(now float64, planner int, msg *link.Message) {
+	if c.now = now; c.handedOver {
 		return
 	}
-	switch m.Kind {
-	case link.Claim:
-		c.claim(p, m)
-	case link.Lead:
-		c.lead(p, m)
-	case link.HoldAsk, link.Hold:
-		c.holds(p, m)
-	case link.Release:
-		if m.Cell == link.KnowsHoldsCell {
-			c.peers[p].holds = true
-			c.words.Each(func(id string, x withhold.Word) { c.out.Link(p, holdIs(0, id, x)) })
-		} else if m.Cell == link.OverloadCell {
-			for q := range c.peers {
-				if q != p && c.peers[q].up {
-					c.out.Link(q, link.Msg{Kind: link.Gone, Handle: m.Epoch})
+	switch msg.Kind {
+	case link.KindClaim:
+		c.handleClaim(planner, msg)
+	case link.KindLead:
+		c.followLeader(planner, msg)
+	case link.KindCordonRead, link.KindCordonWrite:
+		c.handleCordon(planner, msg)
+	case link.KindRelease:
+		if msg.Cell == link.CordonCapableCell {
+			c.planners[planner].cordonCapable = true
+			c.cordons.Each(func(id string, state withhold.State) { c.out.SendToPlanner(planner, cordonStateMessage(0, id, state)) })
+		} else if msg.Cell == link.ShedLevelCell {
+			for other := range c.planners {
+				if other != planner && c.planners[other].linked {
+					c.out.SendToPlanner(other, link.Message{Kind: link.KindDisconnected, Handle: msg.Epoch})
 				}
 			}
-		} else if int(m.Cell) < len(c.cells) {
-			if k := &c.cells[m.Cell]; k.holder == p && k.epoch == m.Epoch {
-				k.until = now
-				c.unlead(int(m.Cell))
-				c.views(-1, int(m.Cell))
+		} else if int(msg.Cell) < len(c.cells) {
+			if cell := &c.cells[msg.Cell]; cell.holder == planner && cell.epoch == msg.Epoch {
+				cell.promisedUntil = now
+				c.becomeLeaderless(int(msg.Cell))
+				c.sendViews(-1, int(msg.Cell))
 			}
 		}
-	case link.Want:
-		if int(m.Cell) < len(c.cells) {
-			k := &c.cells[m.Cell]
-			k.want, k.wantAt = p, now
+	case link.KindHandbackRequest:
+		if int(msg.Cell) < len(c.cells) {
+			cell := &c.cells[msg.Cell]
+			cell.requester, cell.requestedAt = planner, now
 		}
-	case link.Send, link.Refuse, link.Fail, link.Cancel, link.Probe:
-		if _, ok := c.follows(p, m.Cell, m.Epoch); !ok {
-			c.Stats.Stale++
+	case link.KindSend, link.KindReject, link.KindFail, link.KindCancel, link.KindProbe:
+		if _, ok := c.follows(planner, msg.Cell, msg.Epoch); !ok {
+			c.Stats.StaleActions++
 			return
 		}
-		c.act(p, m)
+		c.execute(planner, msg)
 	}
 }
 
 // ---- Requests ----
 
-// act carries out what the followed planner decided.
-func (c *Core) act(p int, m *link.Msg) {
-	if m.Kind == link.Probe {
-		c.out.Probe(m.Name)
+// execute carries out what the followed planner decided.
+func (c *Core) execute(planner int, msg *link.Message) {
+	if msg.Kind == link.KindProbe {
+		c.out.Probe(msg.Name)
 		return
 	}
-	o := c.told[m.Handle]
-	if o == nil || o.cell != int(m.Cell) {
+	request := c.submitted[msg.Handle]
+	if request == nil || request.cellID != int(msg.Cell) {
 		return // over since, or of an older telling
 	}
-	switch m.Kind {
-	case link.Send:
-		if o.over {
+	switch msg.Kind {
+	case link.KindSend:
+		if request.completed {
 			return
 		}
-		if o.out > 0 { // never two attempts out, whoever asks
-			c.out.Link(p, link.Msg{Kind: link.Outcome, Handle: o.handle, N: uint32(len(o.tries)),
-				Class: uint8(policy.Moot)})
-			o.tries = append(o.tries, -1)
+		if request.inFlight > 0 { // never two attempts out, whoever asks
+			c.out.SendToPlanner(planner, link.Message{Kind: link.KindOutcome, Handle: request.handle, Number: uint32(len(request.plannerAttempts)),
+				Class: uint8(policy.NotSent)})
+			request.plannerAttempts = append(request.plannerAttempts, -1)
 			return
 		}
-		if c.spent(o) {
-			c.out.Link(p, link.Msg{Kind: link.Gone, Handle: o.handle})
-			c.end(o)
+		if c.attemptsExhausted(request) {
+			c.out.SendToPlanner(planner, link.Message{Kind: link.KindDisconnected, Handle: request.handle})
+			c.finishWithoutLeader(request)
 			return
 		}
-		o.counted = true
-		if m.Round > 0 {
-			c.usage.note(o.Customer, used{o.plan, m.Epoch, m.Round, m.Value, c.now})
-		}
-		o.tries = append(o.tries, len(o.done))
-		o.sentAt, o.done = append(o.sentAt, c.now), append(o.done, false)
-		o.out++
-		c.out.Send(o.ID, m.Name, m.Wait)
-	case link.Refuse:
-		if c.mayRefuse(o) {
-			c.out.Refuse(o.ID, m.Wait)
+		request.unitsCounted = true
+		if msg.Round > 0 {
+			c.usage.record(request.Account, windowUsage{request.plan, msg.Epoch, msg.Round, msg.Units, c.now})
+		}
+		request.plannerAttempts = append(request.plannerAttempts, len(request.attemptDone))
+		request.sentAt, request.attemptDone = append(request.sentAt, c.now), append(request.attemptDone, false)
+		request.inFlight++
+		c.out.Send(request.ID, msg.Name, msg.DurationS)
+	case link.KindReject:
+		if c.mayReject(request) {
+			c.out.Reject(request.ID, msg.DurationS)
 		} else {
-			c.out.Fail(o.ID)
+			c.out.Fail(request.ID)
 		}
-		o.over = true
-	case link.Fail:
-		c.out.Fail(o.ID)
-		o.over = true
-	case link.Cancel:
-		if int(m.N) < len(o.tries) && o.tries[m.N] >= 0 && !o.done[o.tries[m.N]] {
-			c.out.Cancel(o.ID, o.tries[m.N])
+		request.completed = true
+	case link.KindFail:
+		c.out.Fail(request.ID)
+		request.completed = true
+	case link.KindCancel:
+		if int(msg.Number) < len(request.plannerAttempts) && request.plannerAttempts[msg.Number] >= 0 && !request.attemptDone[request.plannerAttempts[msg.Number]] {
+			c.out.Cancel(request.ID, request.plannerAttempts[msg.Number])
 		}
 	}
-	c.forget(o)
+	c.releaseIfDone(request)
 }
 
-// mayRefuse tells whether a refusal, which says that trying again does no harm, would be true.
-func (c *Core) mayRefuse(o *open) bool {
-	k := &c.cfg.Classes[o.class]
-	return !o.ran && o.out == 0 || k.Effect == policy.Safe || k.Effect == policy.Keyed && k.KeyScope == policy.ScopeAll
+// mayReject tells whether a refusal, which says that trying again does no harm, would be true.
+func (c *Core) mayReject(request *openRequest) bool {
+	class := &c.cfg.Classes[request.class]
+	return !request.mayHaveRun && request.inFlight == 0 || class.Idempotency == policy.Idempotent || class.Idempotency == policy.KeyedIdempotent && class.KeyScope == policy.ScopeAll
 }
 
-// spent tells that no attempt is left. A leader counts those that it decided on itself; this forwarder counts them all.
-func (c *Core) spent(o *open) bool {
-	return c.cfg.MaxAttempts > 0 && len(o.done) >= c.cfg.MaxAttempts
+// attemptsExhausted tells that no attempt is left. A leader counts those that it decided on itself; this forwarder counts them all.
+func (c *Core) attemptsExhausted(request *openRequest) bool {
+	return c.cfg.MaxAttempts > 0 && len(request.attemptDone) >= c.cfg.MaxAttempts
 }
 
-// mayRunAgain tells whether another attempt, which a successor decides on, could do harm. The successor knows
+// mayRetry tells whether another attempt, which a successor decides on, could do harm. The successor knows
 // nothing of the earlier ones, so what it may not know rules the request out: a group of servers for the key.
-func (c *Core) mayRunAgain(o *open) bool {
-	k := &c.cfg.Classes[o.class]
+func (c *Core) mayRetry(request *openRequest) bool {
+	class := &c.cfg.Classes[request.class]
 	switch {
-	case !o.ran || k.Effect == policy.Safe:
+	case !request.mayHaveRun || class.Idempotency == policy.Idempotent:
 		return true
-	case k.Effect == policy.Keyed:
-		return k.KeyScope == policy.ScopeAll && c.now < o.ranAt+k.KeyTTLS-keySlackS-k.AimS
+	case class.Idempotency == policy.KeyedIdempotent:
+		return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS
 	}
 	return false
 }
 
-// Request takes a client's request.
-func (c *Core) Request(now float64, q policy.Request) {
+// HandleRequest takes a client's request.
+func (c *Core) HandleRequest(now float64, q policy.Request) {
 	c.now = now
-	class, known := c.classes[q.Class]
-	plan, planned := c.plans[q.Plan]
-	if c.byID[q.ID] != nil {
+	class, knownClass := c.classIndex[q.Class]
+	plan, knownPlan := c.planIndex[q.Plan]
+	if c.requests[q.ID] != nil {
 		return
 	}
 	c.Stats.Requests++
-	if !known || !planned {
-		if !c.moved {
+	if !knownClass || !knownPlan {
+		if !c.handedOver {
 			c.out.Fail(q.ID)
 		}
 		return
 	}
-	o := &open{Request: q, class: class, plan: plan, cell: c.cfg.CellOf(q.Customer), cameAt: now, waitFrom: now}
-	k := &c.cells[o.cell]
+	request := &openRequest{Request: q, class: class, plan: plan, cellID: c.cfg.CellOf(q.Account), receivedAt: now, waitingSince: now}
+	cell := &c.cells[request.cellID]
 	switch {
-	case c.moved:
-		if len(c.byID) < mostOpen {
-			c.byID[q.ID] = o
+	case c.handedOver:
+		if len(c.requests) < maxOpenRequests {
+			c.requests[q.ID] = request
 		}
 		return
-	case len(c.byID) >= mostOpen, k.led && !c.out.Room(k.holder):
-		c.Stats.RefusedFull++
-		c.out.Refuse(q.ID, c.hint())
+	case len(c.requests) >= maxOpenRequests, cell.hasLeader && !c.out.PlannerWritable(cell.holder):
+		c.Stats.RejectedAtCapacity++
+		c.out.Reject(q.ID, c.retryAfterS())
 		return
-	case c.failsafe(k):
-		c.Stats.RefusedUnled++
-		c.out.Refuse(q.ID, c.hint())
+	case c.inFailsafe(cell):
+		c.Stats.RejectedNoLeader++
+		c.out.Reject(q.ID, c.retryAfterS())
 		return
 	}
-	c.byID[q.ID] = o
-	c.again(o)
+	c.requests[q.ID] = request
+	c.dispatch(request)
 }
 
-// reached tells that a link to some planner stands.
-func (c *Core) reached() bool {
-	return slices.ContainsFunc(c.peers, func(p planner) bool { return p.up })
+// anyPlannerLinked tells that a link to some planner stands.
+func (c *Core) anyPlannerLinked() bool {
+	return slices.ContainsFunc(c.planners, func(p plannerLink) bool { return p.linked })
 }
 
-// failsafe tells that no request of the cell is to wait: there is no planner to be reached, or none has led the
+// inFailsafe tells that no request of the cell is to wait: there is no planner to be reached, or none has led the
 // cell for as long as a request would wait.
-func (c *Core) failsafe(k *cell) bool {
-	return !k.led && (!c.reached() && c.now >= c.cutAt+c.cfg.FailsafeS || c.now >= k.unledAt+c.cfg.WaitS)
+func (c *Core) inFailsafe(cell *cellState) bool {
+	return !cell.hasLeader && (!c.anyPlannerLinked() && c.now >= c.disconnectedAt+c.cfg.FailsafeDelayS || c.now >= cell.leaderlessSince+c.cfg.LeaderWaitS)
 }
 
-// hint is when to come back, spread by chance so that clients do not come together.
-func (c *Core) hint() float64 {
-	return c.cfg.MaxRetryAfterS * (hintFrom + (1-hintFrom)*c.rng.Float64())
+// retryAfterS is when to come back, spread by chance so that clients do not come together.
+func (c *Core) retryAfterS() float64 {
+	return c.cfg.MaxRetryAfterS * (minRetryAfterFraction + (1-minRetryAfterFraction)*c.rng.Float64())
 }
 
-// again has a request decided on, now or by the next leader. Nothing of it is out.
-func (c *Core) again(o *open) {
-	if c.moved {
+// dispatch has a request decided on, now or by the next leader. Nothing of it is out.
+func (c *Core) dispatch(request *openRequest) {
+	if c.handedOver {
 		return
 	}
-	if !c.mayRunAgain(o) || c.spent(o) {
-		c.end(o)
+	if !c.mayRetry(request) || c.attemptsExhausted(request) {
+		c.finishWithoutLeader(request)
 		return
 	}
-	if c.cells[o.cell].led {
-		c.tell(o)
+	if c.cells[request.cellID].hasLeader {
+		c.submit(request)
 		return
 	}
-	o.waitFrom = c.now
-	c.cells[o.cell].waiting = append(c.cells[o.cell].waiting, o)
+	request.waitingSince = c.now
+	c.cells[request.cellID].waiting = append(c.cells[request.cellID].waiting, request)
 }
 
-// tell hands a request to the leader of its cell. Units that were passed on already are not counted again.
-func (c *Core) tell(o *open) {
-	c.handles++
-	o.handle, o.tries = c.handles, o.tries[:0]
-	c.told[o.handle] = o
-	units := o.Units
-	if o.counted {
+// submit hands a request to the leader of its cell. Units that were passed on already are not counted again.
+func (c *Core) submit(request *openRequest) {
+	c.lastHandle++
+	request.handle, request.plannerAttempts = c.lastHandle, request.plannerAttempts[:0]
+	c.submitted[request.handle] = request
+	units := request.Units
+	if request.unitsCounted {
 		units = 0
 	}
-	if c.Stats.Told++; len(o.done) > 0 || o.waitFrom != o.cameAt {
-		c.Stats.Retold++
+	if c.Stats.Submitted++; len(request.attemptDone) > 0 || request.waitingSince != request.receivedAt {
+		c.Stats.Resubmitted++
 	}
-	k := &c.cells[o.cell]
-	c.out.Link(k.holder, link.Msg{Kind: link.Request, Cell: uint16(o.cell), Epoch: k.epoch, Handle: o.handle,
-		Class: uint8(o.class), Plan: uint8(o.plan), Name: o.Customer, Wait: o.DeadlineS - c.now, Value: units,
-		Flag: o.Retry})
+	cell := &c.cells[request.cellID]
+	c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindRequest, Cell: uint16(request.cellID), Epoch: cell.epoch, Handle: request.handle,
+		Class: uint8(request.class), Plan: uint8(request.plan), Name: request.Account, DurationS: request.DeadlineAt - c.now, Units: units,
+		Flag: request.Retry})
 }
 
-// untell forgets what a planner knows of a request: what it still says of it changes nothing.
-func (c *Core) untell(o *open) {
-	delete(c.told, o.handle)
-	if o.handle != 0 && o.out > 0 {
-		c.orphans[o.Customer] = orphans{o.plan, c.orphans[o.Customer].out + o.out}
+// withdraw forgets what a planner knows of a request: what it still says of it changes nothing.
+func (c *Core) withdraw(request *openRequest) {
+	delete(c.submitted, request.handle)
+	if request.handle != 0 && request.inFlight > 0 {
+		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
 	}
-	o.handle = 0
+	request.handle = 0
 }
 
-// end gives the final answer to a request that nobody can decide on any more.
-func (c *Core) end(o *open) {
-	if c.mayRefuse(o) {
-		c.Stats.RefusedUnled++
-		c.out.Refuse(o.ID, c.hint())
+// finishWithoutLeader gives the final answer to a request that nobody can decide on any more.
+func (c *Core) finishWithoutLeader(request *openRequest) {
+	if c.mayReject(request) {
+		c.Stats.RejectedNoLeader++
+		c.out.Reject(request.ID, c.retryAfterS())
 	} else {
-		c.Stats.FailedUnled++
-		c.out.Fail(o.ID)
+		c.Stats.FailedNoLeader++
+		c.out.Fail(request.ID)
 	}
-	o.over = true
-	c.forget(o)
+	request.completed = true
+	c.releaseIfDone(request)
 }
 
-// forget lets go of a request that is over once nothing of it is out.
-func (c *Core) forget(o *open) {
-	if o.over && o.out == 0 {
-		if c.untell(o); c.byID[o.ID] == o {
-			delete(c.byID, o.ID)
+// releaseIfDone lets go of a request that is over once nothing of it is out.
+func (c *Core) releaseIfDone(request *openRequest) {
+	if request.completed && request.inFlight == 0 {
+		if c.withdraw(request); c.requests[request.ID] == request {
+			delete(c.requests, request.ID)
 		}
 	}
 }
 
-// Outcome takes the end of an attempt.
-func (c *Core) Outcome(now float64, r policy.Outcome) {
+// HandleOutcome takes the end of an attempt.
+func (c *Core) HandleOutcome(now float64, outcome policy.Outcome) {
 	c.now = now
-	o := c.byID[r.ID]
-	if o == nil || r.Attempt < 0 || r.Attempt >= len(o.done) || o.done[r.Attempt] {
+	request := c.requests[outcome.ID]
+	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attemptDone) || request.attemptDone[outcome.Attempt] {
 		return
 	}
-	o.done[r.Attempt] = true
-	o.out--
-	if never := r.Status == policy.Full || r.Status == policy.ConnectFailed || r.Status == policy.Moot; !never && !o.ran {
-		o.ran, o.ranAt = true, o.sentAt[r.Attempt]
+	request.attemptDone[outcome.Attempt] = true
+	request.inFlight--
+	if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.ConnectFailed || outcome.Status == policy.NotSent; !notRun && !request.mayHaveRun {
+		request.mayHaveRun, request.firstRunAt = true, request.sentAt[outcome.Attempt]
 	}
-	if r.Status == policy.OK && !o.over {
+	if outcome.Status == policy.OK && !request.completed {
 		c.Stats.Served++
 	}
-	o.over = o.over || r.Over || r.Status == policy.OK
-	k := &c.cells[o.cell]
-	if o.handle != 0 {
-		m := link.Msg{Kind: link.Outcome, Handle: o.handle, N: uint32(slices.Index(o.tries, r.Attempt)),
-			Class: uint8(r.Status), Flag: o.over, Wait: r.SpentS}
-		m.HasLoad, m.Load = packLoad(r.Load)
-		c.out.Link(k.holder, m)
+	request.completed = request.completed || outcome.Completed || outcome.Status == policy.OK
+	cell := &c.cells[request.cellID]
+	if request.handle != 0 {
+		msg := link.Message{Kind: link.KindOutcome, Handle: request.handle, Number: uint32(slices.Index(request.plannerAttempts, outcome.Attempt)),
+			Class: uint8(outcome.Status), Flag: request.completed, DurationS: outcome.LatencyS}
+		msg.HasLoad, msg.Load = loadFields(outcome.Load)
+		c.out.SendToPlanner(cell.holder, msg)
 	} else {
-		n := c.orphans[o.Customer]
-		if n.out--; n.out > 0 {
-			c.orphans[o.Customer] = n
+		orphans := c.orphans[request.Account]
+		if orphans.attempts--; orphans.attempts > 0 {
+			c.orphans[request.Account] = orphans
 		} else {
-			delete(c.orphans, o.Customer)
+			delete(c.orphans, request.Account)
 		}
-		if k.led {
-			c.outsOf(o.Customer, n)
+		if cell.hasLeader {
+			c.reportOrphansOf(request.Account, orphans)
 		}
-		if !o.over && o.out == 0 {
-			c.again(o)
+		if !request.completed && request.inFlight == 0 {
+			c.dispatch(request)
 		}
 	}
-	c.forget(o)
+	c.releaseIfDone(request)
 }
 
-func packLoad(l *policy.Load) (bool, [6]float64) {
+func loadFields(l *policy.Load) (bool, [6]float64) {
 	if l == nil {
 		return false, [6]float64{}
 	}
-	return true, [6]float64{l.InFlight, l.Queue, l.Util, l.ServiceMS, l.ServedPerS, l.FailedPerS}
+	return true, [6]float64{l.InFlight, l.Queue, l.Utilization, l.ServiceMS, l.ServedPerS, l.FailedPerS}
 }
 
-// Gone takes the news that a request needs no answer any more.
-func (c *Core) Gone(now float64, id string) {
+// HandleDisconnect takes the news that a request needs no answer any more.
+func (c *Core) HandleDisconnect(now float64, id string) {
 	c.now = now
-	if o := c.byID[id]; o != nil && !o.over {
-		o.over = true
-		if o.handle != 0 {
-			c.out.Link(c.cells[o.cell].holder, link.Msg{Kind: link.Gone, Handle: o.handle})
+	if request := c.requests[id]; request != nil && !request.completed {
+		request.completed = true
+		if request.handle != 0 {
+			c.out.SendToPlanner(c.cells[request.cellID].holder, link.Message{Kind: link.KindDisconnected, Handle: request.handle})
 		}
-		c.forget(o)
+		c.releaseIfDone(request)
 	}
 }
 
-// Probed takes the end of a probe: all leaders learn of it.
-func (c *Core) Probed(now float64, r policy.ProbeResult) {
+// HandleProbeResult takes the end of a probe: all leaders learn of it.
+func (c *Core) HandleProbeResult(now float64, result policy.ProbeResult) {
 	c.now = now
 	for i := range c.cells {
-		if k := &c.cells[i]; k.led {
-			m := link.Msg{Kind: link.Probed, Cell: uint16(i), Epoch: k.epoch, Name: r.Server, Class: uint8(r.Status),
-				Wait: r.SpentS}
-			m.HasLoad, m.Load = packLoad(r.Load)
-			c.out.Link(k.holder, m)
+		if cell := &c.cells[i]; cell.hasLeader {
+			msg := link.Message{Kind: link.KindProbeResult, Cell: uint16(i), Epoch: cell.epoch, Name: result.Backend, Class: uint8(result.Status),
+				DurationS: result.LatencyS}
+			msg.HasLoad, msg.Load = loadFields(result.Load)
+			c.out.SendToPlanner(cell.holder, msg)
 		}
 	}
 }
 
-// Tick looks after promises that ran out and requests that wait; call it every TickS.
+// Tick looks after promises that ran out and requests that wait; call it every TickIntervalS.
 func (c *Core) Tick(now float64) {
-	if c.now = now; c.moved {
+	if c.now = now; c.handedOver {
 		return
 	}
 	for i := range c.cells {
-		k := &c.cells[i]
-		if k.led && now >= k.until && fleet.Fenced {
-			c.unlead(i)
-		}
-		keep := k.waiting[:0]
-		waiting := k.waiting
-		k.waiting = nil
-		for _, o := range waiting {
-			half := o.cameAt + halfShare*(o.DeadlineS-o.cameAt)
+		cell := &c.cells[i]
+		if cell.hasLeader && now >= cell.promisedUntil && fleet.Fenced {
+			c.becomeLeaderless(i)
+		}
+		remaining := cell.waiting[:0]
+		waiting := cell.waiting
+		cell.waiting = nil
+		for _, request := range waiting {
+			waitUntil := request.receivedAt + leaderWaitFraction*(request.DeadlineAt-request.receivedAt)
 			switch {
-			case o.over:
-				c.forget(o)
-			case c.failsafe(k), now >= o.waitFrom+c.cfg.WaitS, now >= half && !o.ran, now >= o.DeadlineS-TickS:
-				c.end(o)
+			case request.completed:
+				c.releaseIfDone(request)
+			case c.inFailsafe(cell), now >= request.waitingSince+c.cfg.LeaderWaitS, now >= waitUntil && !request.mayHaveRun, now >= request.DeadlineAt-TickIntervalS:
+				c.finishWithoutLeader(request)
 			default:
-				keep = append(keep, o)
+				remaining = append(remaining, request)
 			}
 		}
-		k.waiting = keep
+		cell.waiting = remaining
 	}
-	c.overdue()
+	c.endOverdue()
 	c.usage.sweep(now)
-	if now >= c.beatAt {
-		c.beatAt = now + c.cfg.BeatS
-		c.views(-1, -1)
+	if now >= c.nextHeartbeatAt {
+		c.nextHeartbeatAt = now + c.cfg.HeartbeatS
+		c.sendViews(-1, -1)
 	}
 }
 
-// overdue ends what nobody has answered by the last moment at which its client still listens: a leader that has lost its
+// endOverdue ends what nobody has answered by the last moment at which its client still listens: a leader that has lost its
 // lead, or stands still, says nothing more, and an attempt may outlive its leader and stay silent.
-func (c *Core) overdue() {
-	var list []*open
-	for _, o := range c.byID {
-		if !o.over && c.now >= o.DeadlineS-TickS {
-			list = append(list, o)
+func (c *Core) endOverdue() {
+	var requests []*openRequest
+	for _, request := range c.requests {
+		if !request.completed && c.now >= request.DeadlineAt-TickIntervalS {
+			requests = append(requests, request)
 		}
 	}
-	slices.SortFunc(list, func(a, b *open) int { return cmp.Compare(a.ID, b.ID) })
-	for _, o := range list {
-		if o.handle != 0 {
-			c.out.Link(c.cells[o.cell].holder, link.Msg{Kind: link.Gone, Handle: o.handle})
+	slices.SortFunc(requests, func(a, b *openRequest) int { return cmp.Compare(a.ID, b.ID) })
+	for _, request := range requests {
+		if request.handle != 0 {
+			c.out.SendToPlanner(c.cells[request.cellID].holder, link.Message{Kind: link.KindDisconnected, Handle: request.handle})
 		}
-		c.end(o)
+		c.finishWithoutLeader(request)
 	}
 }
 
-// Led tells how many cells are led, and Failsafe for how many no new request is taken.
-func (c *Core) Led() (led, failsafe int) {
+// CountLed tells how many cells are led, and Failsafe for how many no new request is taken.
+func (c *Core) CountLed() (led, failsafe int) {
 	for i := range c.cells {
-		if k := &c.cells[i]; k.led {
+		if cell := &c.cells[i]; cell.hasLeader {
 			led++
-		} else if c.failsafe(k) {
+		} else if c.inFailsafe(cell) {
 			failsafe++
 		}
 	}
@@ -678,21 +678,21 @@
 
 // CellStatus is one cell for people.
 type CellStatus struct {
-	Cell     int     `json:"cell"`
-	Epoch    uint64  `json:"epoch"`
-	Holder   int     `json:"holder"` // -1: none yet
-	Led      bool    `json:"led"`
-	LeftS    float64 `json:"promise_left_s"`
-	Waiting  int     `json:"waiting"`
-	Failsafe bool    `json:"failsafe"`
+	Cell         int     `json:"cell"`
+	Epoch        uint64  `json:"epoch"`
+	Holder       int     `json:"holder"` // -1: none yet
+	HasLeader    bool    `json:"led"`
+	PromiseLeftS float64 `json:"promise_left_s"`
+	Waiting      int     `json:"waiting"`
+	Failsafe     bool    `json:"failsafe"`
 }
 
-// Cells lists how the cells stand, and how many requests are open.
-func (c *Core) Cells() (list []CellStatus, requests int) {
+// CellStatuses lists how the cells stand, and how many requests are open.
+func (c *Core) CellStatuses() (list []CellStatus, requests int) {
 	for i := range c.cells {
-		k := &c.cells[i]
-		list = append(list, CellStatus{i, k.epoch, k.holder, k.led, math.Round(max(k.until-c.now, 0)*1e3) / 1e3,
-			len(k.waiting), c.failsafe(k)})
+		cell := &c.cells[i]
+		list = append(list, CellStatus{i, cell.epoch, cell.holder, cell.hasLeader, math.Round(max(cell.promisedUntil-c.now, 0)*1e3) / 1e3,
+			len(cell.waiting), c.inFailsafe(cell)})
 	}
-	return list, len(c.byID)
+	return list, len(c.requests)
 }
--- a/internal/forward/file.go
+++ b/internal/forward/file.go
@@ -10,37 +10,37 @@
 	"eiderspread/internal/operator"
 )
 
-// File is a forwarder's operator's file, checked.
-type File struct {
+// FileConfig is a forwarder's operator's file, checked.
+type FileConfig struct {
 	fleet.Params
-	Number     int
-	PlannersAt []string // addresses by planner's number
-	Status     string
-	Names      []string // with TLS: the name that each planner's certificate holds
-	TLS        link.Identity
-	Base       ingress.Config
-	BasePath   string
+	Number       int
+	PlannerAddrs []string // addresses by planner's number
+	StatusAddr   string
+	PlannerNames []string // with TLS: the name that each planner's certificate holds
+	TLS          link.Identity
+	Ingress      ingress.Config
+	IngressPath  string
 }
 
 // ReadFile reads deploy/forwarder.toml and the configuration that it names.
-func ReadFile(path string) (File, error) {
+func ReadFile(path string) (FileConfig, error) {
 	var f struct {
 		fleet.File
 		PlannersAt []string `toml:"planners_at"`
 		Names      []string
 	}
 	if err := operator.Decode(path, &f); err != nil {
-		return File{}, err
+		return FileConfig{}, err
 	}
-	out, err := check(f.File, f.PlannersAt, f.Names)
+	out, err := newFileConfig(f.File, f.PlannersAt, f.Names)
 	if err != nil {
 		return out, fmt.Errorf("%s: %w", path, err)
 	}
 	return out, nil
 }
 
-func check(f fleet.File, at, names []string) (File, error) {
-	out := File{Number: f.Number, PlannersAt: at, Status: f.Status, Names: names, TLS: f.Identity(), BasePath: f.Base}
+func newFileConfig(f fleet.File, plannerAddrs, plannerNames []string) (FileConfig, error) {
+	out := FileConfig{Number: f.Number, PlannerAddrs: plannerAddrs, StatusAddr: f.Status, PlannerNames: plannerNames, TLS: f.Identity(), IngressPath: f.Base}
 	var err error
 	if out.Params, err = f.Params(); err != nil {
 		return out, err
@@ -48,24 +48,24 @@
 	if f.Number < 0 || f.Number >= f.Forwarders {
 		return out, fmt.Errorf("number is %d, want 0 to %d", f.Number, f.Forwarders-1)
 	}
-	if len(at) != f.Planners {
-		return out, fmt.Errorf("planners_at: %d addresses given for %d planners", len(at), f.Planners)
+	if len(plannerAddrs) != f.Planners {
+		return out, fmt.Errorf("planners_at: %d addresses given for %d planners", len(plannerAddrs), f.Planners)
 	}
-	for i, a := range at {
+	for i, a := range plannerAddrs {
 		if _, err := netip.ParseAddrPort(a); err != nil {
 			return out, fmt.Errorf("planners_at: number %d: %w", i, err)
 		}
 	}
-	if out.TLS != (link.Identity{}) && len(names) != f.Planners {
-		return out, fmt.Errorf("names: %d given for %d planners", len(names), f.Planners)
+	if out.TLS != (link.Identity{}) && len(plannerNames) != f.Planners {
+		return out, fmt.Errorf("names: %d given for %d planners", len(plannerNames), f.Planners)
 	}
 	if _, err = out.TLS.Config(); err != nil {
 		return out, fmt.Errorf("tls: %w", err)
 	}
-	if out.Base, err = ingress.ReadConfig(f.Base); err != nil {
+	if out.Ingress, err = ingress.ReadConfig(f.Base); err != nil {
 		return out, err
 	}
-	out.Base.Member = true
-	out.Base.Settings.Peers = false // forwarders have nothing to tell each other
+	out.Ingress.FleetMember = true
+	out.Ingress.Settings.PeerMessages = false // forwarders have nothing to tell each other
 	return out, nil
 }
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -13,6 +13,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, "names", f.Names, []string{"planner-0", "planner-1"})
-	golden.Same(t, "planners", f.PlannersAt, []string{"127.0.0.1:7800", "127.0.0.1:7801"})
+	golden.Same(t, "names", f.PlannerNames, []string{"planner-0", "planner-1"})
+	golden.Same(t, "planners", f.PlannerAddrs, []string{"127.0.0.1:7800", "127.0.0.1:7801"})
 }
--- a/internal/forward/holds.go
+++ b/internal/forward/holds.go
@@ -5,29 +5,29 @@
 	"eiderspread/internal/withhold"
 )
 
-// Holds lists the servers that operators hold, as far as this forwarder has heard.
-func (c *Core) Holds() []string { return c.words.Held() }
+// Cordoned lists the servers that operators hold, as far as this forwarder has heard.
+func (c *Core) Cordoned() []string { return c.cordons.Cordoned() }
 
-// holds takes a planner's question or word on a held server. What is new binds at once, and goes to every planner before anything that
+// handleCordon takes a planner's question or word on a held server. What is new binds at once, and goes to every planner before anything that
 // is said to it from now on: the next promise above all.
-func (c *Core) holds(p int, m *link.Msg) {
-	if m.Kind == link.Hold {
-		x := withhold.Word{Version: m.Epoch, Held: m.Flag}
-		newer, changed := c.words.Merge(m.Name, x)
+func (c *Core) handleCordon(planner int, msg *link.Message) {
+	if msg.Kind == link.KindCordonWrite {
+		state := withhold.State{Version: msg.Epoch, Held: msg.Flag}
+		newer, changed := c.cordons.Merge(msg.Name, state)
 		if changed {
-			c.out.Hold(m.Name, x.Held)
+			c.out.SetCordoned(msg.Name, state.Held)
 		}
-		for i := range c.peers {
-			if newer && c.peers[i].holds {
-				c.out.Link(i, holdIs(0, m.Name, x))
+		for i := range c.planners {
+			if newer && c.planners[i].cordonCapable {
+				c.out.SendToPlanner(i, cordonStateMessage(0, msg.Name, state))
 			}
 		}
 	}
-	if m.Handle != 0 {
-		c.out.Link(p, holdIs(m.Handle, m.Name, c.words.Get(m.Name)))
+	if msg.Handle != 0 {
+		c.out.SendToPlanner(planner, cordonStateMessage(msg.Handle, msg.Name, c.cordons.Get(msg.Name)))
 	}
 }
 
-func holdIs(call uint64, id string, x withhold.Word) link.Msg {
-	return link.Msg{Kind: link.HoldIs, Handle: call, Name: id, Epoch: x.Version, Flag: x.Held}
+func cordonStateMessage(call uint64, id string, state withhold.State) link.Message {
+	return link.Message{Kind: link.KindCordonState, Handle: call, Name: id, Epoch: state.Version, Flag: state.Held}
 }
--- a/internal/forward/move.go
+++ b/internal/forward/move.go
@@ -12,83 +12,83 @@
 // docs/forwarder-replacement.md: to requests a replacement is a change of leaders, to promises it is nothing, and a promise that was
 // handed on is never taken back.
 
-// Move stops following every leader and returns all that is known. From then on this core promises nothing and decides nothing: it
-// writes down what becomes of its requests, for TakeBack.
-func (c *Core) Move(now float64) kept.Moved {
+// Migrate stops following every leader and returns all that is known. From then on this core promises nothing and decides nothing: it
+// writes down what becomes of its requests, for Reclaim.
+func (c *Core) Migrate(now float64) kept.Moved {
 	c.now = now
-	clear(c.peers) // their links end: what a leader knew to be out counts there until the new process says better
+	clear(c.planners) // their links end: what a leader knew to be out counts there until the new process says better
 	for i := range c.cells {
-		c.unlead(i)
+		c.becomeLeaderless(i)
 	}
-	c.moved = true
-	m := kept.Moved{Handles: c.handles, Lossy: c.usage.lossyAt, Words: map[string]kept.Word{}}
+	c.handedOver = true
+	transferred := kept.Moved{Handles: c.lastHandle, Lossy: c.usage.incompleteAt, Words: map[string]kept.Word{}}
 	for i := range c.cells {
-		k := &c.cells[i]
-		m.Cells = append(m.Cells, kept.Cell{Epoch: k.epoch, Holder: k.holder, Life: k.life, Until: k.until})
-		k.waiting = nil
+		cell := &c.cells[i]
+		transferred.Cells = append(transferred.Cells, kept.Cell{Epoch: cell.epoch, Holder: cell.holder, Life: cell.incarnation, Until: cell.promisedUntil})
+		cell.waiting = nil
 	}
-	c.words.Each(func(id string, x withhold.Word) { m.Words[id] = kept.Word(x) })
-	c.usage.each(now, func(customer string, n used) {
-		m.Tales = append(m.Tales, kept.Tale{Customer: customer, Plan: n.plan, Epoch: n.epoch, Seq: n.seq, Debt: n.debt, At: n.at})
+	c.cordons.Each(func(id string, state withhold.State) { transferred.Words[id] = kept.Word(state) })
+	c.usage.each(now, func(account string, usage windowUsage) {
+		transferred.Tales = append(transferred.Tales, kept.Tale{Customer: account, Plan: usage.plan, Epoch: usage.epoch, Seq: usage.seq, Debt: usage.debt, At: usage.at})
 	})
-	for _, o := range c.inOrder() {
-		m.Open = append(m.Open, kept.Open{Request: o.Request, Came: o.cameAt, Sent: slices.Clone(o.sentAt), Done: slices.Clone(o.done),
-			Counted: o.counted, Ran: o.ran, RanAt: o.ranAt, Over: o.over})
+	for _, request := range c.requestsByID() {
+		transferred.Open = append(transferred.Open, kept.Open{Request: request.Request, Came: request.receivedAt, Sent: slices.Clone(request.sentAt), Done: slices.Clone(request.attemptDone),
+			Counted: request.unitsCounted, Ran: request.mayHaveRun, RanAt: request.firstRunAt, Over: request.completed})
 	}
-	return m
+	return transferred
 }
 
-// Settle goes on with what the process before knew; call it before the first link. It tells whether promises went over: those of a
+// Resume goes on with what the process before knew; call it before the first link. It tells whether promises went over: those of a
 // fleet cut into other cells do not, and nothing is promised for a lease then.
-func (c *Core) Settle(now float64, m kept.Moved) bool {
+func (c *Core) Resume(now float64, transferred kept.Moved) bool {
 	c.now = now
-	same := len(m.Cells) == len(c.cells)
+	same := len(transferred.Cells) == len(c.cells)
 	for i := range c.cells {
-		if k := &c.cells[i]; same {
-			x := m.Cells[i]
-			k.epoch, k.holder, k.life, k.until = x.Epoch, x.Holder, x.Life, x.Until
+		if cell := &c.cells[i]; same {
+			promise := transferred.Cells[i]
+			cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Life, promise.Until
 		} else {
-			k.until = now + c.cfg.LeaseS
+			cell.promisedUntil = now + c.cfg.LeaseS
 		}
-		c.cells[i].unledAt = now
+		c.cells[i].leaderlessSince = now
 	}
-	c.handles, c.cutAt, c.usage.lossyAt = m.Handles, now, m.Lossy
+	c.lastHandle, c.disconnectedAt, c.usage.incompleteAt = transferred.Handles, now, transferred.Lossy
 	if !same {
-		c.usage.lossyAt = now
+		c.usage.incompleteAt = now
 	}
-	for _, t := range m.Tales {
-		c.usage.note(t.Customer, used{t.Plan, t.Epoch, t.Seq, t.Debt, t.At})
+	for _, report := range transferred.Tales {
+		c.usage.record(report.Customer, windowUsage{report.Plan, report.Epoch, report.Seq, report.Debt, report.At})
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.Words)) {
-		if _, changed := c.words.Merge(id, withhold.Word(m.Words[id])); changed {
-			c.out.Hold(id, m.Words[id].Held)
+	for _, id := range slices.Sorted(maps.Keys(transferred.Words)) {
+		if _, changed := c.cordons.Merge(id, withhold.State(transferred.Words[id])); changed {
+			c.out.SetCordoned(id, transferred.Words[id].Held)
 		}
 	}
-	for _, x := range m.Open {
-		c.adopt(x)
+	for _, saved := range transferred.Open {
+		c.restoreRequest(saved)
 	}
 	return same
 }
 
-// adopt takes one request over. What is out goes on; what has nothing out waits for a leader.
-func (c *Core) adopt(x kept.Open) {
-	class, known := c.classes[x.Class]
-	plan, planned := c.plans[x.Plan]
-	if !known || !planned || len(x.Sent) != len(x.Done) || c.byID[x.ID] != nil || len(c.byID) >= mostOpen {
-		c.out.Fail(x.ID)
+// restoreRequest takes one request over. What is out goes on; what has nothing out waits for a leader.
+func (c *Core) restoreRequest(saved kept.Open) {
+	class, knownClass := c.classIndex[saved.Class]
+	plan, knownPlan := c.planIndex[saved.Plan]
+	if !knownClass || !knownPlan || len(saved.Sent) != len(saved.Done) || c.requests[saved.ID] != nil || len(c.requests) >= maxOpenRequests {
+		c.out.Fail(saved.ID)
 		return
 	}
-	o := &open{Request: x.Request, class: class, plan: plan, cell: c.cfg.CellOf(x.Customer), cameAt: x.Came, waitFrom: c.now,
-		sentAt: x.Sent, done: x.Done, counted: x.Counted, ran: x.Ran, ranAt: x.RanAt, over: x.Over}
-	for _, done := range x.Done {
-		o.out += b2i(!done)
+	request := &openRequest{Request: saved.Request, class: class, plan: plan, cellID: c.cfg.CellOf(saved.Account), receivedAt: saved.Came, waitingSince: c.now,
+		sentAt: saved.Sent, attemptDone: saved.Done, unitsCounted: saved.Counted, mayHaveRun: saved.Ran, firstRunAt: saved.RanAt, completed: saved.Over}
+	for _, done := range saved.Done {
+		request.inFlight += b2i(!done)
 	}
-	c.byID[o.ID] = o
-	c.orphan(o)
-	if !o.over && o.out == 0 {
-		c.again(o)
+	c.requests[request.ID] = request
+	c.addOrphans(request)
+	if !request.completed && request.inFlight == 0 {
+		c.dispatch(request)
 	}
-	c.forget(o)
+	c.releaseIfDone(request)
 }
 
 func b2i(b bool) int {
@@ -98,56 +98,56 @@
 	return 0
 }
 
-// orphan counts what is out of a request that no leader knows.
-func (c *Core) orphan(o *open) {
-	if o.out > 0 {
-		c.orphans[o.Customer] = orphans{o.plan, c.orphans[o.Customer].out + o.out}
+// addOrphans counts what is out of a request that no leader knows.
+func (c *Core) addOrphans(request *openRequest) {
+	if request.inFlight > 0 {
+		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
 	}
 }
 
-// Ordered writes down what the process that goes on for this one has decided for a request.
-func (c *Core) Ordered(now float64, x kept.Order) {
+// RecordOrder writes down what the process that goes on for this one has decided for a request.
+func (c *Core) RecordOrder(now float64, order kept.Order) {
 	c.now = now
-	o := c.byID[x.ID]
-	if !c.moved || o == nil {
+	request := c.requests[order.ID]
+	if !c.handedOver || request == nil {
 		return
 	}
-	switch x.Kind {
+	switch order.Kind {
 	case kept.Send:
-		if !o.over {
-			o.sentAt, o.done, o.counted = append(o.sentAt, now), append(o.done, false), true
-			o.out++
-			c.orphans[o.Customer] = orphans{o.plan, c.orphans[o.Customer].out + 1}
+		if !request.completed {
+			request.sentAt, request.attemptDone, request.unitsCounted = append(request.sentAt, now), append(request.attemptDone, false), true
+			request.inFlight++
+			c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + 1}
 		}
 	case kept.Refuse, kept.Fail:
-		o.over = true
-		c.forget(o)
+		request.completed = true
+		c.releaseIfDone(request)
 	}
 }
 
-// TakeBack goes on after the process that went on for this one has ended. Requests are as they were left. Promises are not: that one may
+// Reclaim goes on after the process that went on for this one has ended. Requests are as they were left. Promises are not: that one may
 // have given others since, so nothing is promised for a lease, as after a start, and tales are not complete.
-func (c *Core) TakeBack(now float64) {
-	c.now, c.moved, c.cutAt = now, false, now
+func (c *Core) Reclaim(now float64) {
+	c.now, c.handedOver, c.disconnectedAt = now, false, now
 	for i := range c.cells {
-		c.cells[i] = cell{holder: -1, want: -1, until: now + c.cfg.LeaseS, unledAt: now}
+		c.cells[i] = cellState{holder: -1, requester: -1, promisedUntil: now + c.cfg.LeaseS, leaderlessSince: now}
 	}
-	c.usage.lossyAt = now
-	clear(c.peers)
+	c.usage.incompleteAt = now
+	clear(c.planners)
 	clear(c.orphans)
-	for _, o := range c.inOrder() {
-		c.orphan(o)
-		if !o.over && o.out == 0 {
-			c.again(o)
+	for _, request := range c.requestsByID() {
+		c.addOrphans(request)
+		if !request.completed && request.inFlight == 0 {
+			c.dispatch(request)
 		}
-		c.forget(o)
+		c.releaseIfDone(request)
 	}
 }
 
-// inOrder are the open requests by id.
-func (c *Core) inOrder() (list []*open) {
-	for _, id := range slices.Sorted(maps.Keys(c.byID)) {
-		list = append(list, c.byID[id])
+// requestsByID are the open requests by id.
+func (c *Core) requestsByID() (requests []*openRequest) {
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		requests = append(requests, c.requests[id])
 	}
-	return list
+	return requests
 }
--- a/internal/forward/remote.go
+++ b/internal/forward/remote.go
@@ -19,59 +19,59 @@
 )
 
 const (
-	redialFirst = 30 * time.Millisecond // and as much again by chance
-	redialMost  = time.Second
-	statusAgain = 50 * time.Millisecond // between two tries at a status address that the process before may have
+	redialBackoffMin     = 30 * time.Millisecond // and as much again by chance
+	redialBackoffMax     = time.Second
+	statusListenInterval = 50 * time.Millisecond // between two tries at a status address that the process before may have
 )
 
-// Remote stands where the decision module stands in a one-program ingress. But for dialling and reading, all of it
+// RemoteGateway stands where the decision module stands in a one-program ingress. But for dialling and reading, all of it
 // runs on the ingress's loop.
-type Remote struct {
-	ingress.Host // carries out what planners decide
-	core         *Core
-	cfg          File
-	tls          *tls.Config
-	life         uint64
-	conns        []*link.Conn // by planner, nil: none
-	in, out      uint64       // bytes of links that have ended
-	ctx          context.Context
-	hangUp       context.CancelFunc // ends all links, nil: planners are not dialled
-	moved        bool               // another process goes on
+type RemoteGateway struct {
+	ingress.Host                  // carries out what planners decide
+	core                          *Core
+	cfg                           FileConfig
+	tls                           *tls.Config
+	incarnation                   uint64
+	links                         []*link.Conn // by planner, nil: none
+	closedBytesIn, closedBytesOut uint64       // bytes of links that have ended
+	ctx                           context.Context
+	closeLinks                    context.CancelFunc // ends all links, nil: planners are not dialled
+	handedOver                    bool               // another process goes on
 }
 
-// Make returns the maker that ingress.RunWith wants.
-func Make(cfg File) func(context.Context, ingress.Host) (ingress.Gateway, error) {
-	return func(ctx context.Context, host ingress.Host) (ingress.Gateway, error) {
-		r := &Remote{Host: host, cfg: cfg, life: rand.Uint64(), conns: make([]*link.Conn, len(cfg.PlannersAt)), ctx: ctx}
+// NewGatewayFunc returns the maker that ingress.RunWith wants.
+func NewGatewayFunc(cfg FileConfig) func(context.Context, ingress.Host) (ingress.Decider, error) {
+	return func(ctx context.Context, host ingress.Host) (ingress.Decider, error) {
+		gateway := &RemoteGateway{Host: host, cfg: cfg, incarnation: rand.Uint64(), links: make([]*link.Conn, len(cfg.PlannerAddrs)), ctx: ctx}
 		var err error
-		if r.tls, err = cfg.TLS.Config(); err != nil {
+		if gateway.tls, err = cfg.TLS.Config(); err != nil {
 			return nil, err
 		}
-		s := cfg.Base.Settings
-		r.core = New(Config{Params: cfg.Params, Number: cfg.Number, Classes: s.Classes, Plans: s.Plans,
-			MaxRetryAfterS: s.MaxRetryAfterS, MaxAttempts: s.MaxAttempts, Seed: cfg.Base.Seed ^ r.life}, host.Now(), r)
-		if cfg.Status != "" {
-			if err := r.serveStatus(ctx, host.Heir()); err != nil {
+		settings := cfg.Ingress.Settings
+		gateway.core = NewCore(Config{Params: cfg.Params, Number: cfg.Number, Classes: settings.Classes, Plans: settings.Plans,
+			MaxRetryAfterS: settings.MaxRetryAfterS, MaxAttempts: settings.MaxAttempts, Seed: cfg.Ingress.Seed ^ gateway.incarnation}, host.Now(), gateway)
+		if cfg.StatusAddr != "" {
+			if err := gateway.serveStatus(ctx, host.HasPredecessor()); err != nil {
 				return nil, err
 			}
 		}
-		host.SetTimer(1, TickS)
-		return r, nil
+		host.SetTimer(1, TickIntervalS)
+		return gateway, nil
 	}
 }
 
 // serveStatus serves the status until ctx ends. The process that this one replaces may have its address for as long as it lasts.
-func (r *Remote) serveStatus(ctx context.Context, wait bool) error {
-	l, err := net.Listen("tcp", r.cfg.Status)
-	if err != nil && !wait {
+func (g *RemoteGateway) serveStatus(ctx context.Context, retry bool) error {
+	l, err := net.Listen("tcp", g.cfg.StatusAddr)
+	if err != nil && !retry {
 		return fmt.Errorf("status: %w", err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(r.status), ReadHeaderTimeout: time.Second}
+	srv := &http.Server{Handler: http.HandlerFunc(g.handleStatus), ReadHeaderTimeout: time.Second}
 	context.AfterFunc(ctx, func() { srv.Close() })
 	go func() {
 		for l == nil && ctx.Err() == nil {
-			time.Sleep(statusAgain)
-			l, _ = net.Listen("tcp", r.cfg.Status)
+			time.Sleep(statusListenInterval)
+			l, _ = net.Listen("tcp", g.cfg.StatusAddr)
 		}
 		if l != nil {
 			srv.Serve(l)
@@ -80,115 +80,121 @@
 	return nil
 }
 
-// dialAll begins to keep links to all planners.
-func (r *Remote) dialAll() {
-	ctx, end := context.WithCancel(r.ctx)
-	r.hangUp = end
-	for p := range r.cfg.PlannersAt {
-		go r.dial(ctx, p, r.life)
+// dialPlanners begins to keep links to all planners.
+func (g *RemoteGateway) dialPlanners() {
+	ctx, end := context.WithCancel(g.ctx)
+	g.closeLinks = end
+	for planner := range g.cfg.PlannerAddrs {
+		go g.keepLink(ctx, planner, g.incarnation)
 	}
 }
 
-// Move implements ingress.Mover: this process links to no planner any more.
-func (r *Remote) Move(now float64) []kept.Part {
-	r.moved = true
-	m := r.core.Move(now)
-	m.Life = r.life
-	if r.hangUp != nil {
-		r.hangUp()
-		r.hangUp = nil
+// Migrate implements ingress.Mover: this process links to no planner any more.
+func (g *RemoteGateway) Migrate(now float64) []kept.Part {
+	g.handedOver = true
+	transferred := g.core.Migrate(now)
+	transferred.Life = g.incarnation
+	if g.closeLinks != nil {
+		g.closeLinks()
+		g.closeLinks = nil
 	}
-	for p, c := range r.conns {
+	for planner, c := range g.links {
 		if c != nil {
-			r.ended(p, c)
+			g.removeLink(planner, c)
 		}
 	}
-	return m.Split()
+	return transferred.Split()
 }
 
-// Settle implements ingress.Mover.
-func (r *Remote) Settle(now, shift float64, parts []kept.Part) error {
-	m, ok := kept.Join(parts)
+// Resume implements ingress.Mover.
+func (g *RemoteGateway) Resume(now, shift float64, parts []kept.Part) error {
+	transferred, ok := kept.Join(parts)
 	if !ok {
-		r.core.TakeBack(now) // promises that it gave may run: none is given for a lease
+		g.core.Reclaim(now) // promises that it gave may run: none is given for a lease
 		return errors.New("what the process before knew is not a forwarder's")
 	}
-	m.Shift(shift)
-	r.life = m.Life
-	if !r.core.Settle(now, m) {
-		r.Note("the process before was of another number of cells: nothing is promised for a lease")
+	transferred.Shift(shift)
+	g.incarnation = transferred.Life
+	if !g.core.Resume(now, transferred) {
+		g.LogFault("the process before was of another number of cells: nothing is promised for a lease")
 	}
 	return nil
 }
 
-// Ordered implements ingress.Mover.
-func (r *Remote) Ordered(now float64, o kept.Order) { r.core.Ordered(now, o) }
+// RecordOrder implements ingress.Mover.
+func (g *RemoteGateway) RecordOrder(now float64, order kept.Order) { g.core.RecordOrder(now, order) }
 
-// TakeBack implements ingress.Mover: to planners it is another life of the forwarder.
-func (r *Remote) TakeBack(now float64) {
-	r.moved, r.life = false, rand.Uint64()
-	r.core.TakeBack(now)
+// Reclaim implements ingress.Mover: to planners it is another life of the forwarder.
+func (g *RemoteGateway) Reclaim(now float64) {
+	g.handedOver, g.incarnation = false, rand.Uint64()
+	g.core.Reclaim(now)
 }
 
 // The loop's events, as ingress.Gateway words them. The list of servers is the planners' own matter, and there are
 // no messages between forwarders.
 
-func (r *Remote) Request(now float64, q policy.Request)    { r.core.Request(now, q) }
-func (r *Remote) Outcome(now float64, o policy.Outcome)    { r.core.Outcome(now, o) }
-func (r *Remote) Gone(now float64, id string)              { r.core.Gone(now, id) }
-func (r *Remote) Servers(float64, []policy.Server, bool)   {}
-func (r *Remote) Peer(float64, int, []byte)                {}
-func (r *Remote) Probed(now float64, p policy.ProbeResult) { r.core.Probed(now, p) }
-func (r *Remote) Timer(now float64, _ uint64) {
-	r.SetTimer(1, TickS)
-	if r.hangUp == nil && !r.moved { // from the first tick on: what another process knew is here by then
-		r.dialAll()
+func (g *RemoteGateway) HandleRequest(now float64, q policy.Request) { g.core.HandleRequest(now, q) }
+func (g *RemoteGateway) HandleOutcome(now float64, outcome policy.Outcome) {
+	g.core.HandleOutcome(now, outcome)
+}
+func (g *RemoteGateway) HandleDisconnect(now float64, id string)        { g.core.HandleDisconnect(now, id) }
+func (g *RemoteGateway) UpdateBackends(float64, []policy.Backend, bool) {}
+func (g *RemoteGateway) HandlePeerMessage(float64, int, []byte)         {}
+func (g *RemoteGateway) HandleProbeResult(now float64, result policy.ProbeResult) {
+	g.core.HandleProbeResult(now, result)
+}
+func (g *RemoteGateway) HandleTimer(now float64, _ uint64) {
+	g.SetTimer(1, TickIntervalS)
+	if g.closeLinks == nil && !g.handedOver { // from the first tick on: what another process knew is here by then
+		g.dialPlanners()
 	}
-	r.core.Tick(now)
+	g.core.Tick(now)
 }
 
-// Link implements Out.
-func (r *Remote) Link(p int, msgs ...link.Msg) {
-	if c := r.conns[p]; c != nil {
+// SendToPlanner implements Out.
+func (g *RemoteGateway) SendToPlanner(planner int, msgs ...link.Message) {
+	if c := g.links[planner]; c != nil {
 		c.Send(msgs...)
 	}
 }
 
-// Room implements Out.
-func (r *Remote) Room(p int) bool { return r.conns[p] != nil && r.conns[p].Room() }
+// PlannerWritable implements Out.
+func (g *RemoteGateway) PlannerWritable(planner int) bool {
+	return g.links[planner] != nil && g.links[planner].Writable()
+}
 
-// dial keeps a link to one planner for as long as ctx lasts, in one life of the forwarder.
-func (r *Remote) dial(ctx context.Context, p int, life uint64) {
-	wait := redialFirst
+// keepLink keeps a link to one planner for as long as ctx lasts, in one life of the forwarder.
+func (g *RemoteGateway) keepLink(ctx context.Context, planner int, incarnation uint64) {
+	backoff := redialBackoffMin
 	for ctx.Err() == nil {
-		began := time.Now()
-		err := r.serve(ctx, p, life)
+		startedAt := time.Now()
+		err := g.serveLink(ctx, planner, incarnation)
 		if ctx.Err() != nil {
 			return
 		}
-		r.Post(func(float64) { r.Note("link ended", "planner", p, "error", err) })
-		if time.Since(began) > redialMost {
-			wait = redialFirst
+		g.Post(func(float64) { g.LogFault("link ended", "planner", planner, "error", err) })
+		if time.Since(startedAt) > redialBackoffMax {
+			backoff = redialBackoffMin
 		}
 		select { // by chance: all forwarders lose a planner at once
-		case <-time.After(wait + rand.N(wait)):
+		case <-time.After(backoff + rand.N(backoff)):
 		case <-ctx.Done():
 		}
-		wait = min(2*wait, redialMost)
+		backoff = min(2*backoff, redialBackoffMax)
 	}
 }
 
-// serve makes one link and runs it to its end.
-func (r *Remote) serve(ctx context.Context, p int, life uint64) error {
-	silence := time.Duration(r.cfg.SilenceS * float64(time.Second))
+// serveLink makes one link and runs it to its end.
+func (g *RemoteGateway) serveLink(ctx context.Context, planner int, incarnation uint64) error {
+	silence := time.Duration(g.cfg.LinkTimeoutS * float64(time.Second))
 	dialer := net.Dialer{Timeout: 4 * silence}
-	conn, err := dialer.DialContext(ctx, "tcp", r.cfg.PlannersAt[p])
+	conn, err := dialer.DialContext(ctx, "tcp", g.cfg.PlannerAddrs[planner])
 	if err != nil {
 		return err
 	}
-	if r.tls != nil {
-		cfg := r.tls.Clone()
-		cfg.ServerName = r.cfg.Names[p]
+	if g.tls != nil {
+		cfg := g.tls.Clone()
+		cfg.ServerName = g.cfg.PlannerNames[planner]
 		t := tls.Client(conn, cfg)
 		conn.SetDeadline(time.Now().Add(4 * silence))
 		if err := t.HandshakeContext(ctx); err != nil {
@@ -200,93 +206,93 @@
 	}
 	l := link.NewConn(conn, silence)
 	defer context.AfterFunc(ctx, func() { l.Close(ctx.Err()) })()
-	l.Send(link.Msg{Kind: link.Hello, Plan: link.Version, Name: r.cfg.Name, N: uint32(r.cfg.Number), Epoch: life,
-		Cell: uint16(r.cfg.Cells)})
+	l.Send(link.Message{Kind: link.KindHello, Plan: link.Version, Name: g.cfg.Name, Number: uint32(g.cfg.Number), Epoch: incarnation,
+		Cell: uint16(g.cfg.Cells)})
 	greeted := false
-	err = l.Serve(func(msgs []link.Msg) {
+	err = l.Serve(func(msgs []link.Message) {
 		if !greeted {
-			m := msgs[0]
-			if m.Kind != link.Hello || m.Plan != link.Version || m.Name != r.cfg.Name || int(m.N) != p || int(m.Cell) != r.cfg.Cells {
+			msg := msgs[0]
+			if msg.Kind != link.KindHello || msg.Plan != link.Version || msg.Name != g.cfg.Name || int(msg.Number) != planner || int(msg.Cell) != g.cfg.Cells {
 				l.Close(errors.New("not the planner that was expected"))
 				return
 			}
 			greeted, msgs = true, msgs[1:]
-			r.Post(func(now float64) {
+			g.Post(func(now float64) {
 				if ctx.Err() == nil { // else it belongs to nobody
-					r.conns[p] = l
-					r.core.LinkUp(now, p, m.Epoch)
+					g.links[planner] = l
+					g.core.LinkUp(now, planner, msg.Epoch)
 				}
 			})
 		}
-		r.Post(func(now float64) {
-			if r.conns[p] != l {
+		g.Post(func(now float64) {
+			if g.links[planner] != l {
 				return
 			}
 			for i := range msgs {
-				r.core.Msg(now, p, &msgs[i])
+				g.core.HandleMessage(now, planner, &msgs[i])
 			}
 		})
 	})
 	if greeted {
-		r.Post(func(now float64) {
-			if r.conns[p] == l {
-				r.ended(p, l)
-				r.core.LinkDown(now, p)
+		g.Post(func(now float64) {
+			if g.links[planner] == l {
+				g.removeLink(planner, l)
+				g.core.LinkDown(now, planner)
 			}
 		})
 	}
 	return err
 }
 
-// ended lets go of a planner's link.
-func (r *Remote) ended(p int, l *link.Conn) {
-	r.in += l.In.Load()
-	r.out += l.Out.Load()
-	r.conns[p] = nil
+// removeLink lets go of a planner's link.
+func (g *RemoteGateway) removeLink(planner int, l *link.Conn) {
+	g.closedBytesIn += l.BytesIn.Load()
+	g.closedBytesOut += l.BytesOut.Load()
+	g.links[planner] = nil
 }
 
-// Hold implements Out.
-func (r *Remote) Hold(server string, held bool) {
-	r.Host.Hold(server, held)
-	r.Note("operators hold a backend, or call it back", "id", server, "held", held)
+// SetCordoned implements Out.
+func (g *RemoteGateway) SetCordoned(server string, cordoned bool) {
+	g.Host.Cordon(server, cordoned)
+	g.LogFault("operators hold a backend, or call it back", "id", server, "held", cordoned)
 }
 
 // Status is what a forwarder tells people.
 type Status struct {
-	Kind     string       `json:"kind"`
-	Number   int          `json:"number"`
-	Links    []bool       `json:"links"`
-	Requests int          `json:"requests"`
-	BytesIn  uint64       `json:"bytes_in"`
-	BytesOut uint64       `json:"bytes_out"`
-	Stats    Stats        `json:"stats"`
-	Cells    []CellStatus `json:"cells"`
-	Held     []string     `json:"held"` // backends, by operators
-	List     roster.Age   `json:"list"` // how old the list of backends is
-	Old      bool         `json:"old"`  // too old to be trusted
+	Kind              string       `json:"kind"`
+	Number            int          `json:"number"`
+	Links             []bool       `json:"links"`
+	Requests          int          `json:"requests"`
+	BytesIn           uint64       `json:"bytes_in"`
+	BytesOut          uint64       `json:"bytes_out"`
+	Stats             Stats        `json:"stats"`
+	Cells             []CellStatus `json:"cells"`
+	Cordoned          []string     `json:"held"` // backends, by operators
+	EndpointListAge   roster.Age   `json:"list"` // how old the list of backends is
+	EndpointListStale bool         `json:"old"`  // too old to be trusted
 }
 
-func (r *Remote) status(w http.ResponseWriter, req *http.Request) {
-	got := make(chan Status, 1)
-	r.Post(func(now float64) {
-		st := Status{Kind: "forwarder", Number: r.cfg.Number, Stats: r.core.Stats, BytesIn: r.in, BytesOut: r.out, List: r.ListAge()}
-		st.Old = st.List.Old()
-		for _, c := range r.conns {
-			st.Links = append(st.Links, c != nil)
+func (g *RemoteGateway) handleStatus(w http.ResponseWriter, req *http.Request) {
+	result := make(chan Status, 1)
+	g.Post(func(now float64) {
+		status := Status{Kind: "forwarder", Number: g.cfg.Number, Stats: g.core.Stats, BytesIn: g.closedBytesIn, BytesOut: g.closedBytesOut, EndpointListAge: g.EndpointListAge()}
+		status.EndpointListStale = status.EndpointListAge.Old()
+		for _, c := range g.links {
+			status.Links = append(status.Links, c != nil)
 			if c != nil {
-				st.BytesIn += c.In.Load()
-				st.BytesOut += c.Out.Load()
+				status.BytesIn += c.BytesIn.Load()
+				status.BytesOut += c.BytesOut.Load()
 			}
 		}
-		r.core.now = now
-		st.Held = r.core.Holds()
-		st.Cells, st.Requests = r.core.Cells()
-		got <- st
+		g.core.now = now
+		status.Cordoned = g.core.Cordoned()
+		status.Cells, status.Requests = g.core.CellStatuses()
+		result <- status
 	})
 	select {
-	case st := <-got:
+	case status := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(st)
+		json.NewEncoder(w).Encode(status)
 	case <-req.Context().Done():
 	case <-time.After(time.Second):
 	}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -5,63 +5,65 @@
 import "math"
 
 const (
-	tauS        = 4.0  // how long a sick server is shunned
-	errorWeight = 0.25 // how far one answer moves the share of errors,
-	errorFew    = 0.2  // so much of which is forgiven by an answer
+	scoreMemoryS       = 4.0  // how long a sick server is shunned
+	errorRateWeight    = 0.25 // how far one answer moves the share of errors,
+	toleratedErrorRate = 0.2  // so much of which is forgiven by an answer
 )
 
-type level struct{ value, at float64 }
+type score struct{ value, at float64 }
 
-// Health is one server's, by the places of classes. Its zero value knows none.
-type Health struct {
-	sick  []level
-	okAt  []float64
-	erred []float64
+// Scores is one server's, by the places of classes. Its zero value knows none.
+type Scores struct {
+	scores        []score
+	lastSuccessAt []float64
+	errorRates    []float64
 }
 
 // Grow makes room for so many classes.
-func (h *Health) Grow(classes int) {
-	for len(h.sick) < classes {
-		h.sick, h.okAt, h.erred = append(h.sick, level{}), append(h.okAt, 0), append(h.erred, 0)
+func (h *Scores) Grow(classes int) {
+	for len(h.scores) < classes {
+		h.scores, h.lastSuccessAt, h.errorRates = append(h.scores, score{}), append(h.lastSuccessAt, 0), append(h.errorRates, 0)
 	}
 }
 
 // Reset forgets what is bad, for a server that has started anew.
-func (h *Health) Reset() { clear(h.sick); clear(h.erred) }
+func (h *Scores) Reset() { clear(h.scores); clear(h.errorRates) }
 
-// Sick is how sure it is, from 0 to 1, that the server does not answer the class.
-func (h *Health) Sick(class int, now float64) float64 {
-	k := h.sick[class]
-	return k.value * math.Exp((k.at-now)/tauS)
+// ErrorScore is how sure it is, from 0 to 1, that the server does not answer the class.
+func (h *Scores) ErrorScore(class int, now float64) float64 {
+	k := h.scores[class]
+	return k.value * math.Exp((k.at-now)/scoreMemoryS)
 }
 
-// Fail makes it surer, by a share of the doubt left, and returns how sure.
-func (h *Health) Fail(class int, by, now float64) float64 {
-	x := h.Sick(class, now)
-	h.sick[class] = level{x + by*(1-x), now}
-	return h.sick[class].value
+// RecordFailure makes it surer, by a share of the doubt left, and returns how sure.
+func (h *Scores) RecordFailure(class int, by, now float64) float64 {
+	x := h.ErrorScore(class, now)
+	h.scores[class] = score{x + by*(1-x), now}
+	return h.scores[class].value
 }
 
-// Erred is the share of errors of late.
-func (h *Health) Erred(class int) float64 { return h.erred[class] }
+// ErrorRate is the share of errors of late.
+func (h *Scores) ErrorRate(class int) float64 { return h.errorRates[class] }
 
-// Err takes in an error.
-func (h *Health) Err(class int) { h.erred[class] += errorWeight * (1 - h.erred[class]) }
+// RecordError takes in an error.
+func (h *Scores) RecordError(class int) {
+	h.errorRates[class] += errorRateWeight * (1 - h.errorRates[class])
+}
 
-// Good takes in a good answer. One is no health: the server may err on two of three.
-func (h *Health) Good(class int, now float64) {
-	h.erred[class] *= 1 - errorWeight
-	h.okAt[class], h.sick[class] = now, level{max(h.erred[class]-errorFew, 0), now}
+// RecordSuccess takes in a good answer. One is no health: the server may err on two of three.
+func (h *Scores) RecordSuccess(class int, now float64) {
+	h.errorRates[class] *= 1 - errorRateWeight
+	h.lastSuccessAt[class], h.scores[class] = now, score{max(h.errorRates[class]-toleratedErrorRate, 0), now}
 }
 
-// GoodAt is when the server last answered the class well.
-func (h *Health) GoodAt(class int) float64 { return h.okAt[class] }
+// LastSuccessAt is when the server last answered the class well.
+func (h *Scores) LastSuccessAt(class int) float64 { return h.lastSuccessAt[class] }
 
-// Heard takes in what another gateway knew at a time, if that is so much newer than what is known here; it tells whether it was.
-func (h *Health) Heard(class int, value, at, newer float64) bool {
-	if at < h.sick[class].at+newer || at < h.okAt[class] {
+// ApplyGossip takes in what another gateway knew at a time, if that is so much newer than what is known here; it tells whether it was.
+func (h *Scores) ApplyGossip(class int, value, at, newer float64) bool {
+	if at < h.scores[class].at+newer || at < h.lastSuccessAt[class] {
 		return false
 	}
-	h.sick[class] = level{value, at}
+	h.scores[class] = score{value, at}
 	return true
 }
--- a/internal/held/golden_test.go
+++ b/internal/held/golden_test.go
@@ -11,9 +11,9 @@
 
 // Guards the file of what operators hold.
 func TestGoldenFile(t *testing.T) {
-	want := Holds{"backend-1": {SinceMS: 1234}, "backend-2": {SinceMS: 5678, BackMS: 91011}}
+	want := Cordons{"backend-1": {SinceMS: 1234}, "backend-2": {SinceMS: 5678, UncordonedMS: 91011}}
 	path := filepath.Join(t.TempDir(), "f")
-	if err := NewStore(path).Change(context.Background(), func(Holds) (Holds, error) { return want, nil }); err != nil {
+	if err := NewStore(path).Update(context.Background(), func(Cordons) (Cordons, error) { return want, nil }); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -21,8 +21,8 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "holds.json", text)
-	var got Holds
-	if err := NewStore(golden.Path("holds.json")).Look(func(h Holds) { got = h }); err != nil {
+	var got Cordons
+	if err := NewStore(golden.Path("holds.json")).ReadIfChanged(func(cordons Cordons) { got = cordons }); err != nil {
 		t.Fatal(err)
 	}
 	golden.Same(t, "holds", got, want)
--- a/internal/held/held.go
+++ b/internal/held/held.go
@@ -10,169 +10,169 @@
 	"eiderspread/internal/roster"
 )
 
-// Most bounds the ids that a Table keeps; a hold beyond it is an error.
-const Most = 4096
+// MaxCordons bounds the ids that a Table keeps; a hold beyond it is an error.
+const MaxCordons = 4096
 
 // The errors of Hold and Release.
 var (
-	ErrUnknown = errors.New("no backend of this id is listed or held")
-	ErrMany    = errors.New("too many backends are held")
+	ErrUnknownBackend = errors.New("no backend of this id is listed or held")
+	ErrTooMany        = errors.New("too many backends are held")
 )
 
 // The states of a held backend and of one that may be used, in discovery's words.
 const (
-	stateHeld = "terminating"
-	stateUp   = "in_service"
-	stateGone = "terminated"
+	stateTerminating = "terminating"
+	stateInService   = "in_service"
+	stateTerminated  = "terminated"
 )
 
-// Hold is what operators said of one backend. Times are in milliseconds of Unix time.
-type Hold struct {
-	SinceMS int64 `json:"since_ms"`          // when it was taken out
-	BackMS  int64 `json:"back_ms,omitempty"` // when it was called back; 0 while it is held
+// Cordon is what operators said of one backend. Times are in milliseconds of Unix time.
+type Cordon struct {
+	SinceMS      int64 `json:"since_ms"`          // when it was taken out
+	UncordonedMS int64 `json:"back_ms,omitempty"` // when it was called back; 0 while it is held
 }
 
-func (h Hold) held() bool { return h.BackMS == 0 }
+func (h Cordon) active() bool { return h.UncordonedMS == 0 }
 
-// Holds are all of them by the backend's id.
-type Holds map[string]Hold
+// Cordons are all of them by the backend's id.
+type Cordons map[string]Cordon
 
 // Table joins discovery's list with what operators hold. One goroutine owns it.
 type Table struct {
 	listed  map[string]roster.Target // as discovery told them last, those alone that have not gone
-	holds   Holds                    // Most at the most
+	cordons Cordons                  // Most at the most
 	version int64
 }
 
 // New returns a table in which nothing is listed or held.
-func New() *Table { return &Table{listed: map[string]roster.Target{}, holds: Holds{}} }
+func New() *Table { return &Table{listed: map[string]roster.Target{}, cordons: Cordons{}} }
 
-// Take takes in a list of discovery, or a change of it, and returns it as it stands with the holds.
-func (t *Table) Take(l roster.List) roster.List {
-	t.version = l.Version
-	if l.Full {
+// ApplyList takes in a list of discovery, or a change of it, and returns it as it stands with the holds.
+func (t *Table) ApplyList(list roster.List) roster.List {
+	t.version = list.Version
+	if list.Full {
 		clear(t.listed)
 	}
-	out := l
-	out.Servers = make([]roster.Target, 0, len(l.Servers))
-	for _, e := range l.Servers {
-		if e.State == stateGone {
-			delete(t.listed, e.ID)
+	out := list
+	out.Servers = make([]roster.Target, 0, len(list.Servers))
+	for _, entry := range list.Servers {
+		if entry.State == stateTerminated {
+			delete(t.listed, entry.ID)
 		} else {
-			t.listed[e.ID] = e
+			t.listed[entry.ID] = entry
 		}
-		out.Servers = append(out.Servers, t.overlay(e))
+		out.Servers = append(out.Servers, t.withCordon(entry))
 	}
-	for id, h := range t.holds { // what was called back and has gone, or has told its start, needs no memory
-		e, listed := t.listed[id]
-		if !h.held() && (!listed || e.StartedMS > h.SinceMS) {
-			delete(t.holds, id)
+	for id, cordon := range t.cordons { // what was called back and has gone, or has told its start, needs no memory
+		entry, listed := t.listed[id]
+		if !cordon.active() && (!listed || entry.StartedMS > cordon.SinceMS) {
+			delete(t.cordons, id)
 		}
 	}
 	return out
 }
 
-// overlay is an entry as it stands with its hold. One that was called back may have been restarted faster than discovery
+// withCordon is an entry as it stands with its hold. One that was called back may have been restarted faster than discovery
 // tells: until a start after the hold is told, it counts as started at the call back.
-func (t *Table) overlay(e roster.Target) roster.Target {
-	h, some := t.holds[e.ID]
+func (t *Table) withCordon(entry roster.Target) roster.Target {
+	cordon, cordoned := t.cordons[entry.ID]
 	switch {
-	case !some || e.State == stateGone:
-	case h.held():
-		if e.State == stateUp {
-			e.State = stateHeld
+	case !cordoned || entry.State == stateTerminated:
+	case cordon.active():
+		if entry.State == stateInService {
+			entry.State = stateTerminating
 		}
-	case e.StartedMS <= h.SinceMS:
-		e.StartedMS = h.BackMS
+	case entry.StartedMS <= cordon.SinceMS:
+		entry.StartedMS = cordon.UncordonedMS
 	}
-	return e
+	return entry
 }
 
-// Hold takes a backend out; one that is held already stays so. The change is empty for one that is not listed now.
-func (t *Table) Hold(nowMS int64, id string) (roster.List, error) {
-	h, some := t.holds[id]
+// Cordon takes a backend out; one that is held already stays so. The change is empty for one that is not listed now.
+func (t *Table) Cordon(nowMS int64, id string) (roster.List, error) {
+	cordon, cordoned := t.cordons[id]
 	_, listed := t.listed[id]
 	switch {
-	case some && h.held():
-		return t.change(nil), nil
+	case cordoned && cordon.active():
+		return t.changedEntries(nil), nil
 	case !listed:
-		return roster.List{}, ErrUnknown
-	case len(t.holds) >= Most:
-		return roster.List{}, ErrMany
+		return roster.List{}, ErrUnknownBackend
+	case len(t.cordons) >= MaxCordons:
+		return roster.List{}, ErrTooMany
 	}
-	t.holds[id] = Hold{SinceMS: nowMS}
-	return t.change([]string{id}), nil
+	t.cordons[id] = Cordon{SinceMS: nowMS}
+	return t.changedEntries([]string{id}), nil
 }
 
-// Release calls a backend back; one that is listed and not held stays in use.
-func (t *Table) Release(nowMS int64, id string) (roster.List, error) {
-	h, some := t.holds[id]
-	e, listed := t.listed[id]
+// Uncordon calls a backend back; one that is listed and not held stays in use.
+func (t *Table) Uncordon(nowMS int64, id string) (roster.List, error) {
+	cordon, cordoned := t.cordons[id]
+	entry, listed := t.listed[id]
 	switch {
-	case some && h.held() && listed && e.StartedMS <= h.SinceMS:
-		t.holds[id] = Hold{SinceMS: h.SinceMS, BackMS: nowMS}
-	case some && h.held():
-		delete(t.holds, id) // its start is told, or will be when it is listed again
+	case cordoned && cordon.active() && listed && entry.StartedMS <= cordon.SinceMS:
+		t.cordons[id] = Cordon{SinceMS: cordon.SinceMS, UncordonedMS: nowMS}
+	case cordoned && cordon.active():
+		delete(t.cordons, id) // its start is told, or will be when it is listed again
 	case !listed:
-		return roster.List{}, ErrUnknown
+		return roster.List{}, ErrUnknownBackend
 	default:
-		return t.change(nil), nil
+		return t.changedEntries(nil), nil
 	}
-	return t.change([]string{id}), nil
+	return t.changedEntries([]string{id}), nil
 }
 
-// Set replaces all holds, as another process has left them, and returns what changes by it.
-func (t *Table) Set(holds Holds) roster.List {
+// Replace replaces all holds, as another process has left them, and returns what changes by it.
+func (t *Table) Replace(cordons Cordons) roster.List {
 	ids := map[string]bool{}
-	for id, h := range t.holds {
-		if holds[id] != h {
+	for id, cordon := range t.cordons {
+		if cordons[id] != cordon {
 			ids[id] = true
 		}
 	}
-	for id, h := range holds {
-		if old, some := t.holds[id]; !some || old != h {
+	for id, cordon := range cordons {
+		if old, cordoned := t.cordons[id]; !cordoned || old != cordon {
 			ids[id] = true
 		}
 	}
-	t.holds = maps.Clone(holds)
-	if t.holds == nil {
-		t.holds = Holds{}
+	t.cordons = maps.Clone(cordons)
+	if t.cordons == nil {
+		t.cordons = Cordons{}
 	}
-	var list []string
+	var changed []string
 	for id := range ids {
-		list = append(list, id)
+		changed = append(changed, id)
 	}
-	return t.change(list)
+	return t.changedEntries(changed)
 }
 
-// Holds returns a copy of what is kept.
-func (t *Table) Holds() Holds { return maps.Clone(t.holds) }
+// Cordons returns a copy of what is kept.
+func (t *Table) Cordons() Cordons { return maps.Clone(t.cordons) }
 
 // Listed is the whole list as discovery told it, without the holds.
 func (t *Table) Listed() roster.List {
-	l := roster.List{Version: t.version, Full: true}
-	for _, e := range t.listed {
-		l.Servers = append(l.Servers, e)
+	list := roster.List{Version: t.version, Full: true}
+	for _, entry := range t.listed {
+		list.Servers = append(list.Servers, entry)
 	}
-	return l
+	return list
 }
 
 // Count returns how many backends are held.
 func (t *Table) Count() (n int) {
-	for _, h := range t.holds {
-		if h.held() {
+	for _, cordon := range t.cordons {
+		if cordon.active() {
 			n++
 		}
 	}
 	return n
 }
 
-func (t *Table) change(ids []string) roster.List {
-	l := roster.List{Version: t.version}
+func (t *Table) changedEntries(ids []string) roster.List {
+	list := roster.List{Version: t.version}
 	for _, id := range ids {
-		if e, listed := t.listed[id]; listed {
-			l.Servers = append(l.Servers, t.overlay(e))
+		if entry, listed := t.listed[id]; listed {
+			list.Servers = append(list.Servers, t.withCordon(entry))
 		}
 	}
-	return l
+	return list
 }
--- a/internal/held/store.go
+++ b/internal/held/store.go
@@ -15,72 +15,72 @@
 )
 
 const (
-	fileVersion = 1
-	lockMost    = 400 * time.Millisecond // how long another process's lock is waited for
-	lockRetry   = 2 * time.Millisecond
-	fileMost    = 1 << 20
+	fileVersion       = 1
+	lockTimeout       = 400 * time.Millisecond // how long another process's lock is waited for
+	lockRetryInterval = 2 * time.Millisecond
+	maxFileBytes      = 1 << 20
 )
 
-// file is the form on disk: the sum is of the JSON of the holds.
-type file struct {
+// fileContent is the form on disk: the sum is of the JSON of the holds.
+type fileContent struct {
 	Version int             `json:"version"`
 	Sum     string          `json:"sum"`
-	Holds   json.RawMessage `json:"holds"`
+	Cordons json.RawMessage `json:"holds"`
 }
 
 // Store keeps holds in a file that several processes of one ingress share. A file is written beside and renamed, so that
 // it is whole whenever a process ends. Its methods are safe for concurrent use, and block.
 type Store struct {
-	path string
-	one  chan struct{} // held over a whole change or look, so that none is undone by an older one
-	seen os.FileInfo
+	path     string
+	sem      chan struct{} // held over a whole change or look, so that none is undone by an older one
+	lastSeen os.FileInfo
 }
 
 // NewStore returns the store at path; nothing is read yet.
-func NewStore(path string) *Store { return &Store{path: path, one: make(chan struct{}, 1)} }
+func NewStore(path string) *Store { return &Store{path: path, sem: make(chan struct{}, 1)} }
 
-// Change reads what the file holds, has apply turn it into what it shall hold, and writes that. Nothing is written when
+// Update reads what the file holds, has apply turn it into what it shall hold, and writes that. Nothing is written when
 // apply returns an error. An unreadable file is passed to apply as no holds. It waits for other changes until ctx ends.
-func (s *Store) Change(ctx context.Context, apply func(Holds) (Holds, error)) error {
+func (s *Store) Update(ctx context.Context, apply func(Cordons) (Cordons, error)) error {
 	select {
-	case s.one <- struct{}{}:
+	case s.sem <- struct{}{}:
 	case <-ctx.Done():
 		return fmt.Errorf("held: another call is under way: %w", ctx.Err())
 	}
-	defer func() { <-s.one }()
+	defer func() { <-s.sem }()
 	unlock, err := s.lock(ctx)
 	if err != nil {
 		return err
 	}
 	defer unlock()
-	holds, err := s.read()
+	cordons, err := s.read()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		holds = nil
+		cordons = nil
 	}
-	if holds, err = apply(holds); err != nil {
+	if cordons, err = apply(cordons); err != nil {
 		return err
 	}
-	return s.write(holds)
+	return s.write(cordons)
 }
 
-// Look calls apply with the holds if the file has changed since this store last read or wrote it. An error tells of a
+// ReadIfChanged calls apply with the holds if the file has changed since this store last read or wrote it. An error tells of a
 // file that can't be used; it is told once for each state of the file.
-func (s *Store) Look(apply func(Holds)) error {
-	s.one <- struct{}{}
-	defer func() { <-s.one }()
+func (s *Store) ReadIfChanged(apply func(Cordons)) error {
+	s.sem <- struct{}{}
+	defer func() { <-s.sem }()
 	now, err := os.Stat(s.path)
-	if err != nil || s.seen != nil && os.SameFile(now, s.seen) && now.ModTime().Equal(s.seen.ModTime()) {
+	if err != nil || s.lastSeen != nil && os.SameFile(now, s.lastSeen) && now.ModTime().Equal(s.lastSeen.ModTime()) {
 		if errors.Is(err, fs.ErrNotExist) {
 			return nil
 		}
 		return err
 	}
-	s.seen = now
-	holds, err := s.read()
+	s.lastSeen = now
+	cordons, err := s.read()
 	if err != nil {
 		return err
 	}
-	apply(holds)
+	apply(cordons)
 	return nil
 }
 
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
-	for until := time.Now().Add(lockMost); ; time.Sleep(lockRetry) {
+	for until := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return func() { f.Close() }, nil
@@ -101,17 +101,17 @@
 	}
 }
 
-func (s *Store) read() (Holds, error) {
+func (s *Store) read() (Cordons, error) {
 	text, err := os.ReadFile(s.path)
 	if err != nil {
 		return nil, err
 	}
-	return parse(text)
+	return parseFile(text)
 }
 
-func parse(text []byte) (Holds, error) {
-	var f file
-	if len(text) > fileMost {
+func parseFile(text []byte) (Cordons, error) {
+	var f fileContent
+	if len(text) > maxFileBytes {
 		return nil, fmt.Errorf("held: file of %d bytes", len(text))
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -120,30 +120,30 @@
 	if f.Version != fileVersion {
 		return nil, fmt.Errorf("held: version %d is not known", f.Version)
 	}
-	if f.Sum != sum(f.Holds) {
+	if f.Sum != checksum(f.Cordons) {
 		return nil, errors.New("held: the checksum differs")
 	}
-	holds := Holds{}
-	if err := json.Unmarshal(f.Holds, &holds); err != nil {
+	cordons := Cordons{}
+	if err := json.Unmarshal(f.Cordons, &cordons); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
-	if len(holds) > Most {
-		return nil, ErrMany
+	if len(cordons) > MaxCordons {
+		return nil, ErrTooMany
 	}
-	return holds, nil
+	return cordons, nil
 }
 
-func sum(b []byte) string {
+func checksum(b []byte) string {
 	s := sha256.Sum256(b)
 	return hex.EncodeToString(s[:])
 }
 
-func (s *Store) write(holds Holds) error {
-	body, err := json.Marshal(holds)
+func (s *Store) write(cordons Cordons) error {
+	body, err := json.Marshal(cordons)
 	if err != nil {
 		return fmt.Errorf("held: %w", err)
 	}
-	text, err := json.Marshal(file{fileVersion, sum(body), body})
+	text, err := json.Marshal(fileContent{fileVersion, checksum(body), body})
 	if err != nil {
 		return fmt.Errorf("held: %w", err)
 	}
@@ -159,6 +159,6 @@
 	if err != nil {
 		return fmt.Errorf("held: %w", err)
 	}
-	s.seen, err = os.Stat(s.path)
+	s.lastSeen, err = os.Stat(s.path)
 	return err
 }
--- a/internal/held/store_test.go
+++ b/internal/held/store_test.go
@@ -13,17 +13,17 @@
 	"testing"
 )
 
-// TestMain also is the process that TestKilledWhileWriting kills.
+// TestMain also is the process that TestStore_KilledWhileWriting kills.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("HELD_TEST_WRITER"); path != "" {
 		s := NewStore(path)
 		for i := 0; ; i++ {
-			err := s.Change(context.Background(), func(h Holds) (Holds, error) {
-				h = Holds{}
+			err := s.Update(context.Background(), func(cordons Cordons) (Cordons, error) {
+				cordons = Cordons{}
 				for k := range 300 {
-					h[fmt.Sprintf("s-%d", k)] = Hold{SinceMS: int64(i + 1)}
+					cordons[fmt.Sprintf("s-%d", k)] = Cordon{SinceMS: int64(i + 1)}
 				}
-				return h, nil
+				return cordons, nil
 			})
 			if err != nil {
 				fmt.Println("error", err)
@@ -36,7 +36,7 @@
 }
 
 // Guards a process that is killed in the middle of a write: the file is the one before or the one after, never a part.
-func TestKilledWhileWriting(t *testing.T) {
+func TestStore_KilledWhileWriting(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	for round := range 12 {
 		cmd := exec.Command(os.Args[0], "-test.run=none")
@@ -56,14 +56,14 @@
 		}
 		cmd.Process.Kill()
 		cmd.Wait()
-		var got Holds
-		if err := NewStore(path).Look(func(h Holds) { got = h }); err != nil {
+		var got Cordons
+		if err := NewStore(path).ReadIfChanged(func(cordons Cordons) { got = cordons }); err != nil {
 			t.Fatal(err)
 		}
 		first := got["s-0"].SinceMS
-		for id, h := range got {
-			if h.SinceMS != first {
-				t.Fatalf("a mixture: %s of %d among those of %d", id, h.SinceMS, first)
+		for id, cordon := range got {
+			if cordon.SinceMS != first {
+				t.Fatalf("a mixture: %s of %d among those of %d", id, cordon.SinceMS, first)
 			}
 		}
 		if len(got) != 300 || first < 1 {
@@ -73,19 +73,19 @@
 }
 
 // Guards two processes of an overlap against undoing each other's calls.
-func TestTwoWritersLoseNothing(t *testing.T) {
+func TestStore_TwoWritersLoseNothing(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	var wg sync.WaitGroup
 	for w := range 2 {
 		s := NewStore(path)
 		wg.Go(func() {
 			for i := range 50 {
-				err := s.Change(context.Background(), func(h Holds) (Holds, error) {
-					if h = maps.Clone(h); h == nil {
-						h = Holds{}
+				err := s.Update(context.Background(), func(cordons Cordons) (Cordons, error) {
+					if cordons = maps.Clone(cordons); cordons == nil {
+						cordons = Cordons{}
 					}
-					h[fmt.Sprint(w, "-", i)] = Hold{SinceMS: 1}
-					return h, nil
+					cordons[fmt.Sprint(w, "-", i)] = Cordon{SinceMS: 1}
+					return cordons, nil
 				})
 				if err != nil {
 					t.Error(err)
@@ -94,27 +94,27 @@
 		})
 	}
 	wg.Wait()
-	var got Holds
-	if err := NewStore(path).Look(func(h Holds) { got = h }); err != nil || len(got) != 100 {
+	var got Cordons
+	if err := NewStore(path).ReadIfChanged(func(cordons Cordons) { got = cordons }); err != nil || len(got) != 100 {
 		t.Fatal(len(got), err)
 	}
 }
 
 // Guards a call's time against the calls before it: it does not wait for them beyond its own.
-func TestCallsDoNotQueue(t *testing.T) {
+func TestStore_UpdateDoesNotQueue(t *testing.T) {
 	s := NewStore(filepath.Join(t.TempDir(), "held"))
 	begun, free, done := make(chan struct{}), make(chan struct{}), make(chan error)
 	go func() {
-		done <- s.Change(context.Background(), func(Holds) (Holds, error) {
+		done <- s.Update(context.Background(), func(Cordons) (Cordons, error) {
 			close(begun)
 			<-free
-			return Holds{}, nil
+			return Cordons{}, nil
 		})
 	}()
 	<-begun
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := s.Change(over, func(Holds) (Holds, error) { t.Error("two at once"); return nil, nil }); !errors.Is(err, context.Canceled) {
+	if err := s.Update(over, func(Cordons) (Cordons, error) { t.Error("two at once"); return nil, nil }); !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
 	close(free)
@@ -123,45 +123,45 @@
 	}
 }
 
-func TestFilesThatCannotBeUsed(t *testing.T) {
+func TestStore_UnusableFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	s := NewStore(path)
-	if err := s.Look(func(Holds) { t.Error("nothing is there") }); err != nil {
+	if err := s.ReadIfChanged(func(Cordons) { t.Error("nothing is there") }); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Change(context.Background(), func(Holds) (Holds, error) { return Holds{"a": {SinceMS: 1}}, nil }); err != nil {
+	if err := s.Update(context.Background(), func(Cordons) (Cordons, error) { return Cordons{"a": {SinceMS: 1}}, nil }); err != nil {
 		t.Fatal(err)
 	}
 	good, _ := os.ReadFile(path)
 	for name, text := range map[string]string{"empty": "", "cut": string(good[:len(good)/2]), "sum": `{"version":1,"sum":"00","holds":{}}`,
 		"version": `{"version":2,"sum":"","holds":{}}`, "changed": string(good[:len(good)-4]) + "9}}}"} {
 		os.WriteFile(path, []byte(text), 0o600)
-		if err := NewStore(path).Look(func(Holds) { t.Error(name, "was taken") }); err == nil {
+		if err := NewStore(path).ReadIfChanged(func(Cordons) { t.Error(name, "was taken") }); err == nil {
 			t.Error(name, "is no error")
 		}
 	}
 	// A call still goes through: what it asks for is known.
-	if err := s.Change(context.Background(), func(h Holds) (Holds, error) { return Holds{"b": {SinceMS: 2}}, nil }); err != nil {
+	if err := s.Update(context.Background(), func(cordons Cordons) (Cordons, error) { return Cordons{"b": {SinceMS: 2}}, nil }); err != nil {
 		t.Fatal(err)
 	}
-	refused := errors.New("no")
-	if err := s.Change(context.Background(), func(Holds) (Holds, error) { return nil, refused }); !errors.Is(err, refused) {
+	rejected := errors.New("no")
+	if err := s.Update(context.Background(), func(Cordons) (Cordons, error) { return nil, rejected }); !errors.Is(err, rejected) {
 		t.Fatal(err)
 	}
-	if err := NewStore(path).Look(func(h Holds) {
-		if len(h) != 1 || h["b"].SinceMS != 2 {
-			t.Error("a refused change was written:", h)
+	if err := NewStore(path).ReadIfChanged(func(cordons Cordons) {
+		if len(cordons) != 1 || cordons["b"].SinceMS != 2 {
+			t.Error("a refused change was written:", cordons)
 		}
 	}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func FuzzParse(f *testing.F) {
+func FuzzParseFile(f *testing.F) {
 	f.Add([]byte(`{"version":1,"sum":"44136fa355b3678a1146ad16f7e8649e94fb4fc21fe77e8310c060f61caaff8a","holds":{}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if h, err := parse(text); err == nil && (h == nil || len(h) > Most) {
-			t.Fatal("taken:", h)
+		if cordons, err := parseFile(text); err == nil && (cordons == nil || len(cordons) > MaxCordons) {
+			t.Fatal("taken:", cordons)
 		}
 	})
 }
--- a/internal/ingress/call.go
+++ b/internal/ingress/call.go
@@ -20,14 +20,14 @@
 type call struct {
 	policy.Request              // without its deadline
 	class          policy.Class // as it stood when the request came
-	waitS          float64      // how long the client waits
+	timeoutS       float64      // how long the client waits
 	args           [][]byte     // command, customer, id, fields and, in a write, the body
 	size           int          // of all of them
-	d              [2]int       // where the value of d stands in the fields
+	timeoutAt      [2]int       // where the value of d stands in the fields
 }
 
-// keep makes the call's bytes its own: they were the reader's.
-func (c *call) keep() {
+// copyArgs makes the call's bytes its own: they were the reader's.
+func (c *call) copyArgs() {
 	b, args := make([]byte, 0, c.size), make([][]byte, len(c.args))
 	for i, arg := range c.args {
 		n := len(b)
@@ -46,7 +46,7 @@
 }
 
 func newVocabulary(s policy.Settings) *vocabulary {
-	v := &vocabulary{map[string]policy.Class{}, map[string]string{}, s.Gateways, s.MaxUnits}
+	v := &vocabulary{map[string]policy.Class{}, map[string]string{}, s.Gateways, s.MaxRequestUnits}
 	for _, c := range s.Classes {
 		v.classes[c.Name] = c
 	}
@@ -57,11 +57,11 @@
 }
 
 const (
-	maxID       = 128
-	maxFields   = 1 << 10
-	customerLen = 16
-	maxWaitMS   = 600_000
-	maxInt      = 1 << 30
+	maxIDLen     = 128
+	maxFieldsLen = 1 << 10
+	accountLen   = 16
+	maxTimeoutMS = 600_000
+	maxInt       = 1 << 30
 )
 
 // parseCall reads a CALL command. The error is worded for the client.
@@ -74,26 +74,26 @@
 	if len(args) != want {
 		return nil, fmt.Errorf("wrong number of arguments for %s", args[0])
 	}
-	customer, id, fields := args[1], args[2], args[3]
-	n, err := strconv.ParseUint(string(customer), 16, 64)
-	if err != nil || len(customer) != customerLen || n >= 1<<33 || bytes.ContainsAny(customer, "ABCDEF") {
+	account, id, fields := args[1], args[2], args[3]
+	n, err := strconv.ParseUint(string(account), 16, 64)
+	if err != nil || len(account) != accountLen || n >= 1<<33 || bytes.ContainsAny(account, "ABCDEF") {
 		return nil, fmt.Errorf("customer must be 16 lower-case hex digits, a number below 2^33")
 	}
-	if len(id) == 0 || len(id) > maxID || !printable(id) {
-		return nil, fmt.Errorf("the request's id must be 1 to %d printable characters without spaces", maxID)
+	if len(id) == 0 || len(id) > maxIDLen || !printable(id) {
+		return nil, fmt.Errorf("the request's id must be 1 to %d printable characters without spaces", maxIDLen)
 	}
-	if len(fields) > maxFields || !printable(fields) {
-		return nil, fmt.Errorf("the fields must be up to %d printable characters without spaces", maxFields)
+	if len(fields) > maxFieldsLen || !printable(fields) {
+		return nil, fmt.Errorf("the fields must be up to %d printable characters without spaces", maxFieldsLen)
 	}
-	c := &call{args: args, Request: policy.Request{ID: string(id), Customer: string(customer)}}
+	c := &call{args: args, Request: policy.Request{ID: string(id), Account: string(account)}}
 	for _, arg := range args {
 		c.size += len(arg)
 	}
-	if err := v.fields(c, string(fields)); err != nil {
+	if err := v.parseFields(c, string(fields)); err != nil {
 		return nil, err
 	}
 	class := v.classes[c.Class]
-	if safe := class.Effect == policy.Safe; safe == write {
+	if safe := class.Idempotency == policy.Idempotent; safe == write {
 		return nil, fmt.Errorf("class %s does not go with %s", c.Class, args[0])
 	}
 	return c, nil
@@ -109,9 +109,9 @@
 	return true
 }
 
-// decimal reads a number from least to most, written in the one way that a number has: digits alone,
+// parseDecimal reads a number from least to most, written in the one way that a number has: digits alone,
 // and no 0 ahead of others.
-func decimal(text string, least, most int) (n int, ok bool) {
+func parseDecimal(text string, least, most int) (n int, ok bool) {
 	if text == "" || len(text) > 1 && text[0] == '0' || len(text) > len("1000000000") {
 		return 0, false
 	}
@@ -128,20 +128,20 @@
 const (
 	fieldClass = 1 << iota
 	fieldPlan
-	fieldWait
-	fieldKey
-	fieldRetry
+	fieldTimeout
+	fieldIdempotencyKey
+	fieldClientRetry
 	fieldUnits
 	fieldSpread
-	fieldFirst
+	fieldFirstGateway
 
-	fieldsNeeded = fieldClass | fieldPlan | fieldWait | fieldUnits | fieldSpread | fieldFirst
+	requiredFields = fieldClass | fieldPlan | fieldTimeout | fieldUnits | fieldSpread | fieldFirstGateway
 )
 
 var fieldNames = []string{"c", "t", "d", "k", "r", "units", "spread", "first"}
 
-// fields reads the list of names and values. Names that are not known are passed on unread.
-func (v *vocabulary) fields(c *call, list string) error {
+// parseFields reads the list of names and values. Names that are not known are passed on unread.
+func (v *vocabulary) parseFields(c *call, list string) error {
 	seen, at := 0, 0
 	for part := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(part, "=")
@@ -154,18 +154,18 @@
 				return fmt.Errorf("field %s is given twice", name)
 			}
 			seen |= bit
-			if !v.field(c, bit, value) {
+			if !v.setField(c, bit, value) {
 				return fmt.Errorf("field %s: invalid value %.40q", name, value)
 			}
-			if bit == fieldWait {
-				c.d = [2]int{at + len("d="), at + len(part)}
+			if bit == fieldTimeout {
+				c.timeoutAt = [2]int{at + len("d="), at + len(part)}
 			}
 		}
 		at += len(part) + len(",")
 	}
-	need := fieldsNeeded
-	if v.classes[c.Class].Effect == policy.Keyed {
-		need |= fieldKey
+	need := requiredFields
+	if v.classes[c.Class].Idempotency == policy.KeyedIdempotent {
+		need |= fieldIdempotencyKey
 	}
 	if missing := need &^ seen; missing != 0 {
 		return fmt.Errorf("field %s is missing", fieldNames[bits.TrailingZeros(uint(missing))])
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// field takes in one value and tells whether it is valid.
-func (v *vocabulary) field(c *call, bit int, value string) (ok bool) {
+// setField takes in one value and tells whether it is valid.
+func (v *vocabulary) setField(c *call, bit int, value string) (ok bool) {
 	var n int
 	switch bit {
 	case fieldClass:
@@ -183,27 +183,27 @@
 		c.Class, c.class = class.Name, class
 	case fieldPlan:
 		c.Plan, ok = v.plans[value]
-	case fieldWait:
-		n, ok = decimal(value, 1, maxWaitMS)
-		c.waitS = float64(n) / 1000
-	case fieldKey:
+	case fieldTimeout:
+		n, ok = parseDecimal(value, 1, maxTimeoutMS)
+		c.timeoutS = float64(n) / 1000
+	case fieldIdempotencyKey:
 		ok = value != ""
-	case fieldRetry:
+	case fieldClientRetry:
 		ok = value == "0" || value == "1"
 		c.Retry = value == "1"
 	case fieldUnits:
-		n, ok = decimal(value, 1, cmp.Or(v.maxUnits, maxInt))
+		n, ok = parseDecimal(value, 1, cmp.Or(v.maxUnits, maxInt))
 		c.Units = float64(n)
 	case fieldSpread:
-		c.Entries, ok = decimal(value, 1, v.gateways)
-	case fieldFirst:
-		c.First, ok = decimal(value, 0, v.gateways-1)
+		c.GatewayCount, ok = parseDecimal(value, 1, v.gateways)
+	case fieldFirstGateway:
+		c.FirstGateway, ok = parseDecimal(value, 0, v.gateways-1)
 	}
 	return ok
 }
 
-// appendTo appends the command for a backend: all as it came, but d tells the time that remains.
-func (c *call) appendTo(b []byte, waitS float64) []byte {
+// appendCommand appends the command for a backend: all as it came, but d tells the time that remains.
+func (c *call) appendCommand(b []byte, waitS float64) []byte {
 	fields := c.args[3]
 	ms := strconv.AppendInt(make([]byte, 0, 8), max(1, int64(math.Ceil(waitS*1000))), 10)
 	b = redcon.AppendArray(b, len(c.args))
@@ -213,11 +213,11 @@
 			continue
 		}
 		b = append(b, '$')
-		b = strconv.AppendInt(b, int64(len(fields)-(c.d[1]-c.d[0])+len(ms)), 10)
+		b = strconv.AppendInt(b, int64(len(fields)-(c.timeoutAt[1]-c.timeoutAt[0])+len(ms)), 10)
 		b = append(b, '\r', '\n')
-		b = append(b, fields[:c.d[0]]...)
+		b = append(b, fields[:c.timeoutAt[0]]...)
 		b = append(b, ms...)
-		b = append(b, fields[c.d[1]:]...)
+		b = append(b, fields[c.timeoutAt[1]:]...)
 		b = append(b, '\r', '\n')
 	}
 	return b
--- a/internal/ingress/clients_test.go
+++ b/internal/ingress/clients_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// base tells what an ingress with nothing to do holds: timers and budget.
-func (r *rig) base() (timers int, left int64) {
-	r.do(func() { timers, left = len(r.in.timers), r.in.input.left.Load() })
+// openResources tells what an ingress with nothing to do holds: timers and budget.
+func (r *testIngress) openResources() (timers int, left int64) {
+	r.onLoop(func() { timers, left = len(r.ingress.timers), r.ingress.inputBudget.available.Load() })
 	return timers, left
 }
 
 // Guards against connections that stay open for nothing: silence and half a command get an error and
 // the end, also behind a request that is still open, which is answered all the same.
-func TestSilenceAndHalfACommandEnd(t *testing.T) {
+func TestClient_SilentOrPartialCommandTimesOut(t *testing.T) {
 	const want = "-ERR no whole command in time"
 	for name, tc := range map[string]struct{ before, half string }{
 		"silence": {}, "half": {half: "*4\r\n$8\r\nCALL"}, "header": {half: "*"},
 		"behind another": {command("PING"), "*1\r\n$4\r\nPI"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, testConfig("127.0.0.1:1"), func(r *rig) {
+			r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
 				if tc.before == "" { // else it is short from then on that this has been read
-					r.in.clients.commandMost = time.Millisecond
+					r.ingress.clients.commandTimeout = time.Millisecond
 				}
 			})
 			c := r.client()
@@ -34,28 +34,28 @@
 				if got := c.line(); got != "+PONG" {
 					t.Fatalf("got %q", got)
 				}
-				r.do(func() { r.in.clients.commandMost = time.Millisecond })
+				r.onLoop(func() { r.ingress.clients.commandTimeout = time.Millisecond })
 			}
 			io.WriteString(c, tc.half)
 			if got := c.line(); got != want || c.line() != "" {
 				t.Errorf("got %q, want %q and the end", got, want)
 			}
 			c.Close()
-			r.until("it is gone", func() bool { return r.in.clients.open() == 0 && len(r.in.clients.room) == 1 })
+			r.waitFor("it is gone", func() bool { return r.ingress.clients.open() == 0 && len(r.ingress.clients.connPermits) == 1 })
 		})
 	}
 	t.Run("behind an open request", func(t *testing.T) {
-		r := start(t, testConfig("127.0.0.1:1"), nil)
+		r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 		c := r.client()
-		io.WriteString(c, command(look("a")...))
-		get(t, r.mod.requests)
-		r.do(func() { r.in.clients.commandMost = time.Millisecond })
+		io.WriteString(c, command(lookCommand("a")...))
+		receive(t, r.decider.requests)
+		r.onLoop(func() { r.ingress.clients.commandTimeout = time.Millisecond })
 		io.WriteString(c, "*1")
-		r.until("the error waits", func() bool {
-			q := r.in.requests["a"]
-			return q != nil && len(q.client.slots) == 2
+		r.waitFor("the error waits", func() bool {
+			q := r.ingress.requests["a"]
+			return q != nil && len(q.client.answerSlots) == 2
 		})
-		r.do(func() { r.in.Fail("a") })
+		r.onLoop(func() { r.ingress.Fail("a") })
 		if a, b := c.line(), c.line(); a != "-ERR failed" || b != want || c.line() != "" {
 			t.Errorf("got %q, then %q", a, b)
 		}
@@ -64,31 +64,31 @@
 
 // Guards against a request that is lost with the junk behind it: however much of that comes, the
 // connection stays until what it asked for before is answered.
-func TestJunkBehindARequest(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+func TestClient_JunkAfterRequest(t *testing.T) {
+	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	io.WriteString(c, command(look("a")...)+"*1\r\n$60000000\r\n")
-	get(t, r.mod.requests)
-	io.WriteString(c, strings.Repeat("x", lingerBytes))
-	r.until("enough is read", func() bool {
-		q := r.in.requests["a"]
-		return q != nil && q.client.lingered
+	io.WriteString(c, command(lookCommand("a")...)+"*1\r\n$60000000\r\n")
+	receive(t, r.decider.requests)
+	io.WriteString(c, strings.Repeat("x", maxDiscardBytes))
+	r.waitFor("enough is read", func() bool {
+		q := r.ingress.requests["a"]
+		return q != nil && q.client.discardDone
 	})
-	r.do(func() { r.in.Fail("a") })
+	r.onLoop(func() { r.ingress.Fail("a") })
 	if a, b := c.line(), c.line(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.line() != "" {
 		t.Errorf("got %q, then %q", a, b)
 	}
-	if len(r.mod.gone) != 0 {
+	if len(r.decider.disconnects) != 0 {
 		t.Error("the module was told that the client had left")
 	}
 }
 
 // Guards the loop against a client that sends bad commands for as long as it is answered.
-func TestBadCommandsAreCounted(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+func TestClient_BadCommandLimit(t *testing.T) {
+	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	io.WriteString(c, strings.Repeat(command("NOVEL"), 100*errorsMost))
-	for i := range errorsMost {
+	io.WriteString(c, strings.Repeat(command("NOVEL"), 100*maxBadCommands))
+	for i := range maxBadCommands {
 		if got := c.line(); got != `-ERR unknown command "NOVEL"` {
 			t.Fatalf("answer %d is %q", i, got)
 		}
@@ -99,17 +99,17 @@
 }
 
 // Guards against usual clients that make room for those that have said nothing.
-func TestNeverSpokenMakeRoomFirst(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.keep, r.in.clients.most = 2, 2 })
+func TestClientTable_SilentEvictedBeforeOthers(t *testing.T) {
+	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen = 2, 2 })
 	usual := r.client()
 	if usual.send("PING"); usual.line() != "+PONG" {
 		t.Fatal("not served")
 	}
 	silent := r.client()
-	r.until("both are open", func() bool { return r.in.clients.open() == 2 })
-	r.do(func() { // the first command of a connection that has just come may be on its way
-		for c := range r.in.clients.all {
-			c.usedAt -= 2 * youngS
+	r.waitFor("both are open", func() bool { return r.ingress.clients.open() == 2 })
+	r.onLoop(func() { // the first command of a connection that has just come may be on its way
+		for c := range r.ingress.clients.conns {
+			c.lastUsedAt -= 2 * recentlyOpenedS
 		}
 	})
 	third := r.client()
@@ -124,32 +124,32 @@
 // Guards against a crowd that connects, says PING at most and stays (r640a3f): kept up to half of the descriptors it held the
 // room of those who ask, whose requests were turned back unheard. It gives way at the bound on idle connections; who has
 // asked keeps its connection, and connections at work are no part of that bound.
-func TestCrowdsLeaveRoomForThoseWhoAsk(t *testing.T) {
+func TestClientTable_IdleCrowdLeavesCapacity(t *testing.T) {
 	const keep = 8
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.keep, r.in.clients.most = keep, 3*keep })
+	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen = keep, 3*keep })
 	usual := r.client()
-	usual.send(look("first")...)
-	get(t, r.mod.requests)
-	r.do(func() { r.in.Fail("first") })
+	usual.send(lookCommand("first")...)
+	receive(t, r.decider.requests)
+	r.onLoop(func() { r.ingress.Fail("first") })
 	if got := usual.line(); got != "-ERR failed" {
 		t.Fatal(got)
 	}
-	var silent []*wire
+	var silent []*testConn
 	for i := range 2 * keep {
 		c := r.client()
 		if i%2 == 0 {
 			silent = append(silent, c)
-			r.until("it is taken", func() bool { return r.in.clients.open() > 0 })
+			r.waitFor("it is taken", func() bool { return r.ingress.clients.open() > 0 })
 		} else if c.send("PING"); c.line() != "+PONG" {
 			t.Fatal("not served")
 		}
-		r.do(func() { // the first command of a connection that has just come may be on its way
-			for c := range r.in.clients.all {
-				c.usedAt -= 2 * youngS
+		r.onLoop(func() { // the first command of a connection that has just come may be on its way
+			for c := range r.ingress.clients.conns {
+				c.lastUsedAt -= 2 * recentlyOpenedS
 			}
 		})
 	}
-	r.until("the crowd is held to the bound", func() bool { return r.in.clients.open() <= keep })
+	r.waitFor("the crowd is held to the bound", func() bool { return r.ingress.clients.open() <= keep })
 	for i, c := range silent[:len(silent)/2] {
 		if c.line() != "" {
 			t.Errorf("silent connection %d of the crowd is open", i)
@@ -158,16 +158,16 @@
 	if usual.send("PING"); usual.line() != "+PONG" {
 		t.Error("who had asked was closed for the crowd")
 	}
-	var busy []*wire
+	var busy []*testConn
 	for i := range 2 * keep { // all at work: more than may idle
 		c := r.client()
-		c.send(look(fmt.Sprint("b", i))...)
-		get(t, r.mod.requests)
+		c.send(lookCommand(fmt.Sprint("b", i))...)
+		receive(t, r.decider.requests)
 		busy = append(busy, c)
 	}
-	r.do(func() {
+	r.onLoop(func() {
 		for i := range busy {
-			r.in.Fail(fmt.Sprint("b", i))
+			r.ingress.Fail(fmt.Sprint("b", i))
 		}
 	})
 	for i, c := range busy {
@@ -179,57 +179,57 @@
 
 // Guards requests that their connection's reader has taken while the loop is behind: to the loop the connection seemed idle, and it was
 // closed for a newcomer with the request on its way (seen: 17 requests never taken up on a day of upgrades, the loop busy for a third of a second).
-func TestWhatIsOnItsWayToTheLoopIsNotClosed(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.clients.keep, r.in.clients.most = 2, 4 })
+func TestClientTable_CommandOnItsWayIsNotEvicted(t *testing.T) {
+	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen = 2, 4 })
 	for range 2 {
 		c := r.client()
 		if c.send("PING"); c.line() != "+PONG" {
 			t.Fatal("not served")
 		}
 	}
-	r.do(func() {
-		all := r.in.clients.all
+	r.onLoop(func() {
+		all := r.ingress.clients.conns
 		for c := range all { // as a reader does with each command, before the loop hears of it
-			c.permits <- struct{}{}
+			c.pipelinePermits <- struct{}{}
 		}
-		if r.in.clients.full(r.in, nil) || len(all) != 2 {
+		if r.ingress.clients.atCapacity(r.ingress, nil) || len(all) != 2 {
 			t.Errorf("%d of 2 connections are left", len(all))
 		}
 		for c := range all {
-			<-c.permits
+			<-c.pipelinePermits
 		}
-		if r.in.clients.full(r.in, nil) || len(all) != 1 {
+		if r.ingress.clients.atCapacity(r.ingress, nil) || len(all) != 1 {
 			t.Errorf("%d connections are left where one idles too many", len(all))
 		}
 	})
 }
 
 // The bound on idle connections lies well below the third of all descriptors that clients have for requests.
-func TestIdleConnectionsLeaveTheClientsThirdFree(t *testing.T) {
+func TestClientTable_IdleLimit(t *testing.T) {
 	for _, sockets := range []int{64, 256, 384, 1024} {
 		for _, door := range []string{"", "127.0.0.1:1"} {
-			var s clientSet
-			s.init(Config{Sockets: sockets, Console: door}.free())
-			if s.keep > sockets/3*4/5 || s.keep >= s.most && s.most > 8 {
-				t.Errorf("%d descriptors: %d idle connections, %d at work", sockets, s.keep, s.most)
+			var s clientTable
+			s.init(Config{MaxDescriptors: sockets, AdminAddr: door}.freeDescriptors())
+			if s.evictIdleFrom > sockets/3*4/5 || s.evictIdleFrom >= s.maxOpen && s.maxOpen > 8 {
+				t.Errorf("%d descriptors: %d idle connections, %d at work", sockets, s.evictIdleFrom, s.maxOpen)
 			}
 		}
 	}
 }
 
 // Guards against clients that ask once and keep their connection for good.
-func TestIdleConnectionsEnd(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), nil)
+func TestClient_IdleTimeout(t *testing.T) {
+	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	busy, idle := r.client(), r.client()
-	busy.send(look("a")...)
-	get(t, r.mod.requests)
+	busy.send(lookCommand("a")...)
+	receive(t, r.decider.requests)
 	idle.send("PING")
 	idle.line()
-	r.do(func() { r.in.now += idleMost + 1; r.in.clients.sweep(r.in) })
+	r.onLoop(func() { r.ingress.now += clientIdleTimeoutS + 1; r.ingress.clients.sweep(r.ingress) })
 	if idle.line() != "" {
 		t.Error("the idle connection is open")
 	}
-	r.do(func() { r.in.Fail("a") })
+	r.onLoop(func() { r.ingress.Fail("a") })
 	if got := busy.line(); got != "-ERR failed" {
 		t.Errorf("the connection with an open request got %q", got)
 	}
@@ -237,38 +237,38 @@
 
 // Guards against memory that an answered request holds until its deadline, an hour away if its client
 // says so: timers, the command's bytes and what the budget lent for them.
-func TestAnAnsweredRequestHoldsNothing(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, testConfig(addr), sendTo(0))
-	timers, left := r.base()
+func TestRequest_ReleasesResourcesWhenAnswered(t *testing.T) {
+	addr, conns := listenBackend(t)
+	r := startIngress(t, testConfig(addr), sendTo(0))
+	timers, left := r.openResources()
 	c := r.client()
-	c.send(look("a")...)
-	b := get(t, conns)
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
 	b.command()
 	req := (*request)(nil)
-	r.do(func() { req = r.in.requests["a"] })
-	if busy, less := r.base(); busy != timers+2 || less >= left {
+	r.onLoop(func() { req = r.ingress.requests["a"] })
+	if busy, less := r.openResources(); busy != timers+2 || less >= left {
 		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", busy, less, timers, left)
 	}
 	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	get(t, r.mod.outcomes)
-	if again, now := r.base(); again != timers || now != left || req.args != nil {
+	receive(t, r.decider.outcomes)
+	if again, now := r.openResources(); again != timers || now != left || req.args != nil {
 		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, left, req.args)
 	}
 }
 
 // Guards the memory: what is unfinished or waits has one bound for all connections together.
-func TestInputHasOneBudget(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) { r.in.input.left.Store(30_000) })
+func TestInputBudget_Shared(t *testing.T) {
+	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.inputBudget.available.Store(30_000) })
 	big := func(id string) string {
 		return command("CALL.POST", customer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", strings.Repeat("x", 10_000))
 	}
 	c := r.client()
 	io.WriteString(c, big("a")+big("b")+big("c"))
-	get(t, r.mod.requests)
-	r.until("all three have come, and no more is taken", func() bool {
-		for x := range r.in.clients.all {
-			return len(x.slots) == 3 && r.in.input.left.Load() < 20_000 // an answer waits for those before it
+	receive(t, r.decider.requests)
+	r.waitFor("all three have come, and no more is taken", func() bool {
+		for x := range r.ingress.clients.conns {
+			return len(x.answerSlots) == 3 && r.ingress.inputBudget.available.Load() < 20_000 // an answer waits for those before it
 		}
 		return false
 	})
@@ -278,7 +278,7 @@
 		t.Errorf("half a command beyond the budget got %q", got)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		r.do(func() { r.in.Fail(id) })
+		r.onLoop(func() { r.ingress.Fail(id) })
 	}
 	for i := range 3 {
 		if got := c.line(); got != "-ERR failed" && got != "-BUSY 1000" {
@@ -286,12 +286,12 @@
 		}
 	}
 	c.Close()
-	r.until("all is given back", func() bool { return r.in.input.left.Load() == 30_000 })
+	r.waitFor("all is given back", func() bool { return r.ingress.inputBudget.available.Load() == 30_000 })
 }
 
 // Guards against numbers and names that mean the same in more than one way, or not what they say: a
 // backend may read them otherwise, and a customer's other spelling would be another customer.
-func TestOnlyCanonicalCalls(t *testing.T) {
+func TestParseCall_CanonicalFormsOnly(t *testing.T) {
 	words := newVocabulary(testConfig().Settings.Settings)
 	parse := func(customer, id, fields string) error {
 		_, err := words.parseCall([][]byte{[]byte("CALL.GET"), []byte(customer), []byte(id), []byte(fields)})
@@ -320,12 +320,12 @@
 			t.Errorf("customer %q passes", other)
 		}
 	}
-	for _, id := range []string{"a b", "a\x00", "a\r\n", "\xff", "\u00a0", strings.Repeat("x", maxID+1)} {
+	for _, id := range []string{"a b", "a\x00", "a\r\n", "\xff", "\u00a0", strings.Repeat("x", maxIDLen+1)} {
 		if parse(customer, id, good) == nil {
 			t.Errorf("id %q passes", id)
 		}
 	}
-	for _, more := range []string{",x=\r\n", ",x=\xff", ",x=" + strings.Repeat("y", maxFields), ",k=", ",r=2"} {
+	for _, more := range []string{",x=\r\n", ",x=\xff", ",x=" + strings.Repeat("y", maxFieldsLen), ",k=", ",r=2"} {
 		if parse(customer, "a", good+more) == nil {
 			t.Errorf("%.40q passes", fmt.Sprint("...", more))
 		}
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -15,44 +15,44 @@
 
 // Config is what an ingress is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Console   string // where operators call; empty: nowhere
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int // file descriptors that the process may hold
+	Name           string
+	Listen         string
+	Discovery      string
+	AdminAddr      string // where operators call; empty: nowhere
+	Seed           uint64
+	MemoryMB       int
+	MaxDescriptors int // file descriptors that the process may hold
 
-	PeerListen netip.AddrPort // not valid: no peers
-	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort
+	PeerListen    netip.AddrPort // not valid: no peers
+	Peers         []netip.AddrPort
+	PeerBroadcast netip.AddrPort
 
-	Known    targets
-	Settings settings.Settings
-	shape    shape    // of the file
-	Operator Operator // of the operator's file, if there is one
-	Member   bool     // of a fleet: its planners are told what is held
+	InitialEndpoints targets
+	Settings         settings.Settings
+	keys             keySet         // of the file
+	OperatorConfig   OperatorConfig // of the operator's file, if there is one
+	FleetMember      bool           // of a fleet: its planners are told what is held
 
 	// Dial makes connections to backends in place of the system's own; nil: none does. Not of the file.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
 }
 
 const (
-	defaultSockets  = 1024
-	defaultMemoryMB = 192
+	defaultMaxDescriptors = 1024
+	defaultMemoryMB       = 192
 )
 
-// Differs tells whether more differs than what a running ingress takes over from a configuration
+// NeedsRestart tells whether more differs than what a running ingress takes over from a configuration
 // that is read again, or than what is new with each start.
-func (c Config) Differs(from Config) bool {
-	c.Discovery, c.Known, c.Seed, c.shape = from.Discovery, from.Known, from.Seed, from.shape
+func (c Config) NeedsRestart(from Config) bool {
+	c.Discovery, c.InitialEndpoints, c.Seed, c.keys = from.Discovery, from.InitialEndpoints, from.Seed, from.keys
 	c.Dial, from.Dial = nil, nil
 	c.Settings.Classes, c.Settings.MaxAttempts = from.Settings.Classes, from.Settings.MaxAttempts
 	return !reflect.DeepEqual(c, from)
 }
 
-// ConsoleAddr checks the address of the operators' door; empty is none.
-func ConsoleAddr(addr string) (string, error) {
+// CheckAdminAddr checks the address of the operators' door; empty is none.
+func CheckAdminAddr(addr string) (string, error) {
 	if addr == "" {
 		return "", nil
 	}
@@ -91,21 +91,21 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return Config{}, err
 	}
-	shape, err := shapeOf(text)
+	shape, err := parseKeySet(text)
 	if err != nil {
 		return Config{}, err
 	}
-	c := Config{shape: shape, Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, Known: f.Known}
-	if c.Sockets <= 0 {
-		c.Sockets = defaultSockets
+	c := Config{keys: shape, Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddr: f.Console, MemoryMB: f.Limits.MemoryMB,
+		MaxDescriptors: f.Limits.Sockets, InitialEndpoints: f.Known}
+	if c.MaxDescriptors <= 0 {
+		c.MaxDescriptors = defaultMaxDescriptors
 	}
 	for name, addr := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
 			return c, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	if c.Console, err = ConsoleAddr(f.Console); err != nil {
+	if c.AdminAddr, err = CheckAdminAddr(f.Console); err != nil {
 		return c, err
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
@@ -120,11 +120,11 @@
 	if c.Settings.DialTimeoutS <= 0 || c.Settings.ConnIdleS <= 0 {
 		return c, fmt.Errorf("settings: limits.dialTimeoutS and limits.connIdleS must be above 0")
 	}
-	c.Known.Full = true
-	if err := c.Known.Check(); err != nil {
+	c.InitialEndpoints.Full = true
+	if err := c.InitialEndpoints.Check(); err != nil {
 		return c, fmt.Errorf("known: %w", err)
 	}
-	if !c.Settings.Peers {
+	if !c.Settings.PeerMessages {
 		return c, nil
 	}
 	if c.PeerListen, err = netip.ParseAddrPort(f.PeerListen); err != nil {
@@ -141,7 +141,7 @@
 		c.Peers = append(c.Peers, addr)
 	}
 	if f.PeersAll != "" {
-		if c.PeersAll, err = netip.ParseAddrPort(f.PeersAll); err != nil {
+		if c.PeerBroadcast, err = netip.ParseAddrPort(f.PeersAll); err != nil {
 			return c, fmt.Errorf("peers_all: %w", err)
 		}
 	}
--- a/internal/ingress/config_test.go
+++ b/internal/ingress/config_test.go
@@ -11,12 +11,12 @@
 "known":{"version":41,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"in_service"}]},
 "settings":{"balancers":2,"limits":{"peerMessages":true,"dialTimeoutS":0.25,"connIdleS":15}}}`
 
-func TestConfig(t *testing.T) {
+func TestParseConfig(t *testing.T) {
 	c, err := parseConfig([]byte(goodConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Seed != 0x8c1f30d27a5be964 || len(c.Peers) != 2 || c.Sockets != 1024 || !c.Known.Full || c.Known.Version != 41 {
+	if c.Seed != 0x8c1f30d27a5be964 || len(c.Peers) != 2 || c.MaxDescriptors != 1024 || !c.InitialEndpoints.Full || c.InitialEndpoints.Version != 41 {
 		t.Errorf("got %+v", c)
 	}
 	for want, change := range map[string][2]string{
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -12,23 +12,23 @@
 	target  = roster.Target
 )
 
-// takeList applies a list that was told at a time to the pools and tells the module.
-func (in *Ingress) takeList(t targets, toldAt float64) {
-	if in.held != nil {
-		t = in.held.Take(t)
+// applyDiscoveryList applies a list that was told at a time to the pools and tells the module.
+func (in *Ingress) applyDiscoveryList(t targets, notifiedAt float64) {
+	if in.cordons != nil {
+		t = in.cordons.ApplyList(t)
 	}
-	in.applyListAt(t, toldAt)
+	in.applyListAt(t, notifiedAt)
 }
 
 // applyList takes a list as it stands with what operators hold.
 func (in *Ingress) applyList(t targets) { in.applyListAt(t, in.now) }
 
-func (in *Ingress) applyListAt(t targets, toldAt float64) {
+func (in *Ingress) applyListAt(t targets, notifiedAt float64) {
 	if len(t.Servers) == 0 && !t.Full {
 		return
 	}
-	in.backends.apply(in, t, toldAt)
-	in.gate.Servers(in.now, t.Policy(), t.Full)
+	in.backends.applyList(in, t, notifiedAt)
+	in.decider.UpdateBackends(in.now, t.Policy(), t.Full)
 }
 
 // watchDiscovery follows discovery for as long as ctx lasts, from each configuration that was read again on at
@@ -41,7 +41,7 @@
 			case <-ctx.Done():
 				return
 			case cfg := <-reread:
-				if err := in.onLoop(ctx, func() error { return in.retune(cfg) }); err != nil {
+				if err := in.onLoop(ctx, func() error { return in.applySettings(cfg) }); err != nil {
 					in.log.Error("configuration not taken over", "error", err)
 					continue
 				}
@@ -59,28 +59,28 @@
 
 // newWatcher makes the watcher of discovery; watchDiscovery's goroutine owns it but for its age.
 func (in *Ingress) newWatcher() *roster.Watcher {
-	return roster.New(in.cfg.Discovery, in.cfg.Known.Version,
+	return roster.New(in.cfg.Discovery, in.cfg.InitialEndpoints.Version,
 		func(t targets) {
 			at := in.clock.Now()
-			in.post(at, func() { in.takeList(t, at) })
+			in.post(at, func() { in.applyDiscoveryList(t, at) })
 		},
-		func(what string, args ...any) { in.post(in.clock.Now(), func() { in.note(what, args...) }) })
+		func(message string, args ...any) { in.post(in.clock.Now(), func() { in.logFault(message, args...) }) })
 }
 
-// ListAge implements Host.
-func (in *Ingress) ListAge() roster.Age { return in.watcher.Age() }
+// EndpointListAge implements Host.
+func (in *Ingress) EndpointListAge() roster.Age { return in.watcher.Age() }
 
-// ageEvery is how often the age of the list of backends is looked at, for the log alone.
-const ageEvery = 5 * time.Second
+// listAgeInterval is how often the age of the list of backends is looked at, for the log alone.
+const listAgeInterval = 5 * time.Second
 
-// sayAge says so in the log, once each way, when the list of backends is too old to be trusted. The ingress goes on with it.
-func (in *Ingress) sayAge(age roster.Age) {
+// logListAge says so in the log, once each way, when the list of backends is too old to be trusted. The ingress goes on with it.
+func (in *Ingress) logListAge(age roster.Age) {
 	switch {
-	case age.Old() && !in.oldList:
-		in.oldList = true
+	case age.Old() && !in.endpointListStale:
+		in.endpointListStale = true
 		in.log.Error("the list of backends is old", "heard_s", age.HeardS, "told_s", age.ToldS)
-	case !age.Old() && in.oldList:
-		in.oldList = false
+	case !age.Old() && in.endpointListStale:
+		in.endpointListStale = false
 		in.log.Info("the list of backends is fresh again")
 	}
 }
--- a/internal/ingress/door.go
+++ b/internal/ingress/door.go
@@ -12,30 +12,30 @@
 	"eiderspread/internal/held"
 )
 
-// lookEvery is how often the file of what operators hold is looked at: the other process of an upgrade may have written it.
-const lookEvery = 50 * time.Millisecond
+// cordonPollInterval is how often the file of what operators hold is looked at: the other process of an upgrade may have written it.
+const cordonPollInterval = 50 * time.Millisecond
 
-var errPlanners = errors.New("this is a forwarder: call any planner of the fleet, which has all of them keep off")
+var errCordonAtPlanners = errors.New("this is a forwarder: call any planner of the fleet, which has all of them keep off")
 
 var errNotReady = errors.New("this ingress takes no clients")
 
-// door carries the operators' calls out on the loop. Its methods are called by the console's goroutines; each returns
+// adminHandler carries the operators' calls out on the loop. Its methods are called by the console's goroutines; each returns
 // once the loop has done what was asked, or with its context.
-type door struct{ in *Ingress }
+type adminHandler struct{ ingress *Ingress }
 
-// openDoor takes over what was held before this process, and serves the operators' calls until ctx ends.
-func (in *Ingress) openDoor(ctx context.Context) {
-	store := in.store
+// serveAdmin takes over what was held before this process, and serves the operators' calls until ctx ends.
+func (in *Ingress) serveAdmin(ctx context.Context) {
+	store := in.cordonStore
 	if store == nil {
-		go in.console.Serve()
+		go in.admin.Serve()
 		return
 	}
-	if err := store.Look(func(h held.Holds) { in.held.Set(h) }); err != nil {
+	if err := store.ReadIfChanged(func(h held.Cordons) { in.cordons.Replace(h) }); err != nil {
 		in.log.Error("what operators held is not known: nothing is held", "error", err)
 	}
-	go in.console.Serve()
+	go in.admin.Serve()
 	go func() {
-		tick := time.NewTicker(lookEvery)
+		tick := time.NewTicker(cordonPollInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -43,21 +43,21 @@
 				return
 			case <-tick.C:
 			}
-			err := store.Look(func(h held.Holds) {
+			err := store.ReadIfChanged(func(h held.Cordons) {
 				in.onLoop(ctx, func() error {
-					in.applyList(in.held.Set(h))
+					in.applyList(in.cordons.Replace(h))
 					return nil
 				})
 			})
 			if err != nil {
-				in.Post(func(float64) { in.note("what operators hold can't be read", "error", err) })
+				in.Post(func(float64) { in.logFault("what operators hold can't be read", "error", err) })
 			}
 		}
 	}()
 }
 
-// storePath is where an ingress keeps what operators hold: a new process of the same name finds it there.
-func storePath(name string) string {
+// cordonStorePath is where an ingress keeps what operators hold: a new process of the same name finds it there.
+func cordonStorePath(name string) string {
 	return filepath.Join(os.TempDir(), "eiderspread-"+filepath.Base("/"+name)+".held")
 }
 
@@ -82,45 +82,45 @@
 }
 
 // Ready implements console.Ingress.
-func (d *door) Ready(context.Context) error {
-	if !d.in.taking.Load() {
+func (d *adminHandler) Ready(context.Context) error {
+	if !d.ingress.acceptingClients.Load() {
 		return errNotReady
 	}
 	return nil
 }
 
 // Suspend implements console.Ingress.
-func (d *door) Suspend(ctx context.Context, id string) error {
-	return d.change(ctx, "suspended", id, d.in.held.Hold)
+func (d *adminHandler) Suspend(ctx context.Context, id string) error {
+	return d.changeCordon(ctx, "suspended", id, d.ingress.cordons.Cordon)
 }
 
 // Resume implements console.Ingress.
-func (d *door) Resume(ctx context.Context, id string) error {
-	return d.change(ctx, "resumed", id, d.in.held.Release)
+func (d *adminHandler) Resume(ctx context.Context, id string) error {
+	return d.changeCordon(ctx, "resumed", id, d.ingress.cordons.Uncordon)
 }
 
-// change carries out a change of what is held, here and in the file that outlives this process.
-func (d *door) change(ctx context.Context, what, id string,
+// changeCordon carries out a change of what is held, here and in the file that outlives this process.
+func (d *adminHandler) changeCordon(ctx context.Context, message, id string,
 	do func(nowMS int64, id string) (targets, error)) error {
-	in := d.in
-	if in.store == nil {
-		return errPlanners
+	in := d.ingress
+	if in.cordonStore == nil {
+		return errCordonAtPlanners
 	}
-	return in.store.Change(ctx, func(before held.Holds) (after held.Holds, err error) {
+	return in.cordonStore.Update(ctx, func(before held.Cordons) (after held.Cordons, err error) {
 		err = in.onLoop(ctx, func() error {
 			if before != nil {
-				in.applyList(in.held.Set(before))
+				in.applyList(in.cordons.Replace(before))
 			}
 			l, err := do(int64(in.now*1000), id)
 			switch {
-			case errors.Is(err, held.ErrUnknown):
+			case errors.Is(err, held.ErrUnknownBackend):
 				return fmt.Errorf("%w: %w", console.ErrUnknown, err)
 			case err != nil:
 				return err
 			}
 			in.applyList(l)
-			after = in.held.Holds()
-			in.log.Info("backend "+what, "id", id, "held", in.held.Count())
+			after = in.cordons.Cordons()
+			in.log.Info("backend "+message, "id", id, "held", in.cordons.Count())
 			return nil
 		})
 		return after, err
@@ -128,11 +128,11 @@
 }
 
 // Drain implements console.Ingress.
-func (d *door) Drain(ctx context.Context) error {
-	return d.in.onLoop(ctx, func() error { d.in.startDrain(); return nil })
+func (d *adminHandler) Drain(ctx context.Context) error {
+	return d.ingress.onLoop(ctx, func() error { d.ingress.startDrain(); return nil })
 }
 
 // Activate implements console.Ingress.
-func (d *door) Activate(ctx context.Context) error {
-	return d.in.onLoop(ctx, d.in.endDrain)
+func (d *adminHandler) Activate(ctx context.Context) error {
+	return d.ingress.onLoop(ctx, d.ingress.cancelDrain)
 }
