--- a/internal/ingress/resp.go
+++ b/internal/ingress/resp.go
@@ -11,28 +11,28 @@
 // Bounds on what is read from a socket. The codec itself knows none: it would wait for a value of
 // any announced size.
 const (
-	maxValue    = 64 << 10
-	maxElements = 16
-	maxDepth    = 4
-	maxLine     = 1 << 10              // of text
-	maxHeader   = 16                   // of a type and a length
-	maxFrame    = maxValue + 8*maxLine // one value, and what stands beside it
-	readSize    = 4 << 10
+	maxValueBytes  = 64 << 10
+	maxElements    = 16
+	maxDepth       = 4
+	maxLine        = 1 << 10                   // of text
+	maxHeader      = 16                        // of a type and a length
+	maxFrameBytes  = maxValueBytes + 8*maxLine // one value, and what stands beside it
+	readBufferSize = 4 << 10
 )
 
 var (
-	errOversized = errors.New("value over 64 KiB")
-	errLength    = errors.New("invalid length")
-	errCount     = errors.New("invalid number of elements")
-	errMalformed = errors.New("malformed line")
-	errLongLine  = errors.New("line too long")
-	errNoRoom    = errors.New("no room for more input")
-	errValueEnd  = errors.New("value and length differ")
+	errOversized      = errors.New("value over 64 KiB")
+	errLength         = errors.New("invalid length")
+	errCount          = errors.New("invalid number of elements")
+	errMalformed      = errors.New("malformed line")
+	errLongLine       = errors.New("line too long")
+	errInputBudget    = errors.New("no room for more input")
+	errLengthMismatch = errors.New("value and length differ")
 )
 
-// header reads the line that b starts with: a type and a length, in digits alone. n is what it takes,
+// parseHeader reads the line that b starts with: a type and a length, in digits alone. n is what it takes,
 // 0 if it is not whole yet. A length of -1 is told by null.
-func header(b []byte) (length, n int, null bool, err error) {
+func parseHeader(b []byte) (length, n int, null bool, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxHeader)], '\n')
 	line := b[1:min(len(b), maxHeader)]
 	if end >= 0 {
@@ -71,7 +71,7 @@
 	if b[0] != '*' {
 		return nil, 0, fmt.Errorf("expected '*', got %q", b[0])
 	}
-	count, n, null, err := header(b)
+	count, n, null, err := parseHeader(b)
 	switch {
 	case err == errLength || null || count > maxElements:
 		return nil, 0, errCount
@@ -85,18 +85,18 @@
 		if b[n] != '$' {
 			return nil, 0, fmt.Errorf("expected '$', got %q", b[n])
 		}
-		size, m, null, err := header(b[n:])
+		size, m, null, err := parseHeader(b[n:])
 		switch {
 		case err != nil:
 			return nil, 0, err
 		case null:
 			return nil, 0, errLength
-		case size > maxValue || n+m+size > maxFrame:
+		case size > maxValueBytes || n+m+size > maxFrameBytes:
 			return nil, 0, errOversized
 		case m == 0 || len(b) < n+m+size+2:
 			return nil, 0, nil
 		case b[n+m+size] != '\r' || b[n+m+size+1] != '\n':
-			return nil, 0, errValueEnd
+			return nil, 0, errLengthMismatch
 		}
 		n += m
 		args = append(args, b[n:n+size:n+size])
@@ -105,34 +105,34 @@
 	return args, n, nil
 }
 
-// frame returns the length of the reply that b starts with, 0 if it is not whole yet, or what is wrong
+// frameLen returns the length of the reply that b starts with, 0 if it is not whole yet, or what is wrong
 // with it.
-func frame(b []byte) (int, error) { return frameAt(b, 0) }
+func frameLen(b []byte) (int, error) { return frameLenAt(b, 0) }
 
-func frameAt(b []byte, depth int) (int, error) {
+func frameLenAt(b []byte, depth int) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
 	switch b[0] {
 	case '+', '-', ':':
-		return frameLine(b)
+		return lineLen(b)
 	case '$':
-		size, n, null, err := header(b)
+		size, n, null, err := parseHeader(b)
 		switch {
 		case err != nil || n == 0:
 			return 0, err
-		case size > maxValue:
+		case size > maxValueBytes:
 			return 0, errOversized
 		case null:
 			return n, nil
 		case len(b) < n+size+2:
 			return 0, nil
 		case b[n+size] != '\r' || b[n+size+1] != '\n':
-			return 0, errValueEnd
+			return 0, errLengthMismatch
 		}
 		return n + size + 2, nil
 	case '*':
-		count, n, null, err := header(b)
+		count, n, null, err := parseHeader(b)
 		switch {
 		case err != nil || n == 0:
 			return 0, err
@@ -142,7 +142,7 @@
 			return 0, errors.New("nested too deep")
 		}
 		for range count {
-			m, err := frameAt(b[n:], depth+1)
+			m, err := frameLenAt(b[n:], depth+1)
 			if m == 0 || err != nil {
 				return 0, err
 			}
@@ -153,8 +153,8 @@
 	return 0, fmt.Errorf("unknown type %q", b[0]) // told at once: its line may never end
 }
 
-// frameLine is frame for a line of text or a number.
-func frameLine(b []byte) (int, error) {
+// lineLen is frame for a line of text or a number.
+func lineLen(b []byte) (int, error) {
 	end := bytes.IndexByte(b[:min(len(b), maxLine+1)], '\n')
 	switch {
 	case end < 0 && len(b) > maxLine:
@@ -172,56 +172,56 @@
 	return end + 1, nil
 }
 
-// budget bounds the bytes that readers and the loop hold for others, beyond a first buffer a connection.
-type budget struct{ left atomic.Int64 }
+// byteBudget bounds the bytes that readers and the loop hold for others, beyond a first buffer a connection.
+type byteBudget struct{ available atomic.Int64 }
 
-func (b *budget) take(n int) bool {
-	if b.left.Add(-int64(n)) < 0 {
-		b.left.Add(int64(n))
+func (b *byteBudget) reserve(n int) bool {
+	if b.available.Add(-int64(n)) < 0 {
+		b.available.Add(int64(n))
 		return false
 	}
 	return true
 }
 
-func (b *budget) give(n int) { b.left.Add(int64(n)) }
+func (b *byteBudget) release(n int) { b.available.Add(int64(n)) }
 
-// buffer gathers what is read from one connection. The first readSize bytes are its own, what it
+// readBuffer gathers what is read from one connection. The first readBufferSize bytes are its own, what it
 // grows beyond them comes from the budget.
-type buffer struct {
-	b      []byte
-	budget *budget
-	taken  int
+type readBuffer struct {
+	data     []byte
+	budget   *byteBudget
+	reserved int
 }
 
-// room returns the space to read into, nil if there is none left for it.
-func (f *buffer) room() []byte {
-	if cap(f.b)-len(f.b) < readSize/2 {
-		size := max(readSize, 2*len(f.b)+readSize/2)
-		if more := size - readSize - f.taken; more > 0 {
-			if !f.budget.take(more) {
+// space returns the space to read into, nil if there is none left for it.
+func (f *readBuffer) space() []byte {
+	if cap(f.data)-len(f.data) < readBufferSize/2 {
+		size := max(readBufferSize, 2*len(f.data)+readBufferSize/2)
+		if more := size - readBufferSize - f.reserved; more > 0 {
+			if !f.budget.reserve(more) {
 				return nil
 			}
-			f.taken += more
+			f.reserved += more
 		}
-		f.b = append(make([]byte, 0, size), f.b...)
+		f.data = append(make([]byte, 0, size), f.data...)
 	}
-	return f.b[len(f.b):cap(f.b)]
+	return f.data[len(f.data):cap(f.data)]
 }
 
-func (f *buffer) grew(n int) { f.b = f.b[:len(f.b)+n] }
+func (f *readBuffer) advance(n int) { f.data = f.data[:len(f.data)+n] }
 
-// drop forgets the first n bytes, and lets go of a buffer that one large value blew up.
-func (f *buffer) drop(n int) {
-	rest := f.b[n:]
-	if len(rest) == 0 && cap(f.b) > readSize {
-		f.free()
+// discard forgets the first n bytes, and lets go of a buffer that one large value blew up.
+func (f *readBuffer) discard(n int) {
+	rest := f.data[n:]
+	if len(rest) == 0 && cap(f.data) > readBufferSize {
+		f.release()
 		return
 	}
-	f.b = f.b[:copy(f.b, rest)]
+	f.data = f.data[:copy(f.data, rest)]
 }
 
-// free lets go of all.
-func (f *buffer) free() {
-	f.budget.give(f.taken)
-	f.b, f.taken = nil, 0
+// release lets go of all.
+func (f *readBuffer) release() {
+	f.budget.release(f.reserved)
+	f.data, f.reserved = nil, 0
 }
--- a/internal/ingress/retune_test.go
+++ b/internal/ingress/retune_test.go
@@ -15,7 +15,7 @@
 	"packages":[{"name":"basic","unitsPerS":5,"peakUnits":9,"pays":1}]}}`
 
 // Guards a running ingress against files that are broken: of each nothing is taken.
-func TestOnlyWholeConfigurationsAreTaken(t *testing.T) {
+func TestReload_RejectsIncompleteConfigurations(t *testing.T) {
 	first, err := parseConfig([]byte(goodSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 		}
 		next, err := parseConfig([]byte(text))
 		if err == nil {
-			err = next.Usable(first)
+			err = next.CheckReload(first)
 		}
 		if (err != nil) != (c.want != "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
@@ -61,14 +61,14 @@
 
 // Guards the readers: a class that has come is read, one that has gone is not, and a change that the module refuses
 // leaves everything as it was.
-func TestNewClassesAreRead(t *testing.T) {
+func TestReload_NewClasses(t *testing.T) {
 	cfg := testConfig("127.0.0.1:1")
-	r := start(t, cfg, nil)
+	r := startIngress(t, cfg, nil)
 	ask := func(class string) string {
 		w := r.client()
 		w.send("CALL.GET", customer, "id-"+class, "c="+class+",t=basic,d=600000,units=2,spread=2,first=1")
 		select {
-		case q := <-r.mod.requests:
+		case q := <-r.decider.requests:
 			return q.Class
 		case line := <-func() chan string {
 			c := make(chan string, 1)
@@ -79,16 +79,16 @@
 		}
 	}
 	next := cfg
-	next.Settings.Classes = []policy.Class{{Name: "peek", AimS: 1, DeadlineS: 2, Effect: policy.Safe}, cfg.Settings.Classes[2]}
+	next.Settings.Classes = []policy.Class{{Name: "peek", LatencyObjectiveS: 1, DeadlineS: 2, Idempotency: policy.Idempotent}, cfg.Settings.Classes[2]}
 	next.Settings.MaxAttempts = 1000
-	if err := r.tune(next); err == nil {
+	if err := r.reconfigure(next); err == nil {
 		t.Fatal("a refusal of the module is not told")
 	}
 	if got := ask("peek"); !strings.HasPrefix(got, "-ERR") {
 		t.Errorf("taken though refused: %q", got)
 	}
 	next.Settings.MaxAttempts = 1
-	if err := r.tune(next); err != nil {
+	if err := r.reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	if got := ask("peek"); got != "peek" {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (r *rig) tune(cfg Config) (err error) {
-	r.do(func() { err = r.in.retune(cfg) })
+func (r *testIngress) reconfigure(cfg Config) (err error) {
+	r.onLoop(func() { err = r.ingress.applySettings(cfg) })
 	return err
 }
--- a/internal/ingress/status.go
+++ b/internal/ingress/status.go
@@ -14,23 +14,23 @@
 	"eiderspread/internal/trace"
 )
 
-// Operator is the operator's file of an ingress, deploy/ingress.toml: what the platform's configuration does not know. All
+// OperatorConfig is the operator's file of an ingress, deploy/ingress.toml: what the platform's configuration does not know. All
 // of it is off unless asked for.
-type Operator struct {
+type OperatorConfig struct {
 	Status   string          // where the status is served, on loopback; empty: nowhere
 	Trace    string          // folder for traces of decisions; empty: none are written
 	TraceMB  int             `toml:"trace_mb"` // bounds each file; 0: trace.DefaultMostMB
 	Overload overload.Config // how the fleet sheds as one
 }
 
-// ReadOperator reads and checks the operator's file.
-func ReadOperator(path string) (Operator, error) {
-	var o Operator
+// ReadOperatorConfig reads and checks the operator's file.
+func ReadOperatorConfig(path string) (OperatorConfig, error) {
+	var o OperatorConfig
 	if err := operator.Decode(path, &o); err != nil {
 		return o, err
 	}
 	if o.Status != "" {
-		if err := operator.Loopback("status", o.Status); err != nil {
+		if err := operator.CheckLoopback("status", o.Status); err != nil {
 			return o, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -45,42 +45,42 @@
 
 // Status is what an ingress tells people.
 type Status struct {
-	Kind     string           `json:"kind"`
-	Name     string           `json:"name"`
-	List     roster.Age       `json:"list"`     // how old the list of backends is
-	Old      bool             `json:"old"`      // too old to be trusted
-	Backends int              `json:"backends"` // that are known
-	Clients  int              `json:"clients"`  // connections
-	Requests int              `json:"requests"` // open
-	Leaving  bool             `json:"leaving"`
-	Draining bool             `json:"draining"`           // operators have sent its clients away
-	Counts   CounterStatus    `json:"counts"`             // of what it did, and why
-	Guard    GuardStatus      `json:"guard"`              // of rules, see policy/guard.go
-	Overload *overload.Status `json:"overload,omitempty"` // nil: off
+	Kind              string           `json:"kind"`
+	Name              string           `json:"name"`
+	EndpointList      roster.Age       `json:"list"`     // how old the list of backends is
+	EndpointListStale bool             `json:"old"`      // too old to be trusted
+	Backends          int              `json:"backends"` // that are known
+	Clients           int              `json:"clients"`  // connections
+	Requests          int              `json:"requests"` // open
+	ClosingClients    bool             `json:"leaving"`
+	Draining          bool             `json:"draining"`           // operators have sent its clients away
+	Counters          CounterStatus    `json:"counts"`             // of what it did, and why
+	Guard             GuardStatus      `json:"guard"`              // of rules, see policy/guard.go
+	Overload          *overload.Status `json:"overload,omitempty"` // nil: off
 }
 
 // serveStatus serves the status until ctx ends.
 func (in *Ingress) serveStatus(ctx context.Context) error {
-	l, err := net.Listen("tcp", in.cfg.Operator.Status)
+	l, err := net.Listen("tcp", in.cfg.OperatorConfig.Status)
 	if err != nil {
 		return fmt.Errorf("status: %w", err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(in.status), ReadHeaderTimeout: time.Second}
+	srv := &http.Server{Handler: http.HandlerFunc(in.handleStatus), ReadHeaderTimeout: time.Second}
 	go srv.Serve(l)
 	context.AfterFunc(ctx, func() { srv.Close() })
 	return nil
 }
 
-func (in *Ingress) status(w http.ResponseWriter, r *http.Request) {
+func (in *Ingress) handleStatus(w http.ResponseWriter, r *http.Request) {
 	got := make(chan Status, 1)
 	in.Post(func(float64) {
-		age := in.ListAge()
+		age := in.EndpointListAge()
 		var load *overload.Status
-		if g, ok := in.gate.(interface{ Overload() *overload.State }); ok {
+		if g, ok := in.decider.(interface{ Overload() *overload.Shedder }); ok {
 			load = g.Overload().Status(in.now)
 		}
-		got <- Status{Overload: load, Kind: "ingress", Name: in.cfg.Name, List: age, Old: age.Old(), Backends: len(in.backends.byID), Clients: in.clients.open(),
-			Requests: len(in.requests), Leaving: in.leaving, Draining: in.drain.On(), Counts: in.counts.status(), Guard: in.guards.status()}
+		got <- Status{Overload: load, Kind: "ingress", Name: in.cfg.Name, EndpointList: age, EndpointListStale: age.Old(), Backends: len(in.backends.byID), Clients: in.clients.open(),
+			Requests: len(in.requests), ClosingClients: in.closingClients, Draining: in.drain.Active(), Counters: in.counters.status(), Guard: in.guardCounts.status()}
 	})
 	select {
 	case st := <-got:
--- a/internal/ingress/status_test.go
+++ b/internal/ingress/status_test.go
@@ -14,8 +14,8 @@
 )
 
 // Guards the operator's file of an ingress: one clear line for each fault; the example is good.
-func TestOperatorsFile(t *testing.T) {
-	if o, err := ReadOperator("../../deploy/ingress.toml"); err != nil || o.Status == "" {
+func TestReadOperatorConfig(t *testing.T) {
+	if o, err := ReadOperatorConfig("../../deploy/ingress.toml"); err != nil || o.Status == "" {
 		t.Errorf("the example: %+v, %v", o, err)
 	}
 	for want, text := range map[string]string{
@@ -32,7 +32,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := ReadOperator(path)
+		_, err := ReadOperatorConfig(path)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%q: got %v, want %q", text, err, want)
 		}
@@ -40,26 +40,26 @@
 }
 
 // Guards what an ingress says of the age of its list, in its status and once each way in its log.
-func TestStatusAndOldList(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1", "127.0.0.1:2"), nil)
+func TestStatus_StaleEndpointList(t *testing.T) {
+	r := startIngress(t, testConfig("127.0.0.1:1", "127.0.0.1:2"), nil)
 	ask := func() (st Status) {
 		w := httptest.NewRecorder()
-		r.in.status(w, httptest.NewRequest("GET", "/", nil))
+		r.ingress.handleStatus(w, httptest.NewRequest("GET", "/", nil))
 		if err := json.Unmarshal(w.Body.Bytes(), &st); err != nil {
 			t.Fatalf("%q: %v", w.Body, err)
 		}
 		return st
 	}
-	if st := ask(); st.Kind != "ingress" || st.Name != "n0" || st.Backends != 2 || st.Old || st.List.HeardS > patience.Seconds() {
+	if st := ask(); st.Kind != "ingress" || st.Name != "n0" || st.Backends != 2 || st.EndpointListStale || st.EndpointList.HeardS > testTimeout.Seconds() {
 		t.Errorf("%+v", st)
 	}
 	var log bytes.Buffer
-	r.do(func() {
-		r.in.log = slog.New(slog.NewTextHandler(&log, nil))
+	r.onLoop(func() {
+		r.ingress.log = slog.New(slog.NewTextHandler(&log, nil))
 		for _, old := range []bool{true, true, false, false, true} {
-			r.in.sayAge(roster.Age{HeardS: map[bool]float64{true: 11, false: 1}[old]})
+			r.ingress.logListAge(roster.Age{HeardS: map[bool]float64{true: 11, false: 1}[old]})
 		}
-		r.in.log = slog.New(slog.DiscardHandler)
+		r.ingress.log = slog.New(slog.DiscardHandler)
 	})
 	if n, m := strings.Count(log.String(), "is old"), strings.Count(log.String(), "is fresh again"); n != 2 || m != 1 {
 		t.Errorf("said %d times to be old and %d times to be fresh:\n%s", n, m, log.String())
--- a/internal/ingress/telemetry.go
+++ b/internal/ingress/telemetry.go
@@ -33,69 +33,69 @@
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
-// refuseReason says why the ingress refused a request before the decision module had it.
-type refuseReason uint8
+// rejectReason says why the ingress refused a request before the decision module had it.
+type rejectReason uint8
 
 const (
-	refuseNoCapacity   refuseReason = iota // too many client connections
-	refuseNoMemory                         // too much input waits
-	refuseOpenLimit                        // as many requests are open as the settings allow
-	refuseOpenID                           // a request of this id is open
-	refuseDraining                         // the ingress is being drained and this connection has to end
-	refuseReasonsCount int          = iota
+	rejectNoCapacity   rejectReason = iota // too many client connections
+	rejectNoMemory                         // too much input waits
+	rejectOpenLimit                        // as many requests are open as the settings allow
+	rejectOpenID                           // a request of this id is open
+	rejectDraining                         // the ingress is being drained and this connection has to end
+	rejectReasonsCount int          = iota
 )
 
-var refuseReasonNames = [refuseReasonsCount]string{"no_capacity", "no_memory", "open_limit", "open_id", "draining"}
+var rejectReasonNames = [rejectReasonsCount]string{"no_capacity", "no_memory", "open_limit", "open_id", "draining"}
 
-func (r refuseReason) String() string { return refuseReasonNames[r] }
+func (r rejectReason) String() string { return rejectReasonNames[r] }
 
 // unsentReason says why an attempt that the module asked for was not written to a backend.
 type unsentReason uint8
 
 const (
-	unsentAttemptLimit unsentReason = iota // as many attempts were made as are allowed
-	unsentBackendState                     // the backend drains, is gone or has moved
-	unsentRequestOver                      // the request has its final answer
-	unsentTooLate                          // its time is over
-	unsentClientGone                       // its client has left
-	unsentNoConnection                     // no connection to the backend may be made
-	unsentReasonsCount int          = iota
+	unsentAttemptLimit       unsentReason = iota // as many attempts were made as are allowed
+	unsentBackendState                           // the backend drains, is gone or has moved
+	unsentRequestCompleted                       // the request has its final answer
+	unsentTooLate                                // its time is over
+	unsentClientDisconnected                     // its client has left
+	unsentNoConnection                           // no connection to the backend may be made
+	unsentReasonsCount       int          = iota
 )
 
 var unsentReasonNames = [unsentReasonsCount]string{"attempt_limit", "backend_state", "request_over", "too_late", "client_gone", "no_connection"}
 
 func (r unsentReason) String() string { return unsentReasonNames[r] }
 
-// counters are what an ingress counts of its own acts. Loop only.
-type counters struct {
-	accepted int
-	taken    int // requests
-	attempts int // that were asked for
-	retries  int // of these: further ones of a request
-	cut      int // requests that were ended at the end of a drain, for others that waited behind them
-	closed   [closeReasonsCount]int
-	refused  [refuseReasonsCount]int
-	unsent   [unsentReasonsCount]int
+// ingressCounters are what an ingress counts of its own acts. Loop only.
+type ingressCounters struct {
+	accepted   int
+	requests   int // requests
+	attempts   int // that were asked for
+	retries    int // of these: further ones of a request
+	cutByDrain int // requests that were ended at the end of a drain, for others that waited behind them
+	closed     [closeReasonsCount]int
+	rejected   [rejectReasonsCount]int
+	unsent     [unsentReasonsCount]int
 }
 
 // CounterStatus is counters for people: each reason by its name, those that never occurred left out.
 type CounterStatus struct {
-	Accepted int            `json:"accepted"`          // connections of clients
-	Taken    int            `json:"taken"`             // requests
-	Attempts int            `json:"attempts"`          // that the decision module asked for
-	Retries  int            `json:"retries"`           // of these: further ones of a request
-	Cut      int            `json:"cut,omitempty"`     // requests that were ended at the end of a drain, for others that waited behind them
-	Closed   map[string]int `json:"closed,omitempty"`  // connections of clients, by reason
-	Refused  map[string]int `json:"refused,omitempty"` // requests that the decision module never had, by reason
-	Unsent   map[string]int `json:"unsent,omitempty"`  // attempts that were not written, by reason
+	Accepted   int            `json:"accepted"`          // connections of clients
+	Requests   int            `json:"taken"`             // requests
+	Attempts   int            `json:"attempts"`          // that the decision module asked for
+	Retries    int            `json:"retries"`           // of these: further ones of a request
+	CutByDrain int            `json:"cut,omitempty"`     // requests that were ended at the end of a drain, for others that waited behind them
+	Closed     map[string]int `json:"closed,omitempty"`  // connections of clients, by reason
+	Rejected   map[string]int `json:"refused,omitempty"` // requests that the decision module never had, by reason
+	Unsent     map[string]int `json:"unsent,omitempty"`  // attempts that were not written, by reason
 }
 
-func (n *counters) status() CounterStatus {
-	return CounterStatus{n.accepted, n.taken, n.attempts, n.retries, n.cut, byName(n.closed[:], closeReasonNames[:]),
-		byName(n.refused[:], refuseReasonNames[:]), byName(n.unsent[:], unsentReasonNames[:])}
+func (n *ingressCounters) status() CounterStatus {
+	return CounterStatus{n.accepted, n.requests, n.attempts, n.retries, n.cutByDrain, countsByName(n.closed[:], closeReasonNames[:]),
+		countsByName(n.rejected[:], rejectReasonNames[:]), countsByName(n.unsent[:], unsentReasonNames[:])}
 }
 
-func byName(counts []int, names []string) map[string]int {
+func countsByName(counts []int, names []string) map[string]int {
 	named := map[string]int{}
 	for i, count := range counts {
 		if count > 0 {
@@ -105,42 +105,42 @@
 	return named
 }
 
-// connectionIDs numbers the connections of clients within this process.
-var connectionIDs atomic.Uint64
+// lastClientConnID numbers the connections of clients within this process.
+var lastClientConnID atomic.Uint64
 
-// drainLogLines bounds the lines of one drain or shutdown on single connections.
-const drainLogLines = 60
+// maxDrainLogLines bounds the lines of one drain or shutdown on single connections.
+const maxDrainLogLines = 60
 
 // draining tells that clients are being sent away, by operators or as the process ends.
-func (in *Ingress) draining() bool { return in.drain.On() || in.leaving }
+func (in *Ingress) draining() bool { return in.drain.Active() || in.closingClients }
 
-// logConnection writes a line on one connection while the ingress drains, at most drainLogLines a drain.
-func (in *Ingress) logConnection(event string, c *client, more ...any) {
-	if !in.draining() || in.drainLines >= drainLogLines {
+// logClientConn writes a line on one connection while the ingress drains, at most maxDrainLogLines a drain.
+func (in *Ingress) logClientConn(event string, c *clientConn, more ...any) {
+	if !in.draining() || in.drainLogLines >= maxDrainLogLines {
 		return
 	}
-	in.drainLines++
-	fields := []any{"conn", c.id, "age", seconds(in.now - c.acceptedAt), "requests", c.requestCount, "open", len(c.slots)}
-	if c.askedAt > 0 {
-		fields = append(fields, "last_asked_ago", seconds(in.now-c.askedAt))
+	in.drainLogLines++
+	fields := []any{"conn", c.connID, "age", roundToMillis(in.now - c.acceptedAt), "requests", c.requestCount, "open", len(c.answerSlots)}
+	if c.lastCallAt > 0 {
+		fields = append(fields, "last_asked_ago", roundToMillis(in.now-c.lastCallAt))
 	}
 	in.log.Info(event, append(fields, more...)...)
 }
 
-// logRemaining writes a line on each connection that is still open at the end of the time for a drain, and why it is.
-func (in *Ingress) logRemaining() {
-	in.log.Warn("drain time is over", "connections", in.clients.open(), "requests", len(in.requests), "looks", in.drain.looks,
-		"longest_gap", seconds(in.drain.longestGap), "pings", in.drain.pings, "pings_behind_answers", in.drain.pingsBehind)
-	for c := range in.clients.all {
-		in.logConnection("connection outlived the drain", c, "reader_stopped", c.halted, "parked", c.parked, "ending", c.ending,
+// logOpenConns writes a line on each connection that is still open at the end of the time for a drain, and why it is.
+func (in *Ingress) logOpenConns() {
+	in.log.Warn("drain time is over", "connections", in.clients.open(), "requests", len(in.requests), "looks", in.drain.sweeps,
+		"longest_gap", roundToMillis(in.drain.longestSweepGap), "pings", in.drain.rejectedPings, "pings_behind_answers", in.drain.rejectedPingsQueued)
+	for c := range in.clients.conns {
+		in.logClientConn("connection outlived the drain", c, "reader_stopped", c.readerStopRequested, "parked", c.readerStopped, "ending", c.closing,
 			"writing", c.writing, "unread_bytes", unreadBytes(c))
 	}
 }
 
 // unreadBytes is how much the kernel holds of what the client sent; -1 if it can't be told.
-func unreadBytes(c *client) int {
+func unreadBytes(c *clientConn) int {
 	unread := -1
-	c.raw.Control(func(fd uintptr) {
+	c.rawConn.Control(func(fd uintptr) {
 		if n, err := unix.IoctlGetInt(int(fd), unix.SIOCINQ); err == nil {
 			unread = n
 		}
@@ -148,5 +148,5 @@
 	return unread
 }
 
-// seconds rounds a span to milliseconds, for the log.
-func seconds(span float64) float64 { return float64(int(span*1000+0.5)) / 1000 }
+// roundToMillis rounds a span to milliseconds, for the log.
+func roundToMillis(span float64) float64 { return float64(int(span*1000+0.5)) / 1000 }
--- a/internal/ingress/telemetry_test.go
+++ b/internal/ingress/telemetry_test.go
@@ -11,29 +11,29 @@
 )
 
 // Guards what operators are told of a drain: each connection's end with its reason, and what outlives the time allowed.
-func TestDrainIsLoggedAndCounted(t *testing.T) {
-	addr, conns := listen(t)
-	r := start(t, withDoor(t, addr), sendTo(0))
+func TestDrain_LoggedAndCounted(t *testing.T) {
+	addr, conns := listenBackend(t)
+	r := startIngress(t, adminConfig(t, addr), sendTo(0))
 	var log bytes.Buffer
-	r.do(func() { r.in.log = slog.New(slog.NewTextHandler(&log, nil)) })
+	r.onLoop(func() { r.ingress.log = slog.New(slog.NewTextHandler(&log, nil)) })
 	slow, quick := r.client(), r.client()
-	slow.send(look("slow")...)
-	slowBackend := get(t, conns)
+	slow.send(lookCommand("slow")...)
+	slowBackend := receive(t, conns)
 	slowBackend.command()
-	quick.send(look("quick")...)
-	backend := get(t, conns)
+	quick.send(lookCommand("quick")...)
+	backend := receive(t, conns)
 	backend.command()
 	io.WriteString(backend, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	quick.line()
 	quick.line()
-	get(t, r.mod.outcomes)
+	receive(t, r.decider.outcomes)
 	if got := r.call("POST", "/v1/ingress/drain"); got != 200 {
 		t.Fatal(got)
 	}
 	r.drainSince(1.75)
-	r.until("the idle connection is closed", func() bool { return r.in.counts.closed[closeDrained] == 1 })
-	r.do(r.in.logRemaining)
-	r.do(func() { r.in.log = slog.New(slog.DiscardHandler) })
+	r.waitFor("the idle connection is closed", func() bool { return r.ingress.counters.closed[closeDrained] == 1 })
+	r.onLoop(r.ingress.logOpenConns)
+	r.onLoop(func() { r.ingress.log = slog.New(slog.DiscardHandler) })
 	for _, want := range []string{
 		`msg="connection closed"`, "reason=drained", `msg="drain time is over" connections=1 requests=1`,
 		`msg="connection outlived the drain"`, "open=1", "reader_stopped=false", "unread_bytes=0",
@@ -43,25 +43,25 @@
 		}
 	}
 	var counts CounterStatus
-	r.do(func() { counts = r.in.counts.status() })
-	if counts.Accepted != 2 || counts.Taken != 2 || counts.Attempts != 2 || counts.Retries != 0 || counts.Closed["drained"] != 1 {
+	r.onLoop(func() { counts = r.ingress.counters.status() })
+	if counts.Accepted != 2 || counts.Requests != 2 || counts.Attempts != 2 || counts.Retries != 0 || counts.Closed["drained"] != 1 {
 		t.Errorf("%+v", counts)
 	}
 }
 
 // Guards the counts of what was not sent and not taken, and why.
-func TestRefusalsAreCounted(t *testing.T) {
-	r := start(t, testConfig("127.0.0.1:1"), func(r *rig) {
-		r.mod.onRequest = func(q policy.Request) { r.in.Send(q.ID, "nobody", 0) }
+func TestCounters_Rejections(t *testing.T) {
+	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
+		r.decider.onRequest = func(q policy.Request) { r.ingress.Send(q.ID, "nobody", 0) }
 	})
-	r.client().send(look("a")...)
-	get(t, r.mod.outcomes)
+	r.client().send(lookCommand("a")...)
+	receive(t, r.decider.outcomes)
 	second := r.client()
-	second.send(look("a")...)
+	second.send(lookCommand("a")...)
 	second.line()
 	var counts CounterStatus
-	r.do(func() { counts = r.in.counts.status() })
-	if counts.Unsent["backend_state"] != 1 || counts.Refused["open_id"] != 1 {
+	r.onLoop(func() { counts = r.ingress.counters.status() })
+	if counts.Unsent["backend_state"] != 1 || counts.Rejected["open_id"] != 1 {
 		t.Errorf("%+v", counts)
 	}
 }
--- a/internal/ingress/tracing.go
+++ b/internal/ingress/tracing.go
@@ -10,14 +10,14 @@
 
 // startTracing has the module's decisions written until ctx ends, if the operator's file asks for it; else it returns nil.
 func startTracing(ctx context.Context, cfg Config, now float64, gate *policy.Gateway, log *slog.Logger) (*trace.Recorder, error) {
-	if cfg.Operator.Trace == "" {
+	if cfg.OperatorConfig.Trace == "" {
 		return nil, nil
 	}
 	s := cfg.Settings.Settings
-	to, err := trace.Start(ctx, cfg.Operator.Trace, cfg.Operator.TraceMB, trace.Header{Name: cfg.Name, Me: s.Me, Gateways: s.Gateways, Started: now,
+	to, err := trace.Start(ctx, cfg.OperatorConfig.Trace, cfg.OperatorConfig.TraceMB, trace.Header{Name: cfg.Name, Me: s.Self, Gateways: s.Gateways, Started: now,
 		Plans: s.Plans, Classes: s.Classes}, log)
 	if err == nil {
-		gate.Trace(to.Put)
+		gate.SetTracer(to.Put)
 	}
 	return to, err
 }
--- a/internal/kept/moved.go
+++ b/internal/kept/moved.go
@@ -80,7 +80,7 @@
 		now.Tales = append(now.Tales, t)
 	}
 	for _, o := range m.Open {
-		cut(2*entry + len(o.ID) + len(o.Class) + len(o.Plan) + len(o.Customer) + 32*len(o.Sent))
+		cut(2*entry + len(o.ID) + len(o.Class) + len(o.Plan) + len(o.Account) + 32*len(o.Sent))
 		now.Open = append(now.Open, o)
 	}
 	return append(parts, Part{Moved: &now})
@@ -119,7 +119,7 @@
 
 // Shift moves a request's times.
 func (o *Open) Shift(by float64) {
-	o.DeadlineS += by
+	o.DeadlineAt += by
 	o.Came += by
 	o.RanAt += by
 	for i := range o.Sent {
--- a/internal/lab/audit/audit.go
+++ b/internal/lab/audit/audit.go
@@ -185,7 +185,7 @@
 	}
 	for _, p := range rules.Plans {
 		if rules.Drift > 0 {
-			p.Rate, p.CeilingRate = p.Rate*rules.Drift, p.CeilingRate*rules.Drift
+			p.Rate, p.HardLimitRate = p.Rate*rules.Drift, p.HardLimitRate*rules.Drift
 		}
 		plans[p.Name] = p
 	}
@@ -271,7 +271,7 @@
 		if t.Result == Served && !slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.Answered > 0 }) {
 			rep.breach(Answer, t.Answered, "%s was served though no node has", t.ID)
 		}
-		if len(attempts) == 0 || classes[t.Class].Effect != policy.Unsafe || t.Result == Served || t.Result == Left {
+		if len(attempts) == 0 || classes[t.Class].Idempotency != policy.NonIdempotent || t.Result == Served || t.Result == Left {
 			continue
 		}
 		if mayHave := slices.IndexFunc(attempts, (*Attempt).MayHaveRun); mayHave >= 0 {
@@ -334,7 +334,7 @@
 				effects++
 			}
 		}
-		if a.MayHaveRun() && a.How != "served" && c.Effect != policy.Safe && (t == nil || t.Left == 0) {
+		if a.MayHaveRun() && a.How != "served" && c.Idempotency != policy.Idempotent && (t == nil || t.Left == 0) {
 			rep.saw(Twice, c.Name+" that may have run, unserved")
 		}
 		if i == 0 {
@@ -346,7 +346,7 @@
 		if end := h.end(before); (end == 0 || end > a.At+seconds(rules.OverlapS)) && !h.givenUpBefore(a, before.At) {
 			rep.breach(Out, a.At, "%s came to %s while out at %s (%s, from %.3f to %.3f s)", a.ID, a.Node, before.Node, before.How, before.At.Seconds(), h.end(before).Seconds())
 		}
-		if c.Effect == policy.Unsafe && before.MayHaveRun() {
+		if c.Idempotency == policy.NonIdempotent && before.MayHaveRun() {
 			rep.breach(Twice, a.At, "%s came to %s though it may have run: %s at %s", a.ID, a.Node, before.How, before.Node)
 		}
 		if t != nil && t.Answered > 0 && t.Result != Left && a.At > t.Answered+seconds(rules.OverlapS) {
@@ -361,10 +361,10 @@
 			rep.breach(Limit, list[rules.Attempts].At, "%s came to nodes %d times, %d are allowed", list[0].ID, len(list), rules.Attempts)
 		}
 	}
-	if c.Effect == policy.Unsafe && began > 1 {
+	if c.Idempotency == policy.NonIdempotent && began > 1 {
 		rep.breach(Twice, list[0].At, "%s ran %d times", list[0].ID, began)
 	}
-	if c.Effect == policy.Keyed && effects > 1 {
+	if c.Idempotency == policy.KeyedIdempotent && effects > 1 {
 		rep.breach(Twice, list[0].At, "%s had %d effects", list[0].ID, effects)
 	}
 }
@@ -428,7 +428,7 @@
 	edges := map[string][]edge{}
 	plan := map[string]policy.Plan{}
 	for _, a := range h.Attempts {
-		if p := plans[a.Plan]; p.Parallel > 0 {
+		if p := plans[a.Plan]; p.MaxConcurrency > 0 {
 			end := h.end(a)
 			if end == 0 {
 				end = h.Now()
@@ -440,7 +440,7 @@
 	one := len(rules.Homes) > 0 // of one level: by the error budget
 	asks, around := map[string][]pass{}, ring.Ring{}
 	if one {
-		around = ring.New(rules.Gateways, ring.Points(rules.Gateways))
+		around = ring.New(rules.Gateways, ring.PointsPerGateway(rules.Gateways))
 		for _, t := range h.Tries {
 			asks[t.Account] = append(asks[t.Account], pass{t.Sent.Seconds(), 1})
 		}
@@ -450,10 +450,10 @@
 			return list[i].at < list[j].at || list[i].at == list[j].at && list[i].by < list[j].by
 		})
 		out, most, at, broken := 0, 0, time.Duration(0), false
-		cap, before := plan[account].Parallel, time.Duration(0)
-		a, troubles := budget.Account{}, []budget.Trouble(nil)
+		cap, before := plan[account].MaxConcurrency, time.Duration(0)
+		a, troubles := budget.Account{}, []budget.Fault(nil)
 		if one {
-			a = budget.Account{Gateways: rules.Homes[account].Entries, Parallel: cap, Asks: most1(asks[account])}
+			a = budget.Account{Gateways: rules.Homes[account].Entries, MaxConcurrent: cap, RequestRate: most1(asks[account])}
 			troubles = troublesOf(h, rules, around, account)
 		}
 		for _, e := range list {
@@ -464,7 +464,7 @@
 				most, at = out, e.at
 			}
 			if one && out > cap && e.by > 0 {
-				allowed, met := budget.PlacesWithin(a, troubles, e.at.Seconds())
+				allowed, met := budget.SlotExcessWithin(a, troubles, e.at.Seconds())
 				rep.near("budget of places", float64(out-cap)/max(allowed, 1))
 				if float64(out-cap) > max(allowed, 1) && !broken {
 					broken = true
@@ -490,7 +490,7 @@
 		p := plans[t.Plan]
 		s := accounts[t.Account]
 		if s == nil {
-			s = &stores{newBucket(p.Rate, p.Burst), newBucket(p.CeilingRate, p.CeilingBurst)}
+			s = &stores{newBucket(p.Rate, p.Burst), newBucket(p.HardLimitRate, p.HardLimitBurst)}
 			accounts[t.Account] = s
 		}
 		for _, x := range []struct {
@@ -616,7 +616,7 @@
 		x := accounts[a.Account]
 		if x == nil {
 			p := plans[a.Plan]
-			x = &account{plan: p, quota: newBucket(p.Rate, p.Burst), ceiling: newBucket(p.CeilingRate, p.CeilingBurst),
+			x = &account{plan: p, quota: newBucket(p.Rate, p.Burst), ceiling: newBucket(p.HardLimitRate, p.HardLimitBurst),
 				store: newBucket(p.Rate, p.Burst)}
 			accounts[a.Account] = x
 		}
@@ -636,11 +636,11 @@
 			inside[a.ID+"/"+a.Account] = true
 			x.store.room -= a.Units
 		}
-		if x.plan.CeilingRate > 0 {
+		if x.plan.HardLimitRate > 0 {
 			x.ceiling.to(a.At)
 			x.ceiling.room -= a.Units
-			slack := max(x.plan.CeilingSlack, 0.1*x.plan.CeilingBurst, rules.SlackUnit) + rules.CeilingS*x.plan.CeilingRate
-			rep.near("ceiling and slack", (x.plan.CeilingBurst-x.ceiling.room)/(x.plan.CeilingBurst+slack))
+			slack := max(x.plan.HardLimitSlack, 0.1*x.plan.HardLimitBurst, rules.SlackUnit) + rules.CeilingS*x.plan.HardLimitRate
+			rep.near("ceiling and slack", (x.plan.HardLimitBurst-x.ceiling.room)/(x.plan.HardLimitBurst+slack))
 			if x.ceiling.room < -slack && !x.broken {
 				x.broken = true
 				rep.breach(Ceilings, a.At, "%s is %.1f units over its ceiling, slack %.1f", a.Account, -x.ceiling.room, slack)
@@ -674,7 +674,7 @@
 		}
 	}
 	for _, t := range h.Tries {
-		if t.Result == Served && inside[t.key()] && t.Answered <= sent[t.First]+seconds(classes[t.Class].AimS) {
+		if t.Result == Served && inside[t.key()] && t.Answered <= sent[t.First]+seconds(classes[t.Class].LatencyObjectiveS) {
 			inTime[t.First] = true
 		}
 	}
@@ -699,7 +699,7 @@
 			buckets[t.Account] = b
 		}
 		b.to(t.Sent)
-		worth := classes[t.Class].Worth * p.Price * t.Units
+		worth := classes[t.Class].PriorityWeight * p.Weight * t.Units
 		if byAccount[t.Account] == nil {
 			byAccount[t.Account], planOf[t.Account] = &sum{}, t.Plan
 		}
--- a/internal/lab/audit/audit_test.go
+++ b/internal/lab/audit/audit_test.go
@@ -13,14 +13,14 @@
 
 var (
 	testClasses = []policy.Class{
-		{Name: "zone-check", AimS: 0.5, DeadlineS: 2, Worth: 1, Effect: policy.Safe},
-		{Name: "slot-hold", AimS: 1, DeadlineS: 4, Worth: 3, Effect: policy.Keyed, KeyTTLS: 4},
-		{Name: "courier-send", AimS: 1.5, DeadlineS: 4, Worth: 5, Effect: policy.Unsafe},
+		{Name: "zone-check", LatencyObjectiveS: 0.5, DeadlineS: 2, PriorityWeight: 1, Idempotency: policy.Idempotent},
+		{Name: "slot-hold", LatencyObjectiveS: 1, DeadlineS: 4, PriorityWeight: 3, Idempotency: policy.KeyedIdempotent, KeyTTLS: 4},
+		{Name: "courier-send", LatencyObjectiveS: 1.5, DeadlineS: 4, PriorityWeight: 5, Idempotency: policy.NonIdempotent},
 	}
 	testPlans = []policy.Plan{
-		{Name: "comptoir", Rate: 2, Burst: 9, Price: 0.8, ExcessCost: 1},
-		{Name: "resto", Rate: 9, Burst: 18, Price: 1.1, Parallel: 6},
-		{Name: "chaine", Rate: 38, Burst: 76, Price: 1.6, CeilingRate: 68, CeilingBurst: 137, CeilingSlack: 14},
+		{Name: "comptoir", Rate: 2, Burst: 9, Weight: 0.8, OverQuotaCostFraction: 1},
+		{Name: "resto", Rate: 9, Burst: 18, Weight: 1.1, MaxConcurrency: 6},
+		{Name: "chaine", Rate: 38, Burst: 76, Weight: 1.6, HardLimitRate: 68, HardLimitBurst: 137, HardLimitSlack: 14},
 	}
 )
 
--- a/internal/lab/audit/beyond.go
+++ b/internal/lab/audit/beyond.go
@@ -73,9 +73,9 @@
 		}
 		return all[name]
 	}
-	counts := func(p policy.Plan) bool { return p.Rate > 0 && p.Parallel == 0 }
+	counts := func(p policy.Plan) bool { return p.Rate > 0 && p.MaxConcurrency == 0 }
 	worth := func(class string, p policy.Plan, units float64) float64 {
-		return classes[class].Worth * p.Price * units
+		return classes[class].PriorityWeight * p.Weight * units
 	}
 	inside, sent := 0.0, map[string]bool{}
 	for _, a := range h.Attempts { // in the order of their coming
@@ -83,7 +83,7 @@
 		if key := a.ID + "/" + a.Account; counts(p) && !sent[key] {
 			sent[key] = true
 			if !of(a.Account, p).real.take(a.At, a.Units) {
-				rep.Beyond.Real += worth(a.Class, p, a.Units) * p.ExcessCost
+				rep.Beyond.Real += worth(a.Class, p, a.Units) * p.OverQuotaCostFraction
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 			inside += worth(t.Class, p, t.Units)
 		}
 		if x.seen.lets(t.Sent, t.Forwarder, t.Units) && !x.late.take(t.Sent, t.Units) {
-			rep.Beyond.Late += worth(t.Class, p, t.Units) * p.ExcessCost
+			rep.Beyond.Late += worth(t.Class, p, t.Units) * p.OverQuotaCostFraction
 		}
 	}
 	rep.Beyond.Real /= max(inside, 1e-9)
--- a/internal/lab/audit/counts_test.go
+++ b/internal/lab/audit/counts_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestCountsAreJudged(t *testing.T) {
-	plan := policy.Plan{Name: "p", Rate: 10, Burst: 20, Price: 1}
+	plan := policy.Plan{Name: "p", Rate: 10, Burst: 20, Weight: 1}
 	room := 20.0
 	exact := func(perS int) func(int, time.Duration) bool {
 		room = 20
@@ -68,7 +68,7 @@
 		{"a half refused for nodes' sake", "", func() *History {
 			h := counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 })
 			for _, x := range h.Tries {
-				x.Why = int(why.Limit)
+				x.Why = int(why.AdaptiveLimit)
 			}
 			return h
 		}},
--- a/internal/lab/audit/overload.go
+++ b/internal/lab/audit/overload.go
@@ -137,7 +137,7 @@
 		if t.Result != Served || f == nil {
 			continue
 		}
-		aim := seconds(classes[t.Class].AimS)
+		aim := seconds(classes[t.Class].LatencyObjectiveS)
 		inTime[t.First] = inTime[t.First] || t.Answered <= f.Sent+aim
 		if served++; t.Answered-t.Sent > aim/2 {
 			late++
@@ -177,8 +177,8 @@
 		asked[t.First] = true
 		at := t.Sent.Seconds()
 		end = max(end, at)
-		jobs = append(jobs, &job{from: at, to: at + classes[t.Class].AimS, work: meanOf[t.Class], account: t.Account,
-			worth: classes[t.Class].Worth * p.Price * t.Units, plan: slices.Index(names, t.Plan), class: t.Class, let: sentOn[t.First], inTime: inTime[t.First]})
+		jobs = append(jobs, &job{from: at, to: at + classes[t.Class].LatencyObjectiveS, work: meanOf[t.Class], account: t.Account,
+			worth: classes[t.Class].PriorityWeight * p.Weight * t.Units, plan: slices.Index(names, t.Plan), class: t.Class, let: sentOn[t.First], inTime: inTime[t.First]})
 	}
 	for _, t := range h.Tries {
 		if asked[t.First] {
--- a/internal/lab/audit/overload_test.go
+++ b/internal/lab/audit/overload_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-var loadClasses = []policy.Class{{Name: "cheap", AimS: 0.5, DeadlineS: 2, Worth: 1}, {Name: "dear", AimS: 1.5, DeadlineS: 4, Worth: 5}}
-var loadPlans = []policy.Plan{{Name: "large", Rate: 1000, Burst: 1000, Price: 2}, {Name: "small", Rate: 1000, Burst: 1000, Price: 1}}
+var loadClasses = []policy.Class{{Name: "cheap", LatencyObjectiveS: 0.5, DeadlineS: 2, PriorityWeight: 1}, {Name: "dear", LatencyObjectiveS: 1.5, DeadlineS: 4, PriorityWeight: 5}}
+var loadPlans = []policy.Plan{{Name: "large", Rate: 1000, Burst: 1000, Weight: 2}, {Name: "small", Rate: 1000, Burst: 1000, Weight: 1}}
 
 // asked puts tries on a history; those that are served are answered so much after they were sent.
 type askedFor struct {
@@ -59,7 +59,7 @@
 		for free := 0.0; ; { // one core, 0.1 s each
 			next := -1
 			for i := range list {
-				if done[i] || list[i].at > free || free+0.1 > list[i].at+loadClasses[list[i].class].AimS {
+				if done[i] || list[i].at > free || free+0.1 > list[i].at+loadClasses[list[i].class].LatencyObjectiveS {
 					continue
 				}
 				if next < 0 || byWorth && list[i].class > list[next].class {
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -263,7 +263,7 @@
 			first = id
 		}
 		r, hint := c.try(a, class, c.front.Pick(a), id, first, key, left)
-		if r == audit.Served || r == audit.Alien || r == audit.Left || (r == audit.Failed || r == audit.Broken) && class.Effect == policy.Unsafe {
+		if r == audit.Served || r == audit.Alien || r == audit.Left || (r == audit.Failed || r == audit.Broken) && class.Idempotency == policy.NonIdempotent {
 			return
 		}
 		if a.Once {
@@ -330,9 +330,9 @@
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d,spread=%d,first=%d", class.Name, a.Plan, left.Milliseconds(),
 		c.cfg.Units[class.Name], a.Spread, a.First)
 	args := []string{"CALL.GET", a.Name, id, fields}
-	if class.Effect != policy.Safe {
+	if class.Idempotency != policy.Idempotent {
 		args[0] = "CALL.POST"
-		if class.Effect == policy.Keyed {
+		if class.Idempotency == policy.KeyedIdempotent {
 			args[3] += ",k=" + key
 		}
 		args = append(args, "body of "+id)
@@ -378,7 +378,7 @@
 	c.sent(t, left)
 	hangUp := time.Duration(0)
 	if c.chance() < c.cfg.HangUps {
-		hangUp = seconds(c.chance() * class.AimS)
+		hangUp = seconds(c.chance() * class.LatencyObjectiveS)
 	}
 	for again := range 2 {
 		k, err := c.dial(f, again > 0)
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -129,17 +129,17 @@
 
 // settingsOf words classes and plans as the platform does.
 func settingsOf(cfg FleetConfig, me int, peers bool) map[string]any {
-	effects := map[policy.Effect]string{policy.Safe: "retryable", policy.Keyed: "dedup", policy.Unsafe: "fragile"}
-	scopes := map[policy.Scope]string{policy.ScopeAll: "all", policy.ScopeZone: "zone", policy.ScopeCell: "cell"}
+	effects := map[policy.Idempotency]string{policy.Idempotent: "retryable", policy.KeyedIdempotent: "dedup", policy.NonIdempotent: "fragile"}
+	scopes := map[policy.KeyScope]string{policy.ScopeAll: "all", policy.ScopeZone: "zone", policy.ScopeCell: "cell"}
 	var profiles, packages []map[string]any
 	for _, c := range cfg.Classes {
-		profiles = append(profiles, map[string]any{"name": c.Name, "aimS": c.AimS, "deadlineS": c.DeadlineS,
-			"effect": effects[c.Effect], "keyScope": scopes[c.KeyScope], "keyTtlS": c.KeyTTLS, "worth": c.Worth})
+		profiles = append(profiles, map[string]any{"name": c.Name, "aimS": c.LatencyObjectiveS, "deadlineS": c.DeadlineS,
+			"effect": effects[c.Idempotency], "keyScope": scopes[c.KeyScope], "keyTtlS": c.KeyTTLS, "worth": c.PriorityWeight})
 	}
 	for _, p := range cfg.Plans {
 		packages = append(packages, map[string]any{"name": p.Name, "unitsPerS": p.Rate, "peakUnits": p.Burst,
-			"parallel": p.Parallel, "pays": p.Price, "hardRate": p.CeilingRate, "capDepth": p.CeilingBurst,
-			"ceilingSlack": p.CeilingSlack, "excessCost": 1.0})
+			"parallel": p.MaxConcurrency, "pays": p.Weight, "hardRate": p.HardLimitRate, "capDepth": p.HardLimitBurst,
+			"ceilingSlack": p.HardLimitSlack, "excessCost": 1.0})
 	}
 	return map[string]any{"balancers": cfg.Forwarders, "me": me, "myZone": "a",
 		"familyInfo": map[string]any{"maxUnits": 6, "peerIntake": 40.0}, "feedback": map[string]any{"how": "answers"},
@@ -283,7 +283,7 @@
 	p := f.cfg.Params
 	return fmt.Sprintf("fleet = \"lab\"\nnumber = %d\nforwarders = %d\nplanners = %d\ncells = %d\nlease_ms = %g\nbeat_ms = %g\n"+
 		"silence_ms = %g\nwait_ms = %g\nfailsafe_ms = %g\nbase = %q\nstatus = %q\n", number, f.cfg.Forwarders, f.cfg.Planners,
-		p.Cells, p.LeaseS*1e3, p.BeatS*1e3, p.SilenceS*1e3, p.WaitS*1e3, p.FailsafeS*1e3, base, status)
+		p.Cells, p.LeaseS*1e3, p.HeartbeatS*1e3, p.LinkTimeoutS*1e3, p.LeaderWaitS*1e3, p.FailsafeDelayS*1e3, base, status)
 }
 
 func (f *Fleet) twoLevels() error {
@@ -526,7 +526,7 @@
 func QuotaSeconds(exact bool, classes []policy.Class) (s float64) {
 	for _, c := range classes {
 		if !exact {
-			s = max(s, c.AimS)
+			s = max(s, c.LatencyObjectiveS)
 		}
 	}
 	return s
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -59,7 +59,7 @@
 func testFleet(t *testing.T, forwarders int) FleetConfig {
 	return FleetConfig{Forwarders: forwarders, Planners: 3, Nodes: 4, Classes: LabClasses, Plans: LabPlans, Node: LabNode, Seed: 1,
 		Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1,
-		Params: fleet.Params{LeaseS: 1.2, BeatS: 0.15, SilenceS: 0.9, WaitS: 2, FailsafeS: 0.2}}
+		Params: fleet.Params{LeaseS: 1.2, HeartbeatS: 0.15, LinkTimeoutS: 0.9, LeaderWaitS: 2, FailsafeDelayS: 0.2}}
 }
 
 // Guards against programs that are left behind: they end with the laboratory that started them, also when it is killed.
@@ -131,7 +131,7 @@
 		t.Skip("a build without fencing")
 	}
 	cfg := testFleet(t, 3)
-	cfg.Params.LeaseS, cfg.Params.BeatS, cfg.Params.SilenceS = 0.55, 0.1, 0.6
+	cfg.Params.LeaseS, cfg.Params.HeartbeatS, cfg.Params.LinkTimeoutS = 0.55, 0.1, 0.6
 	sc := Scenario{FleetConfig: cfg, Accounts: Accounts(6, 4, 2, 3, 2, 1), Length: 9 * time.Second}
 	if err := Make("hands", &sc, nil, 0); err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 	}
 	cfg := testFleet(t, 3)
 	// A plan without a window: those start empty where a leader can't know better, as at a fleet's start.
-	cfg.Plans = append(slices.Clone(cfg.Plans), policy.Plan{Name: "free", Price: 1})
+	cfg.Plans = append(slices.Clone(cfg.Plans), policy.Plan{Name: "free", Weight: 1})
 	f, err := StartFleet(cfg)
 	defer f.Stop()
 	if err != nil {
@@ -247,7 +247,7 @@
 	if got := askOne(t, f, 1, "e"); !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("in the fail-safe: %q", got)
 	}
-	if err := f.Forwarders[1].ReadStatus(context.Background(), &fs); err != nil || fs.Stats.RefusedUnled == 0 {
+	if err := f.Forwarders[1].ReadStatus(context.Background(), &fs); err != nil || fs.Stats.RejectedNoLeader == 0 {
 		t.Errorf("status %+v, %v", fs, err)
 	}
 	for _, p := range f.Planners {
--- a/internal/lab/measure.go
+++ b/internal/lab/measure.go
@@ -145,7 +145,7 @@
 			had = 0
 			if p.ReadStatus(context.Background(), &st) == nil {
 				for _, c := range st.Cells {
-					if c.Leads {
+					if c.Leading {
 						had++
 					}
 				}
--- a/internal/lab/mutants/list.go
+++ b/internal/lab/mutants/list.go
@@ -34,147 +34,169 @@
 var List = []Mutant{
 	// ---- Overload shed as one ----
 	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/overload",
-		Edits: edit(shedder, "if s.level >= least && lot(", "if s.level > 2 && lot("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
+		Edits: edit(shedder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
 	{Name: "the level comes to what is served", Rule: "overload shed as one", Unit: "./internal/overload",
-		Edits: []Edit{{shedder, "if to := s.target(now, done*beyond*(1-ease*much)); to > s.level {", "if to := s.target(now, 0*(1-ease*much)); to > s.level {"},
-			{shedder, "if to := s.target(now, s.can); s.can > 0 &&", "if to := s.target(now, s.can); s.can > 1e9 &&"}},
+		Edits: []Edit{{shedder, "if to := s.levelFor(now, done*beyond*(1-drainMargin*much)); to > s.level {", "if to := s.levelFor(now, 0*(1-drainMargin*much)); to > s.level {"},
+			{shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs: []string{simShed + "overload-low", simShed + "overload"}},
 	{Name: "and falls again", Rule: "overload shed as one", Unit: "./internal/overload",
-		Edits: []Edit{{shedder, "s.level -= down * (1 - wait/right) * dt", "s.level -= 0.01 * down * (1 - wait/right) * dt"}, {shedder, "if to := s.target(now, s.can); s.can > 0 &&", "if to := s.target(now, s.can); s.can > 1e9 &&"}},
+		Edits: []Edit{{shedder, "s.level -= down * (1 - wait/targetWait) * dt", "s.level -= 0.01 * down * (1 - wait/targetWait) * dt"}, {shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs:  []string{simShed + "overload", simShed + "overload-low"}},
 	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/overload",
-		Edits: edit(shedder, "s.level += (median(s.fresh) - s.level) * min(dt/meetS, 1)", "s.level += 0 * (median(s.fresh) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
+		Edits: edit(shedder, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
 	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/planner",
-		Edits: edit("internal/forward/core.go", "if q != p && c.peers[q].up {", "if q != p && c.peers[q].up && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
+		Edits: edit("internal/forward/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
-		Edits: edit(module, "g.press.Price(r.plan.Price), g.customer(q)", "r.plan.Price, g.customer(q)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
+		Edits: edit(module, "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(q)", "req.plan.Weight, g.accountFor(q)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
 	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/overload",
-		Edits: edit(shedder, "return d.Cheaper + 1, d.Classes + 1", "return d.Classes - d.Cheaper, d.Classes + 1"), Runs: []string{simShed + "overload"}},
+		Edits: edit(shedder, "return d.ClassRank + 1, d.ClassCount + 1", "return d.ClassCount - d.ClassRank, d.ClassCount + 1"), Runs: []string{simShed + "overload"}},
 	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/overload",
-		Edits: edit(shedder, "golden*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
+		Edits: edit(shedder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
 		Why: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
-		Edits: edit(module, "firstShare*g.press.Firsts()", "firstShare"), Runs: []string{simShed + "overload", simShed + "overload-high"},
+		Edits: edit(module, "commonTimeoutFraction*g.shedder.FirstAttemptFactor()", "commonTimeoutFraction"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "work in vain rises from 6 to 13% at 5 times, in the mean of six runs of 25 s; single runs lie too far apart for a bound between"},
 	// ---- The module: further attempts and refusals ----
 	{Name: "unsafe runs once", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "case r.ran == nil || r.cls.Effect == Safe ||", "case r.ran == nil || r.cls.Effect != Keyed ||"),
+		Edits: edit(module, "case req.firstRan == nil || req.class.Idempotency == Idempotent ||", "case req.firstRan == nil || req.class.Idempotency != KeyedIdempotent ||"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "keys are remembered for a time", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "r.cls.Effect == Keyed && g.now <= r.ranAt+r.cls.KeyTTLS-heldUpS", "r.cls.Effect == Keyed"),
+		Edits: edit(module, "req.class.Idempotency == KeyedIdempotent && g.now <= req.firstRanAt+req.class.KeyTTLS-maxStallS", "req.class.Idempotency == KeyedIdempotent"),
 		Runs:  []string{simOne + "keys", simTwo + "keys"}},
 	{Name: "no harmless refusal of what may have run", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "if may := r.ran != nil || r.out > 0; !MayRefuse(r.cls.Class, may) {", "if may := r.out > 9; !MayRefuse(r.cls.Class, may) {"),
+		Edits: edit(module, "if mayHaveRun := req.firstRan != nil || req.inFlight > 0; !MayReject(req.class.Class, mayHaveRun) {", "if mayHaveRun := req.inFlight > 9; !MayReject(req.class.Class, mayHaveRun) {"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "a reset may have run", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "never := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot; !never && r.ran == nil", "never := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot || o.Status == Reset; !never && r.ran == nil"),
+		Edits: edit(module, "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent; !neverRan && req.firstRan == nil", "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent || outcome.Status == Reset; !neverRan && req.firstRan == nil"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "an error may have run", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "never := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot; !never && r.ran == nil", "never := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot || o.Status == Error; !never && r.ran == nil"),
+		Edits: edit(module, "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent; !neverRan && req.firstRan == nil", "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent || outcome.Status == Error; !neverRan && req.firstRan == nil"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "a time-out may have run", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "never := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot; !never && r.ran == nil", "never := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot || o.Status == Timeout; !never && r.ran == nil"),
+		Edits: edit(module, "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent; !neverRan && req.firstRan == nil", "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent || outcome.Status == Timeout; !neverRan && req.firstRan == nil"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "the first attempt that may have run counts", Rule: "no effect twice",
-		Edits: edit(module, "o.Status == Moot; !never && r.ran == nil {", "o.Status == Moot; !never {"),
+		Edits: edit(module, "outcome.Status == NotSent; !neverRan && req.firstRan == nil {", "outcome.Status == NotSent; !neverRan {"),
 		Runs:  []string{simOne + "keys", simTwo + "keys"}},
 	{Name: "a request has so many attempts", Rule: "attempts limited", Unit: "./policy",
-		Edits: edit(module, "case len(r.attempts) >= max(1, g.s.MaxAttempts):", "case len(r.attempts) >= 99:"), Runs: []string{simOne + "errors"}},
+		Edits: edit(module, "case len(req.attempts) >= max(1, g.settings.MaxAttempts):", "case len(req.attempts) >= 99:"), Runs: []string{simOne + "errors"}},
 	{Name: "and over a change of leaders too", Rule: "attempts limited", Unit: "./internal/forward",
-		Edits: edit(core, "len(o.done) >= c.cfg.MaxAttempts", "len(o.done) >= 99"), Runs: []string{simTwo + "errors"}},
+		Edits: edit(core, "len(request.attemptDone) >= c.cfg.MaxAttempts", "len(request.attemptDone) >= 99"), Runs: []string{simTwo + "errors"}},
 	{Name: "a key goes where it is remembered", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "!r.cls.KeyScope.Same(r.ran.Server, s.Server) {", "!ScopeAll.Same(r.ran.Server, s.Server) {"), Runs: []string{simOne + "zones"}},
+		Edits: edit(module, "!req.class.KeyScope.Same(req.firstRan.Backend, backend.Backend) {", "!ScopeAll.Same(req.firstRan.Backend, backend.Backend) {"), Runs: []string{simOne + "zones"}},
 	// ---- The module: quotas, caps and ceilings ----
 	{Name: "the owner's window", Rule: "quotas kept", Unit: "./policy",
-		Edits: edit(module, "case p.Rate > 0 && units > l.Room:", "case p.Rate > 0 && units > l.Room+1e9:"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(module, "case plan.Rate > 0 && units > ledger.Available:", "case plan.Rate > 0 && units > ledger.Available+1e9:"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "what was let in is taken off the window", Rule: "quotas kept", Unit: "./policy",
-		Edits: edit(module, "\t\tg.ledger(c).Spend(units, debtShare*c.plan.Burst)\n", "\t\tg.ledger(c)\n"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(module, `		g.ledger(account).Charge(units, maxDebtFraction*account.plan.Burst)
+`, `		g.ledger(account)
+`), Runs: []string{simTwo + "ceilings"}},
 	{Name: "cap on open attempts", Rule: "caps kept", Unit: "./policy", // when a request is let in, and when one that waited is sent
-		Edits: []Edit{{module, "case p.Parallel > 0 && g.free(c) <= 0:", "case false:"},
-			{module, " || r.cust != nil && r.attempts == nil && g.capped(r.cust)", ""}}, Runs: []string{simTwo + "capped"}},
+		Edits: []Edit{{module, "case plan.MaxConcurrency > 0 && g.freeSlots(account) <= 0:", "case false:"},
+			{module, " || req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account)", ""}}, Runs: []string{simTwo + "capped"}},
 	{Name: "ceilings", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "return t.Rate <= 0 || units <= c.Own.Fill(now, t.Rate*t.own(), t.Burst*t.own())", "return t.Rate <= 0 || c.Own.Fill(now, t.Rate*t.own(), t.Burst*t.own()) != units+0.123"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, "return t.Rate <= 0 || units <= c.Local.Refill(now, t.Rate*t.localFraction(), t.Burst*t.localFraction())", "return t.Rate <= 0 || c.Local.Refill(now, t.Rate*t.localFraction(), t.Burst*t.localFraction()) != units+0.123"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "the shared part of a ceiling", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "t.First && t.Rate > 0 && units <= c.Pool", "t.First && t.Rate > 0 && units+1e9 >= c.Pool"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, "t.OwnsShared && t.Rate > 0 && units <= c.Shared", "t.OwnsShared && t.Rate > 0 && units+1e9 >= c.Shared"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "what is sent is taken off the ceiling", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "\t\tc.Own.Level -= units\n", "\t\tc.Own.Level -= 0\n"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, `		c.Local.Level -= units
+`, `		c.Local.Level -= 0
+`), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "grants are taken off the shared part", Rule: "ceilings kept",
-		Edits: edit(ceilings, "\tc.Pool.Level -= units\n\treturn units\n", "\treturn units\n"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, `	c.Shared.Level -= units
+	return units
+`, `	return units
+`), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "a ceiling starts empty", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(module, "ceil:     ceiling.New(g.born)}", "ceil: ceiling.Ceiling{Own: tally.Bucket{Level: p.CeilingBurst, At: g.born}, Pool: tally.Bucket{Level: p.CeilingBurst, At: g.born}}}"),
+		Edits: edit(module, "ceiling.NewLimiter(g.startedAt)}", "ceiling.Limiter{Local: tally.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}, Shared: tally.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}}}"),
 		Runs:  []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "ceilings are split among gateways", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "return (1 - t.Shared()) / float64(max(t.Gateways, 1)) }", "return 1 - t.Shared() }"), Runs: []string{simOne + "ceilings"}},
+		Edits: edit(ceilings, "return (1 - t.SharedFraction()) / float64(max(t.Gateways, 1))", "return 1 - t.SharedFraction()"), Runs: []string{simOne + "ceilings"}},
 	{Name: "one gateway pays out the shared part", Rule: "ceilings kept",
-		Edits: edit(ceilings, "return t.First && t.Rate > 0 && units", "return t.Rate > 0 && units"), Runs: []string{simOne + "ceilings"}},
+		Edits: edit(ceilings, "return t.OwnsShared && t.Rate > 0 && units", "return t.Rate > 0 && units"), Runs: []string{simOne + "ceilings"}},
 	{Name: "what owes the ceiling waits until it is paid", Rule: "ceilings kept",
-		Edits: edit(module, "\tif r.owes && !g.ceilingPays(r) {\n", "\tif false {\n"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(module, `	if req.hardLimitUnpaid && !g.hardLimitPays(req) {
+`, `	if false {
+`), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	// ---- The module: the shared count of one level ----
 	{Name: "a grant is taken off the window", Rule: "quotas kept", Unit: "./policy",
-		Edits: edit(module, "\t\tl.Room -= grant\n", ""), Runs: []string{simOne + "calm"}},
+		Edits: edit(module, `		ledger.Available -= grant
+`, ""), Runs: []string{simOne + "calm"}},
 	{Name: "a grant is charged once", Rule: "quotas can be used",
-		Edits: edit(module, "\t\tl.Room -= grant\n", "\t\tl.Room -= 2 * grant\n"), Runs: []string{simOne + "calm", simOne + "friday"}},
+		Edits: edit(module, `		ledger.Available -= grant
+`, `		ledger.Available -= 2 * grant
+`), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "a report is counted once", Rule: "quotas can be used", Unit: "./internal/tally",
-		Edits: edit(counts, "Rate: rate, At: now}\n", "Rate: rate, At: now}\n\tdelta += max(delta, 0)\n"), Runs: []string{simOne + "calm", simOne + "friday"}},
+		Edits: edit(counts, `Demand: rate, ReportedAt: now}
+`, `Demand: rate, ReportedAt: now}
+	delta += max(delta, 0)
+`), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "lives of a member are told apart", Rule: "quotas can be used",
 		Why:   "a new life's total begins at 0, which a former life's larger one turns into units handed back; restarts are allowed a window more each",
-		Edits: edit(module, "if m == nil || m.Boot != g.orders[from].Boot {", "if m == nil {"), Runs: []string{simOne + "blinks", simOne + "programs"}},
+		Edits: edit(module, "if member == nil || member.Incarnation != g.sequences[from].Incarnation {", "if member == nil {"), Runs: []string{simOne + "blinks", simOne + "programs"}},
 	{Name: "members split a room", Rule: "quotas kept",
 		Why:   "reports come a tenth of a second later and what was too much is owed: no window of a second shows it at 4, 12 or 80 ingresses",
-		Edits: edit(module, "need <= max(room*mine/max(mine+c.others, 1e-9), room-2*c.others*(age+lagS)):", "need <= room:"), Runs: []string{simOne + "crowd", simCrowd + "crowd"}},
+		Edits: edit(module, "need <= max(available*localDemand/max(localDemand+account.otherDemand, 1e-9), available-2*account.otherDemand*(age+replyLagS)):", "need <= available:"), Runs: []string{simOne + "crowd", simCrowd + "crowd"}},
 	{Name: "a silence ends", Rule: "quotas can be used",
-		Edits: edit(module, "0, 0, g.now+r.Hold\n", "0, 0, g.now+r.Hold*100\n"), Runs: []string{simOne + "calm", simCrowd + "crowd"}},
+		Edits: edit(module, `0, 0, g.now+report.BackoffS
+`, `0, 0, g.now+report.BackoffS*100
+`), Runs: []string{simOne + "calm", simCrowd + "crowd"}},
 	{Name: "a member that lets in more than its split is counted", Rule: "quotas kept", Unit: "./internal/tally",
-		Edits: edit(counts, "l.Room = max(l.Room-units, min(l.Room, -most))", "l.Room = max(l.Room-units/2, min(l.Room, -most))"), Runs: []string{simOne + "calm", simOne + "friday"}},
+		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -most))", "l.Available = max(l.Available-units/2, min(l.Available, -most))"), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "the local window is a part of the whole", Rule: "quotas kept",
 		Why:   "what a member last heard of the room bounds it as well, and what it lets in is owed once it is told",
-		Edits: edit(module, "c.local.Fill(g.now, p.Rate/n, max(p.Burst/n, float64(g.s.MaxUnits)))", "c.local.Fill(g.now, 9*p.Rate, 9*p.Burst*n/n)"), Runs: []string{simOne + "programs", simCrowd + "crowd"}},
+		Edits: edit(module, "account.localWindow.Refill(g.now, plan.Rate/n, max(plan.Burst/n, float64(g.settings.MaxRequestUnits)))", "account.localWindow.Refill(g.now, 9*plan.Rate, 9*plan.Burst*n/n)"), Runs: []string{simOne + "programs", simCrowd + "crowd"}},
 	{Name: "a window fills", Rule: "quotas can be used", Unit: "./policy",
-		Edits: edit(module, "l.Room+rate*(g.now-l.At)), g.now", "l.Room+rate/2*(g.now-l.At)), g.now"), Runs: []string{simOne + "calm"}},
+		Edits: edit(module, "ledger.Available+rate*(g.now-ledger.UpdatedAt)), g.now", "ledger.Available+rate/2*(g.now-ledger.UpdatedAt)), g.now"), Runs: []string{simOne + "calm"}},
 	{Name: "a window has a brim", Rule: "quotas kept", Unit: "./policy",
-		Edits: edit(module, "l.Room, l.At = min(c.plan.Burst-", "l.Room, l.At = min(9*c.plan.Burst-"), Runs: []string{simOne + "calm", simOne + "friday"}},
+		Edits: edit(module, "ledger.Available, ledger.UpdatedAt = min(account.plan.Burst-", "ledger.Available, ledger.UpdatedAt = min(9*account.plan.Burst-"), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "a young count believes what members heard", Rule: "quotas kept",
 		Why:   "a window more is what the budget has for an owner that comes back empty; it is what is to be tightened next",
-		Edits: edit(module, "if r.Known && g.now-l.Born < youngS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
+		Edits: edit(module, "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
 	{Name: "lost reports are no silence", Rule: "quotas can be used", Unit: "./internal/pulse",
 		Why:   "owners passed over for a second each cost 1% of service at 80 ingresses, which no rule is made of",
-		Edits: edit("internal/pulse/pulse.go", "\tmost   = 4 ", "\tmost   = 2 "), Runs: []string{simOne + "friday"}},
+		Edits: edit("internal/pulse/pulse.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
 	// ---- The module: places lent by time, units ahead ----
 	{Name: "a place comes back by itself", Rule: "caps kept", Unit: "./internal/places",
 		Why:   "without it places stand idle, which no rule is made of: resto falls to 0.85 of its share at 300 ingresses",
-		Edits: edit(lender, "now, now + min(span, MostS) + GraceS,", "now, now + 10*min(span, MostS) + GraceS,"), Runs: []string{simPlaces + "places"}},
+		Edits: edit(lender, "now, now + min(span, MaxLeaseS) + GraceS,", "now, now + 10*min(span, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
 	{Name: "a place is lent once", Rule: "caps kept", Unit: "./internal/places",
-		Edits: edit(lender, "if l.member != but {\n\t\t\tn += l.n\n", "if l.member != but {\n\t\t\tn += 0 * l.n\n"), Runs: []string{simPlaces + "places-slow"}},
+		Edits: edit(lender, `if l.member != but {
+			n += l.slots
+`, `if l.member != but {
+			n += 0 * l.slots
+`), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a place in use is renewed", Rule: "caps kept", Unit: "./policy",
 		Why:   "an attempt that outlives its place is one beyond the cap for as long as it lasts, which the budget of a cap of two has room for",
-		Edits: edit(module, "c.lender && r.out > 0 && c.held.Now(g.now+places.RenewS) < c.out {", "c.lender && r.out > 99 {"), Runs: []string{simPlaces + "places-slow"}},
+		Edits: edit(module, "account.ownerLeases && req.inFlight > 0 && account.leasedSlots.Count(g.now+places.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a new life lends nothing at first", Rule: "caps kept", Unit: "./policy",
 		Why:   "what its former life lent is over within half a second: twice the cap is stated for that long",
-		Edits: edit(module, "\tg.lendFrom = now + places.WordS\n", ""), Runs: []string{simPlaces + "places-storm"}},
+		Edits: edit(module, `	g.leaseFrom = now + places.ReportLeaseS
+`, ""), Runs: []string{simPlaces + "places-storm"}},
 	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/ceiling",
 		Why:   "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
-		Edits: edit(ceilings, "-c.ahead.Within(now, AheadS+lateS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
+		Edits: edit(ceilings, "-c.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
 	// ---- Nodes held by hand in two levels ----
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/withhold",
-		Edits: edit("internal/withhold/withhold.go", "if k.n < c.majority {", "if k.n < 1 {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/withhold/withhold.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/withhold",
-		Edits: edit("internal/withhold/withhold.go", "k.settled = now + c.settle", "k.settled = now + 1e-9"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/withhold/withhold.go", "op.effectiveAt = now + c.leaseS", "op.effectiveAt = now + 1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/forward/holds.go", "if newer && c.peers[i].holds {", "if newer && c.peers[i].holds && i == p {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/forward/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/planner/holds.go", "case !called && e.State == policy.Up:", "case !called && e.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/planner/holds.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
 	// ---- The module: servers ----
 	{Name: "cold servers get their part", Rule: "cold nodes stand", Unit: "./policy",
-		Edits: edit(module, "\treturn s.inflight < 2 && (sum+work <=", "\treturn true || s.inflight < 2 && (sum+work <="),
+		Edits: edit(module, "\treturn backend.inFlight < 2 && (sum+work <=", "\treturn true || backend.inFlight < 2 && (sum+work <="),
 		Runs:  []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "under overload a cold server's part is of what is answered", Rule: "cold nodes stand",
-		Edits: edit(module, "min(g.work.Now(g.now, demandTauS), coldAhead*g.done.Now(g.now, demandTauS))", "g.work.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
+		Edits: edit(module, "min(g.admittedWork.Now(g.now, demandTauS), maxDemandToCompleted*g.completedWork.Now(g.now, demandTauS))", "g.admittedWork.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "no new work for a node that drains", Rule: "drains kept", // the module, the pool, the last check before a write and the guard at the write each hold it alone
-		Edits: []Edit{{module, "if s.State != Up || g.now < s.downUntil {", "if g.now < s.downUntil {"},
-			{in + "backends.go", "case a.be == nil, a.be.state != policy.Up:", "case a.be == nil:"},
-			{"policy/guard.go", "if a.Server.State != Up {", "if false {"},
-			{in + "pool.go", "return !c.closed && !c.dead.Load() && c.be.state == policy.Up &&", "return !c.closed && !c.dead.Load() &&"}},
+		Edits: []Edit{{module, "if backend.State != Up || g.now < backend.ejectedUntil {", "if g.now < backend.ejectedUntil {"},
+			{in + "backends.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
+			{"policy/guard.go", "if a.Backend.State != Up {", "if false {"},
+			{in + "pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
 		Runs: []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "a node that drains is told from one that is up", Rule: "drains kept",
 		Edits: edit("internal/roster/roster.go", `"terminating": policy.Draining`, `"terminating": policy.Up`),
@@ -184,112 +206,163 @@
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	// ---- The ingress: what an attempt's end means ----
 	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/ingress",
-		Edits: edit(in+"backends.go", "in.finish(a, result{status: policy.Timeout}, in.now)", "in.finish(a, result{status: policy.Moot}, in.now)"),
+		Edits: edit(in+"backends.go", "in.finishAttempt(a, attemptResult{status: policy.Timeout}, in.now)", "in.finishAttempt(a, attemptResult{status: policy.NotSent}, in.now)"),
 		Runs:  []string{labOne + "answers", labTwo + "answers"}},
 	{Name: "a connection lost after the last byte may have run", Rule: "no effect twice", Unit: "./internal/ingress",
 		Edits: edit(in+"pool.go", "status := policy.Reset\n", "status := policy.ConnectFailed\n"),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "a spoilt answer may have run", Rule: "no effect twice", Unit: "./internal/ingress",
-		Edits: edit(in+"reply.go", "return result{status: policy.Error, spoilt: why}", "return result{status: policy.Full, spoilt: why}"),
+		Edits: edit(in+"reply.go", "return attemptResult{status: policy.Error, malformed: why}", "return attemptResult{status: policy.Rejected, malformed: why}"),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "an error answer may have run", Rule: "no effect twice", Unit: "./internal/ingress",
-		Edits: edit(in+"reply.go", "res := result{status: policy.Error}\n", "res := result{status: policy.Full}\n"),
+		Edits: edit(in+"reply.go", `res := attemptResult{status: policy.Error}
+`, `res := attemptResult{status: policy.Rejected}
+`),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "an attempt that is given up ends", Rule: "one attempt out", Unit: "./internal/ingress",
-		Edits: edit(in+"backends.go", "\t\tin.closeConn(a.conn)\n\t\ta.conn = nil\n", "\t\ta.conn.attempt = nil\n\t\ta.conn = nil\n"),
+		Edits: edit(in+"backends.go", `		in.closeBackendConn(a.conn)
+		a.conn = nil
+`, `		a.conn.attempt = nil
+		a.conn = nil
+`),
 		Runs:  []string{labOne + "answers", labOne + "snow"}},
 	{Name: "a copy of an answer is no answer", Rule: "one answer", Unit: "./internal/ingress", // its bytes, what waits on a connection, and the rest before use each tell it
-		Edits: []Edit{{in + "pool.go", "if res.status == policy.OK && last.has(buf.b[:size], at, in.backends.copyS) {", "if false {"},
-			{in + "pool.go", "if n > 0 && !c.busy.Load() {", "if n > 0 && !c.busy.Load() && false {"},
-			{in + "pool.go", "stray := len(buf.b) > size\n\t\t\tbuf.drop(len(buf.b))", "stray := false\n\t\t\tbuf.drop(size)"},
-			{in + "pool.go", "in.now-c.idleAt > in.backends.idleS || !silent(c.raw) {", "in.now-c.idleAt > in.backends.idleS {"}},
+		Edits: []Edit{{in + "pool.go", "if res.status == policy.OK && recent.seen(buf.data[:size], at, in.backends.duplicateWindowS) {", "if false {"},
+			{in + "pool.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
+			{in + "pool.go", `stray := len(buf.data) > size
+			buf.discard(len(buf.data))`, `stray := false
+			buf.discard(size)`},
+			{in + "pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !openAndSilent(c.rawConn) {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
 		Runs: []string{labOne + "answers", labTwo + "answers"}},
 	// ---- The ingress: clients ----
 	{Name: "an id that is open is not taken again", Rule: "no request lost", Unit: "./internal/ingress",
-		Edits: edit(in+"requests.go", "case in.requests[q.ID] != nil, in.elders[q.ID] != nil:", "case false:"),
+		Edits: edit(in+"requests.go", "case in.requests[q.ID] != nil, in.predecessorRequests[q.ID] != nil:", "case false:"),
 		Runs:  []string{labOne + "rude", labTwo + "rude"}},
 	{Name: "answers keep the order of their commands", Rule: "answers in order", Unit: "./internal/ingress",
-		Edits: edit(in+"clients.go", "\tn, bytes := 0, len(c.pending)\n", "\tn, bytes := 0, len(c.pending)\n\tfor i, s := range c.slots {\n\t\tif s.answer != nil && c.slots[0].answer == nil {\n\t\t\tc.slots[0], c.slots[i] = s, c.slots[0]\n\t\t}\n\t}\n"),
+		Edits: edit(in+"clients.go", `	n, bytes := 0, len(c.pendingOutput)
+`, `	n, bytes := 0, len(c.pendingOutput)
+	for i, s := range c.answerSlots {
+		if s.answer != nil && c.answerSlots[0].answer == nil {
+			c.answerSlots[0], c.answerSlots[i] = s, c.answerSlots[0]
+		}
+	}
+`),
 		Runs:  []string{labOne + "rude"}},
 	{Name: "a planned restart answers what was taken", Rule: "no request lost", Unit: "./internal/ingress",
-		Edits: edit(in+"clients.go", "\t\tif c.answered() && !c.passing && !c.young(in) {\n\t\t\tin.closeGracefully(c, closeShutdown)", "\t\tif true {\n\t\t\tin.closeClient(c, closeShutdown)"),
+		Edits: edit(in+"clients.go", `		if c.fullyAnswered() && !c.transferring && !c.recentlyOpened(in) {
+			in.closeGracefully(c, closeShutdown)`, `		if true {
+			in.closeClient(c, closeShutdown)`),
 		Runs:  []string{"lab -forwarders 4 -planners 0 -nodes 6 -for 30s -scenario playoff -kinds roll,snow,snow -every 600ms"}}, // requests that last longer than the time in which new connections are taken
 	{Name: "a client's hang-up ends its own requests alone", Rule: "no request lost",
-		Edits: edit(in+"clients.go", "\t\tif s.req != nil && !s.req.over {\n\t\t\tin.end(s.req)\n\t\t\tin.gate.Gone(in.now, s.req.ID)\n\t\t}\n", "\t\tif s.req != nil && !s.req.over {\n\t\t\tfor _, r := range in.requests {\n\t\t\t\tif !r.over {\n\t\t\t\t\tin.end(r)\n\t\t\t\t\tin.gate.Gone(in.now, r.ID)\n\t\t\t\t}\n\t\t\t}\n\t\t}\n"),
+		Edits: edit(in+"clients.go", `		if s.request != nil && !s.request.completed {
+			in.completeRequest(s.request)
+			in.decider.HandleDisconnect(in.now, s.request.ID)
+		}
+`, `		if s.request != nil && !s.request.completed {
+			for _, r := range in.requests {
+				if !r.completed {
+					in.completeRequest(r)
+					in.decider.HandleDisconnect(in.now, r.ID)
+				}
+			}
+		}
+`),
 		Runs:  []string{labOne + "rude"}},
 	{Name: "a bad command ends no other's request", Rule: "no request lost",
-		Edits: edit(in+"clients.go", "\tanswer := errorOf(bad)\n\tc.buf.free()\n", "\tanswer := errorOf(bad)\n\tc.buf.free()\n\tin.post(at, func() {\n\t\tfor x := range in.clients.all {\n\t\t\tin.closeClient(x, closeBadInput)\n\t\t}\n\t})\n"),
+		Edits: edit(in+"clients.go", `	answer := errorReply(cause)
+	c.input.release()
+`, `	answer := errorReply(cause)
+	c.input.release()
+	in.post(at, func() {
+		for x := range in.clients.conns {
+			in.closeClient(x, closeBadInput)
+		}
+	})
+`),
 		Runs:  []string{labOne + "rude"}},
 	{Name: "requests are refused late in a drain", Rule: "a drained ingress lets go of its clients", Unit: "./policy",
-		Edits: edit("policy/drain.go", "if d.on && now-d.since >= drainRefuseS {", "if d.on && now-d.since >= 1e9 {"),
+		Edits: edit("policy/drain.go", "if d.active && now-d.startedAt >= drainRejectS {", "if d.active && now-d.startedAt >= 1e9 {"),
 		Runs:  []string{drainOne}},
 	{Name: "a drained connection ends when all on it is answered", Rule: "no request lost",
-		Edits: edit(in+"clients.go", "case c.asked && in.drain.Retire(in.now) && c.answered():", "case c.asked && in.drain.On() && c.idle():"),
+		Edits: edit(in+"clients.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
 		Runs:  []string{drainOne}},
 	{Name: "what may be written is asked directly before the write", Rule: "no effect twice", Unit: "./internal/ingress",
 		Why:   "connections that come up late are the soak's alone, which counts it by the ingresses' own check; the unit test makes one",
-		Edits: edit(in+"guard.go", "case now > a.lastMoment:", "case false:"),
+		Edits: edit(in+"guard.go", "case now > a.latestStart:", "case false:"),
 		Runs:  []string{labOne + "keys"}},
 	// ---- Forwarders ----
 	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/forward", // by epoch and promise, and by the handle of the telling
-		Edits: []Edit{{core, "ok := k.led && k.holder == p && k.epoch == epoch && (c.now < k.until || !fleet.Fenced)", "ok := true"},
-			{core, "\tdelete(c.told, o.handle)\n\tif o.handle != 0", "\tif o.handle != 0"},
-			{core, "\t\tif o.out > 0 { // never two attempts out", "\t\tif o.out > 9 { // never two attempts out"}},
+		Edits: []Edit{{core, "ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !fleet.Fenced)", "ok := true"},
+			{core, `	delete(c.submitted, request.handle)
+	if request.handle != 0`, "\tif request.handle != 0"},
+			{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"}},
 		Runs: []string{simTwo + "storm", simTwo + "programs"}},
 	{Name: "never two attempts out, whoever asks", Rule: "one attempt out", Unit: "./internal/forward", // a request waits for the end of its attempt, and a second one is not made
-		Edits: []Edit{{core, "\t\tif o.out > 0 { // never two attempts out", "\t\tif o.out > 9 { // never two attempts out"},
-			{core, "\t\tc.untell(o)\n\t\tif !o.over && o.out == 0 {", "\t\tc.untell(o)\n\t\tif !o.over {"},
-			{core, "return !o.ran && o.out == 0 ||", "return !o.ran ||"}},
+		Edits: []Edit{{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"},
+			{core, `		c.withdraw(request)
+		if !request.completed && request.inFlight == 0 {`, `		c.withdraw(request)
+		if !request.completed {`},
+			{core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return !request.mayHaveRun ||"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a successor runs no unsafe request again", Rule: "no effect twice", Unit: "./internal/forward",
-		Edits: edit(core, "case !o.ran || k.Effect == policy.Safe:", "case !o.ran || k.Effect != policy.Keyed:"), Runs: []string{simTwo + "programs"}},
+		Edits: edit(core, "case !request.mayHaveRun || class.Idempotency == policy.Idempotent:", "case !request.mayHaveRun || class.Idempotency != policy.KeyedIdempotent:"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/forward",
-		Edits: edit(core, "return !o.ran && o.out == 0 ||", "return true || !o.ran && o.out == 0 ||"), Runs: []string{simTwo + "programs"}},
+		Edits: edit(core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return true || !request.mayHaveRun && request.inFlight == 0 ||"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/forward",
-		Edits: edit(core, "\tc.overdue()\n", ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
+		Edits: edit(core, `	c.endOverdue()
+`, ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
 	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/forward",
-		Edits: edit(core, "case m.Epoch > k.epoch && (c.now >= k.until || k.holder == p && k.life == life):", "case m.Epoch > k.epoch:"),
+		Edits: edit(core, "case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation):", "case msg.Epoch > cell.epoch:"),
 		Runs:  []string{simTwo + "programs"}},
 	{Name: "a forwarder promises nothing right after its start", Rule: "one leader", Unit: "./internal/forward",
-		Edits: edit(core, "\t\tk.until = now + cfg.LeaseS // this", "\t\tk.until = now // this"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
+		Edits: edit(core, "\t\tcell.promisedUntil = now + cfg.LeaseS // this", "\t\tcell.promisedUntil = now // this"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
 	{Name: "at a forwarder a reset may have run", Rule: "no effect twice",
-		Edits: edit(core, "if never := r.Status == policy.Full || r.Status == policy.ConnectFailed ||", "if never := r.Status == policy.Full || r.Status == policy.Reset || r.Status == policy.ConnectFailed ||"),
+		Edits: edit(core, "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.ConnectFailed ||", "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.Reset || outcome.Status == policy.ConnectFailed ||"),
 		Runs:  []string{simTwo + "programs"}},
 	{Name: "a forwarder knows how long keys are remembered", Rule: "no effect twice",
-		Edits: edit(core, "return k.KeyScope == policy.ScopeAll && c.now < o.ranAt+k.KeyTTLS-keySlackS-k.AimS", "return k.KeyScope == policy.ScopeAll"),
+		Edits: edit(core, "return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS", "return class.KeyScope == policy.ScopeAll"),
 		Runs:  []string{simTwo + "keys"}},
 	{Name: "a forwarder remembers what was passed on", Rule: "quotas kept", Unit: "./internal/forward",
-		Edits: edit(core, "\t\t\tc.usage.note(o.Customer, used{o.plan, m.Epoch, m.Round, m.Value, c.now})\n", ""), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(core, `			c.usage.record(request.Account, windowUsage{request.plan, msg.Epoch, msg.Round, msg.Units, c.now})
+`, ""), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a forwarder tells of what it has out", Rule: "caps kept", Unit: "./internal/forward",
 		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit(core, "\t\tc.orphans[o.Customer] = orphans{o.plan, c.orphans[o.Customer].out + o.out}\n", "\t\tc.orphans[o.Customer] = orphans{o.plan, 0}\n"),
+		Edits: edit(core, `		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
+`, `		c.orphans[request.Account] = orphanCount{request.plan, 0}
+`),
 		Runs:  []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/forward",
-		Edits: edit("internal/forward/usage.go", "by: map[string]used{}, lossyAt: born}", "by: map[string]used{}, lossyAt: born - 1e6}"),
+		Edits: edit("internal/forward/usage.go", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt}", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
 	// ---- Planners ----
 	{Name: "a lead ends before the promises that it rests on", Rule: "one leader",
-		Edits: edit("internal/fleet/fleet.go", "LeadShare = 0.95", "LeadShare = 1.6"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/fleet/fleet.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
 	{Name: "a lead runs out", Rule: "one leader", Unit: "./internal/planner",
-		Edits: []Edit{{leases, "return k.leads && k.epoch == epoch && (now < k.endsAt || !fleet.Fenced)", "return k.leads && k.epoch == epoch"},
-			{leases, "if k := &l.cells[i]; k.leads && now >= k.endsAt && fleet.Fenced {", "if k := &l.cells[i]; k.leads && now >= k.endsAt+1e9 && fleet.Fenced {"}},
+		Edits: []Edit{{leases, "return lease.leading && lease.epoch == epoch && (now < lease.expiresAt || !fleet.Fenced)", "return lease.leading && lease.epoch == epoch"},
+			{leases, "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt && fleet.Fenced {", "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt+1e9 && fleet.Fenced {"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a majority has to promise", Rule: "one leader", Unit: "./internal/planner",
 		Edits: edit("internal/fleet/fleet.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
 	{Name: "a successor takes windows for empty until all have told", Rule: "quotas kept", Unit: "./internal/planner",
-		Edits: edit(windows, "\t\tif w.missing > 0 {\n\t\t\tc.room = min(", "\t\tif false {\n\t\t\tc.room = min("), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, `		if t.missingReports > 0 {
+			window.available = min(`, `		if false {
+			window.available = min(`), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a successor believes what was told of windows", Rule: "quotas kept", Unit: "./internal/planner",
-		Edits: edit(windows, "return min(p.Burst, p.Burst-c.debt+p.Rate*max(now-c.at, 0))", "return p.Burst"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "return min(p.Burst, p.Burst-window.debt+p.Rate*max(now-window.reportedAt, 0))", "return p.Burst"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "of several tales the latest pass holds", Rule: "quotas kept", Unit: "./internal/planner",
-		Edits: edit(windows, "if !c.known || m.Handle > c.epoch || m.Handle == c.epoch && m.Round > c.toldSeq {", "if !c.known || m.Handle < c.epoch || m.Handle == c.epoch && m.Round < c.toldSeq {"),
+		Edits: edit(windows, "if !window.reported || msg.Handle > window.epoch || msg.Handle == window.epoch && msg.Round > window.reportedSeq {", "if !window.reported || msg.Handle < window.epoch || msg.Handle == window.epoch && msg.Round < window.reportedSeq {"),
 		Runs:  []string{simTwo + "ceilings"}},
 	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/planner",
-		Edits: edit(windows, "\tc.room -= units\n\tw.passes++", "\tw.passes++"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, `	window.available -= units
+	t.admissions++`, "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/planner",
 		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit(host, "\t\t\th.count(r.cell, c.win.setOuts(now, f, r.customer, r.plan, outs[r.customer]))\n", ""), Runs: []string{simTwo + "lonely"}},
+		Edits: edit(host, `			c.reportCounts(request.cellID, cell.windows.setOrphans(now, forwarder, request.account, request.plan, inFlight[request.account]))
+`, ""), Runs: []string{simTwo + "lonely"}},
 	{Name: "a planner tells its module of earlier passes", Rule: "quotas kept", Unit: "./internal/planner",
-		Edits: edit(host, "\th.count(int(m.Cell), c.win.first(h.now, m.Name, int(m.Plan)))\n", "\tc.win.first(h.now, m.Name, int(m.Plan))\n"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(host, `	c.reportCounts(int(msg.Cell), cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan)))
+`, `	cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan))
+`), Runs: []string{simTwo + "ceilings"}},
 	// ---- Membership from etcd ----
 	{Name: "a stale source takes nothing back", Rule: "none on a stale word", Unit: "./internal/member",
 		Edits: edit("internal/member/core.go", "if !s.current && s.milder(n) {", "if false {"), Runs: []string{labEtcd}},
@@ -305,34 +378,44 @@
 		Edits: edit("internal/agent/agent.go", "\ta.core.Remember(was.Known)\n", ""), Runs: []string{labEtcd}},
 	// ---- Operators ----
 	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/held",
-		Edits: edit("internal/held/held.go", "\t\tif e.State == stateUp {\n", "\t\tif false {\n"), Runs: []string{labOne + "operators"}},
+		Edits: edit("internal/held/held.go", `		if entry.State == stateInService {
+`, `		if false {
+`), Runs: []string{labOne + "operators"}},
 	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/ingress",
-		Edits: edit(in+"door.go", "store.Look(func(h held.Holds) { in.held.Set(h) })", "store.Look(func(h held.Holds) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
+		Edits: edit(in+"door.go", "store.ReadIfChanged(func(h held.Cordons) { in.cordons.Replace(h) })", "store.ReadIfChanged(func(h held.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
 	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/ingress",
 		Why:   "a client whose idle connection ends asks on another; it costs a dial and, at times, a request that crosses the end and is sent again",
-		Edits: edit(in+"handover.go", "if in.heirs.stage != handed || c.ending", "if true || c.ending"), Runs: []string{labOne + "operators -kinds replaced"}},
+		Edits: edit(in+"handover.go", "if in.successor.stage != handoverActive || c.closing", "if true || c.closing"), Runs: []string{labOne + "operators -kinds replaced"}},
 	{Name: "what was read of a command goes with its connection", Rule: "no request lost", Unit: "./internal/ingress",
 		Why:   "the laboratory's clients write a command in one piece, so that a part of one is hardly ever read at that moment; the unit test sends halves",
-		Edits: edit(in+"handover.go", "body: bytes.Clone(c.buf.b)}", "body: bytes.Clone(c.buf.b[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
+		Edits: edit(in+"handover.go", "body: bytes.Clone(c.input.data)}", "body: bytes.Clone(c.input.data[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
 	// ---- A forwarder replaced while it serves ----
 	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/forward",
-		Edits: edit(mover, "c.cells[i] = cell{holder: -1, want: -1, until: now + c.cfg.LeaseS, unledAt: now}", "c.cells[i].want, c.cells[i].unledAt = -1, now"), Runs: []string{simTwo + "handed-torn"}},
+		Edits: edit(mover, "c.cells[i] = cellState{holder: -1, requester: -1, promisedUntil: now + c.cfg.LeaseS, leaderlessSince: now}", "c.cells[i].requester, c.cells[i].leaderlessSince = -1, now"), Runs: []string{simTwo + "handed-torn"}},
 	{Name: "promises go over", Rule: "one leader", Unit: "./internal/forward",
-		Edits: edit(mover, "k.epoch, k.holder, k.life, k.until = x.Epoch, x.Holder, x.Life, x.Until", "k.epoch, k.holder, k.until = x.Epoch, -1, now"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Life, promise.Until", "cell.epoch, cell.holder, cell.promisedUntil = promise.Epoch, -1, now"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/forward",
-		Edits: edit(mover, "for _, t := range m.Tales {", "for _, t := range m.Tales[:0] {"), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, "for _, report := range transferred.Tales {", "for _, report := range transferred.Tales[:0] {"), Runs: []string{simTwo + "handed"}},
 	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/forward",
 		Why:   "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
-		Edits: edit(mover, "ran: x.Ran, ranAt: x.RanAt", "ran: false, ranAt: x.RanAt"), Runs: []string{simTwo + "handed-keys"}},
+		Edits: edit(mover, "mayHaveRun: saved.Ran, firstRunAt: saved.RanAt", "mayHaveRun: false, firstRunAt: saved.RanAt"), Runs: []string{simTwo + "handed-keys"}},
 	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/forward",
-		Edits: edit(mover, "o.out += b2i(!done)", "o.out += 0 * b2i(!done)"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "request.inFlight += b2i(!done)", "request.inFlight += 0 * b2i(!done)"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "what a successor sent is written down", Rule: "one attempt out", Unit: "./internal/forward",
-		Edits: edit(mover, "		if !o.over {\n\t\t\to.sentAt, o.done", "\t\tif false {\n\t\t\to.sentAt, o.done"), Runs: []string{simTwo + "handed-queue"}},
+		Edits: edit(mover, `		if !request.completed {
+			request.sentAt, request.attemptDone`, `		if false {
+			request.sentAt, request.attemptDone`), Runs: []string{simTwo + "handed-queue"}},
 	{Name: "tales are not complete after taking back", Rule: "quotas kept", Unit: "./internal/forward",
-		Edits: edit(mover, "\t}\n\tc.usage.lossyAt = now\n\tclear(c.peers)", "\t}\n\tclear(c.peers)"), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, `	}
+	c.usage.incompleteAt = now
+	clear(c.planners)`, `	}
+	clear(c.planners)`), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/link",
 		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
-		Edits: edit("internal/link/conn.go", "NewConn(c net.Conn, silence time.Duration) *Conn {\n", "NewConn(c net.Conn, silence time.Duration) *Conn {\n\tsilence = time.Hour\n"),
+		Edits: edit("internal/link/conn.go", `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
+`, `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
+	idleTimeout = time.Hour
+`),
 		Runs:  []string{labTwo + "programs"}},
 }
--- a/internal/lab/oneingress.go
+++ b/internal/lab/oneingress.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	if path := os.Getenv(envOperator); path != "" {
-		if cfg.Operator, err = ingress.ReadOperator(path); err != nil {
+		if cfg.OperatorConfig, err = ingress.ReadOperatorConfig(path); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -34,7 +34,7 @@
 				continue
 			}
 			sum := 0
-			for _, n := range st.Overload.Shed {
+			for _, n := range st.Overload.Rejected {
 				sum += n
 			}
 			if sum > 0 {
--- a/internal/lab/peernet.go
+++ b/internal/lab/peernet.go
@@ -126,7 +126,9 @@
 
 // Lie is what one that lies says of overload in a message at a time in seconds: for a second that all is well, for the next that all is lost, in a
 // phase that runs ten times too fast.
-func Lie(b []byte, at float64) { peermsg.Belie(b, float64(int(at)%2), uint8(int(at*20))) }
+func Lie(b []byte, at float64) {
+	peermsg.OverwriteLoadShedState(b, float64(int(at)%2), uint8(int(at*20)))
+}
 
 // carry takes what i sends for j, and sends it from where j hears i.
 func (p *PeerNet) carry(i, j int) {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -21,14 +21,14 @@
 // Classes and plans of the laboratory: the middle of what the operators state for rayon-quebec.
 var (
 	LabClasses = []policy.Class{
-		{Name: "zone-check", AimS: 0.5, DeadlineS: 2, Worth: 1, Effect: policy.Safe},
-		{Name: "slot-hold", AimS: 1, DeadlineS: 4, Worth: 3, Effect: policy.Keyed, KeyTTLS: 4},
-		{Name: "courier-send", AimS: 1.5, DeadlineS: 4, Worth: 5, Effect: policy.Unsafe},
+		{Name: "zone-check", LatencyObjectiveS: 0.5, DeadlineS: 2, PriorityWeight: 1, Idempotency: policy.Idempotent},
+		{Name: "slot-hold", LatencyObjectiveS: 1, DeadlineS: 4, PriorityWeight: 3, Idempotency: policy.KeyedIdempotent, KeyTTLS: 4},
+		{Name: "courier-send", LatencyObjectiveS: 1.5, DeadlineS: 4, PriorityWeight: 5, Idempotency: policy.NonIdempotent},
 	}
 	LabPlans = []policy.Plan{
-		{Name: "comptoir", Rate: 2, Burst: 9, Price: 0.8, ExcessCost: 1},
-		{Name: "resto", Rate: 9, Burst: 18, Price: 1.1, Parallel: 6},
-		{Name: "chaine", Rate: 38, Burst: 76, Price: 1.6, ExcessCost: 0.8, CeilingRate: 68, CeilingBurst: 137, CeilingSlack: 14},
+		{Name: "comptoir", Rate: 2, Burst: 9, Weight: 0.8, OverQuotaCostFraction: 1},
+		{Name: "resto", Rate: 9, Burst: 18, Weight: 1.1, MaxConcurrency: 6},
+		{Name: "chaine", Rate: 38, Burst: 76, Weight: 1.6, OverQuotaCostFraction: 0.8, HardLimitRate: 68, HardLimitBurst: 137, HardLimitSlack: 14},
 	}
 	labWork   = map[string]float64{"zone-check": 0.03, "slot-hold": 0.06, "courier-send": 0.1}
 	LabShares = map[string]float64{"zone-check": 0.37, "slot-hold": 0.34, "courier-send": 0.29}
@@ -39,8 +39,8 @@
 func Bound(plans []policy.Plan) []policy.Plan {
 	plans = slices.Clone(plans)
 	for i := range plans {
-		if p := &plans[i]; p.CeilingRate > 0 {
-			p.CeilingRate, p.CeilingBurst, p.CeilingSlack = p.Rate*0.6, p.Burst*0.6, 6
+		if p := &plans[i]; p.HardLimitRate > 0 {
+			p.HardLimitRate, p.HardLimitBurst, p.HardLimitSlack = p.Rate*0.6, p.Burst*0.6, 6
 		}
 	}
 	return plans
@@ -113,9 +113,9 @@
 		p := LabPlans[slices.IndexFunc(LabPlans, func(p policy.Plan) bool { return p.Name == a.Plan })]
 		a.Rate, a.FloodX = p.Rate*(0.3+0.2*rng.Float64()), 0
 		a.Spread = min(max(int(float64(forwarders)/30*math.Pow(20, rng.Float64())), 3), forwarders)
-		if p.CeilingBurst > 0 {
-			a.Spread, a.Rate = min(a.Spread, int(p.CeilingBurst/6)), a.Rate*1.4
-		} else if p.Parallel == 0 {
+		if p.HardLimitBurst > 0 {
+			a.Spread, a.Rate = min(a.Spread, int(p.HardLimitBurst/6)), a.Rate*1.4
+		} else if p.MaxConcurrency == 0 {
 			a.Spread = min(a.Spread, max(forwarders/12, 3))
 		}
 		a.First = rng.IntN(forwarders - a.Spread + 1)
@@ -290,7 +290,7 @@
 		var st forward.Status
 		if p.ReadStatus(context.Background(), &st) == nil {
 			for _, c := range st.Cells {
-				if c.Led {
+				if c.HasLeader {
 					n++
 				}
 			}
--- a/internal/lab/rush.go
+++ b/internal/lab/rush.go
@@ -77,7 +77,7 @@
 func cheapFlood(list []Account) {
 	cheap := LabClasses[0]
 	for _, c := range LabClasses {
-		if c.Worth < cheap.Worth {
+		if c.PriorityWeight < cheap.PriorityWeight {
 			cheap = c
 		}
 	}
--- a/internal/lab/scenarios.go
+++ b/internal/lab/scenarios.go
@@ -50,8 +50,8 @@
 // smallCaps has plans with a cap on open attempts come to it.
 func smallCaps(list []policy.Plan) {
 	for i := range list {
-		if p := &list[i]; p.Parallel > 0 {
-			p.Parallel, p.Burst = 2, 3*p.Burst
+		if p := &list[i]; p.MaxConcurrency > 0 {
+			p.MaxConcurrency, p.Burst = 2, 3*p.Burst
 		}
 	}
 }
@@ -59,8 +59,8 @@
 // capOfTwo is the plan with a cap as the operators' largest days have it.
 func capOfTwo(list []policy.Plan) {
 	for i := range list {
-		if p := &list[i]; p.Parallel > 0 {
-			p.Parallel, p.Rate, p.Burst = 2, 8.6, 19
+		if p := &list[i]; p.MaxConcurrency > 0 {
+			p.MaxConcurrency, p.Rate, p.Burst = 2, 8.6, 19
 		}
 	}
 }
@@ -69,8 +69,8 @@
 // the long aim, and is sent on that much later.
 func shortKeys(list []policy.Class) {
 	for i := range list {
-		if c := &list[i]; c.Effect == policy.Keyed {
-			c.AimS, c.DeadlineS, c.KeyTTLS = 3, 4, 0.6
+		if c := &list[i]; c.Idempotency == policy.KeyedIdempotent {
+			c.LatencyObjectiveS, c.DeadlineS, c.KeyTTLS = 3, 4, 0.6
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	"zones": {what: "nodes of two zones, each of which remembers keys for itself, err, break off and are slow",
 		classes: func(list []policy.Class) {
 			for i := range list {
-				if list[i].Effect == policy.Keyed {
+				if list[i].Idempotency == policy.KeyedIdempotent {
 					list[i].KeyScope = policy.ScopeZone
 				}
 			}
--- a/internal/lab/sim/failures.go
+++ b/internal/lab/sim/failures.go
@@ -22,10 +22,10 @@
 	if err != nil {
 		return Config{}, err
 	}
-	plan := policy.Plan{Name: "chaine", Rate: 25, Burst: 48, Price: 1.6}
+	plan := policy.Plan{Name: "chaine", Rate: 25, Burst: 48, Weight: 1.6}
 	cfg.Plans, cfg.Nodes, cfg.Weather, cfg.Exact = []policy.Plan{plan}, 24, node.Weather{}, true
 	cfg.Accounts = []lab.Account{{Name: fmt.Sprintf("%016x", seed), Plan: plan.Name, Rate: 6 * plan.Rate, Spread: ingresses}}
-	order := ring.New(ingresses, ring.Points(ingresses)).Order(peermsg.Point(cfg.Accounts[0].Name), func(int) bool { return true })
+	order := ring.New(ingresses, ring.PointsPerGateway(ingresses)).Successors(peermsg.HashPoint(cfg.Accounts[0].Name), func(int) bool { return true })
 	const at, lasts = 15 * time.Second, 5 * time.Second
 	x := lab.Fault{At: at, For: lasts, Kind: "forwarder", A: order[0]}
 	switch failure {
--- a/internal/lab/sim/faults.go
+++ b/internal/lab/sim/faults.go
@@ -203,7 +203,7 @@
 	"term": func(s *Sim, x lab.Fault) {
 		n := x.A % len(s.planners)
 		if p := s.planners[n]; p.host != nil && !p.paused {
-			p.host.Leave(p.now())
+			p.host.Drain(p.now())
 			s.after(0.3, func() { s.killPlanner(n, x.For.Seconds()) })
 		}
 	},
@@ -317,10 +317,10 @@
 	"away": func(s *Sim, x lab.Fault) {
 		p := s.planners[x.A%len(s.planners)]
 		if host := p.host; host != nil && !p.paused {
-			host.Leave(p.now())
+			host.Drain(p.now())
 			s.after(x.For.Seconds(), func() {
 				if p.host == host {
-					p.do(func() { host.Return(p.now()) })
+					p.do(func() { host.Activate(p.now()) })
 				}
 			})
 		}
--- a/internal/lab/sim/flood_test.go
+++ b/internal/lab/sim/flood_test.go
@@ -16,7 +16,7 @@
 // when the parts of its ceiling are nearly empty and its whole window is free. What the ceiling and the window let in must be sent, though
 // it comes unevenly through three ingresses; the dearest first. What waits may be sent a little after the flood.
 func TestFloodAfterAStartIsServedAsFarAsCeilingsReach(t *testing.T) {
-	plan := policy.Plan{Name: "chaine", Rate: 80, Burst: 118, Price: 1.6, ExcessCost: 0.8, CeilingRate: 150, CeilingBurst: 233, CeilingSlack: 23}
+	plan := policy.Plan{Name: "chaine", Rate: 80, Burst: 118, Weight: 1.6, OverQuotaCostFraction: 0.8, HardLimitRate: 150, HardLimitBurst: 233, HardLimitSlack: 23}
 	sum, worth, most := 0.0, 0.0, 0.0
 	for seed := range uint64(8) {
 		cfg, err := MakeOf("calm", false, 4, seed+1, 4)
@@ -44,10 +44,10 @@
 		run, came := analyse.Join(files), map[string]bool{}
 		for _, r := range run.Records {
 			switch {
-			case r.Step == why.Came && r.At >= flood && r.At < over:
+			case r.Step == why.StepArrived && r.At >= flood && r.At < over:
 				asked += r.Units
 				came[r.ID] = true
-			case r.Step == why.Send && r.Attempt == 0 && came[r.ID]:
+			case r.Step == why.StepSent && r.Attempt == 0 && came[r.ID]:
 				sum += r.Units
 				worth += run.Worth(r)
 			}
@@ -55,7 +55,7 @@
 		if asked < 300 {
 			t.Fatalf("seed %d: no flood, %v units asked", seed, asked)
 		}
-		most += min(plan.Burst+plan.Rate*(over-flood), plan.CeilingRate*(over-restart-0.2)) // of the window, and of a ceiling that begins empty
+		most += min(plan.Burst+plan.Rate*(over-flood), plan.HardLimitRate*(over-restart-0.2)) // of the window, and of a ceiling that begins empty
 	}
 	t.Logf("%.0f of %.0f units, worth %.0f", sum, most, worth)
 	if sum < most || worth < 9000 { // with refusals at once and grants paid whole or not at all: 1,484 units, worth 6,598
--- a/internal/lab/sim/handover_test.go
+++ b/internal/lab/sim/handover_test.go
@@ -23,7 +23,7 @@
 	const at = 5.0
 	led := func() bool {
 		for _, f := range s.fwds {
-			if n, _ := f.core.Led(); n != s.p.Cells {
+			if n, _ := f.core.CountLed(); n != s.p.Cells {
 				return false
 			}
 		}
@@ -65,7 +65,7 @@
 	}
 	var left, killed []float64
 	for seed := range uint64(20) {
-		left = append(left, unled(t, seed+1, func(_ *Sim, p *simPlanner) { p.host.Leave(p.now()) }))
+		left = append(left, unled(t, seed+1, func(_ *Sim, p *simPlanner) { p.host.Drain(p.now()) }))
 		killed = append(killed, unled(t, seed+1, func(s *Sim, p *simPlanner) { s.killPlanner(p.n, 60) }))
 	}
 	slices.Sort(left)
--- a/internal/lab/sim/hands.go
+++ b/internal/lab/sim/hands.go
@@ -60,7 +60,7 @@
 		}
 	}
 	p.do(func() {
-		if err := host.Hold(p.now(), callWithin, id, held, func(err error) { once(err == nil) }); err != nil {
+		if err := host.SetCordoned(p.now(), callWithin, id, held, func(err error) { once(err == nil) }); err != nil {
 			s.after(0, func() { once(false) })
 		}
 	})
--- a/internal/lab/sim/links.go
+++ b/internal/lab/sim/links.go
@@ -109,15 +109,15 @@
 }
 
 // send carries messages in the order in which they were sent.
-func (k *simLink) send(toForwarder bool, msgs []link.Msg) {
+func (k *simLink) send(toForwarder bool, msgs []link.Message) {
 	if toForwarder && !k.pUp || !toForwarder && !k.fUp {
 		return
 	}
 	var b []byte
 	for i := range msgs {
-		b = link.Append(b, &msgs[i])
+		b = link.AppendMessage(b, &msgs[i])
 	}
-	got, err := link.Parse(b) // as it comes over a link
+	got, err := link.ParseFrame(b) // as it comes over a link
 	if err != nil {
 		panic(err)
 	}
@@ -143,7 +143,7 @@
 				k.heardF = s.t
 				f.do(func() {
 					for i := range got {
-						f.core.Msg(f.now(), k.p, &got[i])
+						f.core.HandleMessage(f.now(), k.p, &got[i])
 					}
 				})
 			}
@@ -157,7 +157,7 @@
 		p.do(func() {
 			if p.host == host && k.pUp && k.session == session {
 				for i := range got {
-					host.Msg(p.now(), k.f, &got[i])
+					host.HandleMessage(p.now(), k.f, &got[i])
 				}
 			}
 		})
--- a/internal/lab/sim/replace.go
+++ b/internal/lab/sim/replace.go
@@ -31,9 +31,9 @@
 
 // gateway is what the decision module and a forwarder's core have in common.
 type gateway interface {
-	Request(now float64, q policy.Request)
-	Outcome(now float64, o policy.Outcome)
-	Gone(now float64, id string)
+	HandleRequest(now float64, q policy.Request)
+	HandleOutcome(now float64, o policy.Outcome)
+	HandleDisconnect(now float64, id string)
 }
 
 // happen tells whoever decides what has become of a request.
@@ -107,7 +107,7 @@
 
 // carryOut does what was ordered, as the old process's ingress would.
 func (f *simForwarder) carryOut(o kept.Order) {
-	f.old.Ordered(f.now(), o)
+	f.old.RecordOrder(f.now(), o)
 	r := f.open[o.ID]
 	switch {
 	case o.Kind == kept.Hold:
@@ -116,7 +116,7 @@
 	case o.Kind == kept.Send && r.over: // it has ended while the order was on its way
 		r.attempts = append(r.attempts, &simAttempt{f: f, r: r, number: o.Number, done: true})
 		f.happen(r, func(g gateway) {
-			g.Outcome(f.now(), policy.Outcome{ID: r.ID, Server: o.Server, Attempt: o.Number, Status: policy.Moot, Over: true})
+			g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: o.Server, Attempt: o.Number, Status: policy.NotSent, Completed: true})
 		})
 	case o.Kind == kept.Send:
 		f.write(o.ID, o.Server, o.Wait)
@@ -138,7 +138,7 @@
 	}
 	from := s.Hist.Now()
 	text := [][]byte{}
-	for _, part := range f.core.Move(f.now()).Split() { // as it goes over the link
+	for _, part := range f.core.Migrate(f.now()).Split() { // as it goes over the link
 		b, err := json.Marshal(part)
 		if err != nil {
 			panic(err)
@@ -165,7 +165,7 @@
 		m, _ := kept.Join(parts)
 		f.do(func() {
 			f.moving = false
-			f.core.Settle(f.now(), m)
+			f.core.Resume(f.now(), m)
 			waits := f.waits
 			f.waits = nil
 			for _, tell := range waits {
@@ -185,7 +185,7 @@
 		}
 		for _, r := range f.elders(false) {
 			f.answer(r.ID, audit.Failed)
-			f.happen(r, func(g gateway) { g.Gone(f.now(), r.ID) })
+			f.happen(r, func(g gateway) { g.HandleDisconnect(f.now(), r.ID) })
 		}
 		f.bereave()
 	}
@@ -229,20 +229,20 @@
 			f.s.Hist.Answer(r.try, audit.Broken)
 		}
 		if !over {
-			f.relay(func(g gateway) { g.Gone(f.now(), r.ID) })
+			f.relay(func(g gateway) { g.HandleDisconnect(f.now(), r.ID) })
 		}
 		for _, a := range r.attempts {
 			if !a.done {
 				a.done = true
 				a.leave()
 				f.relay(func(g gateway) {
-					g.Outcome(f.now(), policy.Outcome{ID: r.ID, Server: a.n.idOr(), Attempt: a.number, Status: policy.Reset, Over: true})
+					g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: a.n.idOr(), Attempt: a.number, Status: policy.Reset, Completed: true})
 				})
 			}
 		}
 		for n := len(r.attempts); n < f.attempts[r]; n++ { // ordered, and never heard of
 			f.relay(func(g gateway) {
-				g.Outcome(f.now(), policy.Outcome{ID: r.ID, Attempt: n, Status: policy.Reset, Over: true})
+				g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Attempt: n, Status: policy.Reset, Completed: true})
 			})
 		}
 	}
@@ -287,7 +287,7 @@
 		f.core, f.life, f.succession = old, oldLife, succession{}
 		f.last++
 		f.known = uint64(f.last)
-		f.do(func() { f.core.TakeBack(f.now()) })
+		f.do(func() { f.core.Reclaim(f.now()) })
 	})
 }
 
@@ -322,10 +322,10 @@
 			if host == nil || s.planners[a].paused {
 				return
 			}
-			host.Leave(s.planners[a].now())
+			host.Drain(s.planners[a].now())
 			s.after(x.For.Seconds(), func() {
 				if s.planners[a].host == host {
-					s.planners[a].do(func() { host.Return(s.planners[a].now()) })
+					s.planners[a].do(func() { host.Activate(s.planners[a].now()) })
 				}
 			})
 		})
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -51,7 +51,7 @@
 		s.asks[first] = &asked{sent: s.Hist.Now()}
 	}
 	s.asks[first].tries++
-	busy := int(peermsg.Point(a.Name)%1e6) + int(s.t/7) // another one for each account
+	busy := int(peermsg.HashPoint(a.Name)%1e6) + int(s.t/7) // another one for each account
 	i := a.First + busy%a.Spread
 	if s.rng.Float64() < 0.4 {
 		i = a.First + s.rng.IntN(a.Spread)
@@ -60,7 +60,7 @@
 	if !f.runs() && s.t > f.downAt+2.5 { // the front has noticed
 		f = s.fwds[a.First+(i-a.First+1)%a.Spread]
 	}
-	f.request(policy.Request{ID: id, Class: class.Name, Plan: a.Plan, Customer: a.Name, First: a.First, Entries: a.Spread,
+	f.request(policy.Request{ID: id, Class: class.Name, Plan: a.Plan, Account: a.Name, FirstGateway: a.First, GatewayCount: a.Spread,
 		Units: float64(s.cfg.Units[class.Name])}, first, left)
 }
 
@@ -97,7 +97,7 @@
 	for _, x := range s.cfg.Faults {
 		s.after(x.At.Seconds(), func() { s.fault(x) })
 	}
-	if s.cfg.Overload.On {
+	if s.cfg.Overload.Enabled {
 		s.watchLevels()
 	}
 	for len(s.queue) > 0 {
@@ -109,7 +109,7 @@
 	}
 	if s.cfg.Planners > 0 {
 		for _, f := range s.fwds { // long after the last fault
-			if led, _ := f.core.Led(); led != s.p.Cells {
+			if led, _ := f.core.CountLed(); led != s.p.Cells {
 				s.breaks("everybody is led", "forwarder %d follows a leader in %d cells", f.n, led)
 			}
 		}
@@ -142,7 +142,7 @@
 		peak.From, peak.To = peak.From+time.Second, peak.To+time.Second
 	}
 	var stated *audit.Stated
-	if s.cfg.Rush && s.cfg.Overload.On && s.cfg.Peak.To > 0 {
+	if s.cfg.Rush && s.cfg.Overload.Enabled && s.cfg.Peak.To > 0 {
 		stated = &s.cfg.Stated
 	}
 	return audit.Rules{Shed: stated, Overload: s.cfg.Rush, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainS: 0.25, AnswerS: 0.1, OverlapS: 0.005, CeilingS: 0.15, SlackUnit: 6, CapX: caps, Attempts: lab.MaxAttempts, Quota: quota, QuotaS: lab.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
@@ -156,12 +156,12 @@
 	var of []float64
 	for _, f := range s.fwds {
 		if f.gate != nil {
-			of = append(of, f.gate.Overload().Level())
+			of = append(of, f.gate.Shedder().Level())
 		}
 	}
 	for _, p := range s.planners {
 		if p.host != nil && !p.paused {
-			of = append(of, p.host.Levels(p.now())...)
+			of = append(of, p.host.ShedLevels(p.now())...)
 		}
 	}
 	s.Hist.LevelsAre(of)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -167,9 +167,9 @@
 
 // settings are the module's, for gateway me of so many.
 func (s *Sim) settings(me, gateways int, peers bool) policy.Settings {
-	return policy.Settings{Me: me, Gateways: gateways, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxUnits: 6, Peers: peers, PeerIntake: peerIntake,
-		Overload: s.cfg.Overload, Cancel: true, RetryAfter: true, MaxAttempts: lab.MaxAttempts, MaxRetryAfterS: 1, ReportByAnswer: true, AnswerSlackS: 0.02, ColdFrom: lab.StatedColdFrom,
-		ColdS: lab.StatedColdS, FallMultiple: lab.StatedMultiple, FallS: lab.StatedFallS, TickS: 0.004, Zone: "a"}
+	return policy.Settings{Self: me, Gateways: gateways, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRequestUnits: 6, PeerMessages: peers, PeerMessageRate: peerIntake,
+		LoadShedding: s.cfg.Overload, CancelAllowed: true, RetryAfterAllowed: true, MaxAttempts: lab.MaxAttempts, MaxRetryAfterS: 1, LoadReportInResponse: true, ResponseSlackS: 0.02, SlowStartMinFraction: lab.StatedColdFrom,
+		SlowStartS: lab.StatedColdS, CollapseMultiple: lab.StatedMultiple, CollapseWindowS: lab.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
 }
 
 // ---- Nodes and the roster ----
@@ -261,11 +261,11 @@
 		status = policy.OK
 		n.s.Hist.Wrote(x.rec)
 	case node.Full:
-		status = policy.Full
+		status = policy.Rejected
 	case node.ResetUnrun, node.ResetRan, node.ResetMid:
 		status = policy.Reset
 	}
-	x.load = &policy.Load{InFlight: -1, Queue: -1, Util: load, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
+	x.load = &policy.Load{InFlight: -1, Queue: -1, Utilization: load, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
 	if n.isCut(x.f.n) {
 		return
 	}
@@ -300,7 +300,7 @@
 func (s *Sim) hop() float64 { return 0.0002 + 0.002*s.rng.Float64() }
 
 // tell has the roster tell all parties of a node, each at a time of its own.
-func (n *simNode) tell(state policy.State) {
+func (n *simNode) tell(state policy.BackendState) {
 	s := n.s
 	for _, f := range s.fwds {
 		s.after(s.lateS+0.05*s.rng.Float64(), func() { f.told(n, state) })
@@ -310,7 +310,7 @@
 			if host := p.host; host != nil {
 				p.do(func() {
 					if p.host == host {
-						host.Servers(p.now(), []policy.Server{n.entry(p.clock, state)}, false)
+						host.UpdateBackends(p.now(), []policy.Backend{n.entry(p.clock, state)}, false)
 					}
 				})
 			}
@@ -318,19 +318,19 @@
 	}
 }
 
-var stateNames = map[policy.State]string{policy.Up: "in_service", policy.Draining: "terminating", policy.Removed: "terminated"}
+var stateNames = map[policy.BackendState]string{policy.Up: "in_service", policy.Draining: "terminating", policy.Removed: "terminated"}
 
 // entry is a node as a party sees it: times by its own clock.
-func (n *simNode) entry(c clock, state policy.State) policy.Server {
-	e := policy.Server{ID: n.id, Zone: lab.ZoneOf(n.id, n.s.cfg.Zones), State: state, Weight: 1}
+func (n *simNode) entry(c clock, state policy.BackendState) policy.Backend {
+	e := policy.Backend{ID: n.id, Zone: lab.ZoneOf(n.id, n.s.cfg.Zones), State: state, Weight: 1}
 	if n.born > 0 {
-		e.SinceS = c.at(n.born)
+		e.StartedAt = c.at(n.born)
 	}
 	return e
 }
 
 // list is the whole list by a clock, those that drain not in it.
-func (s *Sim) list(c clock) (list []policy.Server) {
+func (s *Sim) list(c clock) (list []policy.Backend) {
 	for _, n := range s.nodes {
 		if n.listed {
 			list = append(list, n.entry(c, policy.Up))
@@ -353,7 +353,7 @@
 type simPlanner struct {
 	s      *Sim
 	n      int
-	host   *planner.Host
+	host   *planner.Core
 	clock  clock
 	life   uint64
 	paused bool
@@ -365,27 +365,27 @@
 func (p *simPlanner) start() {
 	p.life++
 	life := p.life
-	host, err := planner.NewHost(planner.Config{Params: p.s.p, Number: p.n, Seed: p.s.rng.Uint64(), Settings: p.s.settings(0, 1, false)}, p.now(), p)
+	host, err := planner.NewCore(planner.Config{Params: p.s.p, Number: p.n, Seed: p.s.rng.Uint64(), Settings: p.s.settings(0, 1, false)}, p.now(), p)
 	if err != nil {
 		panic(err)
 	}
 	p.host = host
 	if p.s.cfg.Trace != nil {
-		host.Trace(func(d why.Decision) {
+		host.SetTracer(func(d why.Decision) {
 			d.At = p.s.t
 			p.s.cfg.Trace(p.n, d)
 		})
 	}
-	host.Servers(p.now(), p.s.list(p.clock), true)
+	host.UpdateBackends(p.now(), p.s.list(p.clock), true)
 	var tick func()
 	tick = func() {
 		if p.life != life {
 			return
 		}
 		p.do(func() { p.host.Tick(p.now()) })
-		p.s.after(planner.TickS, tick)
+		p.s.after(planner.TickIntervalS, tick)
 	}
-	p.s.after(p.s.rng.Float64()*planner.TickS, tick)
+	p.s.after(p.s.rng.Float64()*planner.TickIntervalS, tick)
 }
 
 // do runs something on the planner's loop: once it runs again, if it is paused.
@@ -398,8 +398,8 @@
 	p.s.check()
 }
 
-// Link implements planner.Out.
-func (p *simPlanner) Link(f int, msgs ...link.Msg) { p.s.links[p.n][f].send(true, msgs) }
+// SendToForwarder implements planner.Out.
+func (p *simPlanner) SendToForwarder(f int, msgs ...link.Message) { p.s.links[p.n][f].send(true, msgs) }
 
 // Log implements planner.Out.
 func (p *simPlanner) Log(string, ...any) {}
@@ -409,7 +409,7 @@
 	for c := range s.p.Cells {
 		n := 0
 		for _, p := range s.planners {
-			if !p.paused && p.host != nil && p.host.Leads(p.now(), c) {
+			if !p.paused && p.host != nil && p.host.IsLeader(p.now(), c) {
 				n++
 			}
 		}
@@ -436,8 +436,8 @@
 	known uint64                  // the life that planners are told
 	succession
 	open    map[string]*simRequest
-	up      map[string]policy.State // of nodes, as told
-	pending []func()                // outcomes that an action yielded, for when its event has returned
+	up      map[string]policy.BackendState // of nodes, as told
+	pending []func()                       // outcomes that an action yielded, for when its event has returned
 	busy    bool
 	downAt  float64
 	intake  intake
@@ -491,7 +491,7 @@
 	f.lives, f.succession = map[int]map[string]bool{}, succession{}
 	f.life = f.begin()
 	f.known = uint64(f.life)
-	f.open, f.up, f.pending, f.conns = map[string]*simRequest{}, map[string]policy.State{}, nil, map[string][]float64{}
+	f.open, f.up, f.pending, f.conns = map[string]*simRequest{}, map[string]policy.BackendState{}, nil, map[string][]float64{}
 	for _, n := range s.nodes {
 		if n.listed {
 			f.up[n.id] = policy.Up
@@ -505,33 +505,33 @@
 				if !f.moving {
 					f.do(func() { f.core.Tick(f.now()) })
 				}
-				s.after(forward.TickS, tick)
+				s.after(forward.TickIntervalS, tick)
 			}
 		}
-		s.after(s.rng.Float64()*forward.TickS, tick)
+		s.after(s.rng.Float64()*forward.TickIntervalS, tick)
 		return
 	}
 	var err error
 	if f.gate, err = policy.New(s.settings(f.n, s.cfg.Forwarders, true), s.rng.Uint64(), f.now(), f); err != nil {
 		panic(err)
 	}
-	f.gate.Trace(func(d why.Decision) {
+	f.gate.SetTracer(func(d why.Decision) {
 		if r := f.open[d.ID]; r != nil {
-			r.try.Queued = r.try.Queued || d.Step == why.Queue
-			if d.Step == why.Refuse {
-				r.try.Why = int(d.Why)
+			r.try.Queued = r.try.Queued || d.Step == why.StepQueued
+			if d.Step == why.StepRejected {
+				r.try.Why = int(d.Reason)
 			}
 		}
 		if d.At = s.t; s.cfg.Trace != nil {
 			s.cfg.Trace(f.n, d)
 		}
 	})
-	f.gate.Servers(f.now(), s.list(f.clock), true)
+	f.gate.UpdateBackends(f.now(), s.list(f.clock), true)
 }
 
 func (f *simForwarder) newCore() *forward.Core {
 	s := f.s
-	return forward.New(forward.Config{Params: s.p, Number: f.n, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRetryAfterS: 1,
+	return forward.NewCore(forward.Config{Params: s.p, Number: f.n, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRetryAfterS: 1,
 		MaxAttempts: lab.MaxAttempts, Seed: s.rng.Uint64()}, f.now(), f)
 }
 
@@ -562,22 +562,24 @@
 }
 
 // told takes the roster's word on a node.
-func (f *simForwarder) told(n *simNode, state policy.State) {
+func (f *simForwarder) told(n *simNode, state policy.BackendState) {
 	if !f.runs() {
 		return
 	}
 	f.s.Hist.Tell(audit.Party(f.n), n.id, stateNames[state])
 	f.up[n.id] = state
 	if f.gate != nil {
-		f.do(func() { f.gate.Servers(f.now(), []policy.Server{n.entry(f.clock, state)}, false) })
+		f.do(func() { f.gate.UpdateBackends(f.now(), []policy.Backend{n.entry(f.clock, state)}, false) })
 	}
 }
 
-// Link implements forward.Out.
-func (f *simForwarder) Link(p int, msgs ...link.Msg) { f.s.links[p][f.n].send(false, msgs) }
+// SendToPlanner implements forward.Out.
+func (f *simForwarder) SendToPlanner(p int, msgs ...link.Message) {
+	f.s.links[p][f.n].send(false, msgs)
+}
 
-// Room implements forward.Out.
-func (f *simForwarder) Room(p int) bool { return f.s.links[p][f.n].fUp }
+// PlannerWritable implements forward.Out.
+func (f *simForwarder) PlannerWritable(p int) bool { return f.s.links[p][f.n].fUp }
 
 // answer gives a client its answer; the first of a request stands, as in the ingress.
 func (f *simForwarder) answer(id string, how audit.Result) {
@@ -596,8 +598,8 @@
 	f.s.Hist.Answer(r.try, how)
 }
 
-// Refuse implements policy.Actions.
-func (f *simForwarder) Refuse(id string, retryS float64) {
+// Reject implements policy.Actions.
+func (f *simForwarder) Reject(id string, retryS float64) {
 	if !f.order(id, kept.Order{Kind: kept.Refuse, ID: id, Wait: retryS}) {
 		f.refuse(id, retryS)
 	}
@@ -629,13 +631,13 @@
 	run := f.run
 	f.s.after(max(d, 0), func() {
 		if f.run == run && f.gate != nil {
-			f.do(func() { f.gate.Timer(f.now(), token) })
+			f.do(func() { f.gate.HandleTimer(f.now(), token) })
 		}
 	})
 }
 
-// Hold implements forward.Out.
-func (f *simForwarder) Hold(server string, held bool) {
+// SetCordoned implements forward.Out.
+func (f *simForwarder) SetCordoned(server string, held bool) {
 	f.lives[f.life][server] = held
 	if f.old != nil {
 		f.send(kept.Order{Kind: kept.Hold, ID: server, Held: held})
@@ -648,8 +650,8 @@
 // Log implements policy.Actions.
 func (f *simForwarder) Log(string) {}
 
-// Tell implements policy.Actions: a datagram, that may be lost, late and doubled.
-func (f *simForwarder) Tell(to int, data []byte) {
+// SendPeerMessage implements policy.Actions: a datagram, that may be lost, late and doubled.
+func (f *simForwarder) SendPeerMessage(to int, data []byte) {
 	s := f.s
 	s.sort(data)
 	if s.liar == f.n+1 {
@@ -666,7 +668,7 @@
 			d := 0.0023 + 0.01*s.rng.Float64() + s.fog.Delay.Seconds() + s.rng.Float64()*s.fog.Jitter.Seconds()
 			s.after(d, func() {
 				if x := s.fwds[g]; x.gate != nil && x.hear() {
-					x.do(func() { x.gate.Peer(x.now(), f.n, data) })
+					x.do(func() { x.gate.HandlePeerMessage(x.now(), f.n, data) })
 				}
 			})
 		}
@@ -708,16 +710,16 @@
 	}
 	class := s.class(r.Class)
 	a := &simAttempt{f: f, r: r, number: len(r.attempts), n: s.node(server), at: f.now(),
-		Attempt: node.Attempt{Request: id, Account: r.Customer, Class: r.Class}}
-	if class.Effect == policy.Keyed {
+		Attempt: node.Attempt{Request: id, Account: r.Account, Class: r.Class}}
+	if class.Idempotency == policy.KeyedIdempotent {
 		a.Key = r.try.First
 	}
 	r.attempts = append(r.attempts, a)
 	if a.n == nil || f.up[server] != policy.Up || f.lives[r.life][server] {
-		f.finish(a, policy.Moot)
+		f.finish(a, policy.NotSent)
 		return
 	}
-	s.after(max(min(timeoutS, r.DeadlineS-f.now()), 0), func() { f.finish(a, policy.Timeout) }) // as the ingress bounds it
+	s.after(max(min(timeoutS, r.DeadlineAt-f.now()), 0), func() { f.finish(a, policy.Timeout) }) // as the ingress bounds it
 	s.after(s.hop()+f.connect(a), func() { a.arrive() })
 }
 
@@ -745,7 +747,7 @@
 
 // release keeps the connection of an attempt that ended with an answer.
 func (f *simForwarder) release(a *simAttempt, status policy.Status) {
-	if a.way != "" && (status == policy.OK || status == policy.Error || status == policy.Full) {
+	if a.way != "" && (status == policy.OK || status == policy.Error || status == policy.Rejected) {
 		f.conns[a.way] = append(f.conns[a.way], f.s.t)
 	}
 }
@@ -768,7 +770,7 @@
 	}
 	n.handles++
 	a.Handle = n.handles
-	a.rec = &audit.Attempt{ID: a.r.ID, Node: n.id, Account: a.r.Customer, Class: a.r.Class, Plan: a.r.Plan, Units: a.r.Units, Life: n.life,
+	a.rec = &audit.Attempt{ID: a.r.ID, Node: n.id, Account: a.r.Account, Class: a.r.Class, Plan: a.r.Plan, Units: a.r.Units, Life: n.life,
 		Conn: fmt.Sprintf("%d/%s/%d", a.f.n, a.r.ID, a.number)}
 	n.open[a.Handle] = a
 	s.Hist.Came(a.rec)
@@ -811,7 +813,7 @@
 		f.answer(r.ID, audit.Served)
 	}
 	f.happen(r, func(g gateway) {
-		g.Outcome(f.now(), policy.Outcome{ID: r.ID, Server: a.n.idOr(), Attempt: a.number, Status: status, Over: r.over, SpentS: f.now() - a.at, Load: a.load})
+		g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: a.n.idOr(), Attempt: a.number, Status: status, Completed: r.over, LatencyS: f.now() - a.at, Load: a.load})
 	})
 }
 
@@ -834,7 +836,7 @@
 // request has a forwarder take a try.
 func (f *simForwarder) request(q policy.Request, first string, left float64) {
 	s := f.s
-	try := &audit.Try{ID: q.ID, First: first, Account: q.Customer, Class: q.Class, Plan: q.Plan, Forwarder: f.n, Units: q.Units,
+	try := &audit.Try{ID: q.ID, First: first, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.n, Units: q.Units,
 		Sent: s.Hist.Now(), Deadline: s.Hist.Now() + time.Duration(left*float64(time.Second))}
 	s.Hist.Sent(try)
 	if !f.runs() {
@@ -842,11 +844,11 @@
 		s.Hist.Answer(try, audit.Broken)
 		return
 	}
-	q.DeadlineS = f.clock.at(s.t + left)
+	q.DeadlineAt = f.clock.at(s.t + left)
 	r := &simRequest{Request: q, try: try, life: f.life}
 	f.open[q.ID] = r
 	run := f.run
-	f.happen(r, func(g gateway) { g.Request(f.now(), q) })
+	f.happen(r, func(g gateway) { g.HandleRequest(f.now(), q) })
 	s.after(left+0.05, func() {
 		if f.run != run || f.lives[r.life] == nil {
 			return
@@ -854,7 +856,7 @@
 		if !r.over {
 			r.over = true
 			s.Hist.Answer(try, audit.Broken)
-			f.happen(r, func(g gateway) { g.Gone(f.now(), q.ID) })
+			f.happen(r, func(g gateway) { g.HandleDisconnect(f.now(), q.ID) })
 		}
 		s.after(6, func() {
 			if f.run == run {
@@ -870,13 +872,13 @@
 	kind := "items"
 	for _, r := range recs {
 		switch {
-		case r.Owner && r.Want > 0:
+		case r.FromOwner && r.Requested > 0:
 			kind = "answer to a question"
-		case r.Owner:
+		case r.FromOwner:
 			kind = "answer to a report"
-		case r.Want > 0:
+		case r.Requested > 0:
 			kind = "question"
-		case r.Lease > 0:
+		case r.LeaseS > 0:
 			kind = "word of places"
 		default:
 			kind = "report"
--- a/internal/lab/sim/trace_test.go
+++ b/internal/lab/sim/trace_test.go
@@ -18,10 +18,10 @@
 	cfg.Trace = func(planner int, d why.Decision) {
 		by[planner] = true
 		switch d.Step {
-		case why.Send:
+		case why.StepSent:
 			sends++
-		case why.Refuse, why.Fail:
-			refusals[d.Why]++
+		case why.StepRejected, why.StepFailed:
+			refusals[d.Reason]++
 		}
 	}
 	rep := New(cfg).Run()
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -41,7 +41,7 @@
 	sc.Nodes = soakNodesLeast + rng.IntN(soakNodes)
 	sc.Classes, sc.Plans, sc.Node = soakClasses(rng), LabPlans, LabNode
 	for _, c := range sc.Classes {
-		if c.Effect == policy.Keyed {
+		if c.Idempotency == policy.KeyedIdempotent {
 			sc.Node.KeyedS = c.KeyTTLS
 		}
 	}
@@ -64,9 +64,9 @@
 	list := append([]policy.Class(nil), LabClasses...)
 	for i := range list {
 		c := &list[i]
-		c.AimS *= longer
+		c.LatencyObjectiveS *= longer
 		c.DeadlineS *= longer
-		if c.Effect == policy.Keyed {
+		if c.Idempotency == policy.KeyedIdempotent {
 			c.KeyTTLS = soakKeysLeastS + rng.Float64()*(soakKeysMostS-soakKeysLeastS)
 		}
 	}
@@ -83,7 +83,7 @@
 func (sc Scenario) String() string {
 	keyed := 0.0
 	for _, c := range sc.Classes {
-		if c.Effect == policy.Keyed {
+		if c.Idempotency == policy.KeyedIdempotent {
 			keyed = c.KeyTTLS
 		}
 	}
--- a/internal/lab/upgrade.go
+++ b/internal/lab/upgrade.go
@@ -43,14 +43,14 @@
 		u.procs, u.number = append(u.procs, p), append(u.number, -1)
 	}
 	for i, p := range f.Forwarders {
-		list = append(list, rollout.Program{Name: p.Name, Kind: rollout.Forwarder, Beside: true})
+		list = append(list, rollout.Program{Name: p.Name, Kind: rollout.Forwarder, HotRestart: true})
 		u.procs, u.number = append(u.procs, p), append(u.number, i)
 	}
 	u.asking = make([]bool, len(list))
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
-	times := rollout.Defaults
-	times.Settle, times.Away = 0.3, 1
+	times := rollout.DefaultTimeouts
+	times.StableS, times.DrainS = 0.3, 1
 	var err error
 	if u.r, err = rollout.New(list, times, "", now(), u); err != nil {
 		return 0, err
@@ -64,17 +64,17 @@
 		case <-tick.C:
 			u.r.Tick(now())
 		case <-ctx.Done():
-			done, at, phase := u.r.Where()
+			done, at, phase := u.r.Progress()
 			return time.Since(began), fmt.Errorf("%d done, %s %s: %w", done, at.Name, phase, ctx.Err())
 		}
-		if over, err := u.r.Over(); over {
+		if over, err := u.r.Done(); over {
 			return time.Since(began), err
 		}
 	}
 }
 
-// Ask implements rollout.Out.
-func (u *upgrader) Ask(i int) {
+// CheckReadiness implements rollout.Out.
+func (u *upgrader) CheckReadiness(i int) {
 	if u.asking[i] {
 		return
 	}
@@ -83,7 +83,7 @@
 		status, err := u.procs[i].Call(context.Background(), http.MethodGet, "/v1/readyz")
 		u.post(func(now float64) {
 			u.asking[i] = false
-			u.r.Answer(now, i, err == nil, status == http.StatusOK, false)
+			u.r.HandleAnswer(now, i, err == nil, status == http.StatusOK, false)
 		})
 	}()
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -12,108 +12,108 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// random makes a record whose fields all survive the link.
-func random(rng *rand.Rand) Msg {
-	m := Msg{Kind: Kind(1 + rng.IntN(int(kinds)-1))}
-	for _, f := range layout[m.Kind] {
+// randomMessage makes a record whose fields all survive the link.
+func randomMessage(rng *rand.Rand) Message {
+	msg := Message{Kind: Kind(1 + rng.IntN(int(kindCount)-1))}
+	for _, f := range layout[msg.Kind] {
 		switch f {
-		case fCell:
-			m.Cell = uint16(rng.Uint32())
-		case fEpoch:
-			m.Epoch = rng.Uint64()
-		case fHandle:
-			m.Handle = rng.Uint64()
-		case fRound:
-			m.Round = rng.Uint32()
-		case fN:
-			m.N = rng.Uint32()
-		case fWant:
-			m.Want = uint16(rng.Uint32())
-		case fClass:
-			m.Class = uint8(rng.Uint32())
-		case fPlan:
-			m.Plan = uint8(rng.Uint32())
-		case fFlag:
-			m.Flag = rng.IntN(2) == 1
-		case fWait:
-			m.Wait = float64(rng.Uint32()) / 1e6
-		case fValue:
-			m.Value = float64(rng.IntN(1e6)) / 100
-		case fName:
-			m.Name = strings.Repeat("x", rng.IntN(MaxText+1))
-		case fLoad:
-			if m.HasLoad = rng.IntN(2) == 1; m.HasLoad {
-				for i := range m.Load {
-					m.Load[i] = float64(float32(rng.Float64()))
+		case fieldCell:
+			msg.Cell = uint16(rng.Uint32())
+		case fieldEpoch:
+			msg.Epoch = rng.Uint64()
+		case fieldHandle:
+			msg.Handle = rng.Uint64()
+		case fieldRound:
+			msg.Round = rng.Uint32()
+		case fieldNumber:
+			msg.Number = rng.Uint32()
+		case fieldRequester:
+			msg.Requester = uint16(rng.Uint32())
+		case fieldClass:
+			msg.Class = uint8(rng.Uint32())
+		case fieldPlan:
+			msg.Plan = uint8(rng.Uint32())
+		case fieldFlag:
+			msg.Flag = rng.IntN(2) == 1
+		case fieldDuration:
+			msg.DurationS = float64(rng.Uint32()) / 1e6
+		case fieldUnits:
+			msg.Units = float64(rng.IntN(1e6)) / 100
+		case fieldName:
+			msg.Name = strings.Repeat("x", rng.IntN(MaxNameBytes+1))
+		case fieldLoad:
+			if msg.HasLoad = rng.IntN(2) == 1; msg.HasLoad {
+				for i := range msg.Load {
+					msg.Load[i] = float64(float32(rng.Float64()))
 				}
 			}
 		}
 	}
-	return m
+	return msg
 }
 
 // Guards against a field that is written and not read, or the reverse.
-func TestRecordsComeBack(t *testing.T) {
+func TestMessage_RoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	seen := map[Kind]bool{}
 	for range 5000 {
-		want := []Msg{random(rng), random(rng)}
+		want := []Message{randomMessage(rng), randomMessage(rng)}
 		var b []byte
 		for i := range want {
-			b = Append(b, &want[i])
+			b = AppendMessage(b, &want[i])
 			seen[want[i].Kind] = true
 		}
-		got, err := Parse(b)
+		got, err := ParseFrame(b)
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %+v, %v, want %+v", got, err, want)
 		}
 	}
-	if len(seen) != int(kinds)-1 {
-		t.Errorf("%d kinds of %d were tried", len(seen), kinds-1)
+	if len(seen) != int(kindCount)-1 {
+		t.Errorf("%d kinds of %d were tried", len(seen), kindCount-1)
 	}
 }
 
 // Guards against what is no number: it would reach the module.
-func TestBadValues(t *testing.T) {
+func TestParseFrame_InvalidValues(t *testing.T) {
 	for _, b := range [][]byte{
-		{0}, {byte(kinds)}, {byte(Claim)}, {byte(Claim), 0x80},
-		{byte(Claim), 0xff, 0xff, 0xff, 0x7f, 1, 1},                                                       // a cell beyond 65,535
-		append([]byte{byte(Outcome), 1, 0, 0, 0, 0, 1}, []byte(strings.Repeat("\x7f\xc0\x00\x00", 6))...), // NaN
-		{byte(TaleEnd), 1, 1, 2}, // a flag of 2
-		append([]byte{byte(Probe), 1, 1, MaxText + 1}, make([]byte, 200)...),
+		{0}, {byte(kindCount)}, {byte(KindClaim)}, {byte(KindClaim), 0x80},
+		{byte(KindClaim), 0xff, 0xff, 0xff, 0x7f, 1, 1},                                                       // a cell beyond 65,535
+		append([]byte{byte(KindOutcome), 1, 0, 0, 0, 0, 1}, []byte(strings.Repeat("\x7f\xc0\x00\x00", 6))...), // NaN
+		{byte(KindUsageReportEnd), 1, 1, 2},                                                                   // a flag of 2
+		append([]byte{byte(KindProbe), 1, 1, MaxNameBytes + 1}, make([]byte, 200)...),
 	} {
-		if m, err := Parse(b); err == nil {
+		if m, err := ParseFrame(b); err == nil {
 			t.Errorf("%v was read as %+v", b, m)
 		}
 	}
 }
 
-// FuzzParse looks for frames that crash the reader, or that are read as something they can't be written as.
-func FuzzParse(f *testing.F) {
+// FuzzParseFrame looks for frames that crash the reader, or that are read as something they can't be written as.
+func FuzzParseFrame(f *testing.F) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 50 {
-		m := random(rng)
-		f.Add(Append(nil, &m))
+		msg := randomMessage(rng)
+		f.Add(AppendMessage(nil, &msg))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		msgs, err := Parse(b)
+		msgs, err := ParseFrame(b)
 		if err != nil {
 			return
 		}
 		var again []byte
 		for i := range msgs {
-			again = Append(again, &msgs[i])
+			again = AppendMessage(again, &msgs[i])
 		}
-		back, err := Parse(again)
+		back, err := ParseFrame(again)
 		if err != nil || len(back) != len(msgs) {
 			t.Fatalf("%v was read, but not read again: %v", b, err)
 		}
 	})
 }
 
-func pair(t *testing.T) (net.Conn, net.Conn) {
+func connPair(t *testing.T) (net.Conn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,22 +134,22 @@
 
 // Guards against harm by a peer that speaks nonsense: the link ends with one error, and what was whole before it
 // has been handed on.
-func TestBrokenFramesEndTheLink(t *testing.T) {
-	good := Append(nil, &Msg{Kind: Claim, Cell: 3, Epoch: 9, Round: 1})
+func TestConn_MalformedFramesClose(t *testing.T) {
+	good := AppendMessage(nil, &Message{Kind: KindClaim, Cell: 3, Epoch: 9, Round: 1})
 	frame := func(b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
 	for name, b := range map[string][]byte{
-		"oversized": binary.BigEndian.AppendUint32(nil, MaxFrame+1),
+		"oversized": binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1),
 		"empty":     binary.BigEndian.AppendUint32(nil, 0),
 		"unknown":   frame([]byte{200, 1, 2}),
 		"cut":       frame(good)[:6],
 		"http":      []byte("GET / HTTP/1.1\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, far := pair(t)
-			l := NewConn(near, patience)
-			got := make(chan []Msg, 4)
+			near, far := connPair(t)
+			conn := NewConn(near, testTimeout)
+			got := make(chan []Message, 4)
 			ended := make(chan error, 1)
-			go func() { ended <- l.Serve(func(m []Msg) { got <- m }) }()
+			go func() { ended <- conn.Serve(func(m []Message) { got <- m }) }()
 			far.Write(frame(good))
 			if m := <-got; len(m) != 1 || m[0].Epoch != 9 {
 				t.Fatalf("got %+v", m)
@@ -163,7 +163,7 @@
 				if err == nil {
 					t.Error("the link ended without an error")
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the link goes on")
 			}
 			if len(got) != 0 {
@@ -174,32 +174,32 @@
 }
 
 // Guards against a peer that was stopped or cut off: no byte for the stated time ends the link.
-func TestSilenceEndsTheLink(t *testing.T) {
-	near, _ := pair(t)
-	l := NewConn(near, 50*time.Millisecond)
+func TestConn_IdleTimeoutCloses(t *testing.T) {
+	near, _ := connPair(t)
+	conn := NewConn(near, 50*time.Millisecond)
 	ended := make(chan error, 1)
-	go func() { ended <- l.Serve(func([]Msg) {}) }()
+	go func() { ended <- conn.Serve(func([]Message) {}) }()
 	select {
 	case err := <-ended:
 		if ne, ok := errors.AsType[net.Error](err); !ok || !ne.Timeout() {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the link goes on")
 	}
 }
 
 // Guards against a queue without an end towards a peer that does not read.
-func TestPeerThatDoesNotRead(t *testing.T) {
-	near, _ := pair(t)
-	l := NewConn(near, patience)
-	m := Msg{Kind: Tale, Name: strings.Repeat("x", MaxText)}
+func TestConn_QueueBoundCloses(t *testing.T) {
+	near, _ := connPair(t)
+	conn := NewConn(near, testTimeout)
+	msg := Message{Kind: KindUsageReport, Name: strings.Repeat("x", MaxNameBytes)}
 	for range 200_000 { // some 28 MB
-		if l.Send(m); !l.Room() {
-			l.mu.Lock()
-			n, closed := len(l.buf), l.closed
-			l.mu.Unlock()
-			if n > MaxWaiting {
+		if conn.Send(msg); !conn.Writable() {
+			conn.mu.Lock()
+			n, closed := len(conn.queued), conn.closed
+			conn.mu.Unlock()
+			if n > MaxQueuedBytes {
 				t.Fatalf("%d bytes wait", n)
 			}
 			if closed {
@@ -211,23 +211,23 @@
 }
 
 // Guards against records that are lost or out of order where many senders meet a slow reader.
-func TestManyRecordsInOrder(t *testing.T) {
-	near, far := pair(t)
-	a, b := NewConn(near, patience), NewConn(far, patience)
+func TestConn_ManyRecordsInOrder(t *testing.T) {
+	near, far := connPair(t)
+	a, b := NewConn(near, testTimeout), NewConn(far, testTimeout)
 	const n = 50_000
 	go func() {
 		for i := range n {
-			for !a.Room() {
+			for !a.Writable() {
 				runtime.Gosched()
 			}
-			a.Send(Msg{Kind: Gone, Handle: uint64(i)})
+			a.Send(Message{Kind: KindDisconnected, Handle: uint64(i)})
 		}
 	}()
 	next := uint64(0)
-	b.Serve(func(msgs []Msg) {
-		for _, m := range msgs {
-			if m.Handle != next {
-				t.Errorf("%d came, want %d", m.Handle, next)
+	b.Serve(func(msgs []Message) {
+		for _, msg := range msgs {
+			if msg.Handle != next {
+				t.Errorf("%d came, want %d", msg.Handle, next)
 			}
 			next++
 		}
@@ -242,21 +242,21 @@
 
 // A word of overload crosses from a planner to a forwarder and on to another planner, and is neither a cell nor a request to those that don't
 // know it.
-func TestOverloadWordsCross(t *testing.T) {
+func TestShedLevel_RoundTrip(t *testing.T) {
 	for _, cell := range []int{0, 5, 1000} {
 		for _, phase := range []uint8{0, 200} {
-			said := OverloadOf(cell, 0.6, phase)
-			if said.Kind != Release || said.Cell != OverloadCell || said.Cell == KnowsHoldsCell {
-				t.Fatalf("%+v", said)
+			msg := NewShedLevel(cell, 0.6, phase)
+			if msg.Kind != KindRelease || msg.Cell != ShedLevelCell || msg.Cell == CordonCapableCell {
+				t.Fatalf("%+v", msg)
 			}
-			gone := Msg{Kind: Gone, Handle: said.Epoch}
-			if c, l, p, ok := gone.Overload(); !ok || c != cell || l < 0.59 || l > 0.61 || p != phase {
+			relayed := Message{Kind: KindDisconnected, Handle: msg.Epoch}
+			if c, l, p, ok := relayed.ShedLevel(); !ok || c != cell || l < 0.59 || l > 0.61 || p != phase {
 				t.Errorf("%d, %g, %d, %v", c, l, p, ok)
 			}
 		}
 	}
-	for _, handle := range []uint64{0, 1, KnowsHoldsHandle, 1 << 62} {
-		if _, _, _, ok := (&Msg{Kind: Gone, Handle: handle}).Overload(); ok {
+	for _, handle := range []uint64{0, 1, CordonCapableHandle, 1 << 62} {
+		if _, _, _, ok := (&Message{Kind: KindDisconnected, Handle: handle}).ShedLevel(); ok {
 			t.Errorf("handle %x is taken for a word", handle)
 		}
 	}
--- a/internal/mono/mono.go
+++ b/internal/mono/mono.go
@@ -9,13 +9,13 @@
 
 // Clock is safe for concurrent use; copies tell the same time.
 type Clock struct {
-	base time.Time
-	unix float64
-	boot float64
+	start      time.Time
+	startUnixS float64
+	bootUnixS  float64
 }
 
-// New starts a clock.
-func New() Clock {
+// NewClock starts a clock.
+func NewClock() Clock {
 	t := time.Now()
 	unixS := float64(t.UnixNano()) / 1e9
 	boot := 0.0
@@ -26,9 +26,9 @@
 	return Clock{t, unixS, boot}
 }
 
-// Boot is the moment at which the machine's monotonic clock stood at 0, by this clock; 0 where there is none. Two programs of one
+// BootTime is the moment at which the machine's monotonic clock stood at 0, by this clock; 0 where there is none. Two programs of one
 // machine differ in it by what their clocks do.
-func (c Clock) Boot() float64 { return c.boot }
+func (c Clock) BootTime() float64 { return c.bootUnixS }
 
 // Now is the time in Unix seconds.
-func (c Clock) Now() float64 { return c.unix + time.Since(c.base).Seconds() }
+func (c Clock) Now() float64 { return c.startUnixS + time.Since(c.start).Seconds() }
--- a/internal/nodes/nodes.go
+++ b/internal/nodes/nodes.go
@@ -12,18 +12,18 @@
 	"eiderspread/internal/terms"
 )
 
-// Entry is what the table needs of a server; the caller's own type embeds it.
-type Entry struct {
-	terms.Server
-	Point  uint64 // a hash of its id
-	Hash   uint16 // the part of it by which gateways speak of the server
-	Listed bool   // in the list of the moment, drained or not
+// Endpoint is what the table needs of a server; the caller's own type embeds it.
+type Endpoint struct {
+	terms.Backend
+	RingPoint uint64 // a hash of its id
+	ShortHash uint16 // the part of it by which gateways speak of the server
+	Listed    bool   // in the list of the moment, drained or not
 }
 
-// Warm is the least part of its capacity that the server must have by now: from at its start, all after coldS seconds.
-func (e *Entry) Warm(now, coldS, from float64) float64 {
-	age := now - e.SinceS
-	if e.SinceS <= 0 || age >= coldS || coldS <= 0 {
+// WarmFraction is the least part of its capacity that the server must have by now: from at its start, all after coldS seconds.
+func (e *Endpoint) WarmFraction(now, coldS, from float64) float64 {
+	age := now - e.StartedAt
+	if e.StartedAt <= 0 || age >= coldS || coldS <= 0 {
 		return 1
 	}
 	return from + (1-from)*max(age, 0)/coldS
@@ -31,96 +31,96 @@
 
 // Table holds servers of the caller's type.
 type Table[T any] struct {
-	By     map[string]*T
-	Order  []*T // those listed, by id
-	byHash map[uint16]*T
-	entry  func(*T) *Entry
-	near   []*T
-	stale  bool // near is of a former list
+	ByID           map[string]*T
+	Listed         []*T // those listed, by id
+	byShortHash    map[uint16]*T
+	endpointOf     func(*T) *Endpoint
+	preferred      []*T
+	preferredStale bool // near is of a former list
 }
 
-// New returns an empty table; entry finds the Entry in a server.
-func New[T any](entry func(*T) *Entry) Table[T] {
-	return Table[T]{By: map[string]*T{}, byHash: map[uint16]*T{}, entry: entry}
+// NewTable returns an empty table; entry finds the Entry in a server.
+func NewTable[T any](entry func(*T) *Endpoint) Table[T] {
+	return Table[T]{ByID: map[string]*T{}, byShortHash: map[uint16]*T{}, endpointOf: entry}
 }
 
-// List takes in a list, whole or only what changed. It calls fresh for a server never seen, and restarted for each that has started anew.
-func (t *Table[T]) List(list []terms.Server, whole bool, fresh func() *T, restarted func(*T)) {
-	for _, s := range t.Order {
-		e := t.entry(s)
+// Update takes in a list, whole or only what changed. It calls fresh for a server never seen, and restarted for each that has started anew.
+func (t *Table[T]) Update(list []terms.Backend, whole bool, fresh func() *T, restarted func(*T)) {
+	for _, s := range t.Listed {
+		e := t.endpointOf(s)
 		e.Listed = e.Listed && !whole
 	}
 	for _, told := range list {
-		s := t.By[told.ID]
+		s := t.ByID[told.ID]
 		if s == nil {
 			s = fresh()
-			t.By[told.ID] = s
-			t.entry(s).Point = peermsg.Point(told.ID)
-			t.entry(s).Hash = min(uint16(t.entry(s).Point), peermsg.ServerMost)
-			t.index(s)
-		} else if told.SinceS > t.entry(s).SinceS {
+			t.ByID[told.ID] = s
+			t.endpointOf(s).RingPoint = peermsg.HashPoint(told.ID)
+			t.endpointOf(s).ShortHash = min(uint16(t.endpointOf(s).RingPoint), peermsg.MaxBackendHash)
+			t.indexShortHash(s)
+		} else if told.StartedAt > t.endpointOf(s).StartedAt {
 			restarted(s)
 		}
-		e := t.entry(s)
-		e.Server, e.Listed = told, told.State != terms.Removed
+		e := t.endpointOf(s)
+		e.Backend, e.Listed = told, told.State != terms.Removed
 	}
-	t.Order = t.Order[:0]
-	for _, s := range t.By {
-		if t.entry(s).Listed {
-			t.Order = append(t.Order, s)
+	t.Listed = t.Listed[:0]
+	for _, s := range t.ByID {
+		if t.endpointOf(s).Listed {
+			t.Listed = append(t.Listed, s)
 		}
 	}
-	slices.SortFunc(t.Order, func(a, b *T) int { return cmp.Compare(t.entry(a).ID, t.entry(b).ID) })
-	t.stale = true
+	slices.SortFunc(t.Listed, func(a, b *T) int { return cmp.Compare(t.endpointOf(a).ID, t.endpointOf(b).ID) })
+	t.preferredStale = true
 }
 
-// Near is the part of the listed servers that gateway me prefers, size of them, those of its own zone first where that is asked; servers that drain
+// Preferred is the part of the listed servers that gateway me prefers, size of them, those of its own zone first where that is asked; servers that drain
 // keep their places as long as they are listed, and are passed over by the caller.
-func (t *Table[T]) Near(me, size int, zone string, own bool) []*T {
-	if !t.stale && len(t.near) == min(size, len(t.Order)) {
-		return t.near
+func (t *Table[T]) Preferred(me, size int, zone string, own bool) []*T {
+	if !t.preferredStale && len(t.preferred) == min(size, len(t.Listed)) {
+		return t.preferred
 	}
-	ids, from := make([]uint64, 0, len(t.Order)), make([]*T, 0, len(t.Order))
-	t.near = t.near[:0]
+	ids, from := make([]uint64, 0, len(t.Listed)), make([]*T, 0, len(t.Listed))
+	t.preferred = t.preferred[:0]
 	for _, here := range []bool{true, false} {
 		ids, from = ids[:0], from[:0]
-		for _, s := range t.Order {
-			if e := t.entry(s); (!own || e.Zone == zone) == here {
-				ids, from = append(ids, e.Point), append(from, s)
+		for _, s := range t.Listed {
+			if e := t.endpointOf(s); (!own || e.Zone == zone) == here {
+				ids, from = append(ids, e.RingPoint), append(from, s)
 			}
 		}
-		for _, i := range subset.Rendezvous(ids, me, 0, size-len(t.near)) {
-			t.near = append(t.near, from[i])
+		for _, i := range subset.Rendezvous(ids, me, 0, size-len(t.preferred)) {
+			t.preferred = append(t.preferred, from[i])
 		}
 	}
-	t.stale = false
-	return t.near
+	t.preferredStale = false
+	return t.preferred
 }
 
-// index finds a server by its hash. Of two with the same one, what is told of either is not used.
-func (t *Table[T]) index(s *T) {
-	hash := t.entry(s).Hash
-	if _, twice := t.byHash[hash]; twice {
+// indexShortHash finds a server by its hash. Of two with the same one, what is told of either is not used.
+func (t *Table[T]) indexShortHash(s *T) {
+	hash := t.endpointOf(s).ShortHash
+	if _, twice := t.byShortHash[hash]; twice {
 		s = nil
 	}
-	t.byHash[hash] = s
+	t.byShortHash[hash] = s
 }
 
-// Heard is the server of a hash; nil if there is none, or more than one.
-func (t *Table[T]) Heard(hash uint16) *T { return t.byHash[hash] }
+// ByShortHash is the server of a hash; nil if there is none, or more than one.
+func (t *Table[T]) ByShortHash(hash uint16) *T { return t.byShortHash[hash] }
 
 // Len is how many are kept, and how many hashes.
-func (t *Table[T]) Len() (servers, hashes int) { return len(t.By), len(t.byHash) }
+func (t *Table[T]) Len() (servers, hashes int) { return len(t.ByID), len(t.byShortHash) }
 
-// Forget drops servers that are not listed any more and not in use.
-func (t *Table[T]) Forget(used func(*T) bool) {
-	before := len(t.By)
-	maps.DeleteFunc(t.By, func(_ string, s *T) bool { return !t.entry(s).Listed && !used(s) })
-	if len(t.By) == before {
+// Prune drops servers that are not listed any more and not in use.
+func (t *Table[T]) Prune(used func(*T) bool) {
+	before := len(t.ByID)
+	maps.DeleteFunc(t.ByID, func(_ string, s *T) bool { return !t.endpointOf(s).Listed && !used(s) })
+	if len(t.ByID) == before {
 		return
 	}
-	clear(t.byHash)
-	for _, s := range t.By {
-		t.index(s)
+	clear(t.byShortHash)
+	for _, s := range t.ByID {
+		t.indexShortHash(s)
 	}
 }
--- a/internal/nodes/nodes_test.go
+++ b/internal/nodes/nodes_test.go
@@ -9,46 +9,48 @@
 	"eiderspread/internal/terms"
 )
 
-type thing struct {
-	Entry
+type testBackend struct {
+	Endpoint
 	used, restarts int
 }
 
-func table() Table[thing] { return New(func(x *thing) *Entry { return &x.Entry }) }
+func newTestTable() Table[testBackend] {
+	return NewTable(func(x *testBackend) *Endpoint { return &x.Endpoint })
+}
 
-func TestListWholeAndInParts(t *testing.T) {
-	b := table()
-	fresh, again := func() *thing { return &thing{} }, func(x *thing) { x.restarts++ }
-	b.List([]terms.Server{{ID: "b"}, {ID: "a"}, {ID: "c", SinceS: 5}}, true, fresh, again)
-	b.List([]terms.Server{{ID: "b", State: terms.Removed}, {ID: "c", SinceS: 6}}, false, fresh, again)
-	if len(b.Order) != 2 || b.Order[0].ID != "a" || b.Order[1].ID != "c" || b.By["c"].restarts != 1 {
-		t.Fatalf("%+v", b.Order)
+func TestTable_UpdateFullAndPartial(t *testing.T) {
+	b := newTestTable()
+	fresh, again := func() *testBackend { return &testBackend{} }, func(x *testBackend) { x.restarts++ }
+	b.Update([]terms.Backend{{ID: "b"}, {ID: "a"}, {ID: "c", StartedAt: 5}}, true, fresh, again)
+	b.Update([]terms.Backend{{ID: "b", State: terms.Removed}, {ID: "c", StartedAt: 6}}, false, fresh, again)
+	if len(b.Listed) != 2 || b.Listed[0].ID != "a" || b.Listed[1].ID != "c" || b.ByID["c"].restarts != 1 {
+		t.Fatalf("%+v", b.Listed)
 	}
-	b.List([]terms.Server{{ID: "c", SinceS: 6}}, true, fresh, again)
-	if len(b.Order) != 1 || b.By["c"].restarts != 1 || b.Heard(b.By["c"].Hash) != b.By["c"] {
-		t.Fatalf("%+v", b.Order)
+	b.Update([]terms.Backend{{ID: "c", StartedAt: 6}}, true, fresh, again)
+	if len(b.Listed) != 1 || b.ByID["c"].restarts != 1 || b.ByShortHash(b.ByID["c"].ShortHash) != b.ByID["c"] {
+		t.Fatalf("%+v", b.Listed)
 	}
-	b.By["b"].used = 1
-	b.Forget(func(x *thing) bool { return x.used > 0 })
-	if n, hashes := b.Len(); n != 2 || hashes != 2 || b.By["a"] != nil {
+	b.ByID["b"].used = 1
+	b.Prune(func(x *testBackend) bool { return x.used > 0 })
+	if n, hashes := b.Len(); n != 2 || hashes != 2 || b.ByID["a"] != nil {
 		t.Errorf("%d servers and %d hashes kept", n, hashes)
 	}
 }
 
 // Two servers of the same hash: news of the one must not be taken for the other's.
-func TestTwoOfOneHashAreNotToldApart(t *testing.T) {
+func TestTable_ShortHashCollision(t *testing.T) {
 	seen := map[uint16]string{}
 	for i := 0; ; i++ {
 		id := fmt.Sprint("s", i)
-		h := uint16(peermsg.Point(id))
+		h := uint16(peermsg.HashPoint(id))
 		if other, ok := seen[h]; ok {
-			b := table()
-			b.List([]terms.Server{{ID: id}, {ID: other}}, true, func() *thing { return &thing{} }, func(*thing) {})
-			if b.Heard(h) != nil {
+			b := newTestTable()
+			b.Update([]terms.Backend{{ID: id}, {ID: other}}, true, func() *testBackend { return &testBackend{} }, func(*testBackend) {})
+			if b.ByShortHash(h) != nil {
 				t.Errorf("%s and %s are taken for one", id, other)
 			}
-			b.List([]terms.Server{{ID: id}}, true, nil, nil)
-			if b.Forget(func(*thing) bool { return false }); b.Heard(h) == nil || b.Heard(h).ID != id {
+			b.Update([]terms.Backend{{ID: id}}, true, nil, nil)
+			if b.Prune(func(*testBackend) bool { return false }); b.ByShortHash(h) == nil || b.ByShortHash(h).ID != id {
 				t.Error("the one that is left is not found")
 			}
 			return
@@ -57,10 +59,10 @@
 	}
 }
 
-func TestWarm(t *testing.T) {
+func TestEndpoint_WarmFraction(t *testing.T) {
 	for _, tc := range []struct{ since, now, want float64 }{{0, 9, 1}, {10, 10, 0.25}, {10, 14, 0.625}, {10, 18, 1}, {10, 9, 0.25}} {
-		e := Entry{Server: terms.Server{SinceS: tc.since}}
-		if got := e.Warm(tc.now, 8, 0.25); math.Abs(got-tc.want) > 1e-9 {
+		e := Endpoint{Backend: terms.Backend{StartedAt: tc.since}}
+		if got := e.WarmFraction(tc.now, 8, 0.25); math.Abs(got-tc.want) > 1e-9 {
 			t.Errorf("started at %v, at %v: %v, want %v", tc.since, tc.now, got, tc.want)
 		}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// Loopback tells what is wrong with an address that must be on loopback.
-func Loopback(name, addr string) error {
+// CheckLoopback tells what is wrong with an address that must be on loopback.
+func CheckLoopback(name, addr string) error {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -5,20 +5,20 @@
 
 import "slices"
 
-// BatchS is the least time between two messages to one peer that nobody waits for.
-const BatchS = 0.1
+// BatchIntervalS is the least time between two messages to one peer that nobody waits for.
+const BatchIntervalS = 0.1
 
-// spare is how many messages may always be sent at once after a pause.
-const spare = 2
+// reserveTokens is how many messages may always be sent at once after a pause.
+const reserveTokens = 2
 
 type peer[T any] struct {
 	items           []T
-	toldAt          float64
+	sentAt          float64
 	pending, urgent bool
 }
 
-// Box holds what is to be told.
-type Box[T any] struct {
+// Queue holds what is to be told.
+type Queue[T any] struct {
 	peers    []peer[T]
 	pending  []int // peers with items, in the order in which they came to have some
 	tokens   float64
@@ -26,12 +26,12 @@
 }
 
 // New returns a box for so many peers.
-func New[T any](peers int, now float64) Box[T] {
-	return Box[T]{peers: make([]peer[T], peers), tokens: spare, tokensAt: now}
+func New[T any](peers int, now float64) Queue[T] {
+	return Queue[T]{peers: make([]peer[T], peers), tokens: reserveTokens, tokensAt: now}
 }
 
-// Put adds an item for a peer.
-func (b *Box[T]) Put(to int, item T) {
+// Add adds an item for a peer.
+func (b *Queue[T]) Add(to int, item T) {
 	p := &b.peers[to]
 	p.items = append(p.items, item)
 	if !p.pending {
@@ -40,27 +40,27 @@
 	}
 }
 
-// Hurry has what is to be told to a peer go as soon as the rate allows.
-func (b *Box[T]) Hurry(to int) { b.peers[to].urgent = true }
+// MarkUrgent has what is to be told to a peer go as soon as the rate allows.
+func (b *Queue[T]) MarkUrgent(to int) { b.peers[to].urgent = true }
 
-// Waiting is how many peers have items.
-func (b *Box[T]) Waiting() int { return len(b.pending) }
+// PendingPeers is how many peers have items.
+func (b *Queue[T]) PendingPeers() int { return len(b.pending) }
 
 // Flush sends what is due at so many messages a second. tell gets a peer's items, oldest first, and returns how many of them it has told or dropped;
 // it may put items in. What is not urgent leaves one message's place for what may become so.
-func (b *Box[T]) Flush(now, rate float64, tell func(to int, items []T) int) {
-	b.tokens = min(max(spare, rate*BatchS*2), b.tokens+rate*(now-b.tokensAt))
+func (b *Queue[T]) Flush(now, rate float64, tell func(to int, items []T) int) {
+	b.tokens = min(max(reserveTokens, rate*BatchIntervalS*2), b.tokens+rate*(now-b.tokensAt))
 	b.tokensAt = now
 	list := b.pending
 	b.pending = nil
 	var left []int
 	for _, to := range list {
 		p := &b.peers[to]
-		if p.urgent && b.tokens >= 1 || b.tokens >= spare && now-p.toldAt >= BatchS {
+		if p.urgent && b.tokens >= 1 || b.tokens >= reserveTokens && now-p.sentAt >= BatchIntervalS {
 			b.tokens--
 			n := tell(to, p.items)
 			p.items = slices.Delete(p.items, 0, n)
-			p.toldAt, p.urgent = now, p.urgent && len(p.items) > 0
+			p.sentAt, p.urgent = now, p.urgent && len(p.items) > 0
 		}
 		if p.pending = len(p.items) > 0; p.pending {
 			left = append(left, to)
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -5,30 +5,30 @@
 	"testing"
 )
 
-func TestUrgentGoesFirstAndAllKeepToTheRate(t *testing.T) {
+func TestQueue_UrgentFirstWithinRate(t *testing.T) {
 	b := New[int](3, 0)
 	var told []int
 	all := func(to int, items []int) int { told = append(told, to); return len(items) }
-	b.Put(0, 1)
-	b.Put(1, 2)
-	b.Put(2, 3)
-	b.Hurry(2)
+	b.Add(0, 1)
+	b.Add(1, 2)
+	b.Add(2, 3)
+	b.MarkUrgent(2)
 	if b.Flush(0.2, 1, all); len(told) != 2 || told[0] != 0 || told[1] != 2 {
 		t.Fatalf("told %v: a token is kept for what is urgent", told)
 	}
-	if b.Flush(0.3, 1, all); len(told) != 2 || b.Waiting() != 1 {
+	if b.Flush(0.3, 1, all); len(told) != 2 || b.PendingPeers() != 1 {
 		t.Fatalf("told %v with the rate used up", told)
 	}
-	if b.Flush(3, 1, all); len(told) != 3 || told[2] != 1 || b.Waiting() != 0 {
+	if b.Flush(3, 1, all); len(told) != 3 || told[2] != 1 || b.PendingPeers() != 0 {
 		t.Fatalf("told %v", told)
 	}
 }
 
-func TestAPeerIsNotToldMoreOftenThanABatch(t *testing.T) {
+func TestQueue_BatchInterval(t *testing.T) {
 	b := New[int](1, 0)
 	n := 0
 	for i := range 100 {
-		b.Put(0, i)
+		b.Add(0, i)
 		b.Flush(float64(i)*0.01, 1000, func(_ int, items []int) int { n++; return len(items) })
 	}
 	if n < 9 || n > 11 {
@@ -37,7 +37,7 @@
 }
 
 // Whatever comes when: nothing is lost, doubled or out of order, a message takes no more than it has room for, and the rate holds.
-func TestNothingIsLostAndTheRateHolds(t *testing.T) {
+func TestQueue_KeepsItemsInOrderWithinRate(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		const peers, rate, room = 5, 20.0, 3
@@ -49,10 +49,10 @@
 			to := rng.IntN(peers)
 			if rng.IntN(3) == 0 {
 				put[to] = append(put[to], i)
-				b.Put(to, i)
+				b.Add(to, i)
 			}
 			if rng.IntN(4) == 0 {
-				b.Hurry(to)
+				b.MarkUrgent(to)
 			}
 			b.Flush(now, rate, func(to int, items []int) int {
 				sent++
--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -3,50 +3,50 @@
 package patience
 
 const (
-	bins = 101 // shares of the deadline told apart
-	kept = 128 // tries that count in full; then the older ones count half
+	binCount = 101 // shares of the deadline told apart
+	halveAt  = 128 // tries that count in full; then the older ones count half
 )
 
-// Hist is the histogram. Its zero value is empty.
-type Hist struct {
-	times [bins]int
-	seen  int
-	most  int
+// Histogram is the histogram. Its zero value is empty.
+type Histogram struct {
+	counts    [binCount]int
+	samples   int
+	modeCount int
 }
 
-// Seen is how many tries count.
-func (h *Hist) Seen() int { return h.seen }
+// Samples is how many tries count.
+func (h *Histogram) Samples() int { return h.samples }
 
-// Most is how many tries count with about the commonest share.
-func (h *Hist) Most() int { return h.most }
+// ModeCount is how many tries count with about the commonest share.
+func (h *Histogram) ModeCount() int { return h.modeCount }
 
-// Came counts a try that came with this share of its deadline left, and returns how many came with about the same one.
-func (h *Hist) Came(share float64) int {
-	bin := int(min(max(share, 0), 1)*(bins-1) + 0.5)
-	h.times[bin]++
-	h.seen++
-	near := h.near(bin)
-	h.most = max(h.most, near)
-	if h.seen >= kept {
-		h.fade()
+// Observe counts a try that came with this share of its deadline left, and returns how many came with about the same one.
+func (h *Histogram) Observe(share float64) int {
+	bin := int(min(max(share, 0), 1)*(binCount-1) + 0.5)
+	h.counts[bin]++
+	h.samples++
+	near := h.countAround(bin)
+	h.modeCount = max(h.modeCount, near)
+	if h.samples >= halveAt {
+		h.halve()
 	}
 	return near
 }
 
-func (h *Hist) fade() {
-	h.seen, h.most = 0, 0
-	for i := range h.times {
-		h.times[i] /= 2
-		h.seen += h.times[i]
+func (h *Histogram) halve() {
+	h.samples, h.modeCount = 0, 0
+	for i := range h.counts {
+		h.counts[i] /= 2
+		h.samples += h.counts[i]
 	}
-	for i := range h.times {
-		h.most = max(h.most, h.near(i))
+	for i := range h.counts {
+		h.modeCount = max(h.modeCount, h.countAround(i))
 	}
 }
 
-func (h *Hist) near(bin int) (n int) {
-	for i := max(bin-1, 0); i <= min(bin+1, bins-1); i++ {
-		n += h.times[i]
+func (h *Histogram) countAround(bin int) (n int) {
+	for i := max(bin-1, 0); i <= min(bin+1, binCount-1); i++ {
+		n += h.counts[i]
 	}
 	return n
 }
--- a/internal/patience/patience_test.go
+++ b/internal/patience/patience_test.go
@@ -6,16 +6,16 @@
 )
 
 // The counts are those of a plain list of tries as long as nothing has faded, and the commonest share is found after it has, too.
-func TestAgainstAPlainList(t *testing.T) {
+func TestHistogram_MatchesPlainList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	var h Hist
+	var h Histogram
 	var plain []int
-	for i := range kept - 1 {
+	for i := range halveAt - 1 {
 		share := rng.Float64()*1.4 - 0.2
 		if i%2 == 0 {
 			share = 0.75
 		}
-		bin := int(min(max(share, 0), 1)*(bins-1) + 0.5)
+		bin := int(min(max(share, 0), 1)*(binCount-1) + 0.5)
 		plain = append(plain, bin)
 		near := 0
 		for _, p := range plain {
@@ -23,12 +23,12 @@
 				near++
 			}
 		}
-		if got := h.Came(share); got != near || h.Seen() != i+1 {
-			t.Fatalf("try %d: %d near of %d, want %d", i, got, h.Seen(), near)
+		if got := h.Observe(share); got != near || h.Samples() != i+1 {
+			t.Fatalf("try %d: %d near of %d, want %d", i, got, h.Samples(), near)
 		}
 	}
-	h.Came(0.75)
-	if h.Seen() > kept/2 || h.Most() < h.Seen()/3 {
-		t.Fatalf("after fading %d seen, %d of the commonest", h.Seen(), h.Most())
+	h.Observe(0.75)
+	if h.Samples() > halveAt/2 || h.ModeCount() < h.Samples()/3 {
+		t.Fatalf("after fading %d seen, %d of the commonest", h.Samples(), h.ModeCount())
 	}
 }
--- a/internal/places/places.go
+++ b/internal/places/places.go
@@ -12,136 +12,136 @@
 const (
 	// GraceS is for how much longer the lender believes in a place than it lent it for: a word's way to the member.
 	GraceS = 0.08
-	// RenewS before its end a place is renewed while an attempt is out on it.
-	RenewS = 0.1
-	// WordS is for how long attempts out are lent places that a member tells of, and places that nobody asked for.
-	WordS = 0.5
-	// MostS bounds the time for which a place is lent.
-	MostS = 12.0
+	// RenewBeforeS before its end a place is renewed while an attempt is out on it.
+	RenewBeforeS = 0.1
+	// ReportLeaseS is for how long attempts out are lent places that a member tells of, and places that nobody asked for.
+	ReportLeaseS = 0.5
+	// MaxLeaseS bounds the time for which a place is lent.
+	MaxLeaseS = 12.0
 )
 
-// Span is for how long a place is lent to an attempt that takes so long in the mean, with such a mean deviation. Most attempts end within
+// LeaseS is for how long a place is lent to an attempt that takes so long in the mean, with such a mean deviation. Most attempts end within
 // it, and a word of their end brings the place back earlier; one that lasts longer is renewed. A longer span saves renewals and costs
 // idle places where the word of an end is lost, which one in eight is on the largest days.
-func Span(mean, dev float64) float64 { return min(mean+dev/2+RenewS, MostS) }
+func LeaseS(mean, dev float64) float64 { return min(mean+dev/2+RenewBeforeS, MaxLeaseS) }
 
 // lease is so many places of one member, from one time to another.
 type lease struct {
-	member    int
-	n         int
-	from, end float64
-	soon      float64 // when the attempts on them are thought to end
-	told      bool    // by the member's own word, not granted
+	member               int
+	slots                int
+	grantedAt, expiresAt float64
+	expectedEndAt        float64 // when the attempts on them are thought to end
+	reported             bool    // by the member's own word, not granted
 }
 
 // Waiter is a member's request for a place that has to wait.
 type Waiter struct {
-	Member       int
-	Units, First float64 // of all its requests that wait, and of the first of them
-	Cheap        float64 // of the first
-	Pool         bool    // a ceiling's shared part is to pay
-	Until        float64 // after that it has no use for the place
+	Member            int
+	Units, FirstUnits float64 // of all its requests that wait, and of the first of them
+	LowPriority       float64 // of the first
+	UseSharedBucket   bool    // a ceiling's shared part is to pay
+	ExpiresAt         float64 // after that it has no use for the place
 }
 
-// Book is the lender's account of one account's places.
-type Book struct {
+// Table is the lender's account of one account's places.
+type Table struct {
 	leases []lease
-	line   []Waiter
+	queue  []Waiter
 }
 
-// Out is how many places are lent now, but for those of one member (-1: of all).
-func (b *Book) Out(now float64, but int) (n int) {
+// Leased is how many places are lent now, but for those of one member (-1: of all).
+func (b *Table) Leased(now float64, but int) (n int) {
 	if b == nil {
 		return 0
 	}
-	b.leases = slices.DeleteFunc(b.leases, func(l lease) bool { return l.end <= now })
+	b.leases = slices.DeleteFunc(b.leases, func(l lease) bool { return l.expiresAt <= now })
 	for _, l := range b.leases {
 		if l.member != but {
-			n += l.n
+			n += l.slots
 		}
 	}
 	return n
 }
 
-// Lend notes that a member has so many places more, for so long from now on. The attempts on them take about mean.
-func (b *Book) Lend(now float64, member, n int, span, mean float64) {
+// Grant notes that a member has so many places more, for so long from now on. The attempts on them take about mean.
+func (b *Table) Grant(now float64, member, n int, span, mean float64) {
 	if n > 0 {
-		b.leases = append(b.leases, lease{member, n, now, now + min(span, MostS) + GraceS, now + min(mean, span), false})
+		b.leases = append(b.leases, lease{member, n, now, now + min(span, MaxLeaseS) + GraceS, now + min(mean, span), false})
 	}
 }
 
-// Told takes a member's word that it has so many attempts out: it stands in place of what was lent to it, but for places lent so short a time
+// ApplyReport takes a member's word that it has so many attempts out: it stands in place of what was lent to it, but for places lent so short a time
 // ago that the word may have crossed them. The places are its own for so long from now on, its attempts thought to last another mean.
-func (b *Book) Told(now float64, member, out int, span, mean float64) {
-	b.leases = slices.DeleteFunc(b.leases, func(l lease) bool { return l.member == member && (l.told || now-l.from >= GraceS) })
+func (b *Table) ApplyReport(now float64, member, out int, span, mean float64) {
+	b.leases = slices.DeleteFunc(b.leases, func(l lease) bool { return l.member == member && (l.reported || now-l.grantedAt >= GraceS) })
 	for _, l := range b.leases {
 		if l.member == member { // granted just now: out may have them already
-			out -= l.n
+			out -= l.slots
 		}
 	}
 	if out > 0 {
-		b.Lend(now, member, out, span, mean)
-		b.leases[len(b.leases)-1].told = true
+		b.Grant(now, member, out, span, mean)
+		b.leases[len(b.leases)-1].reported = true
 	}
 }
 
-// Drop ends all that a member has: it died, or has started anew.
-func (b *Book) Drop(member int) {
+// DropMember ends all that a member has: it died, or has started anew.
+func (b *Table) DropMember(member int) {
 	b.leases = slices.DeleteFunc(b.leases, func(l lease) bool { return l.member == member })
-	b.Leave(member)
+	b.Dequeue(member)
 }
 
-// Wait puts a member into the line, or brings what it asks for up to date where it stands, and returns how many are before it. The line holds
+// Enqueue puts a member into the line, or brings what it asks for up to date where it stands, and returns how many are before it. The line holds
 // each member once.
-func (b *Book) Wait(w Waiter) (before int) {
-	if i := b.place(w.Member); i >= 0 {
-		w.Until = max(w.Until, b.line[i].Until)
-		b.line[i] = w
+func (b *Table) Enqueue(w Waiter) (before int) {
+	if i := b.queueIndex(w.Member); i >= 0 {
+		w.ExpiresAt = max(w.ExpiresAt, b.queue[i].ExpiresAt)
+		b.queue[i] = w
 		return i
 	}
-	b.line = append(b.line, w)
-	return len(b.line) - 1
+	b.queue = append(b.queue, w)
+	return len(b.queue) - 1
 }
 
-func (b *Book) place(member int) int {
-	return slices.IndexFunc(b.line, func(w Waiter) bool { return w.Member == member })
+func (b *Table) queueIndex(member int) int {
+	return slices.IndexFunc(b.queue, func(w Waiter) bool { return w.Member == member })
 }
 
-// Leave takes a member out of the line.
-func (b *Book) Leave(member int) {
-	if i := b.place(member); i >= 0 {
-		b.line = slices.Delete(b.line, i, i+1)
+// Dequeue takes a member out of the line.
+func (b *Table) Dequeue(member int) {
+	if i := b.queueIndex(member); i >= 0 {
+		b.queue = slices.Delete(b.queue, i, i+1)
 	}
 }
 
-// Waiting is how many members are in the line.
-func (b *Book) Waiting() int {
+// QueueLen is how many members are in the line.
+func (b *Table) QueueLen() int {
 	if b == nil {
 		return 0
 	}
-	return len(b.line)
+	return len(b.queue)
 }
 
-// Next is the first in the line that can still use a place; those whose time is over leave it.
-func (b *Book) Next(now float64) (Waiter, bool) {
-	b.line = slices.DeleteFunc(b.line, func(w Waiter) bool { return w.Until <= now })
-	if len(b.line) == 0 {
+// NextWaiter is the first in the line that can still use a place; those whose time is over leave it.
+func (b *Table) NextWaiter(now float64) (Waiter, bool) {
+	b.queue = slices.DeleteFunc(b.queue, func(w Waiter) bool { return w.ExpiresAt <= now })
+	if len(b.queue) == 0 {
 		return Waiter{}, false
 	}
-	return b.line[0], true
+	return b.queue[0], true
 }
 
-// lateS is how soon an attempt that ought to have ended is thought to end.
-const lateS = 0.03
+// minRemainingS is how soon an attempt that ought to have ended is thought to end.
+const minRemainingS = 0.03
 
-// Soon is how long it takes until somebody with so many before it gets a place: by when the attempts on the places that are lent, and so many of the
+// ExpectedWaitS is how long it takes until somebody with so many before it gets a place: by when the attempts on the places that are lent, and so many of the
 // lender's own, are thought to end, each place then going to the next for the mean.
-func (b *Book) Soon(now float64, before, own int, mean float64) float64 {
+func (b *Table) ExpectedWaitS(now float64, before, own int, mean float64) float64 {
 	var ends []float64
 	for _, l := range b.leases {
-		for range l.n {
-			if l.end > now {
-				ends = append(ends, max(l.soon-now, lateS))
+		for range l.slots {
+			if l.expiresAt > now {
+				ends = append(ends, max(l.expectedEndAt-now, minRemainingS))
 			}
 		}
 	}
@@ -155,40 +155,40 @@
 	return ends[before%len(ends)] + mean*float64(before/len(ends))
 }
 
-// Held is what a member was lent of one account.
-type Held struct{ leases []lease }
+// MemberLeases is what a member was lent of one account.
+type MemberLeases struct{ leases []lease }
 
-// Lend takes a grant of so many places, for so long from now on. The caller's count from the arrival of a word is at most GraceS behind the lender's.
-func (h *Held) Lend(now float64, n int, span float64) {
+// Add takes a grant of so many places, for so long from now on. The caller's count from the arrival of a word is at most GraceS behind the lender's.
+func (h *MemberLeases) Add(now float64, n int, span float64) {
 	if n > 0 && span > 0 {
-		h.leases = append(h.leases, lease{n: n, end: now + span})
+		h.leases = append(h.leases, lease{slots: n, expiresAt: now + span})
 	}
 }
 
 // Renew notes that the lender is told of so many attempts out, and for how long: nothing else is held from then on.
-func (h *Held) Renew(now float64, n int, span float64) {
+func (h *MemberLeases) Renew(now float64, n int, span float64) {
 	h.leases = h.leases[:0]
-	h.Lend(now, n, span)
+	h.Add(now, n, span)
 }
 
-// Now is how many places are held at a time.
-func (h *Held) Now(at float64) (n int) {
+// Count is how many places are held at a time.
+func (h *MemberLeases) Count(at float64) (n int) {
 	for _, l := range h.leases {
-		if l.end > at {
-			n += l.n
+		if l.expiresAt > at {
+			n += l.slots
 		}
 	}
 	return n
 }
 
-// Sweep forgets places whose time is over.
-func (h *Held) Sweep(now float64) {
-	h.leases = slices.DeleteFunc(h.leases, func(l lease) bool { return l.end <= now })
+// DropExpired forgets places whose time is over.
+func (h *MemberLeases) DropExpired(now float64) {
+	h.leases = slices.DeleteFunc(h.leases, func(l lease) bool { return l.expiresAt <= now })
 }
 
-// Ahead is how many of the free places a member is lent before it asks: its part of what is asked for, rounded down, so that the parts of all
+// PrefetchCount is how many of the free places a member is lent before it asks: its part of what is asked for, rounded down, so that the parts of all
 // members add up to what is free. Half of it stays for those who ask.
-func Ahead(free int, mine, all float64) int {
+func PrefetchCount(free int, mine, all float64) int {
 	if free < 2 || all <= 0 || mine <= 0 {
 		return 0
 	}
--- a/internal/planner/file.go
+++ b/internal/planner/file.go
@@ -12,22 +12,22 @@
 	"eiderspread/internal/trace"
 )
 
-// File is a planner's operator's file, checked.
-type File struct {
+// FileConfig is a planner's operator's file, checked.
+type FileConfig struct {
 	fleet.Params
-	Number  int
-	Listen  string
-	Status  string
-	Console string   // where operators call; empty: nowhere
-	Trace   string   // folder for traces of decisions; empty: none are written
-	TraceMB int      // bounds each file
-	Allowed []string // with TLS: the common name of each forwarder's certificate, by its number
-	TLS     link.Identity
-	Base    ingress.Config
+	Number         int
+	ListenAddr     string
+	StatusAddr     string
+	AdminAddr      string   // where operators call; empty: nowhere
+	TraceFolder    string   // folder for traces of decisions; empty: none are written
+	TraceMB        int      // bounds each file
+	ForwarderNames []string // with TLS: the common name of each forwarder's certificate, by its number
+	TLS            link.Identity
+	Ingress        ingress.Config
 }
 
 // ReadFile reads deploy/planner.toml and the configuration that it names.
-func ReadFile(path string) (File, error) {
+func ReadFile(path string) (FileConfig, error) {
 	var f struct {
 		fleet.File
 		Listen   string
@@ -38,16 +38,16 @@
 		Overload overload.Config
 	}
 	if err := operator.Decode(path, &f); err != nil {
-		return File{}, err
+		return FileConfig{}, err
 	}
-	out, err := check(f.File, f.Listen, f.Allowed)
+	out, err := newFileConfig(f.File, f.Listen, f.Allowed)
 	if err == nil {
-		err = out.door(f.Console)
+		err = out.setAdminAddr(f.Console)
 	}
-	if out.Trace, out.TraceMB = f.Trace, f.TraceMB; err == nil {
+	if out.TraceFolder, out.TraceMB = f.Trace, f.TraceMB; err == nil {
 		err = trace.CheckFolder(f.Trace, f.TraceMB)
 	}
-	if out.Base.Settings.Overload = f.Overload; err == nil {
+	if out.Ingress.Settings.LoadShedding = f.Overload; err == nil {
 		err = f.Overload.Check()
 	}
 	if err != nil {
@@ -56,33 +56,33 @@
 	return out, nil
 }
 
-func check(f fleet.File, listen string, allowed []string) (File, error) {
-	out := File{Number: f.Number, Listen: listen, Status: f.Status, Allowed: allowed, TLS: f.Identity()}
+func newFileConfig(f fleet.File, listenAddr string, forwarderNames []string) (FileConfig, error) {
+	out := FileConfig{Number: f.Number, ListenAddr: listenAddr, StatusAddr: f.Status, ForwarderNames: forwarderNames, TLS: f.Identity()}
 	var err error
 	if out.Params, err = f.Params(); err != nil {
 		return out, err
 	}
-	if _, err := netip.ParseAddrPort(listen); err != nil {
+	if _, err := netip.ParseAddrPort(listenAddr); err != nil {
 		return out, fmt.Errorf("listen: %w", err)
 	}
 	if f.Number < 0 || f.Number >= f.Planners {
 		return out, fmt.Errorf("number is %d, want 0 to %d", f.Number, f.Planners-1)
 	}
-	if out.TLS != (link.Identity{}) && len(allowed) != f.Forwarders {
-		return out, fmt.Errorf("allowed: %d names given for %d forwarders", len(allowed), f.Forwarders)
+	if out.TLS != (link.Identity{}) && len(forwarderNames) != f.Forwarders {
+		return out, fmt.Errorf("allowed: %d names given for %d forwarders", len(forwarderNames), f.Forwarders)
 	}
 	if _, err = out.TLS.Config(); err != nil {
 		return out, fmt.Errorf("tls: %w", err)
 	}
-	out.Base, err = ingress.ReadConfig(f.Base)
+	out.Ingress, err = ingress.ReadConfig(f.Base)
 	return out, err
 }
 
-// door takes the address of the operators' door. A hold is said yes to when all leads that began before it have ended: the longest
+// setAdminAddr takes the address of the operators' door. A hold is said yes to when all leads that began before it have ended: the longest
 // lease has to fit into a call.
-func (f *File) door(addr string) (err error) {
-	if f.Console, err = ingress.ConsoleAddr(addr); err == nil && addr != "" && f.LeaseS > doorLeaseMost {
-		err = fmt.Errorf("console: lease_ms must be %.0f at most with it", doorLeaseMost*1e3)
+func (f *FileConfig) setAdminAddr(addr string) (err error) {
+	if f.AdminAddr, err = ingress.CheckAdminAddr(addr); err == nil && addr != "" && f.LeaseS > maxLeaseForCordonS {
+		err = fmt.Errorf("console: lease_ms must be %.0f at most with it", maxLeaseForCordonS*1e3)
 	}
 	return err
 }
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -14,6 +14,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, "file", []any{f.Listen, f.Console, f.Trace, f.TraceMB, f.Allowed, f.Base.Settings.Overload},
-		[]any{"127.0.0.1:7800", "127.0.0.1:9920", "testdata", 256, []string{"forwarder-0", "forwarder-1"}, overload.Config{On: true, Floor: 0.05}})
+	golden.Same(t, "file", []any{f.ListenAddr, f.AdminAddr, f.TraceFolder, f.TraceMB, f.ForwarderNames, f.Ingress.Settings.LoadShedding},
+		[]any{"127.0.0.1:7800", "127.0.0.1:9920", "testdata", 256, []string{"forwarder-0", "forwarder-1"}, overload.Config{Enabled: true, Floor: 0.05}})
 }
--- a/internal/planner/holds.go
+++ b/internal/planner/holds.go
@@ -8,83 +8,83 @@
 	"eiderspread/policy"
 )
 
-// errLongID refuses what would reach forwarders as another id: a yes to it would bind nobody.
-var errLongID = fmt.Errorf("an id of over %d bytes can't be held", link.MaxText)
+// errIDTooLong refuses what would reach forwarders as another id: a yes to it would bind nobody.
+var errIDTooLong = fmt.Errorf("an id of over %d bytes can't be held", link.MaxNameBytes)
 
-// holds is what operators of the fleet hold, laid over the list of servers that the modules are told. The rule that makes a yes bind
+// cordonOverlay is what operators of the fleet hold, laid over the list of servers that the modules are told. The rule that makes a yes bind
 // whoever leads is package withhold's.
-type holds struct {
-	h      *Host
-	caller *withhold.Caller
-	since  map[string]float64 // when this planner heard that an id is held; bounded by withhold.Most
-	back   map[string]float64 // and that it was called back
+type cordonOverlay struct {
+	core         *Core
+	coordinator  *withhold.Coordinator
+	cordonedAt   map[string]float64 // when this planner heard that an id is held; bounded by withhold.Most
+	uncordonedAt map[string]float64 // and that it was called back
 }
 
-func newHolds(cfg Config, h *Host) holds {
-	s := holds{h: h, since: map[string]float64{}, back: map[string]float64{}}
-	s.caller = withhold.NewCaller(cfg.Number, cfg.Forwarders, cfg.Majority(), cfg.LeaseS, callOut{h})
+func newCordonOverlay(cfg Config, core *Core) cordonOverlay {
+	s := cordonOverlay{core: core, cordonedAt: map[string]float64{}, uncordonedAt: map[string]float64{}}
+	s.coordinator = withhold.NewCoordinator(cfg.Number, cfg.Forwarders, cfg.Majority(), cfg.LeaseS, cordonOutput{core})
 	return s
 }
 
-// overlay is a server as it stands with the holds. One that was called back may have been restarted meanwhile: until discovery tells a
+// apply is a server as it stands with the holds. One that was called back may have been restarted meanwhile: until discovery tells a
 // start after the hold, it counts as started at the call back.
-func (s *holds) overlay(e policy.Server) policy.Server {
-	since, some := s.since[e.ID]
-	back, called := s.back[e.ID]
+func (o *cordonOverlay) apply(backend policy.Backend) policy.Backend {
+	cordonedAt, known := o.cordonedAt[backend.ID]
+	uncordonedAt, uncordoned := o.uncordonedAt[backend.ID]
 	switch {
-	case !some:
-	case !called && e.State == policy.Up:
-		e.State = policy.Draining
-	case called && e.SinceS <= since:
-		e.SinceS = back
+	case !known:
+	case !uncordoned && backend.State == policy.Up:
+		backend.State = policy.Draining
+	case uncordoned && backend.StartedAt <= cordonedAt:
+		backend.StartedAt = uncordonedAt
 	}
-	return e
+	return backend
 }
 
-// Hold begins an operator's call: from done(nil) on no request reaches the server, whichever planner leads, or the server is used again.
+// SetCordoned begins an operator's call: from done(nil) on no request reaches the server, whichever planner leads, or the server is used again.
 // done is called by a later Tick, within so many seconds.
-func (h *Host) Hold(now, within float64, id string, held bool, done func(error)) error {
-	h.at(now)
-	_, listed := h.servers[id]
-	if len(id) > link.MaxText {
-		return errLongID
+func (c *Core) SetCordoned(now, within float64, id string, cordoned bool, done func(error)) error {
+	c.advanceTo(now)
+	_, listed := c.backends[id]
+	if len(id) > link.MaxNameBytes {
+		return errIDTooLong
 	}
-	if !listed && !h.holds.caller.Words().Get(id).Held {
-		return withhold.ErrUnknown
+	if !listed && !c.cordons.coordinator.Registers().Get(id).Held {
+		return withhold.ErrUnknownBackend
 	}
-	return h.holds.caller.Call(now, within, id, held, done)
+	return c.cordons.coordinator.SetCordoned(now, within, id, cordoned, done)
 }
 
-// Held lists what operators hold, as far as this planner has heard.
-func (h *Host) Held() []string { return h.holds.caller.Words().Held() }
+// Cordoned lists what operators hold, as far as this planner has heard.
+func (c *Core) Cordoned() []string { return c.cordons.coordinator.Registers().Cordoned() }
 
-// callOut carries what the calls ask for over the links.
-type callOut struct{ h *Host }
+// cordonOutput carries what the calls ask for over the links.
+type cordonOutput struct{ core *Core }
 
-// Ask implements withhold.Out.
-func (o callOut) Ask(f int, call uint64, id string) {
-	o.h.out.Link(f, link.Msg{Kind: link.HoldAsk, Handle: call, Name: id})
+// ReadRegister implements withhold.Out.
+func (o cordonOutput) ReadRegister(forwarder int, call uint64, id string) {
+	o.core.out.SendToForwarder(forwarder, link.Message{Kind: link.KindCordonRead, Handle: call, Name: id})
 }
 
-// Tell implements withhold.Out.
-func (o callOut) Tell(f int, call uint64, id string, x withhold.Word) {
-	o.h.out.Link(f, link.Msg{Kind: link.Hold, Handle: call, Name: id, Epoch: x.Version, Flag: x.Held})
+// WriteRegister implements withhold.Out.
+func (o cordonOutput) WriteRegister(forwarder int, call uint64, id string, state withhold.State) {
+	o.core.out.SendToForwarder(forwarder, link.Message{Kind: link.KindCordonWrite, Handle: call, Name: id, Epoch: state.Version, Flag: state.Held})
 }
 
-// Heard implements withhold.Out: the modules learn of it at once.
-func (o callOut) Heard(id string, x withhold.Word) {
-	h, s := o.h, &o.h.holds
-	switch _, held := s.since[id]; {
-	case x.Held:
-		if _, called := s.back[id]; called || !held {
-			s.since[id] = h.now
-			delete(s.back, id)
+// RegisterChanged implements withhold.Out: the modules learn of it at once.
+func (o cordonOutput) RegisterChanged(id string, state withhold.State) {
+	core, s := o.core, &o.core.cordons
+	switch _, cordoned := s.cordonedAt[id]; {
+	case state.Held:
+		if _, uncordoned := s.uncordonedAt[id]; uncordoned || !cordoned {
+			s.cordonedAt[id] = core.now
+			delete(s.uncordonedAt, id)
 		}
-	case held:
-		s.back[id] = h.now
+	case cordoned:
+		s.uncordonedAt[id] = core.now
 	}
-	h.out.Log("hold", "server", id, "held", x.Held, "version", x.Version)
-	if e, listed := h.servers[id]; listed {
-		h.tellServers([]policy.Server{s.overlay(e)}, false)
+	core.out.Log("hold", "server", id, "held", state.Held, "version", state.Version)
+	if backend, listed := core.backends[id]; listed {
+		core.updateModules([]policy.Backend{s.apply(backend)}, false)
 	}
 }
--- a/internal/planner/server_test.go
+++ b/internal/planner/server_test.go
@@ -20,7 +20,7 @@
 	"eiderspread/policy"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // authority issues certificates into a folder of the test's.
 type authority struct {
@@ -46,9 +46,9 @@
 
 func serve(t *testing.T, id link.Identity) *Server {
 	t.Helper()
-	cfg := File{Number: 1, Listen: "127.0.0.1:0", TLS: id, Allowed: []string{"f-0", "f-1"}, Base: ingress.Config{Discovery: "127.0.0.1:1",
+	cfg := FileConfig{Number: 1, ListenAddr: "127.0.0.1:0", TLS: id, ForwarderNames: []string{"f-0", "f-1"}, Ingress: ingress.Config{Discovery: "127.0.0.1:1",
 		Settings: settings.Settings{Settings: policy.Settings{Gateways: 1, Classes: simClasses, Plans: simPlans, MaxAttempts: 5}}}}
-	cfg.Params = fleet.Params{Name: "t", Forwarders: 2, Planners: 2, SilenceS: 5}
+	cfg.Params = fleet.Params{Name: "t", Forwarders: 2, Planners: 2, LinkTimeoutS: 5}
 	if err := cfg.Params.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -64,47 +64,47 @@
 }
 
 // greet says hello and tells whether the planner answers it.
-func greet(t *testing.T, conn net.Conn, hello link.Msg) bool {
+func greet(t *testing.T, conn net.Conn, hello link.Message) bool {
 	t.Helper()
-	l := link.NewConn(conn, patience)
+	l := link.NewConn(conn, testTimeout)
 	l.Send(hello)
 	ok := false
-	l.Serve(func(m []link.Msg) {
-		ok = m[0].Kind == link.Hello && m[0].N == 1
+	l.Serve(func(m []link.Message) {
+		ok = m[0].Kind == link.KindHello && m[0].Number == 1
 		l.Close(io.EOF)
 	})
 	return ok
 }
 
-func hello(number uint32) link.Msg {
-	return link.Msg{Kind: link.Hello, Plan: link.Version, Name: "t", N: number, Epoch: 5, Cell: 6}
+func hello(number uint32) link.Message {
+	return link.Message{Kind: link.KindHello, Plan: link.Version, Name: "t", Number: number, Epoch: 5, Cell: 6}
 }
 
 // Guards against links of another version, fleet, size or number, and peers that do not say who they are.
-func TestStrangersAreTurnedAway(t *testing.T) {
+func TestServer_RejectsMismatchedHello(t *testing.T) {
 	s := serve(t, link.Identity{})
-	for name, change := range map[string]func(*link.Msg){
-		"a member":        func(*link.Msg) {},
-		"another version": func(m *link.Msg) { m.Plan++ },
-		"another fleet":   func(m *link.Msg) { m.Name = "u" },
-		"another number":  func(m *link.Msg) { m.N = 2 },
-		"other cells":     func(m *link.Msg) { m.Cell = 5 },
-		"no hello":        func(m *link.Msg) { m.Kind = link.Beat },
+	for name, change := range map[string]func(*link.Message){
+		"a member":        func(*link.Message) {},
+		"another version": func(msg *link.Message) { msg.Plan++ },
+		"another fleet":   func(msg *link.Message) { msg.Name = "u" },
+		"another number":  func(msg *link.Message) { msg.Number = 2 },
+		"other cells":     func(msg *link.Message) { msg.Cell = 5 },
+		"no hello":        func(msg *link.Message) { msg.Kind = link.KindHeartbeat },
 	} {
 		conn, err := net.Dial("tcp", s.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := hello(0)
-		change(&m)
-		if got := greet(t, conn, m); got != (name == "a member") {
+		msg := hello(0)
+		change(&msg)
+		if got := greet(t, conn, msg); got != (name == "a member") {
 			t.Errorf("%s: greeted %v", name, got)
 		}
 	}
 }
 
 // Guards the list of forwarders: a certificate of the right authority is not enough.
-func TestMutualTLS(t *testing.T) {
+func TestServer_MutualTLS(t *testing.T) {
 	good, other := newAuthority(t, "ca"), newAuthority(t, "other")
 	s := serve(t, good.issue("p-1"))
 	for name, tc := range map[string]struct {
@@ -125,11 +125,11 @@
 				t.Fatal(err)
 			}
 		}
-		mine, err := good.issue("f-0").Config()
+		clientConfig, err := good.issue("f-0").Config()
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg.RootCAs, cfg.ServerName = mine.RootCAs, "p-1"
+		cfg.RootCAs, cfg.ServerName = clientConfig.RootCAs, "p-1"
 		conn, err := net.Dial("tcp", s.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -141,7 +141,7 @@
 }
 
 // Guards the operator's file: one clear line for each fault, before anything is served.
-func TestFile(t *testing.T) {
+func TestReadFile_Errors(t *testing.T) {
 	dir := t.TempDir()
 	base := filepath.Join(dir, "base.json")
 	if err := os.WriteFile(base, []byte(`{"name":"p","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
