--- a/internal/planner/windows.go
+++ b/internal/planner/windows.go
@@ -10,221 +10,221 @@
 )
 
 const (
-	// mostWindows bounds the customers of one cell whose windows are kept; beyond, those of new ones are taken to
+	// maxWindows bounds the customers of one cell whose windows are kept; beyond, those of new ones are taken to
 	// have been empty when the lead began.
-	mostWindows = 64 << 10
-	firstMost   = 63  // units that the module takes as new in one message; see policy.Count
-	sweepS      = 1.0 // between two looks for windows that are full again
-	outsS       = 3.0 // how long a forwarder's word on attempts out is believed, as in the module
+	maxWindows       = 64 << 10
+	maxFreshUnits    = 63  // units that the module takes as new in one message; see policy.Count
+	sweepIntervalS   = 1.0 // between two looks for windows that are full again
+	orphanReportTTLS = 3.0 // how long a forwarder's word on attempts out is believed, as in the module
 )
 
-// windows is what the leader of a cell knows of its customers' windows beside its module: what was told of them at the
+// windowTable is what the leader of a cell knows of its customers' windows beside its module: what was told of them at the
 // start of the lead, and what was passed on since. It works out what the module must take for used before, and what
 // forwarders are told with each pass, so that the next leader can know it. The rule and its proof are in
 // docs/two-levels.md.
-type windows struct {
-	plans   []policy.Plan
-	span    float64 // the longest window
-	leadAt  float64 // when the lead began, +Inf before
-	told    []bool  // by forwarder: its tale is over
-	missing int     // forwarders that have not told all
-	by      map[string]*window
-	swept   float64
-	passes  uint32 // under this lead
+type windowTable struct {
+	plans          []policy.Plan
+	spanS          float64 // the longest window
+	leadingSince   float64 // when the lead began, +Inf before
+	reported       []bool  // by forwarder: its tale is over
+	missingReports int     // forwarders that have not told all
+	byAccount      map[string]*accountWindow
+	sweptAt        float64
+	admissions     uint32 // under this lead
 }
 
-// window is one customer's. What earlier leaders had is kept as the latest that was told of it.
-type window struct {
-	plan     int
-	known    bool // something was told
-	epoch    uint64
-	toldSeq  uint32
-	debt, at float64 // as told: units not yet filled up again, at that time
-	outs     []outs  // attempts that are out and that this lead did not decide
-	seen     bool    // the module knows the customer
-	total    float64 // units that the module was told were used before
-	room     float64 // while seen: no more than is left of the whole window, what is owed by earlier leads included
-	roomAt   float64
+// accountWindow is one customer's. What earlier leaders had is kept as the latest that was told of it.
+type accountWindow struct {
+	plan             int
+	reported         bool // something was told
+	epoch            uint64
+	reportedSeq      uint32
+	debt, reportedAt float64        // as told: units not yet filled up again, at that time
+	orphans          []orphanReport // attempts that are out and that this lead did not decide
+	inModule         bool           // the module knows the customer
+	countedUnits     float64        // units that the module was told were used before
+	available        float64        // while seen: no more than is left of the whole window, what is owed by earlier leads included
+	availableAt      float64
 }
 
-// outs is what one forwarder last told of attempts out.
-type outs struct {
-	forwarder, n int
-	at           float64
+// orphanReport is what one forwarder last told of attempts out.
+type orphanReport struct {
+	forwarder, attempts int
+	reportedAt          float64
 }
 
-// out sums what is believed of attempts out.
-func (c *window) out(now float64) (n int) {
-	for _, o := range c.outs {
-		if now < o.at+outsS {
-			n += o.n
+// orphanedAttempts sums what is believed of attempts out.
+func (w *accountWindow) orphanedAttempts(now float64) (n int) {
+	for _, o := range w.orphans {
+		if now < o.reportedAt+orphanReportTTLS {
+			n += o.attempts
 		}
 	}
 	return n
 }
 
-// count is what the module is to be told of a customer, in the words of policy.Count.
-type count struct {
-	customer     string
+// memberCount is what the module is to be told of a customer, in the words of policy.Count.
+type memberCount struct {
+	account      string
 	plan         int
 	total, fresh float64
-	outs         int
+	orphans      int
 }
 
-func newWindows(forwarders int, plans []policy.Plan, span float64) *windows {
-	return &windows{plans: plans, span: span, leadAt: math.Inf(1), told: make([]bool, forwarders), missing: forwarders,
-		by: map[string]*window{}}
+func newWindowTable(forwarders int, plans []policy.Plan, span float64) *windowTable {
+	return &windowTable{plans: plans, spanS: span, leadingSince: math.Inf(1), reported: make([]bool, forwarders), missingReports: forwarders,
+		byAccount: map[string]*accountWindow{}}
 }
 
-// over tells that every window is full again whatever was used before the lead.
-func (w *windows) over(now float64) bool { return now > w.leadAt+w.span }
+// recovered tells that every window is full again whatever was used before the lead.
+func (t *windowTable) recovered(now float64) bool { return now > t.leadingSince+t.spanS }
 
-// lead notes that the lead begins; tales of all forwarders may have come by then.
-func (w *windows) lead(now float64) { w.leadAt = now }
+// startLeading notes that the lead begins; tales of all forwarders may have come by then.
+func (t *windowTable) startLeading(now float64) { t.leadingSince = now }
 
-// tale takes a customer's part of a forwarder's tale. Of several forwarders' the one of the latest pass holds: it was
+// applyReport takes a customer's part of a forwarder's tale. Of several forwarders' the one of the latest pass holds: it was
 // decided by a leader that knew of all passes before it.
-func (w *windows) tale(now float64, f int, m *link.Msg) {
-	if w.told[f] || int(m.Plan) >= len(w.plans) {
+func (t *windowTable) applyReport(now float64, forwarder int, msg *link.Message) {
+	if t.reported[forwarder] || int(msg.Plan) >= len(t.plans) {
 		return
 	}
-	c := w.by[m.Name]
-	if c == nil {
-		if len(w.by) >= mostWindows {
-			w.told[f] = true // and never completely
+	window := t.byAccount[msg.Name]
+	if window == nil {
+		if len(t.byAccount) >= maxWindows {
+			t.reported[forwarder] = true // and never completely
 			return
 		}
-		c = &window{plan: int(m.Plan)}
-		w.by[m.Name] = c
+		window = &accountWindow{plan: int(msg.Plan)}
+		t.byAccount[msg.Name] = window
 	}
-	if !c.known || m.Handle > c.epoch || m.Handle == c.epoch && m.Round > c.toldSeq {
-		c.known, c.plan, c.epoch, c.toldSeq, c.debt, c.at = true, int(m.Plan), m.Handle, m.Round, m.Value, now-m.Wait
+	if !window.reported || msg.Handle > window.epoch || msg.Handle == window.epoch && msg.Round > window.reportedSeq {
+		window.reported, window.plan, window.epoch, window.reportedSeq, window.debt, window.reportedAt = true, int(msg.Plan), msg.Handle, msg.Round, msg.Units, now-msg.DurationS
 	}
 }
 
-// end notes the end of a forwarder's tale. When it was the last that was missing, it returns what the module is to be
+// endReport notes the end of a forwarder's tale. When it was the last that was missing, it returns what the module is to be
 // told of the customers whose windows were taken for emptier than they were.
-func (w *windows) end(now float64, f int, complete bool) (back []count) {
-	if w.told[f] {
+func (t *windowTable) endReport(now float64, forwarder int, complete bool) (credits []memberCount) {
+	if t.reported[forwarder] {
 		return nil
 	}
-	w.told[f] = true
+	t.reported[forwarder] = true
 	if !complete {
 		return nil
 	}
-	if w.missing--; w.missing > 0 || math.IsInf(w.leadAt, 1) {
+	if t.missingReports--; t.missingReports > 0 || math.IsInf(t.leadingSince, 1) {
 		return nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(w.by)) {
-		c := w.by[name]
-		p := w.plans[c.plan]
-		if !c.seen || p.Rate <= 0 {
+	for _, name := range slices.Sorted(maps.Keys(t.byAccount)) {
+		window := t.byAccount[name]
+		p := t.plans[window.plan]
+		if !window.inModule || p.Rate <= 0 {
 			continue
 		}
-		empty := min(p.Burst, p.Rate*(now-w.leadAt)) // as was granted, less what was passed on since
-		if credit := math.Floor((w.before(now, c)-empty)*4) / 4; credit > 0 {
-			c.total -= credit
-			w.fill(now, c)
-			c.room += credit
-			back = append(back, count{name, c.plan, c.total, 0, c.out(now)})
+		empty := min(p.Burst, p.Rate*(now-t.leadingSince)) // as was granted, less what was passed on since
+		if credit := math.Floor((t.availableBefore(now, window)-empty)*4) / 4; credit > 0 {
+			window.countedUnits -= credit
+			t.refill(now, window)
+			window.available += credit
+			credits = append(credits, memberCount{name, window.plan, window.countedUnits, 0, window.orphanedAttempts(now)})
 		}
 	}
-	return back
+	return credits
 }
 
-// before is the room of a window by what was told of it: the whole, where nothing was.
-func (w *windows) before(now float64, c *window) float64 {
-	p := w.plans[c.plan]
-	if !c.known {
+// availableBefore is the room of a window by what was told of it: the whole, where nothing was.
+func (t *windowTable) availableBefore(now float64, window *accountWindow) float64 {
+	p := t.plans[window.plan]
+	if !window.reported {
 		return p.Burst
 	}
-	return min(p.Burst, p.Burst-c.debt+p.Rate*max(now-c.at, 0))
+	return min(p.Burst, p.Burst-window.debt+p.Rate*max(now-window.reportedAt, 0))
 }
 
-func (w *windows) fill(now float64, c *window) {
-	p := w.plans[c.plan]
-	c.room = min(p.Burst, c.room+p.Rate*(now-c.roomAt))
-	c.roomAt = now
+func (t *windowTable) refill(now float64, window *accountWindow) {
+	p := t.plans[window.plan]
+	window.available = min(p.Burst, window.available+p.Rate*(now-window.availableAt))
+	window.availableAt = now
 }
 
-// first returns what the module is to be told of a customer before a request of it: two counts at most, and nothing
+// initialCounts returns what the module is to be told of a customer before a request of it: two counts at most, and nothing
 // when it knows the customer already.
-func (w *windows) first(now float64, customer string, plan int) []count {
-	c := w.by[customer]
-	if c == nil {
-		w.sweep(now)
-		c = &window{plan: plan}
-		if len(w.by) < mostWindows {
-			w.by[customer] = c
-		} else if w.over(now) {
+func (t *windowTable) initialCounts(now float64, account string, plan int) []memberCount {
+	window := t.byAccount[account]
+	if window == nil {
+		t.sweep(now)
+		window = &accountWindow{plan: plan}
+		if len(t.byAccount) < maxWindows {
+			t.byAccount[account] = window
+		} else if t.recovered(now) {
 			return nil
 		}
 	}
-	if c.seen {
+	if window.inModule {
 		return nil
 	}
-	c.seen, c.plan = true, plan
-	p := w.plans[plan]
-	c.room, c.roomAt = p.Burst, now
+	window.inModule, window.plan = true, plan
+	p := t.plans[plan]
+	window.available, window.availableAt = p.Burst, now
 	if p.Rate > 0 {
-		c.room = w.before(now, c)
-		if w.missing > 0 {
-			c.room = min(c.room, p.Rate*(now-w.leadAt))
+		window.available = t.availableBefore(now, window)
+		if t.missingReports > 0 {
+			window.available = min(window.available, p.Rate*(now-t.leadingSince))
 		}
-		c.total = math.Ceil(max(p.Burst-c.room, 0)*4) / 4
+		window.countedUnits = math.Ceil(max(p.Burst-window.available, 0)*4) / 4
 	}
-	if c.total == 0 && c.out(now) == 0 {
+	if window.countedUnits == 0 && window.orphanedAttempts(now) == 0 {
 		return nil
 	}
-	fresh := min(c.total, firstMost)
-	list := []count{{customer, plan, fresh, fresh, c.out(now)}}
-	if c.total > fresh {
-		list = append(list, count{customer, plan, c.total, 0, c.out(now)})
+	fresh := min(window.countedUnits, maxFreshUnits)
+	counts := []memberCount{{account, plan, fresh, fresh, window.orphanedAttempts(now)}}
+	if window.countedUnits > fresh {
+		counts = append(counts, memberCount{account, plan, window.countedUnits, 0, window.orphanedAttempts(now)})
 	}
-	return list
+	return counts
 }
 
-// pass takes units off a window, and returns what the forwarder is told with the pass.
-func (w *windows) pass(now float64, customer string, units float64) (seq uint32, debt float64) {
-	c := w.by[customer]
-	if c == nil || !c.seen || w.plans[c.plan].Rate <= 0 {
+// admit takes units off a window, and returns what the forwarder is told with the pass.
+func (t *windowTable) admit(now float64, account string, units float64) (seq uint32, debt float64) {
+	window := t.byAccount[account]
+	if window == nil || !window.inModule || t.plans[window.plan].Rate <= 0 {
 		return 0, 0
 	}
-	w.fill(now, c)
-	c.room -= units
-	w.passes++
-	return w.passes, max(w.plans[c.plan].Burst-c.room, 0)
+	t.refill(now, window)
+	window.available -= units
+	t.admissions++
+	return t.admissions, max(t.plans[window.plan].Burst-window.available, 0)
 }
 
-// setOuts takes a forwarder's word on its attempts out of a customer that this lead did not decide.
-func (w *windows) setOuts(now float64, f int, customer string, plan, n int) []count {
-	c := w.by[customer]
-	if c == nil {
-		if n == 0 || plan >= len(w.plans) || len(w.by) >= mostWindows {
+// setOrphans takes a forwarder's word on its attempts out of a customer that this lead did not decide.
+func (t *windowTable) setOrphans(now float64, forwarder int, account string, plan, n int) []memberCount {
+	window := t.byAccount[account]
+	if window == nil {
+		if n == 0 || plan >= len(t.plans) || len(t.byAccount) >= maxWindows {
 			return nil
 		}
-		c = &window{plan: plan}
-		w.by[customer] = c
+		window = &accountWindow{plan: plan}
+		t.byAccount[account] = window
 	}
-	c.outs = slices.DeleteFunc(c.outs, func(o outs) bool { return o.forwarder == f || now >= o.at+outsS })
+	window.orphans = slices.DeleteFunc(window.orphans, func(o orphanReport) bool { return o.forwarder == forwarder || now >= o.reportedAt+orphanReportTTLS })
 	if n > 0 {
-		c.outs = append(c.outs, outs{f, n, now})
+		window.orphans = append(window.orphans, orphanReport{forwarder, n, now})
 	}
-	if !c.seen {
+	if !window.inModule {
 		return nil
 	}
-	return []count{{customer, c.plan, c.total, 0, c.out(now)}}
+	return []memberCount{{account, window.plan, window.countedUnits, 0, window.orphanedAttempts(now)}}
 }
 
 // sweep forgets windows that are full again, once what was before the lead matters no more.
-func (w *windows) sweep(now float64) {
-	if !w.over(now) || now < w.swept+sweepS {
+func (t *windowTable) sweep(now float64) {
+	if !t.recovered(now) || now < t.sweptAt+sweepIntervalS {
 		return
 	}
-	w.swept = now
-	for name, c := range w.by {
-		if w.fill(now, c); c.room >= w.plans[c.plan].Burst && c.out(now) == 0 && now > c.at+w.span {
-			delete(w.by, name)
+	t.sweptAt = now
+	for name, window := range t.byAccount {
+		if t.refill(now, window); window.available >= t.plans[window.plan].Burst && window.orphanedAttempts(now) == 0 && now > window.reportedAt+t.spanS {
+			delete(t.byAccount, name)
 		}
 	}
 }
--- a/internal/planner/words.go
+++ b/internal/planner/words.go
@@ -8,63 +8,63 @@
 // How the modules of all cells, at whichever planners, come to hold one level of overload: each tells its own a few times a second, to those of the
 // same planner directly and to the others by way of two forwarders, another two each time. Forwarders pass words on and keep none.
 const (
-	wordEveryS = 0.25
-	wordWays   = 2 // forwarders that carry each word, so that one that is cut off or lost does not matter
+	shedLevelIntervalS = 0.25
+	shedLevelPaths     = 2 // forwarders that carry each word, so that one that is cut off or lost does not matter
 )
 
-type words struct {
-	at   float64 // when the next are due
-	next int     // forwarder
+type shedLevelBroadcast struct {
+	nextAt        float64 // when the next are due
+	nextForwarder int     // forwarder
 }
 
-// tellWords tells the levels of the cells led here. It costs nothing where overload is not looked for.
-func (h *Host) tellWords(now float64) {
-	if !h.cfg.Settings.Overload.On || now < h.words.at {
+// broadcastShedLevels tells the levels of the cells led here. It costs nothing where overload is not looked for.
+func (c *Core) broadcastShedLevels(now float64) {
+	if !c.cfg.Settings.LoadShedding.Enabled || now < c.shedLevels.nextAt {
 		return
 	}
-	h.words.at = now + wordEveryS
-	var said []link.Msg
-	for i := range h.cells {
-		if s := h.pressure(i); s != nil {
-			level, phase := s.Word()
-			h.hearWord(i, level, phase)
-			said = append(said, link.OverloadOf(i, level, phase))
+	c.shedLevels.nextAt = now + shedLevelIntervalS
+	var msgs []link.Message
+	for i := range c.cells {
+		if shedder := c.loadShedder(i); shedder != nil {
+			level, phase := shedder.GossipState()
+			c.applyShedLevel(i, level, phase)
+			msgs = append(msgs, link.NewShedLevel(i, level, phase))
 		}
 	}
-	for ways := 0; ways < wordWays && len(said) > 0; ways++ {
-		for range h.up { // the next one that is linked
-			h.words.next = (h.words.next + 1) % len(h.up)
-			if h.up[h.words.next] {
-				h.out.Link(h.words.next, said...)
+	for path := 0; path < shedLevelPaths && len(msgs) > 0; path++ {
+		for range c.linked { // the next one that is linked
+			c.shedLevels.nextForwarder = (c.shedLevels.nextForwarder + 1) % len(c.linked)
+			if c.linked[c.shedLevels.nextForwarder] {
+				c.out.SendToForwarder(c.shedLevels.nextForwarder, msgs...)
 				break
 			}
 		}
 	}
 }
 
-// hearWord takes in the word of a cell's module at those of all others led here.
-func (h *Host) hearWord(cell int, level float64, phase uint8) {
-	for i := range h.cells {
-		if s := h.pressure(i); s != nil && i != cell {
-			s.HearLevel(h.now, cell, level, phase)
+// applyShedLevel takes in the word of a cell's module at those of all others led here.
+func (c *Core) applyShedLevel(cellID int, level float64, phase uint8) {
+	for i := range c.cells {
+		if shedder := c.loadShedder(i); shedder != nil && i != cellID {
+			shedder.ApplyPeerLevel(c.now, cellID, level, phase)
 		}
 	}
 }
 
-// pressure is what the module of a cell that is led here knows of overload; nil if there is none.
-func (h *Host) pressure(cell int) *overload.State {
-	if c := &h.cells[cell]; c.gate != nil && h.leases.leads(h.now, cell, c.epoch) {
-		return c.gate.Overload()
+// loadShedder is what the module of a cell that is led here knows of overload; nil if there is none.
+func (c *Core) loadShedder(cellID int) *overload.Shedder {
+	if cell := &c.cells[cellID]; cell.module != nil && c.leases.isLeader(c.now, cellID, cell.epoch) {
+		return cell.module.Shedder()
 	}
 	return nil
 }
 
-// Levels are those of the cells that are led here, from 0 to 1 each.
-func (h *Host) Levels(now float64) (list []float64) {
-	h.now = now
-	for i := range h.cells {
-		if s := h.pressure(i); s != nil {
-			list = append(list, s.Level())
+// ShedLevels are those of the cells that are led here, from 0 to 1 each.
+func (c *Core) ShedLevels(now float64) (list []float64) {
+	c.now = now
+	for i := range c.cells {
+		if shedder := c.loadShedder(i); shedder != nil {
+			list = append(list, shedder.Level())
 		}
 	}
 	return list
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	processors = 1 // each program is made for one core
+	maxProcs = 1 // each program is made for one core
 	// From this share of the memory limit on, the collector works as hard as it must.
-	memoryShare = 0.6
+	memoryLimitFraction = 0.6
 )
 
-// Check reads an operator's file and all that it names; kind is forwarder or planner.
-func Check(kind, path string) error {
+// CheckConfig reads an operator's file and all that it names; kind is forwarder or planner.
+func CheckConfig(kind, path string) error {
 	switch kind {
 	case "forwarder":
 		_, err := forward.ReadFile(path)
@@ -36,19 +36,19 @@
 	return fmt.Errorf("unknown kind %q", kind)
 }
 
-func limit(memoryMB int) {
-	runtime.GOMAXPROCS(processors)
+func applyLimits(memoryMB int) {
+	runtime.GOMAXPROCS(maxProcs)
 	if memoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(memoryMB<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(memoryMB<<20) * memoryLimitFraction))
 	}
 }
 
-func logger(kind string, number int) *slog.Logger {
+func newLogger(kind string, number int) *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, nil)).With(kind, number)
 }
 
-// onHUP calls do at each SIGHUP until ctx ends.
-func onHUP(ctx context.Context, do func()) {
+// onSIGHUP calls do at each SIGHUP until ctx ends.
+func onSIGHUP(ctx context.Context, do func()) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	go func() {
@@ -73,10 +73,10 @@
 		if err != nil {
 			return err
 		}
-		limit(cfg.Base.MemoryMB)
-		log := logger(kind, cfg.Number)
-		onHUP(ctx, func() {
-			if err := Check(kind, path); err != nil {
+		applyLimits(cfg.Ingress.MemoryMB)
+		log := newLogger(kind, cfg.Number)
+		onSIGHUP(ctx, func() {
+			if err := CheckConfig(kind, path); err != nil {
 				log.Error("the file would not be taken", "error", err)
 			} else {
 				log.Info("the file is good; a restart takes it over, and hands the cells on meanwhile")
@@ -91,22 +91,22 @@
 	if err != nil {
 		return err
 	}
-	limit(cfg.Base.MemoryMB)
-	log := logger(kind, cfg.Number)
+	applyLimits(cfg.Ingress.MemoryMB)
+	log := newLogger(kind, cfg.Number)
 	reread := make(chan ingress.Config)
-	onHUP(ctx, func() {
+	onSIGHUP(ctx, func() {
 		next, err := forward.ReadFile(path)
 		if err != nil {
 			log.Error("the file would not be taken", "error", err)
 			return
 		}
-		if next.Base.Differs(cfg.Base) {
+		if next.Ingress.NeedsRestart(cfg.Ingress) {
 			log.Warn("of the new configuration only the address of discovery is taken over before a restart")
 		}
 		select {
-		case reread <- next.Base:
+		case reread <- next.Ingress:
 		case <-ctx.Done():
 		}
 	})
-	return ingress.RunWith(ctx, cfg.Base, reread, log, forward.Make(cfg))
+	return ingress.RunWithDecider(ctx, cfg.Ingress, reread, log, forward.NewGatewayFunc(cfg))
 }
--- a/internal/pulse/pulse.go
+++ b/internal/pulse/pulse.go
@@ -5,27 +5,27 @@
 
 import "math"
 
-// RetryS is for how long a silent peer is passed over.
-const RetryS = 1.0
+// SuspicionS is for how long a silent peer is passed over.
+const SuspicionS = 1.0
 
 const (
-	least  = 2    // a peer that leaves so many unanswered is silent,
-	most   = 4    // but where messages are lost all the time, not before chance would leave them so
-	chance = 0.01 // as rarely as this
-	weight = 0.02 // how far one report moves the share of them that is taken to be left unanswered
+	minThreshold      = 2    // a peer that leaves so many unanswered is silent,
+	maxThreshold      = 4    // but where messages are lost all the time, not before chance would leave them so
+	falsePositiveRate = 0.01 // as rarely as this
+	lossRateWeight    = 0.02 // how far one report moves the share of them that is taken to be left unanswered
 )
 
-// Pulse is what a gateway knows of all its peers' silence.
-type Pulse struct {
-	lost  float64 // share of reports unanswered
-	peers []struct {
+// Detector is what a gateway knows of all its peers' silence.
+type Detector struct {
+	lossRate float64 // share of reports unanswered
+	peers    []struct {
 		missed int     // in a row
 		at     float64 // the last of them
 	}
 }
 
 // New knows nothing of so many peers.
-func New(peers int) (p Pulse) {
+func New(peers int) (p Detector) {
 	p.peers = append(p.peers, make([]struct {
 		missed int
 		at     float64
@@ -33,27 +33,27 @@
 	return p
 }
 
-// Missed takes in a report that its peer left unanswered.
-func (p *Pulse) Missed(peer int, now float64) {
+// RecordUnanswered takes in a report that its peer left unanswered.
+func (p *Detector) RecordUnanswered(peer int, now float64) {
 	p.peers[peer].missed++
 	p.peers[peer].at = now
-	p.lost += weight * (1 - p.lost)
+	p.lossRate += lossRateWeight * (1 - p.lossRate)
 }
 
-// Heard takes in that a message of the peer came.
-func (p *Pulse) Heard(peer int) { p.peers[peer].missed = 0 }
+// RecordMessage takes in that a message of the peer came.
+func (p *Detector) RecordMessage(peer int) { p.peers[peer].missed = 0 }
 
-// Answered takes in that one of the own reports was answered.
-func (p *Pulse) Answered() { p.lost -= weight * p.lost }
+// RecordReply takes in that one of the own reports was answered.
+func (p *Detector) RecordReply() { p.lossRate -= lossRateWeight * p.lossRate }
 
-// Limit is how many reports a peer leaves unanswered before it is silent, by the share of all that are.
-func (p *Pulse) Limit() int {
-	few := math.Ceil(math.Log(chance) / math.Log(max(p.lost, 1e-9)))
-	return int(min(max(few, least), most))
+// Threshold is how many reports a peer leaves unanswered before it is silent, by the share of all that are.
+func (p *Detector) Threshold() int {
+	few := math.Ceil(math.Log(falsePositiveRate) / math.Log(max(p.lossRate, 1e-9)))
+	return int(min(max(few, minThreshold), maxThreshold))
 }
 
-// Silent tells whether the peer is passed over now.
-func (p *Pulse) Silent(peer int, now float64) bool {
+// Suspected tells whether the peer is passed over now.
+func (p *Detector) Suspected(peer int, now float64) bool {
 	x := &p.peers[peer]
-	return x.missed >= p.Limit() && now-x.at <= RetryS
+	return x.missed >= p.Threshold() && now-x.at <= SuspicionS
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -8,25 +8,25 @@
 	"testing"
 )
 
-// world is a fleet that does as it is told, but for what a test breaks.
-type world struct {
-	t        *testing.T
-	now      float64
-	r        *Rollout
-	ready    []bool
-	busy     []bool
-	restarts []int
-	order    []string
-	away     int // most programs that were away together
-	later    []func()
-	dead     map[string]bool // do not come up
-	drainErr map[string]error
-	flaps    map[string]bool // ready for half a second, then no more
+// testFleet is a fleet that does as it is told, but for what a test breaks.
+type testFleet struct {
+	t         *testing.T
+	now       float64
+	r         *Rollout
+	ready     []bool
+	busy      []bool
+	restarts  []int
+	order     []string
+	maxAway   int // most programs that were away together
+	scheduled []func()
+	dead      map[string]bool // do not come up
+	drainErr  map[string]error
+	flaps     map[string]bool // ready for half a second, then no more
 }
 
-func (w *world) after(d float64, do func()) {
+func (w *testFleet) after(d float64, do func()) {
 	at := w.now + d
-	w.later = append(w.later, func() {
+	w.scheduled = append(w.scheduled, func() {
 		if w.now < at {
 			w.after(at-w.now, do)
 			return
@@ -35,12 +35,12 @@
 	})
 }
 
-func (w *world) Ask(i int) {
+func (w *testFleet) CheckReadiness(i int) {
 	ready, busy := w.ready[i], w.busy[i]
-	w.after(0.01, func() { w.r.Answer(w.now, i, ready || busy, ready, busy) })
+	w.after(0.01, func() { w.r.HandleAnswer(w.now, i, ready || busy, ready, busy) })
 }
-func (w *world) Drain(i int) {
-	name := w.r.list[i].Name
+func (w *testFleet) Drain(i int) {
+	name := w.r.programs[i].Name
 	if err := w.drainErr[name]; err != nil {
 		w.after(0.01, func() { w.r.Drained(w.now, i, err) })
 		return
@@ -49,8 +49,8 @@
 	w.after(0.5, func() { w.busy[i] = false })
 	w.after(0.01, func() { w.r.Drained(w.now, i, nil) })
 }
-func (w *world) Restart(i int) {
-	name := w.r.list[i].Name
+func (w *testFleet) Restart(i int) {
+	name := w.r.programs[i].Name
 	w.restarts[i]++
 	w.ready[i] = false // one that is replaced: the old process no longer says yes, the new one not yet
 	w.order = append(w.order, name)
@@ -63,21 +63,21 @@
 	}
 }
 
-func play(t *testing.T, list []Program, from string, broken func(w *world)) (*world, error) {
+func runRollout(t *testing.T, programs []Program, from string, broken func(w *testFleet)) (*testFleet, error) {
 	t.Helper()
-	w := &world{t: t, now: 100, ready: make([]bool, len(list)), busy: make([]bool, len(list)), restarts: make([]int, len(list)), dead: map[string]bool{},
+	w := &testFleet{t: t, now: 100, ready: make([]bool, len(programs)), busy: make([]bool, len(programs)), restarts: make([]int, len(programs)), dead: map[string]bool{},
 		drainErr: map[string]error{}, flaps: map[string]bool{}}
 	for i := range w.ready {
 		w.ready[i] = true
 	}
 	var err error
-	if w.r, err = New(list, Defaults, from, w.now, w); err != nil {
+	if w.r, err = New(programs, DefaultTimeouts, from, w.now, w); err != nil {
 		t.Fatal(err)
 	}
 	broken(w)
 	for ; w.now < 1000; w.now += 0.02 {
-		later := w.later
-		w.later = nil
+		later := w.scheduled
+		w.scheduled = nil
 		for _, do := range later {
 			do()
 		}
@@ -88,8 +88,8 @@
 				n++
 			}
 		}
-		w.away = max(w.away, n)
-		if over, err := w.r.Over(); over {
+		w.maxAway = max(w.maxAway, n)
+		if over, err := w.r.Done(); over {
 			return w, err
 		}
 	}
@@ -97,33 +97,33 @@
 	return nil, nil
 }
 
-func fleet() (list []Program) {
+func testPrograms() (programs []Program) {
 	for i := range 4 {
-		list = append(list, Program{Name: fmt.Sprint("f", i), Kind: Forwarder})
+		programs = append(programs, Program{Name: fmt.Sprint("f", i), Kind: Forwarder})
 	}
 	for i := range 3 {
-		list = append(list, Program{Name: fmt.Sprint("p", i), Kind: Planner})
+		programs = append(programs, Program{Name: fmt.Sprint("p", i), Kind: Planner})
 	}
-	return list
+	return programs
 }
 
 // All are restarted once, planners first, and no two are away together.
-func TestAllOneByOne(t *testing.T) {
-	w, err := play(t, fleet(), "", func(*world) {})
-	if err != nil || w.away != 1 || strings.Join(w.order, " ") != "p0 p1 p2 f0 f1 f2 f3" {
-		t.Errorf("%v: %v away together, order %v", err, w.away, w.order)
+func TestRollout_OneAtATime(t *testing.T) {
+	w, err := runRollout(t, testPrograms(), "", func(*testFleet) {})
+	if err != nil || w.maxAway != 1 || strings.Join(w.order, " ") != "p0 p1 p2 f0 f1 f2 f3" {
+		t.Errorf("%v: %v away together, order %v", err, w.maxAway, w.order)
 	}
 }
 
 // It stops at the first program that does not come up, can't be sent away, or does not stay up; touches nothing after it, and the next
 // run goes on from there.
-func TestStopsAtTheFirstThatFails(t *testing.T) {
-	for name, broken := range map[string]func(w *world){
-		"not ready 20 s": func(w *world) { w.dead["p1"] = true },
-		"no such call":   func(w *world) { w.drainErr["p1"] = errors.New("no such call") },
-		"no longer":      func(w *world) { w.flaps["p1"] = true },
+func TestRollout_StopsAtFirstFailure(t *testing.T) {
+	for name, broken := range map[string]func(w *testFleet){
+		"not ready 20 s": func(w *testFleet) { w.dead["p1"] = true },
+		"no such call":   func(w *testFleet) { w.drainErr["p1"] = errors.New("no such call") },
+		"no longer":      func(w *testFleet) { w.flaps["p1"] = true },
 	} {
-		w, err := play(t, fleet(), "", broken)
+		w, err := runRollout(t, testPrograms(), "", broken)
 		if err == nil || !strings.Contains(err.Error(), name) || !strings.Contains(err.Error(), "p1") || !strings.Contains(err.Error(), "1 of 7") {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -134,16 +134,16 @@
 			}
 		}
 	}
-	w, err := play(t, fleet(), "p1", func(*world) {})
+	w, err := runRollout(t, testPrograms(), "p1", func(*testFleet) {})
 	if err != nil || w.order[0] != "p1" || len(w.order) != 6 {
 		t.Errorf("%v: %v", err, w.order)
 	}
 }
 
 // With another program away nothing is touched; it waits, and says which one it waited for.
-func TestWaitsForTheOthers(t *testing.T) {
-	w, err := play(t, fleet(), "", func(w *world) {
-		for i, p := range w.r.list {
+func TestRollout_WaitsForOthers(t *testing.T) {
+	w, err := runRollout(t, testPrograms(), "", func(w *testFleet) {
+		for i, p := range w.r.programs {
 			if p.Name == "f2" {
 				w.ready[i] = false
 			}
@@ -155,22 +155,22 @@
 }
 
 // Whatever dies and comes back meanwhile, no program is touched while another is known to be away, and none is restarted twice.
-func TestNeverTwoAwayByItself(t *testing.T) {
+func TestRollout_NeverTwoAwayWhileFlapping(t *testing.T) {
 	finished := 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		list := fleet()
-		w, err := play(t, list, "", func(w *world) {
-			var blink func()
-			blink = func() {
-				i := rng.IntN(len(list))
-				if done, _, _ := w.r.Where(); i != done && w.ready[i] {
+		programs := testPrograms()
+		w, err := runRollout(t, programs, "", func(w *testFleet) {
+			var flap func()
+			flap = func() {
+				i := rng.IntN(len(programs))
+				if done, _, _ := w.r.Progress(); i != done && w.ready[i] {
 					w.ready[i] = false
 					w.after(0.3+rng.Float64(), func() { w.ready[i] = true })
 				}
-				w.after(3+4*rng.Float64(), blink)
+				w.after(3+4*rng.Float64(), flap)
 			}
-			w.after(1, blink)
+			w.after(1, flap)
 		})
 		if err == nil {
 			finished++
@@ -187,16 +187,16 @@
 }
 
 // Those that are replaced beside themselves are not sent away, and one whose new process does not come up stops the rollout.
-func TestReplacedBeside(t *testing.T) {
-	list := fleet()
-	for i := range list {
-		list[i].Beside = list[i].Kind == Forwarder
+func TestRollout_HotRestart(t *testing.T) {
+	programs := testPrograms()
+	for i := range programs {
+		programs[i].HotRestart = programs[i].Kind == Forwarder
 	}
 	for _, dead := range []string{"", "f2"} {
-		w, err := play(t, list, "", func(w *world) {
+		w, err := runRollout(t, programs, "", func(w *testFleet) {
 			w.dead[dead] = true
-			for _, p := range w.r.list {
-				if p.Beside {
+			for _, p := range w.r.programs {
+				if p.HotRestart {
 					w.drainErr[p.Name] = errors.New("it was to be sent away")
 				}
 			}
@@ -207,7 +207,7 @@
 		case dead != "" && (err == nil || !strings.Contains(err.Error(), "-from "+dead)):
 			t.Errorf("with a dead successor: %v", err)
 		}
-		for i, p := range w.r.list {
+		for i, p := range w.r.programs {
 			if want := b2i(dead == "" || p.Name <= dead || p.Kind == Planner); w.restarts[i] != want {
 				t.Errorf("%s was replaced %d times, want %d", p.Name, w.restarts[i], want)
 			}
@@ -222,13 +222,13 @@
 	return 0
 }
 
-func TestListsThatAreWrong(t *testing.T) {
-	for want, list := range map[string][]Program{"no programs": nil, "unknown kind": {{Name: "a", Kind: "node"}}, "twice": {{Name: "a", Kind: Planner}, {Name: "a", Kind: Planner}}} {
-		if _, err := New(list, Defaults, "", 0, nil); err == nil || !strings.Contains(err.Error(), want) {
+func TestNew_InvalidPrograms(t *testing.T) {
+	for want, programs := range map[string][]Program{"no programs": nil, "unknown kind": {{Name: "a", Kind: "node"}}, "twice": {{Name: "a", Kind: Planner}, {Name: "a", Kind: Planner}}} {
+		if _, err := New(programs, DefaultTimeouts, "", 0, nil); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	if _, err := New(fleet(), Defaults, "x", 0, nil); err == nil {
+	if _, err := New(testPrograms(), DefaultTimeouts, "x", 0, nil); err == nil {
 		t.Error("a name that is not there")
 	}
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -52,7 +52,7 @@
 }
 
 // States translates discovery's words.
-var States = map[string]policy.State{"in_service": policy.Up, "terminating": policy.Draining,
+var States = map[string]policy.BackendState{"in_service": policy.Up, "terminating": policy.Draining,
 	"terminated": policy.Removed}
 
 // Parse reads one line of a watch and checks every entry of it.
@@ -75,8 +75,8 @@
 }
 
 // Policy is the list in the module's words.
-func (t List) Policy() []policy.Server {
-	list := make([]policy.Server, 0, len(t.Servers))
+func (t List) Policy() []policy.Backend {
+	list := make([]policy.Backend, 0, len(t.Servers))
 	for _, s := range t.Servers {
 		list = append(list, s.Policy(States[s.State]))
 	}
@@ -84,8 +84,8 @@
 }
 
 // Policy is the entry as the decision module has it, in a state.
-func (s Target) Policy(state policy.State) policy.Server {
-	return policy.Server{ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: state, Weight: s.Weight, SinceS: float64(s.StartedMS) / 1000}
+func (s Target) Policy(state policy.BackendState) policy.Backend {
+	return policy.Backend{ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: state, Weight: s.Weight, StartedAt: float64(s.StartedMS) / 1000}
 }
 
 func (s Target) check() error {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -22,12 +22,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, "settings", got, Settings{ConnIdleS: 13.25, DialTimeoutS: 14.25, MostHeld: 15, Settings: policy.Settings{
-		Gateways: 2, Me: 3, Zone: "textxxxxEa", MaxUnits: 6, PeerIntake: 7.25, TrueUp: true, Cancel: true, MaxAttempts: 16, MaxRetryAfterS: 17.25,
-		Parallel: true, Peers: true, Probes: true, RetryAfter: true, ReportByProbe: true, AnswerSlackS: 71.25, ColdFrom: 72.25, ColdS: 73.25,
-		FallMultiple: 74.25, FallS: 75.25, TickS: 78.25, CrossZonePrice: 46.25, WorstPlanWeight: 77.25,
-		Plans: []policy.Plan{{Name: "textxxxxYa", Rate: 25.25, Burst: 26.25, Parallel: 27, Price: 28.25, ExtraWorth: 29.25, ExcessCost: 30.25,
-			CeilingRate: 31.25, CeilingBurst: 32.25, CeilingSlack: 33.25}},
-		Classes: []policy.Class{{Name: "textxxxxXb", AimS: 50.25, AimStretch: 51.25, DeadlineS: 52.25, Effect: policy.Keyed, KeyScope: policy.ScopeCell,
-			KeyTTLS: 55.25, LateWorth: 56.25, Stream: true, Worth: 58.25}}}})
+	golden.Same(t, "settings", got, Settings{ConnIdleS: 13.25, DialTimeoutS: 14.25, MaxOpenRequests: 15, Settings: policy.Settings{
+		Gateways: 2, Self: 3, Zone: "textxxxxEa", MaxRequestUnits: 6, PeerMessageRate: 7.25, UnitsFromResponse: true, CancelAllowed: true, MaxAttempts: 16, MaxRetryAfterS: 17.25,
+		HedgingAllowed: true, PeerMessages: true, ProbesAllowed: true, RetryAfterAllowed: true, LoadReportInProbe: true, ResponseSlackS: 71.25, SlowStartMinFraction: 72.25, SlowStartS: 73.25,
+		CollapseMultiple: 74.25, CollapseWindowS: 75.25, MinBatchIntervalS: 78.25, CrossZoneCost: 46.25, WorstPlanWeight: 77.25,
+		Plans: []policy.Plan{{Name: "textxxxxYa", Rate: 25.25, Burst: 26.25, MaxConcurrency: 27, Weight: 28.25, OverQuotaWeightFraction: 29.25, OverQuotaCostFraction: 30.25,
+			HardLimitRate: 31.25, HardLimitBurst: 32.25, HardLimitSlack: 33.25}},
+		Classes: []policy.Class{{Name: "textxxxxXb", LatencyObjectiveS: 50.25, ObjectiveWorkFactor: 51.25, DeadlineS: 52.25, Idempotency: policy.KeyedIdempotent, KeyScope: policy.ScopeCell,
+			KeyTTLS: 55.25, LateWeightFraction: 56.25, Stream: true, PriorityWeight: 58.25}}}})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,7 +12,7 @@
 // wireSettings is the settings object as the wire words it; unknown keys are skipped.
 type wireSettings struct {
 	Balancers  int    `json:"balancers"`
-	Me         int    `json:"me"`
+	Self       int    `json:"me"`
 	MyZone     string `json:"myZone"`
 	FamilyInfo struct {
 		MaxUnits   int     `json:"maxUnits"`
@@ -74,17 +74,17 @@
 	TickS float64 `json:"tickS"`
 }
 
-var effects = map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
+var effects = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.KeyedIdempotent, "fragile": policy.NonIdempotent}
 
-var scopes = map[string]policy.Scope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
+var keyScopes = map[string]policy.KeyScope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
 	"cell": policy.ScopeCell}
 
 // Settings is what the module is told, and beside it what only a real ingress has to know.
 type Settings struct {
 	policy.Settings
-	ConnIdleS    float64 // a backend closes a connection that has stood idle for so long
-	DialTimeoutS float64 // a connection not made by then has failed
-	MostHeld     int     // open requests at most; 0: no such limit
+	ConnIdleS       float64 // a backend closes a connection that has stood idle for so long
+	DialTimeoutS    float64 // a connection not made by then has failed
+	MaxOpenRequests int     // open requests at most; 0: no such limit
 }
 
 // Parse translates the settings; whether they make sense is for policy.New to say.
@@ -93,41 +93,41 @@
 	if err := json.Unmarshal(text, &w); err != nil {
 		return Settings{}, err
 	}
-	s := Settings{ConnIdleS: w.Limits.ConnIdleS, DialTimeoutS: w.Limits.DialTimeoutS, MostHeld: w.Limits.MostHeld}
+	s := Settings{ConnIdleS: w.Limits.ConnIdleS, DialTimeoutS: w.Limits.DialTimeoutS, MaxOpenRequests: w.Limits.MostHeld}
 	s.Settings = policy.Settings{
-		Me: w.Me, Gateways: w.Balancers, Zone: w.MyZone,
-		MaxUnits: w.FamilyInfo.MaxUnits, TrueUp: w.FamilyInfo.TruedUp, PeerIntake: w.FamilyInfo.PeerIntake,
-		Peers: w.Limits.PeerMessages, Probes: w.Limits.Probes, Cancel: w.Limits.Cancel,
-		Parallel: w.Limits.ParallelTries, RetryAfter: w.Limits.RetryAfter,
+		Self: w.Self, Gateways: w.Balancers, Zone: w.MyZone,
+		MaxRequestUnits: w.FamilyInfo.MaxUnits, UnitsFromResponse: w.FamilyInfo.TruedUp, PeerMessageRate: w.FamilyInfo.PeerIntake,
+		PeerMessages: w.Limits.PeerMessages, ProbesAllowed: w.Limits.Probes, CancelAllowed: w.Limits.Cancel,
+		HedgingAllowed: w.Limits.ParallelTries, RetryAfterAllowed: w.Limits.RetryAfter,
 		MaxAttempts: w.Limits.MaxAttempts, MaxRetryAfterS: w.Limits.MaxRetryAfterS,
-		ReportByProbe: w.Feedback.How == "probe", ReportByAnswer: w.Feedback.How == "answers",
-		AnswerSlackS: w.Rules.AnswerSlackS, ColdFrom: w.Rules.ColdFrom, ColdS: w.Rules.ColdS,
-		FallMultiple: w.Rules.FallMultiple, FallS: w.Rules.FallS,
-		TickS: w.TickS, CrossZonePrice: w.Prices.CrossZone, WorstPlanWeight: w.ScoreParts.WorstTenant,
+		LoadReportInProbe: w.Feedback.How == "probe", LoadReportInResponse: w.Feedback.How == "answers",
+		ResponseSlackS: w.Rules.AnswerSlackS, SlowStartMinFraction: w.Rules.ColdFrom, SlowStartS: w.Rules.ColdS,
+		CollapseMultiple: w.Rules.FallMultiple, CollapseWindowS: w.Rules.FallS,
+		MinBatchIntervalS: w.TickS, CrossZoneCost: w.Prices.CrossZone, WorstPlanWeight: w.ScoreParts.WorstTenant,
 	}
 	for _, p := range w.Profiles {
 		effect, ok := effects[p.Effect]
 		if !ok {
 			return s, fmt.Errorf("class %s: unknown effect %q", p.Name, p.Effect)
 		}
-		scope, ok := scopes[p.KeyScope]
+		scope, ok := keyScopes[p.KeyScope]
 		if !ok {
 			return s, fmt.Errorf("class %s: unknown keyScope %q", p.Name, p.KeyScope)
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: p.Name, AimS: p.AimS, AimStretch: p.AimStretch,
-			DeadlineS: p.DeadlineS, Worth: p.Worth, LateWorth: p.LateWorth, Effect: effect, KeyScope: scope,
+		s.Classes = append(s.Classes, policy.Class{Name: p.Name, LatencyObjectiveS: p.AimS, ObjectiveWorkFactor: p.AimStretch,
+			DeadlineS: p.DeadlineS, PriorityWeight: p.Worth, LateWeightFraction: p.LateWorth, Idempotency: effect, KeyScope: scope,
 			KeyTTLS: p.KeyTTLS, Stream: p.Stream})
 	}
 	for _, p := range w.Packages {
 		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.UnitsPerS, Burst: p.PeakUnits,
-			Parallel: p.Parallel, Price: p.Pays, ExtraWorth: p.ExtraWorth, ExcessCost: p.ExcessCost,
-			CeilingRate: p.HardRate, CeilingBurst: p.CapDepth, CeilingSlack: p.CeilingSlack})
+			MaxConcurrency: p.Parallel, Weight: p.Pays, OverQuotaWeightFraction: p.ExtraWorth, OverQuotaCostFraction: p.ExcessCost,
+			HardLimitRate: p.HardRate, HardLimitBurst: p.CapDepth, HardLimitSlack: p.CeilingSlack})
 	}
 	return s, nil
 }
 
 // NoLoad is a load report in which nothing was reported yet.
-var NoLoad = policy.Load{InFlight: -1, Queue: -1, Util: -1, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
+var NoLoad = policy.Load{InFlight: -1, Queue: -1, Utilization: -1, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
 
 // SetLoad puts a value into a load report by its name in the settings; unknown names are passed over.
 func SetLoad(r *policy.Load, name string, v float64) {
@@ -137,7 +137,7 @@
 	case "pending":
 		r.Queue = v
 	case "cpu_share":
-		r.Util = v
+		r.Utilization = v
 	case "svc_ms":
 		r.ServiceMS = v
 	case "served_ps":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,10 +15,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Gateways != 3 || s.Me != 1 || s.ConnIdleS != 15 || s.DialTimeoutS != 0.25 || s.MostHeld != 20000 || s.MaxAttempts != 5 {
+	if s.Gateways != 3 || s.Self != 1 || s.ConnIdleS != 15 || s.DialTimeoutS != 0.25 || s.MaxOpenRequests != 20000 || s.MaxAttempts != 5 {
 		t.Errorf("got %+v", s)
 	}
-	if len(s.Classes) != 1 || s.Classes[0].Effect != policy.Unsafe || len(s.Plans) != 1 || s.Plans[0].CeilingBurst != 147 {
+	if len(s.Classes) != 1 || s.Classes[0].Idempotency != policy.NonIdempotent || len(s.Plans) != 1 || s.Plans[0].HardLimitBurst != 147 {
 		t.Errorf("got %+v and %+v", s.Classes, s.Plans)
 	}
 	for want, change := range map[string][2]string{
@@ -32,12 +32,12 @@
 	}
 }
 
-func TestSetLoadByName(t *testing.T) {
+func TestSetLoad(t *testing.T) {
 	l := NoLoad
 	for i, name := range []string{"busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "new"} {
 		SetLoad(&l, name, float64(i))
 	}
-	if l != (policy.Load{InFlight: 0, Queue: 1, Util: 2, ServiceMS: 3, ServedPerS: 4, FailedPerS: 5}) {
+	if l != (policy.Load{InFlight: 0, Queue: 1, Utilization: 2, ServiceMS: 3, ServedPerS: 4, FailedPerS: 5}) {
 		t.Errorf("got %+v", l)
 	}
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -12,14 +12,14 @@
 	"eiderspread/internal/peermsg"
 )
 
-// Way gives the places in ids (hashes of nodes) that gateway me of so many prefers, size of them at most, the most preferred first.
-type Way func(ids []uint64, me, gateways, size int) []int
+// Strategy gives the places in ids (hashes of nodes) that gateway me of so many prefers, size of them at most, the most preferred first.
+type Strategy func(ids []uint64, me, gateways, size int) []int
 
-// score is how much a gateway likes a node: a hash of both, and so each pair's own.
-func score(id uint64, me int) uint64 { return peermsg.Mix(id ^ peermsg.Mix(uint64(me)+1)) }
+// pairScore is how much a gateway likes a node: a hash of both, and so each pair's own.
+func pairScore(id uint64, me int) uint64 { return peermsg.Mix64(id ^ peermsg.Mix64(uint64(me)+1)) }
 
 type ranked struct {
-	i     int
+	index int
 	score uint64
 }
 
@@ -31,7 +31,7 @@
 	}
 	top := make([]ranked, 0, size+1) // by falling score
 	for i, id := range ids {
-		s := score(id, me)
+		s := pairScore(id, me)
 		if len(top) == size && s <= top[size-1].score {
 			continue
 		}
@@ -41,31 +41,31 @@
 	}
 	list := make([]int, len(top))
 	for i, r := range top {
-		list[i] = r.i
+		list[i] = r.index
 	}
 	return list
 }
 
-// boundX is how many times the mean a node may be preferred by Bounded.
-const boundX = 1.15
+// maxLoadFactor is how many times the mean a node may be preferred by Bounded.
+const maxLoadFactor = 1.15
 
-// Bounded is Rendezvous where no node is preferred by more than boundX times the mean: gateways choose in the order of their numbers, and pass over
+// BoundedRendezvous is Rendezvous where no node is preferred by more than maxLoadFactor times the mean: gateways choose in the order of their numbers, and pass over
 // what is full. All gateways' choices are worked out for each, and a change moves those after the first that it touches.
-func Bounded(ids []uint64, me, gateways, size int) []int {
+func BoundedRendezvous(ids []uint64, me, gateways, size int) []int {
 	size = min(size, len(ids))
-	most := int(math.Ceil(boundX * float64(gateways*size) / float64(max(len(ids), 1))))
+	most := int(math.Ceil(maxLoadFactor * float64(gateways*size) / float64(max(len(ids), 1))))
 	taken := make([]int, len(ids))
 	all := make([]ranked, len(ids))
 	for g := range me + 1 {
 		for i, id := range ids {
-			all[i] = ranked{i, score(id, g)}
+			all[i] = ranked{i, pairScore(id, g)}
 		}
 		slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.score, a.score) })
 		var list []int
 		for _, r := range all {
-			if len(list) < size && taken[r.i] < most {
-				taken[r.i]++
-				list = append(list, r.i)
+			if len(list) < size && taken[r.index] < most {
+				taken[r.index]++
+				list = append(list, r.index)
 			}
 		}
 		if g == me {
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Rounds is deterministic subsetting: gateways go in rounds of as many as there are disjoint subsets, and each round shuffles the list anew. Every
+// ShuffledRounds is deterministic subsetting: gateways go in rounds of as many as there are disjoint subsets, and each round shuffles the list anew. Every
 // node is preferred by the same number, but for the last round; one node more or less moves every subset.
-func Rounds(ids []uint64, me, _, size int) []int {
+func ShuffledRounds(ids []uint64, me, _, size int) []int {
 	size = min(size, len(ids))
 	if size == 0 {
 		return nil
@@ -86,12 +86,12 @@
 	round := me / subsets
 	all := make([]ranked, len(ids))
 	for i := range ids {
-		all[i] = ranked{i, peermsg.Mix(uint64(i)<<32 | uint64(round))}
+		all[i] = ranked{i, peermsg.Mix64(uint64(i)<<32 | uint64(round))}
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(a.score, b.score) })
 	list := make([]int, 0, size)
 	for _, r := range all[me%subsets*size : (me%subsets+1)*size] {
-		list = append(list, r.i)
+		list = append(list, r.index)
 	}
 	return list
 }
@@ -101,17 +101,17 @@
 	return min(max((sharers*nodes+gateways-1)/max(gateways, 1), least), nodes)
 }
 
-// Figures are what a way does over a fleet.
-type Figures struct {
-	Spread  float64 // load of the 99th hundredth of nodes over the mean, gateways' traffic as given, even within a subset
-	Least   float64 // of the first hundredth
-	Moved   float64 // share of all preferences that change when one node in fifty is replaced
-	Differ  float64 // share of a subset that two lists, which differ by ten nodes, give differently
-	Unasked int     // nodes that no gateway prefers
+// Stats are what a way does over a fleet.
+type Stats struct {
+	P99Load    float64 // load of the 99th hundredth of nodes over the mean, gateways' traffic as given, even within a subset
+	P1Load     float64 // of the first hundredth
+	Churn      float64 // share of all preferences that change when one node in fifty is replaced
+	Divergence float64 // share of a subset that two lists, which differ by ten nodes, give differently
+	Unselected int     // nodes that no gateway prefers
 }
 
 // Measure works a way out over a fleet: traffic by gateway, in any unit.
-func Measure(way Way, ids []uint64, traffic []float64, size int, replaced, other []uint64) (f Figures) {
+func Measure(way Strategy, ids []uint64, traffic []float64, size int, replaced, other []uint64) (f Stats) {
 	load := make([]float64, len(ids))
 	total, all := 0.0, 0
 	var moved, differ float64
@@ -125,25 +125,25 @@
 		total += t
 		all += len(list)
 		for _, i := range way(replaced, g, len(traffic), size) {
-			moved += b2f(!was[replaced[i]])
+			moved += boolToFloat(!was[replaced[i]])
 		}
 		for _, i := range way(other, g, len(traffic), size) {
-			differ += b2f(!was[other[i]])
+			differ += boolToFloat(!was[other[i]])
 		}
 	}
 	slices.Sort(load)
 	mean := total / float64(len(ids))
-	f.Spread, f.Least = load[min(len(load)*99/100, len(load)-1)]/mean, load[len(load)/100]/mean
-	f.Moved, f.Differ = moved/float64(all), differ/float64(all)
+	f.P99Load, f.P1Load = load[min(len(load)*99/100, len(load)-1)]/mean, load[len(load)/100]/mean
+	f.Churn, f.Divergence = moved/float64(all), differ/float64(all)
 	for _, x := range load {
 		if x == 0 {
-			f.Unasked++
+			f.Unselected++
 		}
 	}
 	return f
 }
 
-func b2f(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -9,18 +9,18 @@
 	"eiderspread/internal/peermsg"
 )
 
-func nodes(n, from int) (ids []uint64) {
+func endpointIDs(n, from int) (ids []uint64) {
 	for i := range n {
-		ids = append(ids, peermsg.Point(fmt.Sprint("s-", from+i)))
+		ids = append(ids, peermsg.HashPoint(fmt.Sprint("s-", from+i)))
 	}
 	return ids
 }
 
 // Every way gives each gateway as many nodes as asked, none twice, and the same ones each time.
-func TestSubsetsAreWholeAndRepeatable(t *testing.T) {
-	for name, way := range map[string]Way{"rendezvous": Rendezvous, "bounded": Bounded, "rounds": Rounds} {
+func TestStrategies_FullAndRepeatable(t *testing.T) {
+	for name, way := range map[string]Strategy{"rendezvous": Rendezvous, "bounded": BoundedRendezvous, "rounds": ShuffledRounds} {
 		for _, size := range []struct{ gateways, nodes, want int }{{4, 9, 8}, {300, 200, 16}, {7, 200, 200}, {300, 9, 9}, {1, 1, 1}, {5, 0, 0}} {
-			ids := nodes(size.nodes, 0)
+			ids := endpointIDs(size.nodes, 0)
 			for me := range size.gateways {
 				list := way(ids, me, size.gateways, size.want)
 				if name != "bounded" && len(list) != size.want || len(list) > size.want {
@@ -42,10 +42,10 @@
 }
 
 // Two gateways whose lists differ by ten nodes, and one list before and after a node has gone: no subset differs by more than those.
-func TestRendezvousMovesNoMoreThanChanged(t *testing.T) {
+func TestRendezvous_MinimalChange(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 300 {
-		ids := nodes(176, 0)
+		ids := endpointIDs(176, 0)
 		me := rng.IntN(300)
 		was := map[uint64]bool{}
 		for _, i := range Rendezvous(ids, me, 300, 16) {
@@ -60,15 +60,15 @@
 				fresh++
 			}
 		}
-		if want := int(b2f(was[id])); fresh != want {
+		if want := int(boolToFloat(was[id])); fresh != want {
 			t.Fatalf("one node has gone: %d new ones, want %d", fresh, want)
 		}
 	}
 }
 
 // The order of a list is nothing: two ingresses that were told in another order prefer the same.
-func TestOrderOfTheListIsNothing(t *testing.T) {
-	ids := nodes(50, 0)
+func TestRendezvous_IgnoresListOrder(t *testing.T) {
+	ids := endpointIDs(50, 0)
 	a := Rendezvous(ids, 3, 9, 8)
 	back := slices.Clone(ids)
 	slices.Reverse(back)
@@ -80,16 +80,16 @@
 }
 
 // What the ingress rests on: at the largest days' size each node is preferred by nearly as many, under uneven traffic, and a change moves little.
-func TestSpreadAtSize(t *testing.T) {
+func TestRendezvous_SpreadAtFullSize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	traffic := make([]float64, 300)
 	for i := range traffic {
 		traffic[i] = 0.3 + rng.ExpFloat64()
 	}
-	ids := nodes(200, 0)
-	replaced := slices.Concat(ids[4:], nodes(4, 1000))
+	ids := endpointIDs(200, 0)
+	replaced := slices.Concat(ids[4:], endpointIDs(4, 1000))
 	f := Measure(Rendezvous, ids, traffic, Size(300, 200, 24, 8), replaced, ids[10:])
-	if f.Spread > 1.9 || f.Least < 0.35 || f.Moved > 0.045 || f.Differ > 0.07 || f.Unasked > 0 {
+	if f.P99Load > 1.9 || f.P1Load < 0.35 || f.Churn > 0.045 || f.Divergence > 0.07 || f.Unselected > 0 {
 		t.Errorf("%+v", f)
 	}
 	if s := Size(300, 200, 24, 8); s != 16 {
@@ -101,15 +101,15 @@
 }
 
 func BenchmarkRendezvous(b *testing.B) {
-	ids := nodes(200, 0)
+	ids := endpointIDs(200, 0)
 	for b.Loop() {
 		Rendezvous(ids, 7, 300, 16)
 	}
 }
 
-func BenchmarkBounded(b *testing.B) {
-	ids := nodes(200, 0)
+func BenchmarkBoundedRendezvous(b *testing.B) {
+	ids := endpointIDs(200, 0)
 	for b.Loop() {
-		Bounded(ids, 299, 300, 16)
+		BoundedRendezvous(ids, 299, 300, 16)
 	}
 }
--- a/internal/trace/analyse/analyse_test.go
+++ b/internal/trace/analyse/analyse_test.go
@@ -10,8 +10,8 @@
 	"eiderspread/policy"
 )
 
-var header = trace.Header{Plans: []policy.Plan{{Name: "p", Rate: 2, Burst: 4, Price: 1.5, CeilingRate: 4, CeilingBurst: 8}},
-	Classes: []policy.Class{{Name: "c", Worth: 3}}}
+var header = trace.Header{Plans: []policy.Plan{{Name: "p", Rate: 2, Burst: 4, Weight: 1.5, HardLimitRate: 4, HardLimitBurst: 8}},
+	Classes: []policy.Class{{Name: "c", PriorityWeight: 3}}}
 
 func file(name string, me int, list ...why.Decision) *trace.File {
 	h := header
@@ -20,16 +20,16 @@
 }
 
 func at(t float64, step why.Step, reason why.Reason, id string, units float64) why.Decision {
-	return why.Decision{At: t, Step: step, Why: reason, ID: id, Account: 7, Plan: "p", Class: "c", Units: units}
+	return why.Decision{At: t, Step: step, Reason: reason, ID: id, Account: 7, Plan: "p", Class: "c", Units: units}
 }
 
 // The true room is of all gateways' first sends; further attempts and refusals take nothing.
 func TestTrueRoomIsOfAllGateways(t *testing.T) {
-	again := at(0.2, why.Send, why.None, "a", 3)
+	again := at(0.2, why.StepSent, why.None, "a", 3)
 	again.Attempt = 1
 	run := Join([]*trace.File{
-		file("n0", 0, at(0, why.Send, why.None, "a", 3), again, at(0.5, why.Refuse, why.CeilPart, "x", 2), at(1, why.Refuse, why.OwnRoom, "y", 2)),
-		file("n1", 1, at(0.25, why.Refuse, why.Denied, "z", 1), at(0.4, why.Send, why.None, "b", 1)),
+		file("n0", 0, at(0, why.StepSent, why.None, "a", 3), again, at(0.5, why.StepRejected, why.HardLimitLocal, "x", 2), at(1, why.StepRejected, why.WindowExhausted, "y", 2)),
+		file("n1", 1, at(0.25, why.StepRejected, why.Denied, "z", 1), at(0.4, why.StepSent, why.None, "b", 1)),
 	})
 	want := map[string]struct {
 		free float64
@@ -60,8 +60,8 @@
 
 // A first send beyond the quota takes nothing from it, but from the ceiling.
 func TestBeyondTheQuota(t *testing.T) {
-	run := Join([]*trace.File{file("n0", 0, at(0, why.Send, why.None, "a", 4), at(0, why.Send, why.None, "b", 4), at(0.5, why.Refuse, why.OwnRoom, "x", 1),
-		at(1, why.Refuse, why.OwnRoom, "y", 2), at(1, why.Send, why.None, "d", 4), at(1.0, why.Refuse, why.CeilBoth, "v", 1))})
+	run := Join([]*trace.File{file("n0", 0, at(0, why.StepSent, why.None, "a", 4), at(0, why.StepSent, why.None, "b", 4), at(0.5, why.StepRejected, why.WindowExhausted, "x", 1),
+		at(1, why.StepRejected, why.WindowExhausted, "y", 2), at(1, why.StepSent, why.None, "d", 4), at(1.0, why.StepRejected, why.HardLimitExhausted, "v", 1))})
 	for _, r := range run.Records {
 		switch r.ID {
 		case "x":
--- a/internal/trace/analyse/run.go
+++ b/internal/trace/analyse/run.go
@@ -105,15 +105,15 @@
 		}
 		a := accounts[r.Account]
 		if a == nil {
-			a = &account{window{p.Burst, r.At}, window{p.CeilingBurst, r.At}}
+			a = &account{window{p.Burst, r.At}, window{p.HardLimitBurst, r.At}}
 			accounts[r.Account] = a
 		}
 		r.Counted, r.CeilOK = true, true
 		r.Free = a.quota.now(r.At, p.Rate, p.Burst)
-		if p.CeilingRate > 0 {
-			r.CeilOK = r.Units <= a.ceiling.now(r.At, p.CeilingRate, p.CeilingBurst)
+		if p.HardLimitRate > 0 {
+			r.CeilOK = r.Units <= a.ceiling.now(r.At, p.HardLimitRate, p.HardLimitBurst)
 		}
-		if r.Step == why.Send && r.Attempt == 0 {
+		if r.Step == why.StepSent && r.Attempt == 0 {
 			if r.Units <= r.Free { // beyond the quota nothing is taken from it
 				a.quota.room -= r.Units
 			}
@@ -126,7 +126,7 @@
 func (run *Run) Worth(r Record) float64 {
 	price := 1.0
 	if p, ok := run.Plans[r.Plan]; ok {
-		price = p.Price
+		price = p.Weight
 	}
-	return run.Classes[r.Class].Worth * price * r.Units
+	return run.Classes[r.Class].PriorityWeight * price * r.Units
 }
--- a/internal/trace/analyse/table.go
+++ b/internal/trace/analyse/table.go
@@ -24,7 +24,7 @@
 }
 
 // Refused tells that the record is a final answer in the gateway's own words.
-func Refused(r Record) bool { return r.Step == why.Refuse || r.Step == why.Fail }
+func Refused(r Record) bool { return r.Step == why.StepRejected || r.Step == why.StepFailed }
 
 // By sums those records that are wanted by a key, the dearest first.
 func (run *Run) By(want func(Record) bool, key func(Record) string) []Row {
@@ -43,9 +43,9 @@
 		row.N++
 		row.Units += r.Units
 		row.Worth += worth
-		row.AgeSum += float64(r.Age)
-		row.ShortSum += max(r.Units-float64(r.Room), 0)
-		if r.Later {
+		row.AgeSum += float64(r.ReplyAgeS)
+		row.ShortSum += max(r.Units-float64(r.WindowAvailable), 0)
+		if r.ClientRetry {
 			row.Later++
 		}
 		if r.Fits() {
@@ -66,14 +66,14 @@
 
 // Keys by which a table can be made.
 var Keys = map[string]func(Record) string{
-	"reason":  func(r Record) string { return r.Why.String() },
+	"reason":  func(r Record) string { return r.Reason.String() },
 	"plan":    func(r Record) string { return r.Plan },
 	"class":   func(r Record) string { return r.Class },
 	"gateway": func(r Record) string { return r.Name },
 	"account": func(r Record) string { return fmt.Sprintf("%08x", r.Account) },
 	"owner": func(r Record) string {
 		switch {
-		case r.Owner != r.Prime:
+		case r.Owner != r.PrimaryOwner:
 			return "stand-in"
 		case r.Owner == r.Gateway:
 			return "itself"
@@ -112,10 +112,10 @@
 		if !want(r) {
 			continue
 		}
-		out.Write([]string{f(r.At - run.Start), r.Name, r.Step.String(), r.Why.String(), r.ID, fmt.Sprintf("%08x", r.Account), r.Plan, r.Class, f(r.Units),
-			strconv.FormatBool(r.Later), f(float64(r.Left)), f(float64(r.Aim)), f(float64(r.Lat)), strconv.Itoa(r.Owner), strconv.Itoa(r.Prime), f(float64(r.Room)),
-			f(float64(r.Age)), f(float64(r.Mine)), f(float64(r.Others)), f(float64(r.Ceil)), f(float64(r.Pool)), strconv.Itoa(r.Out), f(float64(r.Most)),
-			strconv.Itoa(r.Attempt), r.Server, strconv.Itoa(r.Status), strconv.Itoa(r.From), f(r.Free), strconv.FormatBool(r.Fits())})
+		out.Write([]string{f(r.At - run.Start), r.Name, r.Step.String(), r.Reason.String(), r.ID, fmt.Sprintf("%08x", r.Account), r.Plan, r.Class, f(r.Units),
+			strconv.FormatBool(r.ClientRetry), f(float64(r.RemainingS)), f(float64(r.ObjectiveRemainingS)), f(float64(r.MeanLatencyS)), strconv.Itoa(r.Owner), strconv.Itoa(r.PrimaryOwner), f(float64(r.WindowAvailable)),
+			f(float64(r.ReplyAgeS)), f(float64(r.LocalDemand)), f(float64(r.OtherDemand)), f(float64(r.HardLimitLocal)), f(float64(r.HardLimitShared)), strconv.Itoa(r.InFlight), f(float64(r.InFlightLimit)),
+			strconv.Itoa(r.Attempt), r.Backend, strconv.Itoa(r.Status), strconv.Itoa(r.Requester), f(r.Free), strconv.FormatBool(r.Fits())})
 	}
 	out.Flush()
 	return out.Error()
@@ -129,10 +129,10 @@
 	}
 	for _, r := range run.Records {
 		if want(r) {
-			if by[r.Why] == nil {
-				by[r.Why] = make([]int, bins)
+			if by[r.Reason] == nil {
+				by[r.Reason] = make([]int, bins)
 			}
-			by[r.Why][int((r.At-run.Start)/step)]++
+			by[r.Reason][int((r.At-run.Start)/step)]++
 		}
 	}
 	return bins, by
--- a/internal/trace/bench_test.go
+++ b/internal/trace/bench_test.go
@@ -12,12 +12,12 @@
 type nobody struct{ server string }
 
 func (n *nobody) Send(_, server string, _ float64) { n.server = server }
-func (*nobody) Refuse(string, float64)             {}
+func (*nobody) Reject(string, float64)             {}
 func (*nobody) Fail(string)                        {}
 func (*nobody) Cancel(string, int)                 {}
 func (*nobody) SetTimer(uint64, float64)           {}
 func (*nobody) Probe(string)                       {}
-func (*nobody) Tell(int, []byte)                   {}
+func (*nobody) SendPeerMessage(int, []byte)        {}
 func (*nobody) Log(string)                         {}
 
 // BenchmarkModule is what a request and its answer cost the module with nobody asking for reasons, and with the recorder's ring. The
@@ -30,28 +30,28 @@
 		}
 		b.Run(name, func(b *testing.B) {
 			n := &nobody{}
-			s := policy.Settings{Gateways: 1, MaxAttempts: 3, MaxUnits: 4, Classes: []policy.Class{{Name: "look", AimS: 1, DeadlineS: 2, Worth: 1}},
-				Plans: []policy.Plan{{Name: "p", Rate: 1e9, Burst: 1e9, Price: 1, CeilingRate: 2e9, CeilingBurst: 2e9}}}
+			s := policy.Settings{Gateways: 1, MaxAttempts: 3, MaxRequestUnits: 4, Classes: []policy.Class{{Name: "look", LatencyObjectiveS: 1, DeadlineS: 2, PriorityWeight: 1}},
+				Plans: []policy.Plan{{Name: "p", Rate: 1e9, Burst: 1e9, Weight: 1, HardLimitRate: 2e9, HardLimitBurst: 2e9}}}
 			now := 100.0
 			g, err := policy.New(s, 1, now, n)
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.Servers(now, []policy.Server{{ID: "s1"}, {ID: "s2"}, {ID: "s3"}}, true)
+			g.UpdateBackends(now, []policy.Backend{{ID: "s1"}, {ID: "s2"}, {ID: "s3"}}, true)
 			r := NewRing(ringSize)
 			var list []why.Decision
 			if traced {
-				g.Trace(r.Put)
+				g.SetTracer(r.Put)
 			}
 			now += 10
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				id := strconv.Itoa(i)
 				now += 0.0001
-				g.Request(now, policy.Request{ID: id, Class: "look", Plan: "p", Customer: "c", DeadlineS: now + 2, Entries: 1, Units: 1})
-				g.Outcome(now+0.00005, policy.Outcome{ID: id, Server: n.server, Status: policy.OK, Over: true, SpentS: 0.01})
+				g.HandleRequest(now, policy.Request{ID: id, Class: "look", Plan: "p", Account: "c", DeadlineAt: now + 2, GatewayCount: 1, Units: 1})
+				g.HandleOutcome(now+0.00005, policy.Outcome{ID: id, Backend: n.server, Status: policy.OK, Completed: true, LatencyS: 0.01})
 				if i%200 == 0 {
-					g.Timer(now, 1)
+					g.HandleTimer(now, 1)
 					list, _ = r.Take(list[:0])
 				}
 			}
@@ -69,7 +69,7 @@
 	list := make([]why.Decision, 1000)
 	for i := range list {
 		list[i] = record(i)
-		list[i].Left, list[i].Aim, list[i].Lat, list[i].Ceil, list[i].Pool, list[i].Mine, list[i].Others = 1, 0.5, 0.1, 3, 4, 20, 30
+		list[i].RemainingS, list[i].ObjectiveRemainingS, list[i].MeanLatencyS, list[i].HardLimitLocal, list[i].HardLimitShared, list[i].LocalDemand, list[i].OtherDemand = 1, 0.5, 0.1, 3, 4, 20, 30
 	}
 	n := 0
 	for b.Loop() {
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -29,15 +29,15 @@
 	}
 	golden.Same(t, "trace", got, &want)
 	var names bytes.Buffer
-	for step := why.Came; step.String() != "?"; step++ {
+	for step := why.StepArrived; step.String() != "?"; step++ {
 		names.WriteString(step.String() + "\n")
 	}
 	for _, r := range why.Reasons() {
 		names.WriteString(r.String() + "\n")
 	}
 	golden.Check(t, "names.txt", names.Bytes())
-	golden.Same(t, "numbers of statuses", []terms.Status{terms.OK, terms.Error, terms.Full, terms.Timeout, terms.ConnectFailed, terms.Reset,
-		terms.Cancelled, terms.Moot}, []terms.Status{0, 1, 2, 3, 4, 5, 6, 7})
-	golden.Same(t, "numbers of effects", []terms.Effect{terms.Safe, terms.Keyed, terms.Unsafe}, []terms.Effect{0, 1, 2})
-	golden.Same(t, "numbers of scopes", []terms.Scope{terms.ScopeAll, terms.ScopeZone, terms.ScopeCell}, []terms.Scope{0, 1, 2})
+	golden.Same(t, "numbers of statuses", []terms.Status{terms.OK, terms.Error, terms.Rejected, terms.Timeout, terms.ConnectFailed, terms.Reset,
+		terms.Cancelled, terms.NotSent}, []terms.Status{0, 1, 2, 3, 4, 5, 6, 7})
+	golden.Same(t, "numbers of effects", []terms.Idempotency{terms.Idempotent, terms.KeyedIdempotent, terms.NonIdempotent}, []terms.Idempotency{0, 1, 2})
+	golden.Same(t, "numbers of scopes", []terms.KeyScope{terms.ScopeAll, terms.ScopeZone, terms.ScopeCell}, []terms.KeyScope{0, 1, 2})
 }
--- a/internal/trace/plots/plots.go
+++ b/internal/trace/plots/plots.go
@@ -86,7 +86,7 @@
 		}
 		plan = r.Plan
 		at := r.At - run.Start
-		views[r.Name] = append(views[r.Name], plotter.XY{X: at, Y: float64(r.Room)})
+		views[r.Name] = append(views[r.Name], plotter.XY{X: at, Y: float64(r.WindowAvailable)})
 		free = append(free, plotter.XY{X: at, Y: r.Free})
 		if analyse.Refused(r) {
 			refused = append(refused, plotter.XY{X: at, Y: r.Free})
--- a/internal/trace/plots/plots_test.go
+++ b/internal/trace/plots/plots_test.go
@@ -17,7 +17,7 @@
 	var list []why.Decision
 	for i, r := range why.Reasons() {
 		for k := range 3 {
-			list = append(list, why.Decision{At: 100 + float64(i%7) + float64(k), Step: why.Refuse, Why: r, ID: "q", Account: 7, Plan: "p", Units: 1, Room: float32(k)})
+			list = append(list, why.Decision{At: 100 + float64(i%7) + float64(k), Step: why.StepRejected, Reason: r, ID: "q", Account: 7, Plan: "p", Units: 1, WindowAvailable: float32(k)})
 		}
 	}
 	run := analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0", Plans: []terms.Plan{{Name: "p", Rate: 1, Burst: 5}}}, Decisions: list}})
--- a/internal/trace/spans/spans.go
+++ b/internal/trace/spans/spans.go
@@ -111,8 +111,8 @@
 	return json.NewEncoder(w).Encode(out)
 }
 
-var statuses = map[int]string{int(policy.OK): "ok", int(policy.Error): "error", int(policy.Full): "full", int(policy.Timeout): "timeout",
-	int(policy.ConnectFailed): "connect-failed", int(policy.Reset): "reset", int(policy.Cancelled): "cancelled", int(policy.Moot): "moot"}
+var statuses = map[int]string{int(policy.OK): "ok", int(policy.Error): "error", int(policy.Rejected): "full", int(policy.Timeout): "timeout",
+	int(policy.ConnectFailed): "connect-failed", int(policy.Reset): "reset", int(policy.Cancelled): "cancelled", int(policy.NotSent): "moot"}
 
 // request makes the spans of one request from its records, which come by time.
 func request(k key, story []analyse.Record) (list []span, bad bool) {
@@ -124,13 +124,13 @@
 	list = []span{root}
 	for _, r := range story {
 		switch r.Step {
-		case why.Send:
+		case why.StepSent:
 			s := span{TraceID: root.TraceID, Parent: root.SpanID, Name: "attempt", Kind: 3, Start: nano(r.At), End: nano(last.At),
-				Attributes: []attribute{text("server.id", r.Server), number("attempt", float64(r.Attempt))}}
+				Attributes: []attribute{text("server.id", r.Backend), number("attempt", float64(r.Attempt))}}
 			_, s.SpanID = ids(k.gateway, k.id, strconv.Itoa(r.Attempt))
 			open[r.Attempt] = len(list)
 			list = append(list, s)
-		case why.Back:
+		case why.StepEnded:
 			i, ok := open[r.Attempt]
 			if !ok {
 				continue
@@ -143,11 +143,11 @@
 				list[0].Status, list[0].End = status{Code: 1}, nano(r.At)
 			}
 		default:
-			list[0].Events = append(list[0].Events, event{nano(r.At), r.Step.String(), []attribute{text("reason", r.Why.String()), number("room", float64(r.Room)),
-				number("free", r.Free), number("word.age_s", float64(r.Age))}})
+			list[0].Events = append(list[0].Events, event{nano(r.At), r.Step.String(), []attribute{text("reason", r.Reason.String()), number("room", float64(r.WindowAvailable)),
+				number("free", r.Free), number("word.age_s", float64(r.ReplyAgeS))}})
 			if analyse.Refused(r) {
 				bad = true
-				list[0].Status, list[0].End = status{Code: 2, Message: r.Step.String() + ": " + r.Why.String()}, nano(r.At)
+				list[0].Status, list[0].End = status{Code: 2, Message: r.Step.String() + ": " + r.Reason.String()}, nano(r.At)
 			}
 		}
 	}
--- a/internal/trace/spans/spans_test.go
+++ b/internal/trace/spans/spans_test.go
@@ -15,14 +15,14 @@
 // their request, statuses by what came of it.
 func TestSpansOfARequest(t *testing.T) {
 	send := func(at float64, n int) why.Decision {
-		return why.Decision{At: at, Step: why.Send, ID: "a", Attempt: n, Server: "z1", Class: "look"}
+		return why.Decision{At: at, Step: why.StepSent, ID: "a", Attempt: n, Backend: "z1", Class: "look"}
 	}
 	back := func(at float64, n int, s policy.Status) why.Decision {
-		return why.Decision{At: at, Step: why.Back, ID: "a", Attempt: n, Status: int(s), Class: "look"}
+		return why.Decision{At: at, Step: why.StepEnded, ID: "a", Attempt: n, Status: int(s), Class: "look"}
 	}
 	run := analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0"}, Decisions: []why.Decision{
-		{At: 10, Step: why.Came, Why: why.OwnCount, ID: "a", Class: "look", Plan: "p"}, send(10.25, 0), back(10.5, 0, policy.Reset), send(10.5, 1), back(11, 1, policy.OK),
-		{At: 12, Step: why.Came, ID: "b", Class: "look", Plan: "p"}, {At: 12, Step: why.Refuse, Why: why.Cap, ID: "b", Class: "look"}}}})
+		{At: 10, Step: why.StepArrived, Reason: why.OwnerCount, ID: "a", Class: "look", Plan: "p"}, send(10.25, 0), back(10.5, 0, policy.Reset), send(10.5, 1), back(11, 1, policy.OK),
+		{At: 12, Step: why.StepArrived, ID: "b", Class: "look", Plan: "p"}, {At: 12, Step: why.StepRejected, Reason: why.ConcurrencyLimit, ID: "b", Class: "look"}}}})
 	for _, refused := range []bool{false, true} {
 		var b bytes.Buffer
 		if err := Write(&b, run, func(analyse.Record) bool { return true }, refused); err != nil {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -16,8 +16,8 @@
 )
 
 func record(i int) why.Decision {
-	return why.Decision{At: 1e9 + float64(i), Step: why.Refuse, Why: why.CeilPart, ID: fmt.Sprint("r", i), Account: uint32(i + 1), Plan: "chaine",
-		Class: "slot-hold", Units: 2, Room: 3.5}
+	return why.Decision{At: 1e9 + float64(i), Step: why.StepRejected, Reason: why.HardLimitLocal, ID: fmt.Sprint("r", i), Account: uint32(i + 1), Plan: "chaine",
+		Class: "slot-hold", Units: 2, WindowAvailable: 3.5}
 }
 
 func sequence(t testing.TB, n int, lost uint64) []byte {
--- a/internal/withhold/withhold.go
+++ b/internal/withhold/withhold.go
@@ -12,191 +12,191 @@
 	"slices"
 )
 
-// Most bounds the ids of a Words, and the calls of a Caller that are under way together.
+// MaxRegisters bounds the ids of a Words, and the calls of a Caller that are under way together.
 const (
-	Most      = 4096
-	MostCalls = 64
+	MaxRegisters  = 4096
+	MaxOperations = 64
 )
 
 // Errors of a call.
 var (
-	ErrMany    = errors.New("too many backends are held, or too many calls are under way")
-	ErrNoWord  = errors.New("too few forwarders answered in time: it may hold or not, call again")
-	ErrUnknown = errors.New("no backend of this id is listed or held")
+	ErrTooMany        = errors.New("too many backends are held, or too many calls are under way")
+	ErrNoMajority     = errors.New("too few forwarders answered in time: it may hold or not, call again")
+	ErrUnknownBackend = errors.New("no backend of this id is listed or held")
 )
 
-// Word is what was last said of an id. Of two words the one of the greater version holds; a version is made by one planner's call alone.
-type Word struct {
+// State is what was last said of an id. Of two words the one of the greater version holds; a version is made by one planner's call alone.
+type State struct {
 	Version uint64
 	Held    bool
 }
 
 const plannerBits = 6 // of a version, for the planner that made it: fleet.Params allows 64
 
-// next is a version above another, made by a planner.
-func next(above uint64, planner int) uint64 {
+// nextVersion is a version above another, made by a planner.
+func nextVersion(above uint64, planner int) uint64 {
 	return (above>>plannerBits+1)<<plannerBits | uint64(planner)
 }
 
-// Words are the latest words that somebody has heard, at most Most of them. The zero value is empty.
-type Words struct{ by map[string]Word }
+// Registers are the latest words that somebody has heard, at most Most of them. The zero value is empty.
+type Registers struct{ states map[string]State }
 
 // Get returns the latest word on an id; its zero value where there is none.
-func (w *Words) Get(id string) Word { return w.by[id] }
+func (r *Registers) Get(id string) State { return r.states[id] }
 
 // Merge takes a word in and tells whether it was newer, and held differently from before. A new id beyond the bound is not taken.
-func (w *Words) Merge(id string, x Word) (newer, changed bool) {
-	old, known := w.by[id]
-	if x.Version <= old.Version || !known && len(w.by) >= Most {
+func (r *Registers) Merge(id string, state State) (newer, changed bool) {
+	old, known := r.states[id]
+	if state.Version <= old.Version || !known && len(r.states) >= MaxRegisters {
 		return false, false
 	}
-	if w.by == nil {
-		w.by = map[string]Word{}
+	if r.states == nil {
+		r.states = map[string]State{}
 	}
-	w.by[id] = x
-	return true, old.Held != x.Held
+	r.states[id] = state
+	return true, old.Held != state.Held
 }
 
 // Each calls f for every word, by id.
-func (w *Words) Each(f func(id string, x Word)) {
-	for _, id := range slices.Sorted(maps.Keys(w.by)) {
-		f(id, w.by[id])
+func (r *Registers) Each(f func(id string, state State)) {
+	for _, id := range slices.Sorted(maps.Keys(r.states)) {
+		f(id, r.states[id])
 	}
 }
 
-// Held lists what is held, by id.
-func (w *Words) Held() (ids []string) {
-	w.Each(func(id string, x Word) {
-		if x.Held {
+// Cordoned lists what is held, by id.
+func (r *Registers) Cordoned() (ids []string) {
+	r.Each(func(id string, state State) {
+		if state.Held {
 			ids = append(ids, id)
 		}
 	})
 	return ids
 }
 
-// Out is what a Caller asks for. It is used while one of its methods runs.
-type Out interface {
-	Ask(forwarder int, call uint64, id string)          // wants the forwarder's word
-	Tell(forwarder int, call uint64, id string, x Word) // wants it merged, and the forwarder's word back
-	Heard(id string, x Word)                            // a newer word was heard, here or there; it holds from now on
+// Output is what a Caller asks for. It is used while one of its methods runs.
+type Output interface {
+	ReadRegister(forwarder int, operationID uint64, id string)               // wants the forwarder's word
+	WriteRegister(forwarder int, operationID uint64, id string, state State) // wants it merged, and the forwarder's word back
+	RegisterChanged(id string, state State)                                  // a newer word was heard, here or there; it holds from now on
 }
 
-// Caller is a planner's side. It is not safe for concurrent use.
-type Caller struct {
-	me, majority int
-	settle       float64
-	words        Words
-	up           []bool // forwarders that understand holds
-	out          Out
-	calls        map[uint64]*call // at most MostCalls
-	last         uint64
+// Coordinator is a planner's side. It is not safe for concurrent use.
+type Coordinator struct {
+	planner, majority int
+	leaseS            float64
+	registers         Registers
+	linked            []bool // forwarders that understand holds
+	out               Output
+	operations        map[uint64]*operation // at most MaxOperations
+	lastID            uint64
 }
 
-// call is one operator's call: it reads the latest version at a majority, writes a greater one there, and then waits until every lead that
+// operation is one operator's call: it reads the latest version at a majority, writes a greater one there, and then waits until every lead that
 // began without it has ended.
-type call struct {
-	id      string
-	held    bool
-	word    Word // Version 0: still reading
-	most    uint64
-	said    []bool
-	n       int
-	settled float64 // when it holds everywhere, 0: not known yet
-	ends    float64
-	done    func(error)
+type operation struct {
+	backendID      string
+	cordoned       bool
+	proposed       State // Version 0: still reading
+	highestVersion uint64
+	answered       []bool
+	answers        int
+	effectiveAt    float64 // when it holds everywhere, 0: not known yet
+	deadline       float64
+	done           func(error)
 }
 
-// NewCaller returns the side of planner me, with no forwarder linked. settle is for how long a lead may go on without a majority: a lease.
-func NewCaller(me, forwarders, majority int, settle float64, out Out) *Caller {
-	return &Caller{me: me, majority: majority, settle: settle, up: make([]bool, forwarders), out: out, calls: map[uint64]*call{}}
+// NewCoordinator returns the side of planner me, with no forwarder linked. settle is for how long a lead may go on without a majority: a lease.
+func NewCoordinator(planner, forwarders, majority int, leaseS float64, out Output) *Coordinator {
+	return &Coordinator{planner: planner, majority: majority, leaseS: leaseS, linked: make([]bool, forwarders), out: out, operations: map[uint64]*operation{}}
 }
 
-// Words are the latest words heard here.
-func (c *Caller) Words() *Words { return &c.words }
+// Registers are the latest words heard here.
+func (c *Coordinator) Registers() *Registers { return &c.registers }
 
 // LinkUp takes a link to a forwarder that understands holds: it hears all words.
-func (c *Caller) LinkUp(f int) {
-	c.up[f] = true
-	c.words.Each(func(id string, x Word) { c.out.Tell(f, 0, id, x) })
-	for _, n := range c.order() {
-		c.send(f, n)
+func (c *Coordinator) LinkUp(forwarder int) {
+	c.linked[forwarder] = true
+	c.registers.Each(func(id string, state State) { c.out.WriteRegister(forwarder, 0, id, state) })
+	for _, operationID := range c.operationIDs() {
+		c.sendTo(forwarder, operationID)
 	}
 }
 
 // LinkDown takes the link's end. What it acknowledged counts: the word was taken in, and if it forgets, it has a new life, which promises
 // nothing for a lease.
-func (c *Caller) LinkDown(f int) { c.up[f] = false }
+func (c *Coordinator) LinkDown(forwarder int) { c.linked[forwarder] = false }
 
-func (c *Caller) order() []uint64 { return slices.Sorted(maps.Keys(c.calls)) }
+func (c *Coordinator) operationIDs() []uint64 { return slices.Sorted(maps.Keys(c.operations)) }
 
-func (c *Caller) send(f int, n uint64) {
-	k := c.calls[n]
+func (c *Coordinator) sendTo(forwarder int, operationID uint64) {
+	op := c.operations[operationID]
 	switch {
-	case !c.up[f] || k.said[f]:
-	case k.word.Version == 0:
-		c.out.Ask(f, n, k.id)
+	case !c.linked[forwarder] || op.answered[forwarder]:
+	case op.proposed.Version == 0:
+		c.out.ReadRegister(forwarder, operationID, op.backendID)
 	default:
-		c.out.Tell(f, n, k.id, k.word)
+		c.out.WriteRegister(forwarder, operationID, op.backendID, op.proposed)
 	}
 }
 
-// Call begins an operator's call, which ends by done: nil once it holds, whichever planner leads. It is not called before Call returns.
-func (c *Caller) Call(now, within float64, id string, held bool, done func(error)) error {
-	if len(c.calls) >= MostCalls || c.words.Get(id).Version == 0 && len(c.words.by) >= Most {
-		return ErrMany
+// SetCordoned begins an operator's call, which ends by done: nil once it holds, whichever planner leads. It is not called before Call returns.
+func (c *Coordinator) SetCordoned(now, timeoutS float64, id string, cordoned bool, done func(error)) error {
+	if len(c.operations) >= MaxOperations || c.registers.Get(id).Version == 0 && len(c.registers.states) >= MaxRegisters {
+		return ErrTooMany
 	}
-	c.last++
-	c.calls[c.last] = &call{id: id, held: held, most: c.words.Get(id).Version, said: make([]bool, len(c.up)), ends: now + within, done: done}
-	for f := range c.up {
-		c.send(f, c.last)
+	c.lastID++
+	c.operations[c.lastID] = &operation{backendID: id, cordoned: cordoned, highestVersion: c.registers.Get(id).Version, answered: make([]bool, len(c.linked)), deadline: now + timeoutS, done: done}
+	for forwarder := range c.linked {
+		c.sendTo(forwarder, c.lastID)
 	}
 	return nil
 }
 
-// Word takes a forwarder's word: the answer to a call, or with call 0 news.
-func (c *Caller) Word(now float64, f int, n uint64, id string, x Word) {
-	c.merge(id, x)
-	k := c.calls[n]
-	if k == nil || k.id != id || k.said[f] || k.settled > 0 {
+// HandleState takes a forwarder's word: the answer to a call, or with call 0 news.
+func (c *Coordinator) HandleState(now float64, forwarder int, operationID uint64, id string, state State) {
+	c.merge(id, state)
+	op := c.operations[operationID]
+	if op == nil || op.backendID != id || op.answered[forwarder] || op.effectiveAt > 0 {
 		return
 	}
-	if k.word.Version > 0 && x.Version < k.word.Version {
+	if op.proposed.Version > 0 && state.Version < op.proposed.Version {
 		return // an answer to the reading that came late
 	}
-	k.said[f] = true
-	k.n++
-	k.most = max(k.most, x.Version)
-	if k.n < c.majority {
+	op.answered[forwarder] = true
+	op.answers++
+	op.highestVersion = max(op.highestVersion, state.Version)
+	if op.answers < c.majority {
 		return
 	}
-	if k.word.Version > 0 {
-		k.settled = now + c.settle
+	if op.proposed.Version > 0 {
+		op.effectiveAt = now + c.leaseS
 		return
 	}
-	k.word, k.n = Word{next(max(k.most, c.words.Get(id).Version), c.me), k.held}, 0
-	clear(k.said)
-	c.merge(id, k.word)
-	for f := range c.up {
-		c.send(f, n)
+	op.proposed, op.answers = State{nextVersion(max(op.highestVersion, c.registers.Get(id).Version), c.planner), op.cordoned}, 0
+	clear(op.answered)
+	c.merge(id, op.proposed)
+	for forwarder := range c.linked {
+		c.sendTo(forwarder, operationID)
 	}
 }
 
-func (c *Caller) merge(id string, x Word) {
-	if newer, _ := c.words.Merge(id, x); newer {
-		c.out.Heard(id, x)
+func (c *Coordinator) merge(id string, state State) {
+	if newer, _ := c.registers.Merge(id, state); newer {
+		c.out.RegisterChanged(id, state)
 	}
 }
 
 // Tick ends the calls that hold and those whose time is over.
-func (c *Caller) Tick(now float64) {
-	for _, n := range c.order() {
-		switch k := c.calls[n]; {
-		case k.settled > 0 && now >= k.settled:
-			delete(c.calls, n)
-			k.done(nil)
-		case now >= k.ends:
-			delete(c.calls, n)
-			k.done(ErrNoWord)
+func (c *Coordinator) Tick(now float64) {
+	for _, operationID := range c.operationIDs() {
+		switch op := c.operations[operationID]; {
+		case op.effectiveAt > 0 && now >= op.effectiveAt:
+			delete(c.operations, operationID)
+			op.done(nil)
+		case now >= op.deadline:
+			delete(c.operations, operationID)
+			op.done(ErrNoMajority)
 		}
 	}
 }
--- a/internal/withhold/withhold_test.go
+++ b/internal/withhold/withhold_test.go
@@ -7,97 +7,99 @@
 	"testing"
 )
 
-// net is planners and forwarders with links in order that are cut at times.
-type net struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      float64
-	callers  []*Caller
-	words    []Words // of forwarders
-	links    [][]bool
-	queue    [][][]func() // by planner, forwarder, in order; both ways share a link's fate
-	heard    []map[string]bool
-	majority int
+// testNetwork is planners and forwarders with links in order that are cut at times.
+type testNetwork struct {
+	t            *testing.T
+	rng          *rand.Rand
+	now          float64
+	coordinators []*Coordinator
+	registers    []Registers // of forwarders
+	links        [][]bool
+	queue        [][][]func() // by planner, forwarder, in order; both ways share a link's fate
+	cordoned     []map[string]bool
+	majority     int
 }
 
-type end struct {
-	n *net
-	p int
+type plannerEnd struct {
+	network *testNetwork
+	planner int
 }
 
-func (e end) Ask(f int, call uint64, id string) {
-	e.n.post(e.p, f, func() { e.n.answer(e.p, f, call, id) })
-}
-func (e end) Tell(f int, call uint64, id string, x Word) {
-	e.n.post(e.p, f, func() {
-		if newer, _ := e.n.words[f].Merge(id, x); newer {
-			for p := range e.n.callers { // news goes to every planner that is linked, before anything else that is said to it
-				if e.n.links[p][f] {
-					e.n.answer(p, f, 0, id)
+func (e plannerEnd) ReadRegister(forwarder int, operationID uint64, id string) {
+	e.network.post(e.planner, forwarder, func() { e.network.answer(e.planner, forwarder, operationID, id) })
+}
+func (e plannerEnd) WriteRegister(forwarder int, operationID uint64, id string, state State) {
+	e.network.post(e.planner, forwarder, func() {
+		if newer, _ := e.network.registers[forwarder].Merge(id, state); newer {
+			for planner := range e.network.coordinators { // news goes to every planner that is linked, before anything else that is said to it
+				if e.network.links[planner][forwarder] {
+					e.network.answer(planner, forwarder, 0, id)
 				}
 			}
 		}
-		e.n.answer(e.p, f, call, id)
+		e.network.answer(e.planner, forwarder, operationID, id)
 	})
 }
-func (e end) Heard(id string, x Word) { e.n.heard[e.p][id] = x.Held }
+func (e plannerEnd) RegisterChanged(id string, state State) {
+	e.network.cordoned[e.planner][id] = state.Held
+}
 
-func (n *net) answer(p, f int, call uint64, id string) {
-	x := n.words[f].Get(id)
-	n.post(p, f, func() { n.callers[p].Word(n.now, f, call, id, x) })
+func (n *testNetwork) answer(planner, forwarder int, operationID uint64, id string) {
+	state := n.registers[forwarder].Get(id)
+	n.post(planner, forwarder, func() { n.coordinators[planner].HandleState(n.now, forwarder, operationID, id, state) })
 }
 
-func (n *net) post(p, f int, do func()) {
-	if n.links[p][f] {
-		n.queue[p][f] = append(n.queue[p][f], do)
+func (n *testNetwork) post(planner, forwarder int, do func()) {
+	if n.links[planner][forwarder] {
+		n.queue[planner][forwarder] = append(n.queue[planner][forwarder], do)
 	}
 }
 
-func newNet(t *testing.T, seed uint64, planners, forwarders int) *net {
-	n := &net{t: t, rng: rand.New(rand.NewPCG(seed, 9)), words: make([]Words, forwarders), majority: forwarders/2 + 1}
-	for p := range planners {
-		n.callers = append(n.callers, NewCaller(p, forwarders, n.majority, 0.4, end{n, p}))
+func newTestNetwork(t *testing.T, seed uint64, planners, forwarders int) *testNetwork {
+	n := &testNetwork{t: t, rng: rand.New(rand.NewPCG(seed, 9)), registers: make([]Registers, forwarders), majority: forwarders/2 + 1}
+	for planner := range planners {
+		n.coordinators = append(n.coordinators, NewCoordinator(planner, forwarders, n.majority, 0.4, plannerEnd{n, planner}))
 		n.links, n.queue = append(n.links, make([]bool, forwarders)), append(n.queue, make([][]func(), forwarders))
-		n.heard = append(n.heard, map[string]bool{})
+		n.cordoned = append(n.cordoned, map[string]bool{})
 	}
-	for p := range planners {
-		for f := range forwarders {
-			n.link(p, f)
+	for planner := range planners {
+		for forwarder := range forwarders {
+			n.link(planner, forwarder)
 		}
 	}
 	return n
 }
 
-func (n *net) link(p, f int) {
-	n.links[p][f] = true
-	n.callers[p].LinkUp(f)
-	n.words[f].Each(func(id string, _ Word) { n.answer(p, f, 0, id) })
+func (n *testNetwork) link(planner, forwarder int) {
+	n.links[planner][forwarder] = true
+	n.coordinators[planner].LinkUp(forwarder)
+	n.registers[forwarder].Each(func(id string, _ State) { n.answer(planner, forwarder, 0, id) })
 }
 
-func (n *net) cut(p, f int) {
-	n.links[p][f], n.queue[p][f] = false, nil
-	n.callers[p].LinkDown(f)
+func (n *testNetwork) cut(planner, forwarder int) {
+	n.links[planner][forwarder], n.queue[planner][forwarder] = false, nil
+	n.coordinators[planner].LinkDown(forwarder)
 }
 
 // step delivers something, and time goes on.
-func (n *net) step() {
+func (n *testNetwork) step() {
 	n.now += 0.001
-	p, f := n.rng.IntN(len(n.callers)), n.rng.IntN(len(n.words))
-	if q := n.queue[p][f]; len(q) > 0 {
-		n.queue[p][f] = q[1:]
+	planner, forwarder := n.rng.IntN(len(n.coordinators)), n.rng.IntN(len(n.registers))
+	if q := n.queue[planner][forwarder]; len(q) > 0 {
+		n.queue[planner][forwarder] = q[1:]
 		q[0]()
 	}
-	for _, c := range n.callers {
+	for _, c := range n.coordinators {
 		c.Tick(n.now)
 	}
 }
 
-func (n *net) drain() {
+func (n *testNetwork) deliverAll() {
 	for range 200000 {
 		empty := true
-		for p := range n.queue {
-			for f := range n.queue[p] {
-				empty = empty && len(n.queue[p][f]) == 0
+		for planner := range n.queue {
+			for forwarder := range n.queue[planner] {
+				empty = empty && len(n.queue[planner][forwarder]) == 0
 			}
 		}
 		if empty {
@@ -113,21 +115,21 @@
 func TestYesMeansAMajority(t *testing.T) {
 	yes, no := 0, 0
 	for seed := range uint64(300) {
-		n := newNet(t, seed, 3, 5)
+		n := newTestNetwork(t, seed, 3, 5)
 		last := uint64(0)
 		for round := range 12 {
 			for range n.rng.IntN(6) { // two planners keep their links to a majority at most times
-				p, f := n.rng.IntN(3), n.rng.IntN(5)
-				if n.links[p][f] && n.rng.IntN(3) > 0 {
-					n.cut(p, f)
-				} else if !n.links[p][f] {
-					n.link(p, f)
+				planner, forwarder := n.rng.IntN(3), n.rng.IntN(5)
+				if n.links[planner][forwarder] && n.rng.IntN(3) > 0 {
+					n.cut(planner, forwarder)
+				} else if !n.links[planner][forwarder] {
+					n.link(planner, forwarder)
 				}
 			}
 			var got error = errors.New("under way")
 			over := false
-			p, held := n.rng.IntN(3), round%2 == 0
-			if err := n.callers[p].Call(n.now, 0.9, "z1", held, func(err error) { got, over = err, true }); err != nil {
+			planner, cordoned := n.rng.IntN(3), round%2 == 0
+			if err := n.coordinators[planner].SetCordoned(n.now, 0.9, "z1", cordoned, func(err error) { got, over = err, true }); err != nil {
 				t.Fatal(err)
 			}
 			for !over {
@@ -138,9 +140,9 @@
 				continue
 			}
 			yes++
-			know, version := 0, n.callers[p].Words().Get("z1").Version
-			for f := range n.words {
-				if n.words[f].Get("z1").Version >= version {
+			know, version := 0, n.coordinators[planner].Registers().Get("z1").Version
+			for forwarder := range n.registers {
+				if n.registers[forwarder].Get("z1").Version >= version {
 					know++
 				}
 			}
@@ -149,23 +151,23 @@
 			}
 			last = version
 		}
-		for p := range 3 {
-			for f := range 5 {
-				if !n.links[p][f] {
-					n.link(p, f)
+		for planner := range 3 {
+			for forwarder := range 5 {
+				if !n.links[planner][forwarder] {
+					n.link(planner, forwarder)
 				}
 			}
 		}
-		n.drain()
-		want := n.words[0].Get("z1")
-		for f := range n.words {
-			if n.words[f].Get("z1") != want {
-				t.Fatalf("seed %d: forwarder %d has %+v, want %+v", seed, f, n.words[f].Get("z1"), want)
+		n.deliverAll()
+		want := n.registers[0].Get("z1")
+		for forwarder := range n.registers {
+			if n.registers[forwarder].Get("z1") != want {
+				t.Fatalf("seed %d: forwarder %d has %+v, want %+v", seed, forwarder, n.registers[forwarder].Get("z1"), want)
 			}
 		}
-		for p, c := range n.callers {
-			if c.Words().Get("z1") != want || n.heard[p]["z1"] != want.Held {
-				t.Fatalf("seed %d: planner %d has %+v, want %+v", seed, p, c.Words().Get("z1"), want)
+		for planner, c := range n.coordinators {
+			if c.Registers().Get("z1") != want || n.cordoned[planner]["z1"] != want.Held {
+				t.Fatalf("seed %d: planner %d has %+v, want %+v", seed, planner, c.Registers().Get("z1"), want)
 			}
 		}
 	}
@@ -175,29 +177,29 @@
 }
 
 // A minority is told so, in time, and not left waiting.
-func TestWithoutAMajorityTheAnswerIsNo(t *testing.T) {
-	n := newNet(t, 1, 1, 5)
-	for f := range 3 {
-		n.cut(0, f)
+func TestCoordinator_NoMajority(t *testing.T) {
+	n := newTestNetwork(t, 1, 1, 5)
+	for forwarder := range 3 {
+		n.cut(0, forwarder)
 	}
 	var got error
-	if err := n.callers[0].Call(n.now, 0.9, "z1", true, func(err error) { got = err }); err != nil {
+	if err := n.coordinators[0].SetCordoned(n.now, 0.9, "z1", true, func(err error) { got = err }); err != nil {
 		t.Fatal(err)
 	}
 	for got == nil && n.now < 2 {
 		n.step()
 	}
-	if !errors.Is(got, ErrNoWord) || n.now > 0.95 {
+	if !errors.Is(got, ErrNoMajority) || n.now > 0.95 {
 		t.Fatalf("%v at %.3f", got, n.now)
 	}
 }
 
 // The settling time is part of the yes: a lead that began before may go on for that long.
-func TestYesWaitsForOlderLeadsToEnd(t *testing.T) {
-	n := newNet(t, 2, 1, 3)
-	n.drain()
+func TestCoordinator_WaitsForOlderLeadsToEnd(t *testing.T) {
+	n := newTestNetwork(t, 2, 1, 3)
+	n.deliverAll()
 	began, over := n.now, false
-	if err := n.callers[0].Call(n.now, 0.9, "z1", true, func(err error) { over = err == nil }); err != nil {
+	if err := n.coordinators[0].SetCordoned(n.now, 0.9, "z1", true, func(err error) { over = err == nil }); err != nil {
 		t.Fatal(err)
 	}
 	for !over && n.now < began+2 {
@@ -208,24 +210,24 @@
 	}
 }
 
-func TestBounds(t *testing.T) {
-	var w Words
-	for i := range Most + 10 {
-		w.Merge(fmt.Sprint(i), Word{Version: 1, Held: true})
+func TestCoordinator_Bounds(t *testing.T) {
+	var w Registers
+	for i := range MaxRegisters + 10 {
+		w.Merge(fmt.Sprint(i), State{Version: 1, Held: true})
 	}
-	if len(w.Held()) != Most {
-		t.Errorf("%d words kept", len(w.Held()))
+	if len(w.Cordoned()) != MaxRegisters {
+		t.Errorf("%d words kept", len(w.Cordoned()))
 	}
-	if newer, changed := w.Merge("3", Word{Version: 2}); !newer || !changed {
+	if newer, changed := w.Merge("3", State{Version: 2}); !newer || !changed {
 		t.Error("a known id was not taken at the bound")
 	}
-	n := newNet(t, 3, 1, 3)
-	for i := range MostCalls {
-		if err := n.callers[0].Call(0, 1, fmt.Sprint(i), true, func(error) {}); err != nil {
+	n := newTestNetwork(t, 3, 1, 3)
+	for i := range MaxOperations {
+		if err := n.coordinators[0].SetCordoned(0, 1, fmt.Sprint(i), true, func(error) {}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := n.callers[0].Call(0, 1, "one more", true, func(error) {}); !errors.Is(err, ErrMany) {
+	if err := n.coordinators[0].SetCordoned(0, 1, "one more", true, func(error) {}); !errors.Is(err, ErrTooMany) {
 		t.Errorf("beyond the bound: %v", err)
 	}
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -10,35 +10,35 @@
 
 // What the settings say.
 type (
-	Effect   = terms.Effect
-	Scope    = terms.Scope
-	Class    = terms.Class
-	Plan     = terms.Plan
-	Settings = terms.Settings
+	Idempotency = terms.Idempotency
+	KeyScope    = terms.KeyScope
+	Class       = terms.Class
+	Plan        = terms.Plan
+	Settings    = terms.Settings
 )
 
 // Effects and scopes of keys.
 const (
-	Safe, Keyed, Unsafe            = terms.Safe, terms.Keyed, terms.Unsafe
-	ScopeAll, ScopeZone, ScopeCell = terms.ScopeAll, terms.ScopeZone, terms.ScopeCell
+	Idempotent, KeyedIdempotent, NonIdempotent = terms.Idempotent, terms.KeyedIdempotent, terms.NonIdempotent
+	ScopeAll, ScopeZone, ScopeCell             = terms.ScopeAll, terms.ScopeZone, terms.ScopeCell
 )
 
 // What a gateway is told.
 type (
-	State       = terms.State
-	Server      = terms.Server
-	Request     = terms.Request
-	Status      = terms.Status
-	Load        = terms.Load
-	Outcome     = terms.Outcome
-	ProbeResult = terms.ProbeResult
+	BackendState = terms.BackendState
+	Backend      = terms.Backend
+	Request      = terms.Request
+	Status       = terms.Status
+	Load         = terms.Load
+	Outcome      = terms.Outcome
+	ProbeResult  = terms.ProbeResult
 )
 
 // States of servers, and the ways an attempt ends.
 const (
-	Up, Draining, Removed                 = terms.Up, terms.Draining, terms.Removed
-	OK, Error, Full, Timeout              = terms.OK, terms.Error, terms.Full, terms.Timeout
-	ConnectFailed, Reset, Cancelled, Moot = terms.ConnectFailed, terms.Reset, terms.Cancelled, terms.Moot
+	Up, Draining, Removed                    = terms.Up, terms.Draining, terms.Removed
+	OK, Error, Rejected, Timeout             = terms.OK, terms.Error, terms.Rejected, terms.Timeout
+	ConnectFailed, Reset, Cancelled, NotSent = terms.ConnectFailed, terms.Reset, terms.Cancelled, terms.NotSent
 )
 
 // Broadcast as the addressee of Tell means every other gateway.
@@ -47,12 +47,12 @@
 // Actions is what a Gateway asks of its ingress. Calls happen only while one of
 // the Gateway's event methods runs, and in the order in which they are to take effect.
 type Actions interface {
-	Send(id, server string, timeoutS float64) // starts the request's next attempt
-	Refuse(id string, retryInS float64)       // final answer: trying again is harmless
-	Fail(id string)                           // final answer: promises nothing
+	Send(id, backend string, timeoutS float64) // starts the request's next attempt
+	Reject(id string, retryAfterS float64)     // final answer: trying again is harmless
+	Fail(id string)                            // final answer: promises nothing
 	Cancel(id string, attempt int)
 	SetTimer(token uint64, delayS float64)
-	Probe(server string)
-	Tell(gateway int, data []byte)
+	Probe(backend string)
+	SendPeerMessage(gateway int, data []byte)
 	Log(text string)
 }
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -14,96 +14,98 @@
 //	3.6  on      what others wait behind on their connection is ended, where these are too young to wait on
 //	3.7  on      every connection ends as soon as all that has come on it is answered
 type Drain struct {
-	on    bool
-	since float64
+	active    bool
+	startedAt float64
 }
 
 const (
-	drainNoticeS   = 0.5  // new connections go on coming for so long after the front was told, and some more
-	drainRestS     = 0.15 // a connection rests for so long before it is closed: its answer was read
-	drainPartS     = 3.5  // a connection on which a part of a request has come is left until then
-	drainRefuseS   = 1.9  // from then on a request would be too young at the end
-	drainCutS      = 3.6  // from then on no request may wait behind another one
-	drainRetireS   = 3.7  // from then on connections in use end
-	drainRecentS   = 2.0  // a request that is younger may not be open at the end
-	drainEndS      = 4.0  // the time that operators allow
-	drainRetryInS  = 0.2  // a refused client's wait before it asks another ingress
-	drainLookEvery = 0.1  // how often what idles is looked for
+	drainNoticeS             = 0.5  // new connections go on coming for so long after the front was told, and some more
+	drainIdleGraceS          = 0.15 // a connection rests for so long before it is closed: its answer was read
+	drainPartialRequestS     = 3.5  // a connection on which a part of a request has come is left until then
+	drainRejectS             = 1.9  // from then on a request would be too young at the end
+	drainCloseBlockedS       = 3.6  // from then on no request may wait behind another one
+	drainCloseAfterResponseS = 3.7  // from then on connections in use end
+	drainRecentS             = 2.0  // a request that is younger may not be open at the end
+	drainEndS                = 4.0  // the time that operators allow
+	drainRetryAfterS         = 0.2  // a refused client's wait before it asks another ingress
+	drainCheckIntervalS      = 0.1  // how often what idles is looked for
 )
 
 // Begin starts the drain at now; one that is under way goes on.
 func (d *Drain) Begin(now float64) {
-	if !d.on {
-		*d = Drain{on: true, since: now}
+	if !d.active {
+		*d = Drain{active: true, startedAt: now}
 	}
 }
 
 // End takes clients again.
 func (d *Drain) End() { *d = Drain{} }
 
-// On tells that the ingress is being drained.
-func (d *Drain) On() bool { return d.on }
+// Active tells that the ingress is being drained.
+func (d *Drain) Active() bool { return d.active }
 
 // Elapsed is how many seconds ago the drain began; 0 if there is none.
 func (d *Drain) Elapsed(now float64) float64 {
-	if !d.on {
+	if !d.active {
 		return 0
 	}
-	return now - d.since
+	return now - d.startedAt
 }
 
-// NextLook is in how many seconds connections are to be looked at for those that idle.
-func (d *Drain) NextLook(now float64) float64 {
-	return max(drainLookEvery, drainNoticeS-d.Elapsed(now))
+// NextIdleCheckS is in how many seconds connections are to be looked at for those that idle.
+func (d *Drain) NextIdleCheckS(now float64) float64 {
+	return max(drainCheckIntervalS, drainNoticeS-d.Elapsed(now))
 }
 
-// EndsIn is how many seconds are left of the time that operators allow.
-func (d *Drain) EndsIn(now float64) float64 { return max(0, drainEndS-d.Elapsed(now)) }
+// RemainingS is how many seconds are left of the time that operators allow.
+func (d *Drain) RemainingS(now float64) float64 { return max(0, drainEndS-d.Elapsed(now)) }
 
-// CloseIdle tells that a connection on which nothing is open and that was last used at usedAt is to be
+// CloseIdle tells that a connection on which nothing is open and that was last used at lastUsedAt is to be
 // closed. With receiving a part of a request has come on it: its client writes slowly, and may be answered
 // in time.
 func (d *Drain) CloseIdle(now, usedAt float64, receiving bool) bool {
 	from := drainNoticeS
 	if receiving {
-		from = drainPartS
+		from = drainPartialRequestS
 	}
-	return d.on && now-d.since >= from && now-usedAt > drainRestS
+	return d.active && now-d.startedAt >= from && now-usedAt > drainIdleGraceS
 }
 
-// Retire tells that a connection ends as soon as all that has come on it is answered.
-func (d *Drain) Retire(now float64) bool { return d.on && now-d.since >= drainRetireS }
+// CloseAfterResponse tells that a connection ends as soon as all that has come on it is answered.
+func (d *Drain) CloseAfterResponse(now float64) bool {
+	return d.active && now-d.startedAt >= drainCloseAfterResponseS
+}
 
-// Holds tells that, with the time that operators allow over, a connection breaks their rule: it idles, but
+// Overdue tells that, with the time that operators allow over, a connection breaks their rule: it idles, but
 // for one that was opened or used just now, or its last request is too young.
-func (d *Drain) Holds(now, acceptedAt, usedAt, lastRequestAt float64, idle bool) bool {
+func (d *Drain) Overdue(now, acceptedAt, usedAt, lastRequestAt float64, idle bool) bool {
 	switch {
-	case !d.on || now-d.since < drainEndS:
+	case !d.active || now-d.startedAt < drainEndS:
 		return false
 	case idle:
-		return now-max(acceptedAt, usedAt) > drainRestS+2*drainLookEvery
+		return now-max(acceptedAt, usedAt) > drainIdleGraceS+2*drainCheckIntervalS
 	}
 	return now-lastRequestAt < drainRecentS
 }
 
-// Cut tells that a connection on which something is open, and whose client last asked at askedAt, would
+// CloseBlocked tells that a connection on which something is open, and whose client last asked at lastRequestAt, would
 // break the operators' rule at the end: answers go in order, so that what it refused at once still waits
 // behind an earlier one, and its client goes on.
-func (d *Drain) Cut(now, askedAt float64) bool {
-	return d.on && now-d.since >= drainCutS && askedAt-d.since > drainEndS-drainRecentS-heldUpS
+func (d *Drain) CloseBlocked(now, lastRequestAt float64) bool {
+	return d.active && now-d.startedAt >= drainCloseBlockedS && lastRequestAt-d.startedAt > drainEndS-drainRecentS-maxStallS
 }
 
-// MayRefuse tells that a request may be refused, which promises that trying again is harmless, though an
+// MayReject tells that a request may be refused, which promises that trying again is harmless, though an
 // attempt of it may have run.
-func MayRefuse(class Class, mayHaveRun bool) bool {
-	return !mayHaveRun || class.Effect == Safe || class.Effect == Keyed && class.KeyScope == ScopeAll
+func MayReject(class Class, mayHaveRun bool) bool {
+	return !mayHaveRun || class.Idempotency == Idempotent || class.Idempotency == KeyedIdempotent && class.KeyScope == ScopeAll
 }
 
-// Refuse tells that a request that comes now is to be refused, and in how many seconds its client may try
+// RejectRequest tells that a request that comes now is to be refused, and in how many seconds its client may try
 // elsewhere.
-func (d *Drain) Refuse(now float64) (retryInS float64, refuse bool) {
-	if d.on && now-d.since >= drainRefuseS {
-		return drainRetryInS, true
+func (d *Drain) RejectRequest(now float64) (retryAfterS float64, reject bool) {
+	if d.active && now-d.startedAt >= drainRejectS {
+		return drainRetryAfterS, true
 	}
 	return 0, false
 }
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Guards the schedule of a drain: what is decided at each time of it.
-func TestDrainSchedule(t *testing.T) {
+func TestDrain_Schedule(t *testing.T) {
 	const call = 1000.0
 	for _, x := range []struct {
 		after                 float64
@@ -21,7 +21,7 @@
 		d, now := Drain{}, call+x.after
 		d.Begin(call)
 		d.Begin(now) // a second call changes nothing
-		_, refuse := d.Refuse(now)
+		_, reject := d.RejectRequest(now)
 		if got := d.CloseIdle(now, now-0.2, false); got != x.idle {
 			t.Errorf("after %v: an idle connection is closed: %v", x.after, got)
 		}
@@ -31,32 +31,32 @@
 		if d.CloseIdle(now, now-0.1, false) {
 			t.Errorf("after %v: a connection used just now is closed", x.after)
 		}
-		if got := d.Retire(now); got != x.retire {
+		if got := d.CloseAfterResponse(now); got != x.retire {
 			t.Errorf("after %v: connections in use end: %v", x.after, got)
 		}
-		if refuse != x.refused {
-			t.Errorf("after %v: refused: %v", x.after, refuse)
+		if reject != x.refused {
+			t.Errorf("after %v: refused: %v", x.after, reject)
 		}
-		if d.End(); d.On() || d.CloseIdle(now, call, false) || d.Retire(now) || d.Elapsed(now) != 0 {
+		if d.End(); d.Active() || d.CloseIdle(now, call, false) || d.CloseAfterResponse(now) || d.Elapsed(now) != 0 {
 			t.Errorf("after %v: a drain that has ended goes on", x.after)
 		}
 	}
 }
 
 // Guards the operators' page: at the end of the time allowed no request that was taken is younger than 2 s.
-func TestDrainEndsWithoutRecentRequests(t *testing.T) {
+func TestDrain_NoRecentRequestsAtEnd(t *testing.T) {
 	d := Drain{}
 	d.Begin(0)
 	for ms := range 4000 {
 		now := float64(ms) / 1000
-		if _, refuse := d.Refuse(now); !refuse && drainEndS-now < 2 {
+		if _, reject := d.RejectRequest(now); !reject && drainEndS-now < 2 {
 			t.Fatalf("a request is taken %v s after the call", now)
 		}
 	}
-	if d.Cut(3.5, 3) || d.Cut(3.7, 1) || !d.Cut(3.7, 3) {
-		t.Error("what young requests wait behind: ", d.Cut(3.5, 3), d.Cut(3.7, 1), d.Cut(3.7, 3))
+	if d.CloseBlocked(3.5, 3) || d.CloseBlocked(3.7, 1) || !d.CloseBlocked(3.7, 3) {
+		t.Error("what young requests wait behind: ", d.CloseBlocked(3.5, 3), d.CloseBlocked(3.7, 1), d.CloseBlocked(3.7, 3))
 	}
-	if d.EndsIn(1) != 3 || d.EndsIn(9) != 0 || d.NextLook(0) != 0.5 || d.NextLook(2) != 0.1 {
-		t.Error(d.EndsIn(1), d.EndsIn(9), d.NextLook(0), d.NextLook(2))
+	if d.RemainingS(1) != 3 || d.RemainingS(9) != 0 || d.NextIdleCheckS(0) != 0.5 || d.NextIdleCheckS(2) != 0.1 {
+		t.Error(d.RemainingS(1), d.RemainingS(9), d.NextIdleCheckS(0), d.NextIdleCheckS(2))
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -13,25 +13,25 @@
 	sent []string
 }
 
-func (in *ingress) Send(id, server string, timeoutS float64) {
-	in.sent = append(in.sent, server)
-	fmt.Printf("%s: send %s to %s\n", in.name, id, server)
+func (in *ingress) Send(id, backend string, timeoutS float64) {
+	in.sent = append(in.sent, backend)
+	fmt.Printf("%s: send %s to %s\n", in.name, id, backend)
 }
-func (in *ingress) Refuse(id string, retryInS float64)    { fmt.Printf("%s: refuse %s\n", in.name, id) }
+func (in *ingress) Reject(id string, retryAfterS float64) { fmt.Printf("%s: refuse %s\n", in.name, id) }
 func (in *ingress) Fail(id string)                        { fmt.Printf("%s: fail %s\n", in.name, id) }
 func (in *ingress) Cancel(id string, attempt int)         {}
 func (in *ingress) SetTimer(token uint64, delayS float64) {}
-func (in *ingress) Probe(server string)                   {}
+func (in *ingress) Probe(backend string)                  {}
 func (in *ingress) Log(text string)                       { fmt.Printf("%s: %s\n", in.name, text) }
-func (in *ingress) Tell(gateway int, data []byte) {
+func (in *ingress) SendPeerMessage(gateway int, data []byte) {
 	in.out = append(in.out, data)
 }
 
 func settings(me, gateways int) policy.Settings {
 	return policy.Settings{
-		Me: me, Gateways: gateways, Peers: gateways > 1, PeerIntake: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
-		Classes: []policy.Class{{Name: "read", AimS: 1, DeadlineS: 2, Worth: 1, Effect: policy.Safe}},
-		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, Price: 1, ExcessCost: 1}},
+		Self: me, Gateways: gateways, PeerMessages: gateways > 1, PeerMessageRate: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
+		Classes: []policy.Class{{Name: "read", LatencyObjectiveS: 1, DeadlineS: 2, PriorityWeight: 1, Idempotency: policy.Idempotent}},
+		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, Weight: 1, OverQuotaCostFraction: 1}},
 	}
 }
 
@@ -43,12 +43,12 @@
 		fmt.Println(err)
 		return
 	}
-	g.Servers(10, []policy.Server{{ID: "10.0.0.1:80"}}, true)
+	g.UpdateBackends(10, []policy.Backend{{ID: "10.0.0.1:80"}}, true)
 	for i := range 2 {
-		g.Request(10, policy.Request{ID: fmt.Sprint("r", i), Class: "read", Plan: "basic", Customer: "ada",
-			DeadlineS: 12, Entries: 1, Units: 2})
+		g.HandleRequest(10, policy.Request{ID: fmt.Sprint("r", i), Class: "read", Plan: "basic", Account: "ada",
+			DeadlineAt: 12, GatewayCount: 1, Units: 2})
 	}
-	g.Outcome(10.1, policy.Outcome{ID: "r0", Server: "10.0.0.1:80", Status: policy.OK, Over: true, SpentS: 0.1})
+	g.HandleOutcome(10.1, policy.Outcome{ID: "r0", Backend: "10.0.0.1:80", Status: policy.OK, Completed: true, LatencyS: 0.1})
 	// Output:
 	// gateway: send r0 to 10.0.0.1:80
 	// gateway: refuse r1
@@ -61,19 +61,19 @@
 	now := 10.0
 	for i := range gates {
 		gates[i], _ = policy.New(settings(i, 2), uint64(i), now, ins[i])
-		gates[i].Servers(now, []policy.Server{{ID: "10.0.0.1:80"}}, true)
+		gates[i].UpdateBackends(now, []policy.Backend{{ID: "10.0.0.1:80"}}, true)
 	}
 	ask := func(gateway int, id string) {
-		gates[gateway].Request(now, policy.Request{ID: id, Class: "read", Plan: "basic", Customer: "ada",
-			DeadlineS: now + 2, Entries: 2, Units: 2})
+		gates[gateway].HandleRequest(now, policy.Request{ID: id, Class: "read", Plan: "basic", Account: "ada",
+			DeadlineAt: now + 2, GatewayCount: 2, Units: 2})
 	}
 	ask(0, "first")
 	for range 30 { // the ingress's timers: 0.6 s, some batches each way
 		now += 0.02
 		for i, g := range gates {
-			g.Timer(now, 1)
+			g.HandleTimer(now, 1)
 			for _, data := range ins[1-i].out {
-				g.Peer(now, 1-i, data)
+				g.HandlePeerMessage(now, 1-i, data)
 			}
 			ins[1-i].out = nil
 		}
@@ -86,9 +86,9 @@
 
 // Invalid settings come back as an error.
 func ExampleNew() {
-	s := settings(0, 1)
-	s.Plans[0].Burst = 0
-	_, err := policy.New(s, 1, 0, &ingress{})
+	settings := settings(0, 1)
+	settings.Plans[0].Burst = 0
+	_, err := policy.New(settings, 1, 0, &ingress{})
 	fmt.Println(err)
 	// Output: plan "basic": rates must not be below 0, and a rate needs a burst
 }
--- a/policy/keep.go
+++ b/policy/keep.go
@@ -9,82 +9,82 @@
 
 // What a gateway knows, handed to the one that goes on for it in another process. It is bookkeeping: nothing is decided.
 
-func (g *Gateway) figures() []*float64 {
-	return []*float64{&g.work.Value, &g.work.At, &g.stretch, &g.spent}
+func (g *Gateway) snapshotFields() []*float64 {
+	return []*float64{&g.admittedWork.Value, &g.admittedWork.UpdatedAt, &g.latencyRatio, &g.meanLatency}
 }
-func (s *server) figures() []*float64 {
-	return []*float64{&s.speed, &s.util, &s.utilAt, &s.busy, &s.sentAt}
+func (b *backendState) snapshotFields() []*float64 {
+	return []*float64{&b.relativeLatency, &b.utilization, &b.utilizationAt, &b.meanInFlight, &b.lastSentAt}
 }
-func (c *customer) figures() []*float64 { // the ceiling's first
-	return []*float64{&c.ceil.Own.Level, &c.ceil.Own.At, &c.ceil.Pool.Level, &c.ceil.Pool.At, &c.usedAt, &c.turnedAt, &c.total, &c.acked, &c.demand.Value,
-		&c.demand.At, &c.room, &c.roomAt, &c.others, &c.holdTill, &c.local.Level, &c.local.At}
+func (a *accountState) snapshotFields() []*float64 { // the ceiling's first
+	return []*float64{&a.hardLimit.Local.Level, &a.hardLimit.Local.UpdatedAt, &a.hardLimit.Shared.Level, &a.hardLimit.Shared.UpdatedAt, &a.lastUsedAt, &a.rejectedAt, &a.admittedUnits, &a.ackedUnits, &a.demand.Value,
+		&a.demand.UpdatedAt, &a.available, &a.availableAt, &a.otherDemand, &a.backoffUntil, &a.localWindow.Level, &a.localWindow.UpdatedAt}
 }
 
-// Keep returns all that is to be handed on. This gateway passes nothing more under a ceiling: what is left is the other's.
-func (g *Gateway) Keep(now float64) (parts []kept.Part) {
-	g.clock(now)
-	for _, r := range g.queue { // nothing here will pay for them
-		if r.owes {
-			g.refuse(r, why.CeilBoth)
+// Snapshot returns all that is to be handed on. This gateway passes nothing more under a ceiling: what is left is the other's.
+func (g *Gateway) Snapshot(now float64) (parts []kept.Part) {
+	g.advanceClock(now)
+	for _, req := range g.queue { // nothing here will pay for them
+		if req.hardLimitUnpaid {
+			g.reject(req, why.HardLimitExhausted)
 		}
 	}
-	k := kept.Part{Boot: g.boot, Seq: g.seq, Born: g.born, Limit: g.limit / float64(max(1, len(g.nodes.Order))), Figures: kept.Values(g.figures()),
+	part := kept.Part{Boot: g.incarnation, Seq: g.sequence, Born: g.startedAt, Limit: g.adaptiveLimit / float64(max(1, len(g.backends.Listed))), Figures: kept.Values(g.snapshotFields()),
 		Classes: map[string][2]float64{}, Servers: map[string][]float64{}}
-	for name, c := range g.classes {
-		k.Classes[name] = [2]float64{c.lat, float64(c.n)}
+	for name, class := range g.classes {
+		part.Classes[name] = [2]float64{class.meanLatency, float64(class.samples)}
 	}
-	for id, s := range g.nodes.By {
-		k.Servers[id] = kept.Values(s.figures())
+	for id, backend := range g.backends.ByID {
+		part.Servers[id] = kept.Values(backend.snapshotFields())
 	}
-	parts = []kept.Part{k}
-	for _, c := range g.custs {
-		x := kept.Customer{Key: c.key, Hash: c.hash, Plan: c.plan.Name, First: c.first, Entries: c.entries, Known: c.known,
-			Out: c.out > 0, Figures: kept.Values(c.figures())}
-		if c.led != nil {
-			x.Ledger, x.Members = c.led.Pack()
+	parts = []kept.Part{part}
+	for _, account := range g.accounts {
+		saved := kept.Customer{Key: account.key, Hash: account.hash, Plan: account.plan.Name, First: account.firstGateway, Entries: account.gatewayCount, Known: account.ownerReplied,
+			Out: account.inFlight > 0, Figures: kept.Values(account.snapshotFields())}
+		if account.ledger != nil {
+			saved.Ledger, saved.Members = account.ledger.Snapshot()
 		}
-		parts = kept.Add(parts, x)
-		c.ceil.Own.Level, c.ceil.Pool.Level, c.ahead = kept.None, kept.None, 0
+		parts = kept.Add(parts, saved)
+		account.hardLimit.Local.Level, account.hardLimit.Shared.Level, account.prefetched = kept.None, kept.None, 0
 	}
 	return parts
 }
 
-// Adopt goes on with what another gateway of this number handed on, once servers are listed and before the first request;
+// Restore goes on with what another gateway of this number handed on, once servers are listed and before the first request;
 // or takes its own back.
-func (g *Gateway) Adopt(now float64, k kept.Part) {
-	g.clock(now)
-	g.lendFrom = now + places.WordS
-	g.boot, g.seq, g.born = k.Boot, max(g.seq, k.Seq+kept.SeqAhead), k.Born
-	g.limit = k.Limit * float64(max(1, len(g.nodes.Order)))
-	kept.Restore(g.figures(), k.Figures)
-	for name, f := range k.Classes {
-		if c := g.classes[name]; c != nil {
-			c.lat, c.n = f[0], int(f[1])
+func (g *Gateway) Restore(now float64, part kept.Part) {
+	g.advanceClock(now)
+	g.leaseFrom = now + places.ReportLeaseS
+	g.incarnation, g.sequence, g.startedAt = part.Boot, max(g.sequence, part.Seq+kept.SeqAhead), part.Born
+	g.adaptiveLimit = part.Limit * float64(max(1, len(g.backends.Listed)))
+	kept.Restore(g.snapshotFields(), part.Figures)
+	for name, f := range part.Classes {
+		if class := g.classes[name]; class != nil {
+			class.meanLatency, class.samples = f[0], int(f[1])
 		}
 	}
-	for id, f := range k.Servers {
-		if s := g.nodes.By[id]; s != nil {
-			kept.Restore(s.figures(), f)
+	for id, f := range part.Servers {
+		if backend := g.backends.ByID[id]; backend != nil {
+			kept.Restore(backend.snapshotFields(), f)
 		}
 	}
-	for _, x := range k.Customers {
-		p := g.byPlan[x.Plan]
-		if p == nil || x.Entries < 0 || x.Entries > g.s.Gateways {
+	for _, saved := range part.Customers {
+		plan := g.plansByName[saved.Plan]
+		if plan == nil || saved.Entries < 0 || saved.Entries > g.settings.Gateways {
 			continue
-		} else if c := g.custs[account{x.Key, uint32(p.index)}]; c != nil {
-			kept.Restore(c.figures()[:4], x.Figures)
+		} else if account := g.accounts[accountKey{saved.Key, uint32(plan.index)}]; account != nil {
+			kept.Restore(account.snapshotFields()[:4], saved.Figures)
 			continue
 		}
-		c := g.newCustomer(x.Key, p)
-		c.hash, c.first, c.entries, c.known = x.Hash, x.First, x.Entries, x.Known
-		if kept.Restore(c.figures(), x.Figures); c.entries > 0 {
-			c.prime = g.walk(c, false)
+		account := g.newAccount(saved.Key, plan)
+		account.hash, account.firstGateway, account.gatewayCount, account.ownerReplied = saved.Hash, saved.First, saved.Entries, saved.Known
+		if kept.Restore(account.snapshotFields(), saved.Figures); account.gatewayCount > 0 {
+			account.primaryOwner = g.walkRing(account, false)
 		}
-		if x.Ledger != nil {
-			c.led = tally.Unpack(x.Ledger, x.Members)
+		if saved.Ledger != nil {
+			account.ledger = tally.RestoreLedger(saved.Ledger, saved.Members)
 		}
-		if x.Out || c.total != c.acked {
-			g.note(c, false)
+		if saved.Out || account.admittedUnits != account.ackedUnits {
+			g.queueReport(account, false)
 		}
 	}
 }
--- a/policy/places_test.go
+++ b/policy/places_test.go
@@ -10,293 +10,303 @@
 )
 
 // A fleet of gateways of which one owns an account and others ask it, played by hand.
-type bench struct {
-	t   *testing.T
-	g   *Gateway
-	r   *recorder
-	seq map[int]uint16
+type ownerRig struct {
+	t        *testing.T
+	g        *Gateway
+	recorder *recorder
+	seq      map[int]uint16
 }
 
-func ownerOf(t *testing.T, gateways int) *bench {
-	g, r := gateway(t, fleet(gateways))
-	return &bench{t, g, r, map[int]uint16{}}
+func newOwnerRig(t *testing.T, gateways int) *ownerRig {
+	g, r := newTestGateway(t, withGateways(gateways))
+	return &ownerRig{t, g, r, map[int]uint16{}}
 }
 
-// tell has a member report and returns what the owner answered it, if it did.
-func (b *bench) tell(now float64, from int, r record) (v record, answered bool) {
+// report has a member report and returns what the owner answered it, if it did.
+func (b *ownerRig) report(now float64, from int, report record) (reply record, answered bool) {
 	b.t.Helper()
 	b.seq[from]++
-	before := len(b.r.of("tell", ""))
-	r.Key = 77
-	m := peermsg.AppendRecord(peermsg.AppendHeader(nil, 1, b.seq[from]), r)
-	m[peermsg.CountAt] = 1
-	b.g.Peer(now, from, m)
-	return b.last(before, from)
+	before := len(b.recorder.of("tell", ""))
+	report.AccountKey = 77
+	message := peermsg.AppendRecord(peermsg.AppendHeader(nil, 1, b.seq[from]), report)
+	message[peermsg.RecordCountOffset] = 1
+	b.g.HandlePeerMessage(now, from, message)
+	return b.lastReply(before, from)
 }
 
-// last is what was told to a gateway since so many messages.
-func (b *bench) last(since, to int) (v record, any bool) {
-	for _, m := range b.r.of("tell", "")[since:] {
-		if _, _, recs, _, ok := peermsg.Parse(m.data, b.g.now); ok && m.to == to && len(recs) > 0 && recs[0].Key == 77 {
-			v, any = recs[0], true
+// lastReply is what was told to a gateway since so many messages.
+func (b *ownerRig) lastReply(since, to int) (reply record, any bool) {
+	for _, m := range b.recorder.of("tell", "")[since:] {
+		if _, _, records, _, ok := peermsg.Parse(m.data, b.g.now); ok && m.to == to && len(records) > 0 && records[0].AccountKey == 77 {
+			reply, any = records[0], true
 		}
 	}
-	return v, any
+	return reply, any
 }
 
 // run lets time pass.
-func (b *bench) run(from, to float64) {
-	for now := from; now < to; now += tickS {
-		b.g.Timer(now, 1)
+func (b *ownerRig) run(from, to float64) {
+	for now := from; now < to; now += tickIntervalS {
+		b.g.HandleTimer(now, 1)
 	}
 }
 
-// want is a question for one unit by a plan with a cap of two.
-func want(total float64) record {
-	return record{Plan: 2, Lends: true, Total: total, Want: 1, First: 1, Cheap: 0.8}
+// slotRequest is a question for one unit by a plan with a cap of two.
+func slotRequest(total float64) record {
+	return record{Plan: 2, Leases: true, Total: total, Requested: 1, FirstRequested: 1, LowPriority: 0.8}
 }
 
 // Guards the cap's book: an owner believed in a place for three seconds after its grant, as the word of its end was lost or late.
-func TestALentPlaceComesBackByItself(t *testing.T) {
-	b := ownerOf(t, 9)
+func TestSlotLease_Expires(t *testing.T) {
+	b := newOwnerRig(t, 9)
 	for m := 1; m <= 2; m++ {
-		if v, _ := b.tell(101, m, want(0)); v.Want != 1 || v.Places != 1 || v.Lease <= 0 {
-			t.Fatalf("member %d got %+v", m, v)
+		if reply, _ := b.report(101, m, slotRequest(0)); reply.Requested != 1 || reply.Slots != 1 || reply.LeaseS <= 0 {
+			t.Fatalf("member %d got %+v", m, reply)
 		}
 	}
-	v, _ := b.tell(101.01, 3, want(0))
-	if v.Want > wantNone || v.Places != 0 || v.Lease == 0 || v.Hold <= 0 {
-		t.Fatalf("a third place of two: %+v", v)
+	reply, _ := b.report(101.01, 3, slotRequest(0))
+	if reply.Requested > emptyGrantUnits || reply.Slots != 0 || reply.LeaseS == 0 || reply.BackoffS <= 0 {
+		t.Fatalf("a third place of two: %+v", reply)
 	}
-	before := len(b.r.of("tell", ""))
-	k := b.g.like(0.8)
-	span := places.Span(k.lat, k.dev)
+	before := len(b.recorder.of("tell", ""))
+	cls := b.g.classByPriority(0.8)
+	span := places.LeaseS(cls.meanLatency, cls.meanDeviation)
 	b.run(101.02, 101+span)
-	if v, any := b.last(before, 3); any {
-		t.Fatalf("a place was lent twice: %+v", v)
+	if reply, any := b.lastReply(before, 3); any {
+		t.Fatalf("a place was lent twice: %+v", reply)
 	}
 	b.run(101+span, 101.1+span+places.GraceS)
-	if v, any := b.last(before, 3); !any || v.Want != 1 || v.Places != 1 {
-		t.Fatalf("the next in line was not told when the places' time was over: %+v", v)
+	if reply, any := b.lastReply(before, 3); !any || reply.Requested != 1 || reply.Slots != 1 {
+		t.Fatalf("the next in line was not told when the places' time was over: %+v", reply)
 	}
 }
 
 // A word of an attempt's end goes to the next in line at once, and is not answered itself.
-func TestAnEndGoesToTheNextInLine(t *testing.T) {
-	b := ownerOf(t, 9)
-	b.tell(101, 1, want(0))
-	b.tell(101, 2, want(0))
-	b.tell(101.01, 3, want(0))
-	b.tell(101.01, 4, want(0))
-	before := len(b.r.of("tell", ""))
-	if v, answered := b.tell(101.2, 1, record{Plan: 2, Lends: true, Total: 1, Lease: places.WordS}); answered {
-		t.Errorf("a word of places was answered: %+v", v)
-	}
-	if v, any := b.last(before, 3); !any || v.Places != 1 {
-		t.Errorf("the first in line got %+v", v)
-	}
-	if v, any := b.last(before, 4); any {
-		t.Errorf("so did the second: %+v", v)
-	}
-	b.tell(101.21, 4, record{Plan: 2, Lends: true, Lease: places.WordS}) // it has no use for a place any more
+func TestSlotLease_FreedSlotGoesToWaitQueue(t *testing.T) {
+	b := newOwnerRig(t, 9)
+	b.report(101, 1, slotRequest(0))
+	b.report(101, 2, slotRequest(0))
+	b.report(101.01, 3, slotRequest(0))
+	b.report(101.01, 4, slotRequest(0))
+	before := len(b.recorder.of("tell", ""))
+	if reply, answered := b.report(101.2, 1, record{Plan: 2, Leases: true, Total: 1, LeaseS: places.ReportLeaseS}); answered {
+		t.Errorf("a word of places was answered: %+v", reply)
+	}
+	if reply, any := b.lastReply(before, 3); !any || reply.Slots != 1 {
+		t.Errorf("the first in line got %+v", reply)
+	}
+	if reply, any := b.lastReply(before, 4); any {
+		t.Errorf("so did the second: %+v", reply)
+	}
+	b.report(101.21, 4, record{Plan: 2, Leases: true, LeaseS: places.ReportLeaseS}) // it has no use for a place any more
 	b.run(101.22, 103)
-	if v, any := b.last(before, 4); any {
-		t.Errorf("one that left the line got %+v", v)
+	if reply, any := b.lastReply(before, 4); any {
+		t.Errorf("one that left the line got %+v", reply)
 	}
 }
 
 // Versions mixed in one fleet: a member that knows no lease is believed as before, and its cap is told as before.
-func TestAMemberThatLendsNothingIsBelieved(t *testing.T) {
-	b := ownerOf(t, 9)
-	old := want(0)
-	old.Lends = false
-	b.tell(101, 1, old)
-	b.tell(101, 2, old)
-	if v, _ := b.tell(101.01, 3, old); v.Hold != 0 || v.Lends || v.Lease != 0 || v.Places != 0 {
-		t.Errorf("it was told %+v", v)
+func TestSlotLease_MemberWithoutLeaseSupport(t *testing.T) {
+	b := newOwnerRig(t, 9)
+	old := slotRequest(0)
+	old.Leases = false
+	b.report(101, 1, old)
+	b.report(101, 2, old)
+	if reply, _ := b.report(101.01, 3, old); reply.BackoffS != 0 || reply.Leases || reply.LeaseS != 0 || reply.Slots != 0 {
+		t.Errorf("it was told %+v", reply)
 	}
 	b.run(101.02, 103.9)
-	if n := b.g.free(b.g.account(77)); n != 0 {
+	if n := b.g.freeSlots(b.g.accountByKey(77)); n != 0 {
 		t.Errorf("%d places are free while its attempts may be out", n)
 	}
 	b.run(103.9, 104.2)
-	if n := b.g.free(b.g.account(77)); n != 2 {
+	if n := b.g.freeSlots(b.g.accountByKey(77)); n != 2 {
 		t.Errorf("%d places are free three seconds later", n)
 	}
 }
 
 // An owner that has just started does not know what is out: it lends nothing until what its former life lent is over.
-func TestANewLifeLendsNothingAtFirst(t *testing.T) {
-	b := ownerOf(t, 9)
-	if v, _ := b.tell(100.1, 1, want(0)); v.Places != 0 || v.Want > wantNone {
-		t.Fatalf("%+v", v)
+func TestSlotLease_NoneAfterRestart(t *testing.T) {
+	b := newOwnerRig(t, 9)
+	if reply, _ := b.report(100.1, 1, slotRequest(0)); reply.Slots != 0 || reply.Requested > emptyGrantUnits {
+		t.Fatalf("%+v", reply)
 	}
-	before := len(b.r.of("tell", ""))
-	b.run(100.12, 100.1+places.WordS)
-	if v, any := b.last(before, 1); !any || v.Places != 1 {
-		t.Errorf("and then not either: %+v", v)
+	before := len(b.recorder.of("tell", ""))
+	b.run(100.12, 100.1+places.ReportLeaseS)
+	if reply, any := b.lastReply(before, 1); !any || reply.Slots != 1 {
+		t.Errorf("and then not either: %+v", reply)
 	}
 }
 
-// elsewhere is the name of an account that another gateway owns.
-func elsewhere(g *Gateway) (name string) {
+// accountOwnedElsewhere is the name of an account that another gateway owns.
+func accountOwnedElsewhere(g *Gateway) (name string) {
 	for i := 0; ; i++ {
-		if name = fmt.Sprint("k", i); g.walk(&customer{hash: peermsg.Point(name), entries: g.s.Gateways}, false) != g.s.Me {
+		if name = fmt.Sprint("k", i); g.walkRing(&accountState{hash: peermsg.HashPoint(name), gatewayCount: g.settings.Gateways}, false) != g.settings.Self {
 			return name
 		}
 	}
 }
 
-// member is a gateway that has asked the owner of a capped account once.
-func member(t *testing.T, n int) (*Gateway, *recorder, *customer, func(now float64, id string)) {
-	g, r := gateway(t, fleet(9))
-	g.limit = 9 // nodes have room
-	name := elsewhere(g)
-	ask := func(now float64, id string) {
-		g.Request(now, Request{ID: id, Class: "read", Plan: "open", Customer: name, DeadlineS: now + 2, Entries: 9, Units: 1})
-	}
-	g.customer(Request{Customer: name, Plan: "open", Entries: 9}).roomAt = 90 // an old word
+// newSlotMember is a gateway that has asked the owner of a capped account once.
+func newSlotMember(t *testing.T, n int) (*Gateway, *recorder, *accountState, func(now float64, id string)) {
+	g, r := newTestGateway(t, withGateways(9))
+	g.adaptiveLimit = 9 // nodes have room
+	name := accountOwnedElsewhere(g)
+	submit := func(now float64, id string) {
+		g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "open", Account: name, DeadlineAt: now + 2, GatewayCount: 9, Units: 1})
+	}
+	g.accountFor(Request{Account: name, Plan: "open", GatewayCount: 9}).availableAt = 90 // an old word
 	for i := range n {
-		ask(100, fmt.Sprint("q", i))
+		submit(100, fmt.Sprint("q", i))
 	}
-	return g, r, g.account(uint32(peermsg.Point(name) >> 32)), ask
+	return g, r, g.accountByKey(uint32(peermsg.HashPoint(name) >> 32)), submit
 }
 
 // What can't get its place in time is told so at once, not when half of its time is over; the others wait for a word that comes unasked.
-func TestALineTooLongIsToldAtOnce(t *testing.T) {
+func TestSlotLease_RejectsWhenQueueIsTooLong(t *testing.T) {
 	for _, tc := range []struct {
 		hold    float64
 		refused int
 	}{{0.3, 0}, {1.5, 3}} {
-		g, r, c, _ := member(t, 3)
-		from, b := verdictOf(t, r, 1, func(v *record) { v.Lends, v.Want, v.Hold, v.Lease = true, wantNone, tc.hold, places.WordS })
-		g.Peer(100.03, from, b)
-		if n := len(r.of("refuse", "")); n != tc.refused || len(c.asks) != 3-tc.refused {
-			t.Fatalf("a line of %v s: %d refused at once, %d wait", tc.hold, n, len(c.asks))
+		g, r, account, _ := newSlotMember(t, 3)
+		from, message := ownerReply(t, r, 1, func(reply *record) {
+			reply.Leases, reply.Requested, reply.BackoffS, reply.LeaseS = true, emptyGrantUnits, tc.hold, places.ReportLeaseS
+		})
+		g.HandlePeerMessage(100.03, from, message)
+		if n := len(r.of("refuse", "")); n != tc.refused || len(account.pending) != 3-tc.refused {
+			t.Fatalf("a line of %v s: %d refused at once, %d wait", tc.hold, n, len(account.pending))
 		}
-		told := len(r.of("tell", ""))
-		for now := 100.05; now < 100.03+tc.hold && tc.refused == 0; now += tickS {
-			g.Timer(now, 1)
+		before := len(r.of("tell", ""))
+		for now := 100.05; now < 100.03+tc.hold && tc.refused == 0; now += tickIntervalS {
+			g.HandleTimer(now, 1)
 		}
-		if n := len(r.of("tell", "")) - told; tc.refused == 0 && n > 0 {
+		if n := len(r.of("tell", "")) - before; tc.refused == 0 && n > 0 {
 			t.Errorf("%d messages while it stands in line", n)
 		}
 	}
 }
 
 // An attempt that lasts longer than its place is lent for is told of before the place ends, and its end at once where others may wait.
-func TestAMemberRenewsItsPlace(t *testing.T) {
-	g, r, c, _ := member(t, 1)
-	g.s.Parallel, g.s.Cancel = false, false // it is left alone
-	from, b := verdictOf(t, r, 1, func(v *record) { v.Lends, v.Total, v.Want, v.Places, v.Lease, v.Out = true, 1, 1, 1, 0.3, 1 })
-	g.Peer(100.03, from, b)
+func TestSlotLease_MemberRenews(t *testing.T) {
+	g, r, account, _ := newSlotMember(t, 1)
+	g.settings.HedgingAllowed, g.settings.CancelAllowed = false, false // it is left alone
+	from, message := ownerReply(t, r, 1, func(reply *record) {
+		reply.Leases, reply.Total, reply.Requested, reply.Slots, reply.LeaseS, reply.InFlight = true, 1, 1, 1, 0.3, 1
+	})
+	g.HandlePeerMessage(100.03, from, message)
 	if len(r.of("send", "")) != 1 {
 		t.Fatal("not sent with a place")
 	}
-	told := len(r.of("tell", ""))
+	before := len(r.of("tell", ""))
 	now := 100.05
-	for ; now < 101.2; now += tickS {
-		if g.Timer(now, 1); c.held.Now(now) < 1 {
+	for ; now < 101.2; now += tickIntervalS {
+		if g.HandleTimer(now, 1); account.leasedSlots.Count(now) < 1 {
 			t.Fatalf("the place ended at %.2f, the attempt did not", now)
 		}
 	}
-	if n := len(r.of("tell", "")) - told; n < 2 || n > 4 {
+	if n := len(r.of("tell", "")) - before; n < 2 || n > 4 {
 		t.Errorf("%d renewals in 1.2 s", n)
 	}
-	told = len(r.of("tell", ""))
-	g.Outcome(now, Outcome{ID: "q0", Server: r.of("send", "")[0].server, Status: OK, SpentS: 1.2})
-	g.Timer(now+tickS, 1)
-	tells := r.of("tell", "")[told:]
-	if len(tells) != 1 {
-		t.Fatalf("%d messages on its end", len(tells))
+	before = len(r.of("tell", ""))
+	g.HandleOutcome(now, Outcome{ID: "q0", Backend: r.of("send", "")[0].backend, Status: OK, LatencyS: 1.2})
+	g.HandleTimer(now+tickIntervalS, 1)
+	messages := r.of("tell", "")[before:]
+	if len(messages) != 1 {
+		t.Fatalf("%d messages on its end", len(messages))
 	}
-	if _, _, recs, _, _ := peermsg.Parse(tells[0].data, now); recs[0].Out != 0 || recs[0].Lease == 0 {
-		t.Errorf("told was %+v", recs[0])
+	if _, _, records, _, _ := peermsg.Parse(messages[0].data, now); records[0].InFlight != 0 || records[0].LeaseS == 0 {
+		t.Errorf("told was %+v", records[0])
 	}
 }
 
 // A member with a free place asks nobody.
-func TestAFreePlaceIsUsedAgain(t *testing.T) {
-	g, r, _, ask := member(t, 1)
-	from, b := verdictOf(t, r, 1, func(v *record) { v.Lends, v.Total, v.Want, v.Places, v.Lease = true, 1, 1, 2, 0.5 })
-	g.Peer(100.03, from, b)
-	told := len(r.of("tell", ""))
-	if ask(100.05, "next"); len(r.of("send", "next")) != 1 || len(r.of("tell", "")) != told {
+func TestSlotLease_FreeSlotIsReused(t *testing.T) {
+	g, r, _, submit := newSlotMember(t, 1)
+	from, message := ownerReply(t, r, 1, func(reply *record) {
+		reply.Leases, reply.Total, reply.Requested, reply.Slots, reply.LeaseS = true, 1, 1, 2, 0.5
+	})
+	g.HandlePeerMessage(100.03, from, message)
+	before := len(r.of("tell", ""))
+	if submit(100.05, "next"); len(r.of("send", "next")) != 1 || len(r.of("tell", "")) != before {
 		t.Error("a question, with a place free")
 	}
-	if ask(100.06, "third"); len(r.of("send", "third")) != 0 {
+	if submit(100.06, "third"); len(r.of("send", "third")) != 0 {
 		t.Error("a third attempt on two places")
 	}
 }
 
 // Units that the owner set aside ahead are let in without a question, are no more than they are, and go back when their time is over.
-func TestUnitsAheadAskNobody(t *testing.T) {
-	g, r, ask := asMember(t, fleet(100))
-	g.limit = 9
-	c := ask(100, "q", 1)
-	from, b := verdictOf(t, r, 1, func(v *record) { v.Lends, v.Total, v.Want, v.Lease = true, 3, 1, ceiling.AheadS })
-	g.Peer(100.03, from, b)
-	told := len(r.of("tell", ""))
-	ask(100.1, "a", 1)
-	if len(r.of("send", "a")) != 1 || len(r.of("tell", "")) != told {
+func TestPrefetch_AdmitsWithoutRequest(t *testing.T) {
+	g, r, submit := newQuotaMember(t, withGateways(100))
+	g.adaptiveLimit = 9
+	account := submit(100, "q", 1)
+	from, message := ownerReply(t, r, 1, func(reply *record) {
+		reply.Leases, reply.Total, reply.Requested, reply.LeaseS = true, 3, 1, ceiling.PrefetchS
+	})
+	g.HandlePeerMessage(100.03, from, message)
+	before := len(r.of("tell", ""))
+	submit(100.1, "a", 1)
+	if len(r.of("send", "a")) != 1 || len(r.of("tell", "")) != before {
 		t.Fatal("a question, with units ahead")
 	}
-	if ask(100.2, "b", 2); len(r.of("send", "b")) != 0 {
+	if submit(100.2, "b", 2); len(r.of("send", "b")) != 0 {
 		t.Fatal("two units let in of one")
 	}
-	g.Gone(100.2, "b")
-	for now := 100.22; now < 100.1+ceiling.AheadS+0.5; now += tickS {
-		g.Timer(now, 1)
+	g.HandleDisconnect(100.2, "b")
+	for now := 100.22; now < 100.1+ceiling.PrefetchS+0.5; now += tickIntervalS {
+		g.HandleTimer(now, 1)
 	}
-	tells := r.of("tell", "")
-	if len(tells) == told || c.ahead != 0 {
-		t.Fatalf("%v units are kept beyond their time, %d messages", c.ahead, len(tells)-told)
+	messages := r.of("tell", "")
+	if len(messages) == before || account.prefetched != 0 {
+		t.Fatalf("%v units are kept beyond their time, %d messages", account.prefetched, len(messages)-before)
 	}
-	if _, _, recs, _, _ := peermsg.Parse(tells[len(tells)-1].data, 102.5); recs[0].Total != 2 {
-		t.Errorf("told a total of %v, 2 were let in", recs[0].Total)
+	if _, _, records, _, _ := peermsg.Parse(messages[len(messages)-1].data, 102.5); records[0].Total != 2 {
+		t.Errorf("told a total of %v, 2 were let in", records[0].Total)
 	}
 }
 
 // A grant that no ceiling paid leaves nothing to let in unasked under a ceiling.
-func TestUnpaidUnitsAreNotAhead(t *testing.T) {
+func TestPrefetch_RequiresHardLimitPayment(t *testing.T) {
 	for _, paid := range []bool{false, true} {
-		g, r := gateway(t, fleet(9))
-		name := elsewhere(g)
-		g.Request(100, Request{ID: "q", Class: "read", Plan: "capped", Customer: name, DeadlineS: 102, Entries: 9, Units: 4})
-		from, b := verdictOf(t, r, 1, func(v *record) { v.Lends, v.Flag, v.Total, v.Want, v.Lease = true, paid, 9, 4, ceiling.AheadS })
-		g.Peer(100.03, from, b)
-		if c := g.account(uint32(peermsg.Point(name) >> 32)); (c.ahead > 0) != paid {
-			t.Errorf("paid %v: %v units ahead", paid, c.ahead)
+		g, r := newTestGateway(t, withGateways(9))
+		name := accountOwnedElsewhere(g)
+		g.HandleRequest(100, Request{ID: "q", Class: "read", Plan: "capped", Account: name, DeadlineAt: 102, GatewayCount: 9, Units: 4})
+		from, message := ownerReply(t, r, 1, func(reply *record) {
+			reply.Leases, reply.SharedBucket, reply.Total, reply.Requested, reply.LeaseS = true, paid, 9, 4, ceiling.PrefetchS
+		})
+		g.HandlePeerMessage(100.03, from, message)
+		if account := g.accountByKey(uint32(peermsg.HashPoint(name) >> 32)); (account.prefetched > 0) != paid {
+			t.Errorf("paid %v: %v units ahead", paid, account.prefetched)
 		}
 	}
 }
 
 // Guards a hang: what asks again after a grant for others was noted as not urgent, looked after by nobody, and so waited until its time was over at
 // a member that always had something more urgent to say.
-func TestWhatAsksAgainIsLookedAfter(t *testing.T) {
-	g, r, ask := asMember(t, fleet(100))
-	g.limit = 9
-	ask(100, "a", 2)
-	c := ask(100, "b", 2)
-	g.Timer(100.1, 1) // the first question was lost: both are in the next
-	from, b := verdictOf(t, r, 1, func(v *record) { v.Total, v.Want = 2, 2 })
-	other := g.newCustomer(5, g.plans[0])
+func TestQuotaRequest_RetryIsNotStarved(t *testing.T) {
+	g, r, submit := newQuotaMember(t, withGateways(100))
+	g.adaptiveLimit = 9
+	submit(100, "a", 2)
+	account := submit(100, "b", 2)
+	g.HandleTimer(100.1, 1) // the first question was lost: both are in the next
+	from, message := ownerReply(t, r, 1, func(reply *record) { reply.Total, reply.Requested = 2, 2 })
+	other := g.newAccount(5, g.plans[0])
 	busy := func(now float64) { // others are urgent all the time
 		for i := range 3 {
-			g.box.Put((from+1+i)%100, other)
-			g.box.Hurry((from + 1 + i) % 100)
+			g.reports.Add((from+1+i)%100, other)
+			g.reports.MarkUrgent((from + 1 + i) % 100)
 		}
-		g.Timer(now, 1)
+		g.HandleTimer(now, 1)
 	}
 	busy(100.12)
-	g.Peer(100.13, from, b)
-	if len(r.of("send", "a")) != 1 || len(c.asks) != 1 {
-		t.Fatalf("%d sent, %d ask again", len(r.of("send", "a")), len(c.asks))
+	g.HandlePeerMessage(100.13, from, message)
+	if len(r.of("send", "a")) != 1 || len(account.pending) != 1 {
+		t.Fatalf("%d sent, %d ask again", len(r.of("send", "a")), len(account.pending))
 	}
-	told := len(r.of("tell", ""))
-	for now := 100.14; now < 100.4; now += tickS {
+	before := len(r.of("tell", ""))
+	for now := 100.14; now < 100.4; now += tickIntervalS {
 		busy(now)
-		for _, m := range r.of("tell", "")[told:] {
+		for _, m := range r.of("tell", "")[before:] {
 			if m.to == from {
 				return
 			}
@@ -306,19 +316,22 @@
 }
 
 // Guards a list without a bound: a member that was granted units ahead again and again before they ran out stood in it once for each grant.
-func TestUnitsAheadAreLookedAfterOnce(t *testing.T) {
-	g, r, ask := asMember(t, fleet(100))
-	g.limit = 9
+func TestPrefetch_AccountListedOnce(t *testing.T) {
+	g, r, submit := newQuotaMember(t, withGateways(100))
+	g.adaptiveLimit = 9
 	for i := range 40 {
 		now := 100 + float64(i)*0.3
-		ask(now, fmt.Sprint("q", i), 1)
+		submit(now, fmt.Sprint("q", i), 1)
 		if len(r.of("tell", "")) > 0 {
-			from, b := verdictOf(t, r, uint16(i+1), func(v *record) { v.Lends, v.Want, v.Lease = true, 1, ceiling.AheadS; v.Total += 2 })
-			g.Peer(now+0.02, from, b)
+			from, message := ownerReply(t, r, uint16(i+1), func(reply *record) {
+				reply.Leases, reply.Requested, reply.LeaseS = true, 1, ceiling.PrefetchS
+				reply.Total += 2
+			})
+			g.HandlePeerMessage(now+0.02, from, message)
 		}
-		g.Timer(now+0.04, 1)
+		g.HandleTimer(now+0.04, 1)
 	}
-	if n := len(g.purses); n != 1 {
+	if n := len(g.prefetching); n != 1 {
 		t.Errorf("one customer stands %d times in the list of those with units ahead", n)
 	}
 }
