--- a/cmd/membershipagent/main.go
+++ b/cmd/membershipagent/main.go
@@ -72,11 +72,11 @@
 		if len(rest) < 2 {
 			return fmt.Errorf("nodes wants a file and a command")
 		}
-		return nodes(ctx, rest[0], rest[1], rest[2:], out)
+		return runNodes(ctx, rest[0], rest[1], rest[2:], out)
 	case "lab":
 		return runLab(rest, out)
 	case "standin":
-		return standin(ctx, rest, out)
+		return runStandin(ctx, rest, out)
 	case "help", "-h", "--help":
 		fmt.Fprint(out, usage)
 		return nil
@@ -106,51 +106,51 @@
 	}
 }
 
-// holdTTL is how long a held mark outlives the command that holds it.
-const holdTTL = 5
+// heldMarkTTLS is how long a held mark outlives the command that holds it.
+const heldMarkTTLS = 5
 
-func nodes(ctx context.Context, file, what string, args []string, out io.Writer) error {
+func runNodes(ctx context.Context, file, command string, args []string, out io.Writer) error {
 	cfg, err := agent.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	set := flag.NewFlagSet(what, flag.ContinueOnError)
+	set := flag.NewFlagSet(command, flag.ContinueOnError)
 	hold := set.Bool("hold", false, "keep the mark only while this command runs")
-	why := set.String("why", "", "told to whoever lists the nodes")
+	reason := set.String("why", "", "told to whoever lists the nodes")
 	if err := set.Parse(args); err != nil {
 		return err
 	}
-	client, err := cfg.Etcd.Client(ctx)
+	client, err := cfg.Etcd.NewClient(ctx)
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	if what == "list" || what == "watch" {
-		return list(ctx, cfg, client, what == "watch", out)
+	if command == "list" || command == "watch" {
+		return listNodes(ctx, cfg, client, command == "watch", out)
 	}
 	if set.NArg() != 1 || set.Arg(0) == "" || strings.ContainsAny(set.Arg(0), "/ ") {
-		return fmt.Errorf("%s wants the id of one node", what)
+		return fmt.Errorf("%s wants the id of one node", command)
 	}
 	id := set.Arg(0)
 	key := cfg.Etcd.Prefix + "drain/" + id
-	short, cancel := context.WithTimeout(ctx, cfg.Etcd.Timeout)
+	readCtx, cancel := context.WithTimeout(ctx, cfg.Etcd.ReadTimeout)
 	defer cancel()
-	switch what {
+	switch command {
 	case "drain":
-		mark, err := json.Marshal(map[string]any{"at": time.Now().UTC().Format(time.RFC3339), "why": *why, "held": *hold})
+		mark, err := json.Marshal(map[string]any{"at": time.Now().UTC().Format(time.RFC3339), "why": *reason, "held": *hold})
 		if err != nil {
 			return err
 		}
 		var opts []clientv3.OpOption
 		var lease *clientv3.LeaseGrantResponse
 		if *hold {
-			if lease, err = client.Grant(short, holdTTL); err != nil {
+			if lease, err = client.Grant(readCtx, heldMarkTTLS); err != nil {
 				return err
 			}
 			opts = append(opts, clientv3.WithLease(lease.ID))
 		}
 		// Only if there is no mark yet: two tools must not take each other's back.
-		r, err := client.Txn(short).If(clientv3.Compare(clientv3.CreateRevision(key), "=", 0)).
+		r, err := client.Txn(readCtx).If(clientv3.Compare(clientv3.CreateRevision(key), "=", 0)).
 			Then(clientv3.OpPut(key, string(mark), opts...)).Else(clientv3.OpGet(key)).Commit()
 		if err != nil {
 			return err
@@ -171,19 +171,19 @@
 		if ctx.Err() == nil {
 			return fmt.Errorf("the lease of the mark is lost")
 		}
-		end, cancel := context.WithTimeout(context.WithoutCancel(ctx), cfg.Etcd.Timeout)
+		end, cancel := context.WithTimeout(context.WithoutCancel(ctx), cfg.Etcd.ReadTimeout)
 		defer cancel()
 		_, err = client.Revoke(end, lease.ID)
 		return err
 	case "undrain":
-		g, err := client.Get(short, key)
+		g, err := client.Get(readCtx, key)
 		if err != nil {
 			return err
 		}
 		if len(g.Kvs) == 0 {
 			return fmt.Errorf("%s is not marked", id)
 		}
-		r, err := client.Txn(short).If(clientv3.Compare(clientv3.ModRevision(key), "=", g.Kvs[0].ModRevision)).Then(clientv3.OpDelete(key)).Commit()
+		r, err := client.Txn(readCtx).If(clientv3.Compare(clientv3.ModRevision(key), "=", g.Kvs[0].ModRevision)).Then(clientv3.OpDelete(key)).Commit()
 		if err != nil {
 			return err
 		}
@@ -193,14 +193,14 @@
 		fmt.Fprintf(out, "%s drains no more from revision %d on\n", id, r.Header.Revision)
 		return nil
 	}
-	return fmt.Errorf("unknown command %q", what)
+	return fmt.Errorf("unknown command %q", command)
 }
 
-// list prints what stands under the prefix, and with follow what changes.
-func list(ctx context.Context, cfg agent.Config, client *clientv3.Client, follow bool, out io.Writer) error {
-	short, cancel := context.WithTimeout(ctx, cfg.Etcd.Timeout)
+// listNodes prints what stands under the prefix, and with follow what changes.
+func listNodes(ctx context.Context, cfg agent.Config, client *clientv3.Client, follow bool, out io.Writer) error {
+	readCtx, cancel := context.WithTimeout(ctx, cfg.Etcd.ReadTimeout)
 	defer cancel()
-	g, err := client.Get(short, cfg.Etcd.Prefix, clientv3.WithPrefix(), clientv3.WithSort(clientv3.SortByKey, clientv3.SortAscend))
+	g, err := client.Get(readCtx, cfg.Etcd.Prefix, clientv3.WithPrefix(), clientv3.WithSort(clientv3.SortByKey, clientv3.SortAscend))
 	if err != nil {
 		return err
 	}
--- a/cmd/membershipagent/main_test.go
+++ b/cmd/membershipagent/main_test.go
@@ -15,7 +15,7 @@
 )
 
 // Guards the command line: a wrong call is one clear error.
-func TestCalls(t *testing.T) {
+func TestRun_RejectsBadCommandLines(t *testing.T) {
 	for want, args := range map[string][]string{
 		"no command given":  nil,
 		"unknown command":   {"serve"},
@@ -35,7 +35,7 @@
 
 // Guards the operator's commands on an etcd: marks are set and taken back by compare-and-swap, and one that is held
 // ends with the command that holds it.
-func TestNodes(t *testing.T) {
+func TestNodesCommands(t *testing.T) {
 	dir := t.TempDir()
 	server, err := etcd.New()
 	if err != nil {
@@ -96,7 +96,7 @@
 }
 
 // Guards the stand-in by hand: what is written lasts across a restart, and wrong calls are one clear error.
-func TestStandin(t *testing.T) {
+func TestStandinCommand(t *testing.T) {
 	dir := t.TempDir()
 	for want, args := range map[string][]string{
 		"on loopback addresses alone": {"-listen", "10.0.0.1:1"},
--- a/cmd/membershipagent/standin.go
+++ b/cmd/membershipagent/standin.go
@@ -14,8 +14,8 @@
 	"eiderspread/internal/standin/etcd"
 )
 
-// standin runs the project's stand-in for etcd by hand, so that the other commands can be tried with nothing else installed.
-func standin(ctx context.Context, args []string, out io.Writer) error {
+// runStandin runs the project's stand-in for etcd by hand, so that the other commands can be tried with nothing else installed.
+func runStandin(ctx context.Context, args []string, out io.Writer) error {
 	set := flag.NewFlagSet("standin", flag.ContinueOnError)
 	listen := set.String("listen", "127.0.0.1:2379", "addresses of the members, by commas; on loopback")
 	file := set.String("file", "", "keep what is committed in this file")
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -27,46 +27,46 @@
 )
 
 const (
-	eventQueue = 256
-	tick       = 100 * time.Millisecond
-	etcdName   = "etcd"
-	rosterName = "roster"
+	eventQueueSize = 256
+	tickInterval   = 100 * time.Millisecond
+	etcdName       = "etcd"
+	rosterName     = "roster"
 )
 
 // File is the operator's file, deploy/etcd.toml.
 type File struct {
-	Listen       string
-	Status       string
-	Roster       string  // empty: etcd alone
-	State        string  // file that keeps what is known across restarts; empty: none
-	StartMS      float64 `toml:"start_ms"`
-	Endpoints    []string
-	Prefix       string
-	User         string
-	PasswordFile string `toml:"password_file"`
-	TLS          struct{ Cert, Key, CA string }
-	ProgressMS   float64 `toml:"progress_ms"`
-	StaleMS      float64 `toml:"stale_ms"`
-	RosterMS     float64 `toml:"roster_stale_ms"`
-	OrphanMS     float64 `toml:"orphan_ms"`
-	TimeoutMS    float64 `toml:"timeout_ms"`
-	RetryMS      float64 `toml:"retry_ms"`
-	FlapMS       float64 `toml:"flap_ms"`
-	FlapMostMS   float64 `toml:"flap_most_ms"`
+	Listen         string                         `toml:"listen"`
+	Status         string                         `toml:"status"`
+	Roster         string                         `toml:"roster"` // empty: etcd alone
+	State          string                         `toml:"state"`  // file that keeps what is known across restarts; empty: none
+	StartTimeoutMS float64                        `toml:"start_ms"`
+	Endpoints      []string                       `toml:"endpoints"`
+	Prefix         string                         `toml:"prefix"`
+	User           string                         `toml:"user"`
+	PasswordFile   string                         `toml:"password_file"`
+	TLS            struct{ Cert, Key, CA string } `toml:"tls"`
+	ProgressMS     float64                        `toml:"progress_ms"`
+	StaleMS        float64                        `toml:"stale_ms"`
+	RosterStaleMS  float64                        `toml:"roster_stale_ms"`
+	OrphanMS       float64                        `toml:"orphan_ms"`
+	TimeoutMS      float64                        `toml:"timeout_ms"`
+	MaxRetryMS     float64                        `toml:"retry_ms"`
+	FlapMS         float64                        `toml:"flap_ms"`
+	MaxFlapHoldMS  float64                        `toml:"flap_most_ms"`
 }
 
 // Config is the file, checked.
 type Config struct {
 	Listen, Status, Roster, State string
 
-	StartS float64 // a start waits so long for all sources, before it serves by those that are current
-	Etcd   etcdsource.Config
-	Member member.Config
+	StartTimeoutS float64 // a start waits so long for all sources, before it serves by those that are current
+	Etcd          etcdsource.Config
+	Merge         member.Config
 }
 
 // ReadFile reads and checks the operator's file and all that it names.
 func ReadFile(path string) (Config, error) {
-	f := File{ProgressMS: 500, StaleMS: 2000, RosterMS: 5000, OrphanMS: 10000, TimeoutMS: 2000, RetryMS: 2000, FlapMS: 60000, FlapMostMS: 30000, StartMS: 3000}
+	f := File{ProgressMS: 500, StaleMS: 2000, RosterStaleMS: 5000, OrphanMS: 10000, TimeoutMS: 2000, MaxRetryMS: 2000, FlapMS: 60000, MaxFlapHoldMS: 30000, StartTimeoutMS: 3000}
 	if err := operator.Decode(path, &f); err != nil {
 		return Config{}, err
 	}
@@ -79,18 +79,18 @@
 
 func (f File) check() (Config, error) {
 	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-	c := Config{Listen: f.Listen, Status: f.Status, Roster: f.Roster, State: f.State, StartS: f.StartMS / 1e3,
-		Etcd: etcdsource.Config{Endpoints: f.Endpoints, Prefix: f.Prefix, User: f.User, Progress: ms(f.ProgressMS), Timeout: ms(f.TimeoutMS),
-			RetryMost: ms(f.RetryMS)},
-		Member: member.Config{StaleS: map[string]float64{etcdName: f.StaleMS / 1e3}, OrphanS: f.OrphanMS / 1e3, FlapS: f.FlapMS / 1e3,
-			FlapMost: f.FlapMostMS / 1e3}}
+	c := Config{Listen: f.Listen, Status: f.Status, Roster: f.Roster, State: f.State, StartTimeoutS: f.StartTimeoutMS / 1e3,
+		Etcd: etcdsource.Config{Endpoints: f.Endpoints, Prefix: f.Prefix, User: f.User, ProgressInterval: ms(f.ProgressMS), ReadTimeout: ms(f.TimeoutMS),
+			MaxRetryDelay: ms(f.MaxRetryMS)},
+		Merge: member.Config{StaleAfterS: map[string]float64{etcdName: f.StaleMS / 1e3}, OrphanAfterS: f.OrphanMS / 1e3, FlapWindowS: f.FlapMS / 1e3,
+			MaxFlapHoldS: f.MaxFlapHoldMS / 1e3}}
 	for name, a := range map[string]string{"listen": f.Listen, "status": f.Status, "roster": f.Roster} {
 		if _, err := netip.ParseAddrPort(a); err != nil && (a != "" || name == "listen") {
 			return c, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	for name, x := range map[string]float64{"progress_ms": f.ProgressMS, "stale_ms": f.StaleMS, "roster_stale_ms": f.RosterMS, "orphan_ms": f.OrphanMS,
-		"timeout_ms": f.TimeoutMS, "retry_ms": f.RetryMS, "flap_ms": f.FlapMS, "flap_most_ms": f.FlapMostMS, "start_ms": f.StartMS} {
+	for name, x := range map[string]float64{"progress_ms": f.ProgressMS, "stale_ms": f.StaleMS, "roster_stale_ms": f.RosterStaleMS, "orphan_ms": f.OrphanMS,
+		"timeout_ms": f.TimeoutMS, "retry_ms": f.MaxRetryMS, "flap_ms": f.FlapMS, "flap_most_ms": f.MaxFlapHoldMS, "start_ms": f.StartTimeoutMS} {
 		if !(x >= 1 && x <= 3.6e6) {
 			return c, fmt.Errorf("%s must be 1 to 3600000", name)
 		}
@@ -104,7 +104,7 @@
 		return c, errors.New("stale_ms must be three times progress_ms at least")
 	}
 	if f.Roster != "" {
-		c.Member.StaleS[rosterName] = f.RosterMS / 1e3
+		c.Merge.StaleAfterS[rosterName] = f.RosterStaleMS / 1e3
 	}
 	if f.PasswordFile != "" {
 		text, err := os.ReadFile(f.PasswordFile)
@@ -114,7 +114,7 @@
 		c.Etcd.Password = strings.TrimSpace(string(text))
 	}
 	if f.State != "" {
-		if _, err := recall(f.State); err != nil {
+		if _, err := loadState(f.State); err != nil {
 			return c, err
 		}
 		if i, err := os.Stat(filepath.Dir(f.State)); err != nil || !i.IsDir() {
@@ -130,42 +130,42 @@
 
 // Agent is one agent. Its loop alone owns the core.
 type Agent struct {
-	cfg    Config
-	log    *slog.Logger
-	clock  mono.Clock
-	core   *member.Core
-	pub    *publisher
-	events chan func(now float64)
-	done   chan struct{}
-	source *etcdsource.Source
-	listen net.Listener
+	cfg       Config
+	log       *slog.Logger
+	clock     mono.Clock
+	merger    *member.Merger
+	publisher *publisher
+	events    chan func(now float64)
+	done      chan struct{}
+	etcd      *etcdsource.Source
+	listener  net.Listener
 
-	keeper  *keeper // nil: nothing is kept
-	dirty   bool    // what is known has changed since it was kept
-	serveBy float64 // from then on the list is served by those sources that are current
+	writer        *stateWriter // nil: nothing is kept
+	dirty         bool         // what is known has changed since it was kept
+	serveDeadline float64      // from then on the list is served by those sources that are current
 }
 
 // Open makes an agent and its listener.
 func Open(cfg Config, log *slog.Logger) (*Agent, error) {
-	a := &Agent{cfg: cfg, log: log, clock: mono.NewClock(), events: make(chan func(float64), eventQueue), done: make(chan struct{})}
-	was, err := memory{}, error(nil)
+	a := &Agent{cfg: cfg, log: log, clock: mono.NewClock(), events: make(chan func(float64), eventQueueSize), done: make(chan struct{})}
+	saved, err := savedState{}, error(nil)
 	if cfg.State != "" {
-		if was, err = recall(cfg.State); err != nil {
+		if saved, err = loadState(cfg.State); err != nil {
 			return nil, err
 		}
-		a.keeper = &keeper{path: cfg.State, next: make(chan memory, 1), note: func(err error) { log.Error("what is known is not kept", "error", err) }}
+		a.writer = &stateWriter{path: cfg.State, next: make(chan savedState, 1), logError: func(err error) { log.Error("what is known is not kept", "error", err) }}
 	}
 	now := a.clock.Now()
-	a.core = member.New(cfg.Member, now, was.Known.List)
-	a.core.Remember(was.Known)
-	a.pub = newPublisher(max(time.Now().UnixMilli(), was.Version+1))
-	a.serveBy = now + cfg.StartS
-	for _, e := range a.core.List() {
-		a.pub.list[e.ID] = target(e)
+	a.merger = member.NewMerger(cfg.Merge, now, saved.Merged.Entries)
+	a.merger.Restore(saved.Merged)
+	a.publisher = newPublisher(max(time.Now().UnixMilli(), saved.Version+1))
+	a.serveDeadline = now + cfg.StartTimeoutS
+	for _, e := range a.merger.Entries() {
+		a.publisher.endpoints[e.ID] = toEndpoint(e)
 	}
-	a.pub.ready = len(was.Known.List) > 0
-	a.source = etcdsource.New(cfg.Etcd, sink{a})
-	if a.listen, err = net.Listen("tcp", cfg.Listen); err != nil {
+	a.publisher.ready = len(saved.Merged.Entries) > 0
+	a.etcd = etcdsource.NewSource(cfg.Etcd, etcdSink{a})
+	if a.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	return a, nil
@@ -174,20 +174,20 @@
 // Reload takes over from a configuration that was read again where etcd is and how one is known there. The list, its version
 // and all else stay; Reload says whether more differs, which a restart takes over.
 func (a *Agent) Reload(cfg Config) (more bool) {
-	a.source.Move(cfg.Etcd)
+	a.etcd.Reconfigure(cfg.Etcd)
 	was := a.cfg
 	was.Etcd.Endpoints, was.Etcd.User, was.Etcd.Password, was.Etcd.TLS = cfg.Etcd.Endpoints, cfg.Etcd.User, cfg.Etcd.Password, cfg.Etcd.TLS
 	return !reflect.DeepEqual(was, cfg)
 }
 
 // Addr is where the list is served.
-func (a *Agent) Addr() string { return a.listen.Addr().String() }
+func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Source tells how etcd's part stands.
-func (a *Agent) Source() etcdsource.Status { return a.source.Status() }
+// EtcdStatus tells how etcd's part stands.
+func (a *Agent) EtcdStatus() etcdsource.Status { return a.etcd.Status() }
 
-// List is the joined list as it is served.
-func (a *Agent) List() roster.List { return a.pub.whole() }
+// EndpointList is the joined list as it is served.
+func (a *Agent) EndpointList() roster.List { return a.publisher.fullList() }
 
 func (a *Agent) post(do func(now float64)) {
 	select {
@@ -201,9 +201,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer close(a.done)
-	srv := &http.Server{Handler: a.pub, ReadHeaderTimeout: time.Second, BaseContext: func(net.Listener) context.Context { return ctx }}
+	srv := &http.Server{Handler: a.publisher, ReadHeaderTimeout: time.Second, BaseContext: func(net.Listener) context.Context { return ctx }}
 	defer srv.Close()
-	go srv.Serve(a.listen)
+	go srv.Serve(a.listener)
 	if a.cfg.Status != "" {
 		l, err := net.Listen("tcp", a.cfg.Status)
 		if err != nil {
@@ -213,46 +213,46 @@
 		defer st.Close()
 		go st.Serve(l)
 	}
-	if a.keeper != nil {
+	if a.writer != nil {
 		kept := make(chan struct{})
 		end := make(chan struct{})
-		go func() { defer close(kept); a.keeper.run(end) }()
+		go func() { defer close(kept); a.writer.run(end) }()
 		defer func() {
-			if a.dirty && a.pub.begun() { // the last word, in the place of one that waits
+			if a.dirty && a.publisher.isReady() { // the last word, in the place of one that waits
 				select {
-				case <-a.keeper.next:
+				case <-a.writer.next:
 				default:
 				}
-				a.keeper.next <- memory{a.pub.at(), a.core.Memory()}
+				a.writer.next <- savedState{a.publisher.currentVersion(), a.merger.Snapshot()}
 			}
 			close(end)
 			<-kept
 		}()
 	}
-	go a.source.Run(ctx)
+	go a.etcd.Run(ctx)
 	if a.cfg.Roster != "" {
-		w := roster.New(a.cfg.Roster, -1, func(l roster.List) { a.post(func(now float64) { a.roster(now, l) }) },
+		w := roster.NewWatcher(a.cfg.Roster, -1, func(l roster.List) { a.post(func(now float64) { a.applyRoster(now, l) }) },
 			func(what string, args ...any) { a.log.Warn("roster: "+what, args...) })
-		w.Alive = func() { a.post(func(now float64) { a.publish(a.core.Resumed(now, rosterName)) }) }
+		w.OnAlive = func() { a.post(func(now float64) { a.publish(a.merger.MarkResumed(now, rosterName)) }) }
 		go w.Run(ctx, nil)
 	}
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	current := map[string]bool{}
 	for {
 		select {
 		case do := <-a.events:
 			do(a.clock.Now())
-			a.keep()
+			a.saveIfChanged()
 		case <-t.C:
-			a.publish(a.core.Tick(a.clock.Now()))
-			a.pub.aged(a.age())
-			a.keep()
-			a.begin()
+			a.publish(a.merger.Tick(a.clock.Now()))
+			a.publisher.setSourceAge(a.maxSourceAge())
+			a.saveIfChanged()
+			a.serveIfReady()
 		case <-ctx.Done():
 			return nil
 		}
-		for _, s := range a.core.Sources() { // loudly, both ways
+		for _, s := range a.merger.SourceStatuses() { // loudly, both ways
 			if was, known := current[s.Name]; !known || was != s.Current {
 				current[s.Name] = s.Current
 				level := slog.LevelInfo
@@ -268,43 +268,43 @@
 // publish tells of changes.
 func (a *Agent) publish(changed []member.Entry) {
 	a.dirty = a.dirty || len(changed) > 0
-	a.pub.publish(changed)
-	a.begin()
+	a.publisher.publish(changed)
+	a.serveIfReady()
 }
 
-// begin has the list served for the first time once all sources are current, or one is and the time to wait is over: an ingress
+// serveIfReady has the list served for the first time once all sources are current, or one is and the time to wait is over: an ingress
 // must not be told an empty list by an agent that has just come, nor one without what another source has to say against it.
-func (a *Agent) begin() {
+func (a *Agent) serveIfReady() {
 	all, any := true, false
-	for _, s := range a.core.Sources() {
+	for _, s := range a.merger.SourceStatuses() {
 		all, any = all && s.Current, any || s.Current
 	}
-	if all || any && a.clock.Now() >= a.serveBy {
-		a.pub.serve()
+	if all || any && a.clock.Now() >= a.serveDeadline {
+		a.publisher.markReady()
 	}
 }
 
-// keep hands what is known to the keeper if it has changed.
-func (a *Agent) keep() {
-	if a.keeper != nil && a.dirty && a.pub.begun() && a.keeper.ready() {
+// saveIfChanged hands what is known to the keeper if it has changed.
+func (a *Agent) saveIfChanged() {
+	if a.writer != nil && a.dirty && a.publisher.isReady() && a.writer.ready() {
 		a.dirty = false
-		a.keeper.next <- memory{a.pub.at(), a.core.Memory()}
+		a.writer.next <- savedState{a.publisher.currentVersion(), a.merger.Snapshot()}
 	}
 }
 
-// age is for how long the source has been silent that has been so the longest, in seconds.
-func (a *Agent) age() (s float64) {
-	for _, src := range a.core.Sources() {
+// maxSourceAge is for how long the source has been silent that has been so the longest, in seconds.
+func (a *Agent) maxSourceAge() (s float64) {
+	for _, src := range a.merger.SourceStatuses() {
 		s = max(s, min(src.AgeS, 1e9))
 	}
 	return s
 }
 
-func (a *Agent) roster(now float64, l roster.List) {
+func (a *Agent) applyRoster(now float64, l roster.List) {
 	var nodes []member.Node
-	for _, t := range l.Servers {
+	for _, t := range l.Endpoints {
 		n := member.Node{Identity: member.Identity{ID: t.ID, Addr: t.Addr, StartedMS: t.StartedMS}, Zone: t.Zone, Cell: t.Cell, Weight: t.Weight}
-		for state, word := range words {
+		for state, word := range stateNames {
 			if word == t.State {
 				n.State = state
 			}
@@ -313,35 +313,37 @@
 	}
 	a.dirty = true // words, if not the list
 	if l.Full {
-		a.publish(a.core.Whole(now, rosterName, nodes))
+		a.publish(a.merger.ReplaceAll(now, rosterName, nodes))
 	} else {
-		a.publish(a.core.Change(now, rosterName, nodes))
+		a.publish(a.merger.Update(now, rosterName, nodes))
 	}
 }
 
-// sink hands what etcd's source learns to the loop.
-type sink struct{ a *Agent }
+// etcdSink hands what etcd's source learns to the loop.
+type etcdSink struct{ agent *Agent }
 
-func (s sink) Whole(nodes []member.Node, why string) {
-	s.a.log.Info("etcd read whole", "nodes", len(nodes), "why", why)
-	s.a.post(func(now float64) {
-		s.a.dirty = true
-		s.a.publish(s.a.core.Whole(now, etcdName, nodes))
+func (s etcdSink) ReplaceAll(nodes []member.Node, why string) {
+	s.agent.log.Info("etcd read whole", "nodes", len(nodes), "why", why)
+	s.agent.post(func(now float64) {
+		s.agent.dirty = true
+		s.agent.publish(s.agent.merger.ReplaceAll(now, etcdName, nodes))
 	})
 }
-func (s sink) Change(nodes []member.Node) {
-	s.a.post(func(now float64) {
-		s.a.dirty = true
-		s.a.publish(s.a.core.Change(now, etcdName, nodes))
+func (s etcdSink) Update(nodes []member.Node) {
+	s.agent.post(func(now float64) {
+		s.agent.dirty = true
+		s.agent.publish(s.agent.merger.Update(now, etcdName, nodes))
 	})
 }
-func (s sink) Alive() {
-	s.a.post(func(now float64) { s.a.publish(s.a.core.Resumed(now, etcdName)) })
+func (s etcdSink) Resumed() {
+	s.agent.post(func(now float64) { s.agent.publish(s.agent.merger.MarkResumed(now, etcdName)) })
 }
-func (s sink) Broken(why error) {
-	s.a.log.Warn("etcd watch broken", "error", why)
+func (s etcdSink) Interrupted(why error) {
+	s.agent.log.Warn("etcd watch broken", "error", why)
+}
+func (s etcdSink) InvalidValue(key, why string) {
+	s.agent.log.Error("value refused", "key", key, "why", why)
 }
-func (s sink) Bad(key, why string) { s.a.log.Error("value refused", "key", key, "why", why) }
 
 // Status is what an agent tells people.
 type Status struct {
@@ -352,18 +354,21 @@
 
 // NodeStatus is one node, and why it stands as it does.
 type NodeStatus struct {
-	ID, Addr, State, Why string
+	ID     string `json:"ID"`
+	Addr   string `json:"Addr"`
+	State  string `json:"State"`
+	Reason string `json:"Why"`
 }
 
 func (a *Agent) status(w http.ResponseWriter, r *http.Request) {
 	got := make(chan Status, 1)
 	a.post(func(now float64) {
-		st := Status{Etcd: a.source.Status(), Sources: a.core.Sources()}
+		st := Status{Etcd: a.etcd.Status(), Sources: a.merger.SourceStatuses()}
 		for i := range st.Sources {
 			st.Sources[i].AgeS = min(st.Sources[i].AgeS, 1e9)
 		}
-		for _, e := range a.core.List() {
-			st.Nodes = append(st.Nodes, NodeStatus{e.ID, e.Addr, e.State.String(), e.Why})
+		for _, e := range a.merger.Entries() {
+			st.Nodes = append(st.Nodes, NodeStatus{e.ID, e.Addr, e.State.String(), e.Reason})
 		}
 		got <- st
 	})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,7 +15,7 @@
 )
 
 // Guards the operator's file: one clear line for each fault, before anything is served; the example is good.
-func TestFile(t *testing.T) {
+func TestReadFile(t *testing.T) {
 	if _, err := ReadFile("../../deploy/etcd.toml"); err != nil {
 		t.Error(err)
 	}
@@ -52,7 +52,7 @@
 // the agent, gets the whole list.
 func TestPublisher(t *testing.T) {
 	p := newPublisher(1000)
-	p.serve()
+	p.markReady()
 	srv := httptest.NewServer(p)
 	defer srv.Close()
 	next := func(after int64) (*bufio.Reader, func()) {
@@ -77,13 +77,13 @@
 	p.publish([]member.Entry{entry("a", member.Up), entry("b", member.Up)})
 	old, done := next(5)
 	defer done()
-	if l := read(old); !l.Full || len(l.Servers) != 2 || l.Version != 1001 {
+	if l := read(old); !l.Full || len(l.Endpoints) != 2 || l.Version != 1001 {
 		t.Errorf("from another life: %+v", l)
 	}
 	p.publish([]member.Entry{entry("a", member.Draining)})
-	p.publish([]member.Entry{entry("b", member.Gone)})
+	p.publish([]member.Entry{entry("b", member.Removed)})
 	for i, want := range []string{"a terminating", "b terminated"} {
-		if l := read(old); l.Full || len(l.Servers) != 1 || l.Servers[0].ID+" "+l.Servers[0].State != want || l.Version != 1002+int64(i) {
+		if l := read(old); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].ID+" "+l.Endpoints[0].State != want || l.Version != 1002+int64(i) {
 			t.Errorf("change %d: %+v", i, l)
 		}
 	}
@@ -92,12 +92,12 @@
 	if l := read(r); l.Full || l.Version != 1003 {
 		t.Errorf("one behind: %+v", l)
 	}
-	for range kept + 1 {
+	for range maxHistory + 1 {
 		p.publish([]member.Entry{entry("c", member.Up)})
 	}
 	r, done = next(1003)
 	defer done()
-	if l := read(r); !l.Full || len(l.Servers) != 2 {
+	if l := read(r); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("far behind: %+v", l)
 	}
 	r, done = next(1 << 60)
@@ -105,7 +105,7 @@
 	if l := read(r); !l.Full {
 		t.Errorf("from the future: %+v", l)
 	}
-	if got := len(p.changes); got > kept {
+	if got := len(p.history); got > maxHistory {
 		t.Errorf("%d changes are kept", got)
 	}
 	if resp, err := http.Post(srv.URL+"/api/targets", "", nil); err != nil || resp.StatusCode != http.StatusNotFound {
--- a/internal/agent/cutoff_test.go
+++ b/internal/agent/cutoff_test.go
@@ -22,18 +22,18 @@
 	ingressBin = flag.String("ingress", "", "the program of an ingress, for -cutoffs")
 )
 
-// TestCutoff is a measurement: how long after the write of a drain in etcd, and beside it in the roster, a node gets its
+// TestAgent_EtcdOutage is a measurement: how long after the write of a drain in etcd, and beside it in the roster, a node gets its
 // last new work. Run it with -cutoffs N -ingress bin/eiderspread.
-func TestCutoff(t *testing.T) {
+func TestAgent_EtcdOutage(t *testing.T) {
 	if *cutoffs == 0 {
 		t.Skip("-cutoffs is 0")
 	}
 	for _, by := range []string{"roster", "etcd"} {
-		t.Run(by, func(t *testing.T) { measureCutoff(t, by) })
+		t.Run(by, func(t *testing.T) { measureOutage(t, by) })
 	}
 }
 
-func measureCutoff(t *testing.T, by string) {
+func measureOutage(t *testing.T, by string) {
 	cfg := lab.FleetConfig{Forwarders: 1, Nodes: 6, Classes: lab.LabClasses, Plans: []policy.Plan{{Name: "wide", Rate: 1e5, Burst: 1e5, Weight: 1}},
 		Node: node.Config{Cores: 64, Queue: 500, Speed: 1, KeyedS: 4, Work: map[string]float64{"zone-check": 0.005, "slot-hold": 0.005,
 			"courier-send": 0.005}},
@@ -75,7 +75,7 @@
 	set := func(n *lab.Node, state string) {
 		switch {
 		case e == nil:
-			f.Roster.Set(roster.Target{ID: n.ID, Addr: n.Addr(), Zone: "a", State: state, Weight: 1})
+			f.Roster.Set(roster.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: "a", State: state, Weight: 1})
 		case state == "in_service":
 			e.del("drain/" + n.ID)
 		default:
--- a/internal/agent/etcd_test.go
+++ b/internal/agent/etcd_test.go
@@ -126,9 +126,9 @@
 	return strings.Join(list, "\n"), rev
 }
 
-func served(l roster.List) string {
+func describe(l roster.List) string {
 	var list []string
-	for _, t := range l.Servers {
+	for _, t := range l.Endpoints {
 		list = append(list, t.ID+" "+t.Addr+" "+t.State)
 	}
 	sort.Strings(list)
@@ -143,11 +143,11 @@
 
 func config(endpoint, rosterAddr string) Config {
 	cfg := Config{Listen: "127.0.0.1:0", Roster: rosterAddr,
-		Etcd: etcdsource.Config{Endpoints: []string{"http://" + endpoint}, Prefix: prefix, Progress: 150 * time.Millisecond, Timeout: 2 * time.Second,
-			RetryMost: 300 * time.Millisecond},
-		Member: member.Config{StaleS: map[string]float64{etcdName: 0.8}, OrphanS: 3600, FlapS: 0.001, FlapMost: 0.001}}
+		Etcd: etcdsource.Config{Endpoints: []string{"http://" + endpoint}, Prefix: prefix, ProgressInterval: 150 * time.Millisecond, ReadTimeout: 2 * time.Second,
+			MaxRetryDelay: 300 * time.Millisecond},
+		Merge: member.Config{StaleAfterS: map[string]float64{etcdName: 0.8}, OrphanAfterS: 3600, FlapWindowS: 0.001, MaxFlapHoldS: 0.001}}
 	if rosterAddr != "" {
-		cfg.Member.StaleS[rosterName] = 5
+		cfg.Merge.StaleAfterS[rosterName] = 5
 	}
 	return cfg
 }
@@ -173,18 +173,18 @@
 	began := time.Now()
 	want, rev := e.truth()
 	for time.Since(began) < patience {
-		if st := a.Source(); st.Revision >= rev && served(a.List()) == want {
+		if st := a.EtcdStatus(); st.Revision >= rev && describe(a.EndpointList()) == want {
 			return time.Since(began)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	e.t.Fatalf("%s: the view is\n%s\nand etcd's at %d is\n%s\nstatus %+v", what, served(a.List()), rev, want, a.Source())
+	e.t.Fatalf("%s: the view is\n%s\nand etcd's at %d is\n%s\nstatus %+v", what, describe(a.EndpointList()), rev, want, a.EtcdStatus())
 	return 0
 }
 
 // The whole source against an etcd that is compacted, cut off, restarted, and replaced by an empty one, while states
 // flip: after each recovery the view equals etcd's.
-func TestEtcd(t *testing.T) {
+func TestAgent_FollowsEtcd(t *testing.T) {
 	e := startEtcd(t)
 	link, err := lab.NewLink(e.srv.Addr())
 	if err != nil {
@@ -267,7 +267,7 @@
 		}
 		took = append(took, e.same(a, what))
 	}
-	st := a.Source()
+	st := a.EtcdStatus()
 	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
 	t.Logf("%d recoveries, %d compactions, %d of them met; equal again after %v in the median, %v at worst; %+v", len(took), compacted, st.Compacted,
 		took[len(took)/2], took[len(took)-1], st)
@@ -277,7 +277,7 @@
 }
 
 // Guards the join of sources: roster and etcd, each alone, stale and against each other.
-func TestEtcdBesideTheRoster(t *testing.T) {
+func TestAgent_EtcdBesideRoster(t *testing.T) {
 	e := startEtcd(t)
 	link, err := lab.NewLink(e.srv.Addr())
 	if err != nil {
@@ -292,7 +292,7 @@
 		t.Fatal(err)
 	}
 	set := func(id, state string) {
-		ros.Set(roster.Target{ID: id, Addr: "127.0.0.1:1" + strings.TrimPrefix(id, "n"), State: state, Weight: 1})
+		ros.Set(roster.Endpoint{ID: id, Addr: "127.0.0.1:1" + strings.TrimPrefix(id, "n"), State: state, Weight: 1})
 	}
 	set("n01", "in_service")
 	set("n02", "in_service")
@@ -301,7 +301,7 @@
 		t.Helper()
 		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			got := ""
-			for _, s := range a.List().Servers {
+			for _, s := range a.EndpointList().Endpoints {
 				if s.ID == id {
 					got = s.State
 				}
@@ -310,7 +310,7 @@
 				return
 			}
 		}
-		t.Fatalf("%s does not become %q: %v", id, want, served(a.List()))
+		t.Fatalf("%s does not become %q: %v", id, want, describe(a.EndpointList()))
 	}
 	state("n01", "in_service")
 	e.put("drain/n01", "{}") // etcd does not list the node: a mark on its id alone
@@ -345,7 +345,7 @@
 		t.Fatal(err)
 	}
 	l, err := roster.Parse(line)
-	if err != nil || !l.Full || len(l.Servers) != 4 {
+	if err != nil || !l.Full || len(l.Endpoints) != 4 {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
--- a/internal/agent/fuzz_test.go
+++ b/internal/agent/fuzz_test.go
@@ -15,7 +15,7 @@
 
 // Whatever is asked of an agent's HTTP side, it answers in the roster's protocol or refuses, and does not panic; a watch that
 // is behind is told the way to the newest version.
-func FuzzServe(f *testing.F) {
+func FuzzPublisher(f *testing.F) {
 	f.Add("GET", "/api/targets", "", "a", uint8(0))
 	f.Add("GET", "/api/targets", "watch=1&after=1001", "a", uint8(1))
 	f.Add("GET", "/api/targets", "watch=1&after=-9223372036854775808", "\xff\"\\", uint8(2))
@@ -23,8 +23,8 @@
 	f.Add("POST", "/api/targets/", "watch=%zz;after", "", uint8(3))
 	f.Fuzz(func(t *testing.T, method, path, query, id string, changes uint8) {
 		p := newPublisher(1000)
-		p.serve()
-		states := []member.State{member.Up, member.Draining, member.Gone}
+		p.markReady()
+		states := []member.State{member.Up, member.Draining, member.Removed}
 		for i := range int(changes % 16) {
 			p.publish([]member.Entry{entry(id, states[i%3]), entry("b", member.Up)})
 		}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -11,7 +11,7 @@
 
 // Guards the file that an agent keeps across restarts, the operator's file and the status.
 func TestGoldenForms(t *testing.T) {
-	golden.JSON(t, "state.json", &memory{})
+	golden.JSON(t, "state.json", &savedState{})
 	golden.JSON(t, "status.json", &Status{})
 	golden.TOML(t, "agent.toml", &File{})
 }
@@ -27,11 +27,11 @@
 		golden.Check(t, name, w.Body.Bytes())
 	}
 	get("early.txt", "/api/targets")
-	p.serve()
-	p.aged(1.5)
-	for _, state := range []member.State{member.Up, member.Draining, member.Gone, member.Up} {
+	p.markReady()
+	p.setSourceAge(1.5)
+	for _, state := range []member.State{member.Up, member.Draining, member.Removed, member.Up} {
 		p.publish([]member.Entry{{Node: member.Node{Identity: member.Identity{ID: "a", Addr: "127.0.0.1:1", StartedMS: 2}, State: state, Zone: "z", Cell: 3,
-			Weight: 4.5}, Why: "not served"}})
+			Weight: 4.5}, Reason: "not served"}})
 	}
 	get("whole.json", "/api/targets")
 	get("watch.json", "/api/targets?watch=1&after=7")
--- a/internal/agent/keep.go
+++ b/internal/agent/keep.go
@@ -11,15 +11,15 @@
 	"eiderspread/internal/member"
 )
 
-// memory is what an agent keeps in its file across restarts: without it a drain that etcd told is forgotten by an agent that
+// savedState is what an agent keeps in its file across restarts: without it a drain that etcd told is forgotten by an agent that
 // comes back while etcd is out of reach.
-type memory struct {
-	Version int64         `json:"version"`
-	Known   member.Memory `json:"known"`
+type savedState struct {
+	Version int64           `json:"version"`
+	Merged  member.Snapshot `json:"known"`
 }
 
-// recall reads the file; one that is not there is none.
-func recall(path string) (m memory, err error) {
+// loadState reads the file; one that is not there is none.
+func loadState(path string) (m savedState, err error) {
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return m, nil
@@ -33,40 +33,40 @@
 	return m, nil
 }
 
-// keepShare times as long as a write took, nothing is written after it: the file of a long list is written less often.
-const keepShare = 20
+// writePauseFactor times as long as a write took, nothing is written after it: the file of a long list is written less often.
+const writePauseFactor = 20
 
-// keeper writes the file. One goroutine, one memory that waits; a newer one takes its place.
-type keeper struct {
-	path string
-	next chan memory // of one place
-	note func(err error)
-	rest atomic.Bool // it has written, and waits for its time
+// stateWriter writes the file. One goroutine, one memory that waits; a newer one takes its place.
+type stateWriter struct {
+	path     string
+	next     chan savedState // of one place
+	logError func(err error)
+	pausing  atomic.Bool // it has written, and waits for its time
 }
 
 // ready tells whether a memory would be written at once; the loop alone asks, and hands one over only then.
-func (k *keeper) ready() bool { return !k.rest.Load() && len(k.next) == 0 }
+func (w *stateWriter) ready() bool { return !w.pausing.Load() && len(w.next) == 0 }
 
 // run writes until done is closed, and what waits then.
-func (k *keeper) run(done <-chan struct{}) {
+func (w *stateWriter) run(done <-chan struct{}) {
 	for {
 		select {
-		case m := <-k.next:
+		case m := <-w.next:
 			began := time.Now()
-			k.rest.Store(true)
-			if err := k.write(m); err != nil {
-				k.note(err)
+			w.pausing.Store(true)
+			if err := w.write(m); err != nil {
+				w.logError(err)
 			}
 			select {
-			case <-time.After(keepShare * time.Since(began)):
+			case <-time.After(writePauseFactor * time.Since(began)):
 			case <-done:
 			}
-			k.rest.Store(false)
+			w.pausing.Store(false)
 		case <-done:
 			select {
-			case m := <-k.next:
-				if err := k.write(m); err != nil {
-					k.note(err)
+			case m := <-w.next:
+				if err := w.write(m); err != nil {
+					w.logError(err)
 				}
 			default:
 			}
@@ -76,12 +76,12 @@
 }
 
 // write puts a memory in the place of the file's in one step, so that a kill leaves one or the other.
-func (k *keeper) write(m memory) error {
+func (w *stateWriter) write(m savedState) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(filepath.Dir(k.path), filepath.Base(k.path)+".*")
+	f, err := os.CreateTemp(filepath.Dir(w.path), filepath.Base(w.path)+".*")
 	if err != nil {
 		return err
 	}
@@ -95,5 +95,5 @@
 	if err != nil {
 		return err
 	}
-	return os.Rename(f.Name(), k.path)
+	return os.Rename(f.Name(), w.path)
 }
--- a/internal/agent/moves_test.go
+++ b/internal/agent/moves_test.go
@@ -20,19 +20,19 @@
 	standin "eiderspread/internal/standin/etcd"
 )
 
-// until waits for what an agent serves to be so.
-func until(t *testing.T, a *Agent, what string, ok func(l roster.List) bool) {
+// waitFor waits for what an agent serves to be so.
+func waitFor(t *testing.T, a *Agent, what string, ok func(l roster.List) bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if ok(a.List()) {
+		if ok(a.EndpointList()) {
 			return
 		}
 	}
-	t.Fatalf("%s: %v, %+v", what, served(a.List()), a.Source())
+	t.Fatalf("%s: %v, %+v", what, describe(a.EndpointList()), a.EtcdStatus())
 }
 
 func state(l roster.List, id string) string {
-	for _, s := range l.Servers {
+	for _, s := range l.Endpoints {
 		if s.ID == id {
 			return s.State
 		}
@@ -42,7 +42,7 @@
 
 // Guards SIGHUP's part: an agent goes on at other members with other certificates, its list and version as they were and
 // without a new read; at another cluster it takes the whole, after a change in the very moment too.
-func TestMoves(t *testing.T) {
+func TestAgent_ReloadMovesEndpoints(t *testing.T) {
 	ca, err := certs.New(t.TempDir(), "lab")
 	if err != nil {
 		t.Fatal(err)
@@ -83,16 +83,16 @@
 	c.Set("/t/nodes/b", nodeValue(2))
 	addrs := c.Addrs()
 	a, _ := startWith(t, write(addrs[0]))
-	until(t, a, "start", func(l roster.List) bool { return len(l.Servers) == 2 })
-	version := a.List().Version
+	waitFor(t, a, "start", func(l roster.List) bool { return len(l.Endpoints) == 2 })
+	version := a.EndpointList().Version
 	if a.Reload(write(addrs[1], addrs[2])) {
 		t.Error("more than endpoints and certificates is said to differ")
 	}
 	c.Set("/t/drain/a", "{}") // in the same moment
 	c.StopMember(0)           // where it was is gone
-	until(t, a, "after the move", func(l roster.List) bool { return state(l, "a") == "terminating" && len(l.Servers) == 2 })
-	if st := a.Source(); a.List().Version < version || st.Reads != 1 {
-		t.Errorf("version %d after %d, %+v", a.List().Version, version, st)
+	waitFor(t, a, "after the move", func(l roster.List) bool { return state(l, "a") == "terminating" && len(l.Endpoints) == 2 })
+	if st := a.EtcdStatus(); a.EndpointList().Version < version || st.FullReads != 1 {
+		t.Errorf("version %d after %d, %+v", a.EndpointList().Version, version, st)
 	}
 	other, err := standin.Open(standin.Config{TLS: tls})
 	if err != nil {
@@ -100,22 +100,22 @@
 	}
 	defer other.Close()
 	other.Restore(standin.Head{Cluster: 9, Revision: 5, Term: 3}, standin.KV{Key: "/t/nodes/b", Value: nodeValue(2), Revision: 4})
-	version = a.List().Version
+	version = a.EndpointList().Version
 	a.Reload(write(addrs[1]))
 	a.Reload(write(other.Addr())) // the last word counts
-	until(t, a, "at another cluster", func(l roster.List) bool { return len(l.Servers) == 1 && state(l, "b") == "in_service" })
-	if st := a.Source(); a.List().Version <= version || st.Replaced != 1 {
-		t.Errorf("version %d after %d, %+v", a.List().Version, version, st)
+	waitFor(t, a, "at another cluster", func(l roster.List) bool { return len(l.Endpoints) == 1 && state(l, "b") == "in_service" })
+	if st := a.EtcdStatus(); a.EndpointList().Version <= version || st.Replaced != 1 {
+		t.Errorf("version %d after %d, %+v", a.EndpointList().Version, version, st)
 	}
 	next := write(other.Addr())
-	next.Member.OrphanS++
+	next.Merge.OrphanAfterS++
 	if !a.Reload(next) {
 		t.Error("what a restart alone takes over is not said")
 	}
 }
 
 // Guards against tokens that run out at the worst moments: during the read after a compaction, and before a watch.
-func TestTokensRunOut(t *testing.T) {
+func TestAgent_AuthTokenExpires(t *testing.T) {
 	c, err := standin.Open(standin.Config{Users: map[string]string{"u": "x"}})
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	cfg := config(link.Addr(), "")
 	cfg.Etcd.User, cfg.Etcd.Password = "u", "x"
 	a, _ := startWith(t, cfg)
-	until(t, a, "start", func(l roster.List) bool { return len(l.Servers) == 1 })
+	waitFor(t, a, "start", func(l roster.List) bool { return len(l.Endpoints) == 1 })
 	forgotten := 0
 	c.SetScript(standin.Script{AfterRead: func() {
 		if forgotten++; forgotten < 4 {
@@ -143,19 +143,19 @@
 	c.CompactAll()
 	c.Forget()
 	link.Heal()
-	until(t, a, "after the compaction", func(l roster.List) bool { return state(l, "a") == "terminating" && state(l, "b") == "in_service" })
+	waitFor(t, a, "after the compaction", func(l roster.List) bool { return state(l, "a") == "terminating" && state(l, "b") == "in_service" })
 	c.Jump(time.Hour) // and the clock says that all have run out
 	link.Break()
 	c.Delete("/t/drain/a")
-	until(t, a, "after the hour", func(l roster.List) bool { return state(l, "a") == "in_service" })
-	if a.Source().Compacted == 0 || forgotten == 0 {
-		t.Errorf("%+v, forgotten %d times: the run shows nothing", a.Source(), forgotten)
+	waitFor(t, a, "after the hour", func(l roster.List) bool { return state(l, "a") == "in_service" })
+	if a.EtcdStatus().Compacted == 0 || forgotten == 0 {
+		t.Errorf("%+v, forgotten %d times: the run shows nothing", a.EtcdStatus(), forgotten)
 	}
 }
 
 // Guards an agent that is killed and comes back during a drain, while etcd, which told the drain, is out of reach: it knows it
 // still, and its version goes on although the clock was put back.
-func TestBackDuringADrain(t *testing.T) {
+func TestAgent_RestartsDuringDrain(t *testing.T) {
 	for _, kept := range []bool{true, false} {
 		e := startEtcd(t)
 		link, err := lab.NewLink(e.srv.Addr())
@@ -169,21 +169,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ros.Set(roster.Target{ID: "n", Addr: "127.0.0.1:1", State: "in_service", Weight: 1})
-		ros.Set(roster.Target{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
+		ros.Set(roster.Endpoint{ID: "n", Addr: "127.0.0.1:1", State: "in_service", Weight: 1})
+		ros.Set(roster.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
 		cfg := config(link.Addr(), addr)
-		cfg.StartS = 0.3
+		cfg.StartTimeoutS = 0.3
 		if kept {
 			cfg.State = filepath.Join(t.TempDir(), "state")
 		}
 		a, stop := startWith(t, cfg)
 		e.put("drain/n", "{}")
-		until(t, a, "the drain", func(l roster.List) bool { return state(l, "n") == "terminating" && state(l, "m") == "in_service" })
+		waitFor(t, a, "the drain", func(l roster.List) bool { return state(l, "n") == "terminating" && state(l, "m") == "in_service" })
 		link.Cut()
 		stop()
-		version := a.List().Version
+		version := a.EndpointList().Version
 		if kept {
-			m, err := recall(cfg.State)
+			m, err := loadState(cfg.State)
 			if err != nil || m.Version != version {
 				t.Fatalf("%+v, %v, want version %d", m, err, version)
 			}
@@ -193,24 +193,24 @@
 			os.WriteFile(cfg.State, text, 0o600)
 		}
 		b, _ := startWith(t, cfg)
-		ros.Set(roster.Target{ID: "m", Addr: "127.0.0.1:2", State: "terminating", Weight: 1})
-		until(t, b, "back", func(l roster.List) bool { return state(l, "m") == "terminating" })
-		if got := state(b.List(), "n"); kept != (got == "terminating") {
+		ros.Set(roster.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "terminating", Weight: 1})
+		waitFor(t, b, "back", func(l roster.List) bool { return state(l, "m") == "terminating" })
+		if got := state(b.EndpointList(), "n"); kept != (got == "terminating") {
 			t.Errorf("kept %v: the marked node is %q", kept, got) // without a file it can't be known
 		}
-		if kept && b.List().Version <= version {
-			t.Errorf("version %d after %d", b.List().Version, version)
+		if kept && b.EndpointList().Version <= version {
+			t.Errorf("version %d after %d", b.EndpointList().Version, version)
 		}
 		link.Heal()
-		until(t, b, "etcd again", func(l roster.List) bool { return state(l, "n") == "terminating" })
+		waitFor(t, b, "etcd again", func(l roster.List) bool { return state(l, "n") == "terminating" })
 		e.del("drain/n")
-		until(t, b, "taken back", func(l roster.List) bool { return state(l, "n") == "in_service" })
+		waitFor(t, b, "taken back", func(l roster.List) bool { return state(l, "n") == "in_service" })
 	}
 }
 
 // Guards ingresses against an agent that has just come: it serves nothing before its sources are current, then without the one
 // that does not come in time.
-func TestServesNothingBeforeItKnows(t *testing.T) {
+func TestAgent_ServesNothingBeforeSync(t *testing.T) {
 	e := startEtcd(t)
 	e.put("nodes/a", nodeValue(1))
 	link, err := lab.NewLink(e.srv.Addr())
@@ -225,7 +225,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ros.Set(roster.Target{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
+	ros.Set(roster.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
 	get := func(a *Agent) (int, roster.List) {
 		r, err := http.Get("http://" + a.Addr() + "/api/targets")
 		if err != nil {
@@ -237,21 +237,21 @@
 		return r.StatusCode, l
 	}
 	cfg := config(link.Addr(), addr)
-	cfg.StartS = 3600
+	cfg.StartTimeoutS = 3600
 	a, _ := startWith(t, cfg)
-	until(t, a, "the roster", func(l roster.List) bool { return state(l, "m") == "in_service" })
+	waitFor(t, a, "the roster", func(l roster.List) bool { return state(l, "m") == "in_service" })
 	if code, _ := get(a); code != http.StatusServiceUnavailable {
 		t.Errorf("%d while etcd has said nothing", code)
 	}
 	link.Heal()
-	for code, l := get(a); code != http.StatusOK || len(l.Servers) != 2; code, l = get(a) {
-		if code == http.StatusOK && len(l.Servers) < 2 {
+	for code, l := get(a); code != http.StatusOK || len(l.Endpoints) != 2; code, l = get(a) {
+		if code == http.StatusOK && len(l.Endpoints) < 2 {
 			t.Fatalf("served too early: %+v", l)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	link.Cut()
-	cfg.StartS = 0.01
+	cfg.StartTimeoutS = 0.01
 	b, _ := startWith(t, cfg)
 	for code, l := get(b); code != http.StatusOK; code, l = get(b) {
 		if code == http.StatusOK && state(l, "m") == "" {
@@ -262,7 +262,7 @@
 }
 
 // Guards what a machine beside the agent can know of its age: lines without nodes tell it, and a watcher sums it up.
-func TestAgeIsTold(t *testing.T) {
+func TestAgent_ReportsSourceAge(t *testing.T) {
 	e := startEtcd(t)
 	e.put("nodes/a", nodeValue(1))
 	link, err := lab.NewLink(e.srv.Addr())
@@ -271,20 +271,20 @@
 	}
 	defer link.Close()
 	a := startAgent(t, link.Addr(), "")
-	until(t, a, "start", func(l roster.List) bool { return len(l.Servers) == 1 })
+	waitFor(t, a, "start", func(l roster.List) bool { return len(l.Endpoints) == 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	lists := make(chan roster.List, 100)
-	w := roster.New(a.Addr(), -1, func(l roster.List) { lists <- l }, func(string, ...any) {})
+	w := roster.NewWatcher(a.Addr(), -1, func(l roster.List) { lists <- l }, func(string, ...any) {})
 	go w.Run(ctx, nil)
 	<-lists
 	link.Cut()
-	for end := time.Now().Add(patience); w.Age().ToldS < 2; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(patience); w.Age().ReportedAgeS < 2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%+v", w.Age())
 		}
 	}
-	if !(roster.Age{HeardS: 2, ToldS: 9}).Old() || (roster.Age{HeardS: 2, ToldS: 2}).Old() {
+	if !(roster.Age{SinceUpdateS: 2, ReportedAgeS: 9}).Stale() || (roster.Age{SinceUpdateS: 2, ReportedAgeS: 2}).Stale() {
 		t.Error("what is old is not said to be")
 	}
 	if len(lists) > 1 { // the watch's first line is the whole list
@@ -298,7 +298,7 @@
 	in := bufio.NewReader(r.Body)
 	for range 2 {
 		line, err := in.ReadBytes('\n')
-		if l, perr := roster.Parse(line); err != nil || perr != nil || l.AgeS < 1 {
+		if l, perr := roster.Parse(line); err != nil || perr != nil || l.SourceAgeS < 1 {
 			t.Errorf("%s, %v, %v", line, err, perr)
 		}
 	}
--- a/internal/etcdsource/cluster_test.go
+++ b/internal/etcdsource/cluster_test.go
@@ -16,7 +16,7 @@
 
 // Guards a message in parts against a leader that changes in its middle, when the stream breaks too: the source sees the whole
 // transaction once, and nothing of it twice or by halves.
-func TestLeaderChangesInTheMiddleOfParts(t *testing.T) {
+func TestSource_LeaderChangesWithinFragments(t *testing.T) {
 	s, err := etcd.Open(etcd.Config{Members: 3, FragmentBytes: 300, Election: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -46,14 +46,14 @@
 	for src.Status().Revision < s.Head().Revision {
 		time.Sleep(time.Millisecond)
 	}
-	if len(r.change) != 0 || breaks.Load() != 1 || src.Status().Repeats != 0 {
+	if len(r.change) != 0 || breaks.Load() != 1 || src.Status().DuplicateEvents != 0 {
 		t.Errorf("%d changes more, %d breaks, %+v", len(r.change), breaks.Load(), src.Status())
 	}
 }
 
 // Guards against a member in a minority: it goes on saying that all is well, and answers serializable reads. The source ends
 // its watch there for want of a leader, says so, and is up to date again by the others.
-func TestMemberInAMinority(t *testing.T) {
+func TestSource_MemberInMinority(t *testing.T) {
 	s, err := etcd.Open(etcd.Config{Members: 3, Election: 50 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	if len(r.change) != 0 || len(r.whole) != 0 {
 		t.Error("something was told")
 	}
-	src.Move(Config{Endpoints: urls(s.Addrs()[1:])})
+	src.Reconfigure(Config{Endpoints: urls(s.Addrs()[1:])})
 	if got := get(t, r.change); got != "a 127.0.0.1:1 draining" {
 		t.Errorf("by the others: %q", got)
 	}
@@ -88,7 +88,7 @@
 }
 
 // Guards a thousand nodes that are flipped in one transaction, after a compaction and with the watch down as well.
-func TestAThousandAtOnce(t *testing.T) {
+func TestSource_ThousandChangesAtOnce(t *testing.T) {
 	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 10, Term: 1})
 	nodes, marks, none := map[string]string{}, map[string]string{}, map[string]string{}
 	for i := range 1000 {
@@ -132,7 +132,7 @@
 
 // Guards against a member that lags: it goes on telling progress, as far as it is. The cluster's own word shows that it is behind,
 // and the source goes to another.
-func TestMemberThatLags(t *testing.T) {
+func TestSource_LaggingMember(t *testing.T) {
 	s, err := etcd.Open(etcd.Config{Members: 3, Election: 20 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/etcdsource/follow_test.go
+++ b/internal/etcdsource/follow_test.go
@@ -8,7 +8,7 @@
 	"eiderspread/internal/member"
 )
 
-func hd(cluster uint64, rev int64, term uint64) Header {
+func header(cluster uint64, rev int64, term uint64) Header {
 	return Header{Cluster: cluster, Revision: rev, Term: term}
 }
 
@@ -18,9 +18,9 @@
 	return kv(rev, "nodes/"+id, fmt.Sprintf(`{"addr":"127.0.0.1:%d","weight":1}`, port))
 }
 
-func gone(rev int64, key string) KV { return KV{Key: key, Revision: rev, Deleted: true} }
+func deleted(rev int64, key string) KV { return KV{Key: key, Revision: rev, Deleted: true} }
 
-func says(list []member.Node) string {
+func describe(list []member.Node) string {
 	var s []string
 	for _, n := range list {
 		s = append(s, fmt.Sprintf("%s %s %s", n.ID, n.Addr, n.State))
@@ -29,114 +29,114 @@
 }
 
 // Guards the reading of values: one bad one takes no node away, and is named.
-func TestBadValuesKeepTheLastGoodOne(t *testing.T) {
+func TestFollower_InvalidValueKeepsLastGood(t *testing.T) {
 	f := newFollower(1)
-	f.read(hd(1, 10, 1), []KV{put(5, "a", 1), kv(6, "nodes/b", "{"), kv(7, "nodes/c d", "{}"), kv(8, "other/x", "y")})
-	if got := says(f.whole()); got != "a 127.0.0.1:1 up" || len(f.bad) != 2 {
-		t.Fatalf("%q, bad %v", got, f.bad)
+	f.applyFull(header(1, 10, 1), []KV{put(5, "a", 1), kv(6, "nodes/b", "{"), kv(7, "nodes/c d", "{}"), kv(8, "other/x", "y")})
+	if got := describe(f.allNodes()); got != "a 127.0.0.1:1 up" || len(f.invalid) != 2 {
+		t.Fatalf("%q, bad %v", got, f.invalid)
 	}
 	for i, bad := range []string{"", "7", `{"addr":"nowhere"}`, `{"addr":"127.0.0.1:1","state":"up"}`, `{"addr":"127.0.0.1:1"} {}`,
 		`{"addr":"127.0.0.1:1","weight":-1}`, `{"addr":"127.0.0.1:1","weight":1e9}`, `{"addr":"127.0.0.1:1","started_ms":-5}`, `{"addr":"127.0.0.1:1","cell":"x"}`} {
-		b, err := f.events(hd(1, 11+int64(i), 1), []KV{kv(11+int64(i), "nodes/a", bad)})
-		if err != nil || says(b) != "a 127.0.0.1:1 up" || f.bad["nodes/a"] == "" {
-			t.Errorf("%q: %v, %v, bad %v", bad, b, err, f.bad)
+		b, err := f.applyEvents(header(1, 11+int64(i), 1), []KV{kv(11+int64(i), "nodes/a", bad)})
+		if err != nil || describe(b) != "a 127.0.0.1:1 up" || f.invalid["nodes/a"] == "" {
+			t.Errorf("%q: %v, %v, bad %v", bad, b, err, f.invalid)
 		}
 	}
-	f.read(hd(1, 50, 1), []KV{kv(20, "nodes/a", "{")}) // a read of the whole does not forget it either
-	if got := says(f.whole()); got != "a 127.0.0.1:1 up" {
+	f.applyFull(header(1, 50, 1), []KV{kv(20, "nodes/a", "{")}) // a read of the whole does not forget it either
+	if got := describe(f.allNodes()); got != "a 127.0.0.1:1 up" {
 		t.Errorf("after a read: %q", got)
 	}
-	if f.events(hd(1, 51, 1), []KV{put(51, "a", 2)}); len(f.bad) != 0 || says(f.whole()) != "a 127.0.0.1:2 up" {
-		t.Errorf("after a good value: bad %v, %q", f.bad, says(f.whole()))
+	if f.applyEvents(header(1, 51, 1), []KV{put(51, "a", 2)}); len(f.invalid) != 0 || describe(f.allNodes()) != "a 127.0.0.1:2 up" {
+		t.Errorf("after a good value: bad %v, %q", f.invalid, describe(f.allNodes()))
 	}
 }
 
 // Guards the order of events: none twice, what one answer brings is told as it stands behind it, and marks on nodes that etcd
 // does not list.
-func TestEvents(t *testing.T) {
+func TestFollower_Events(t *testing.T) {
 	f := newFollower(1)
-	f.read(hd(1, 10, 1), []KV{put(5, "a", 1), put(6, "b", 2)})
+	f.applyFull(header(1, 10, 1), []KV{put(5, "a", 1), put(6, "b", 2)})
 	for i, tc := range []struct {
 		at   int64
 		kvs  []KV
 		want string
 	}{
-		{11, []KV{put(9, "a", 9), kv(11, "drain/a", "{}"), gone(11, "nodes/b")}, "a 127.0.0.1:1 draining, b  gone"},
+		{11, []KV{put(9, "a", 9), kv(11, "drain/a", "{}"), deleted(11, "nodes/b")}, "a 127.0.0.1:1 draining, b  gone"},
 		{12, []KV{kv(12, "drain/z", "{}")}, "z  draining"},
-		{13, []KV{gone(13, "drain/z"), gone(13, "drain/a")}, "z  up, a 127.0.0.1:1 up"},
-		{13, []KV{gone(13, "drain/a")}, ""},
-		{14, []KV{kv(14, "nodes/c", "{"), gone(14, "nodes/nobody")}, "nobody  up"},
-		{18, []KV{kv(15, "drain/a", "{}"), gone(16, "drain/a"), kv(18, "drain/a", "{}")}, "a 127.0.0.1:1 draining"}, // never up
-		{21, []KV{gone(19, "nodes/a"), put(20, "a", 5), gone(21, "drain/a")}, "a 127.0.0.1:5 up"},
-		{24, []KV{gone(22, "nodes/a"), kv(23, "drain/a", "{}"), gone(24, "drain/a")}, "a  gone"},
+		{13, []KV{deleted(13, "drain/z"), deleted(13, "drain/a")}, "z  up, a 127.0.0.1:1 up"},
+		{13, []KV{deleted(13, "drain/a")}, ""},
+		{14, []KV{kv(14, "nodes/c", "{"), deleted(14, "nodes/nobody")}, "nobody  up"},
+		{18, []KV{kv(15, "drain/a", "{}"), deleted(16, "drain/a"), kv(18, "drain/a", "{}")}, "a 127.0.0.1:1 draining"}, // never up
+		{21, []KV{deleted(19, "nodes/a"), put(20, "a", 5), deleted(21, "drain/a")}, "a 127.0.0.1:5 up"},
+		{24, []KV{deleted(22, "nodes/a"), kv(23, "drain/a", "{}"), deleted(24, "drain/a")}, "a  gone"},
 	} {
-		got, err := f.events(hd(1, tc.at, 1), tc.kvs)
-		if err != nil || says(got) != tc.want {
-			t.Errorf("%d: %q, %v, want %q", i, says(got), err, tc.want)
+		got, err := f.applyEvents(header(1, tc.at, 1), tc.kvs)
+		if err != nil || describe(got) != tc.want {
+			t.Errorf("%d: %q, %v, want %q", i, describe(got), err, tc.want)
 		}
 	}
-	if f.Repeats != 2 {
-		t.Errorf("%d repeats", f.Repeats)
+	if f.duplicateEvents != 2 {
+		t.Errorf("%d repeats", f.duplicateEvents)
 	}
 }
 
 // Guards against a gap in a long history: a watch that catches up gets it in several answers, each with the store's own
 // revision in its header, and none of them is taken for a repeat.
-func TestHistoryInSeveralAnswers(t *testing.T) {
+func TestFollower_HistoryInSeveralAnswers(t *testing.T) {
 	f := newFollower(1)
-	f.read(hd(1, 10, 1), []KV{put(5, "a", 1)})
+	f.applyFull(header(1, 10, 1), []KV{put(5, "a", 1)})
 	for rev := int64(11); rev <= 13; rev++ {
-		b, err := f.events(hd(1, 13, 1), []KV{put(rev, fmt.Sprint("n", rev), 2)})
-		if err != nil || len(b) != 1 || f.head.Revision != rev {
-			t.Errorf("%d: %v, %v, at %d", rev, b, err, f.head.Revision)
+		b, err := f.applyEvents(header(1, 13, 1), []KV{put(rev, fmt.Sprint("n", rev), 2)})
+		if err != nil || len(b) != 1 || f.header.Revision != rev {
+			t.Errorf("%d: %v, %v, at %d", rev, b, err, f.header.Revision)
 		}
 	}
-	if f.Repeats != 0 || len(f.whole()) != 4 {
-		t.Errorf("repeats %d, %q", f.Repeats, says(f.whole()))
+	if f.duplicateEvents != 0 || len(f.allNodes()) != 4 {
+		t.Errorf("repeats %d, %q", f.duplicateEvents, describe(f.allNodes()))
 	}
 }
 
 // Guards the view against one member that lies as often as it is asked: where several are named, one is not enough.
-func TestOneLiar(t *testing.T) {
+func TestFollower_OneLyingMember(t *testing.T) {
 	f := newFollower(2)
-	f.read(hd(1, 100, 5), []KV{put(5, "a", 1)})
+	f.applyFull(header(1, 100, 5), []KV{put(5, "a", 1)})
 	old := Header{Cluster: 1, Revision: 50, Term: 5, Member: 3}
 	for i := range 10 {
-		if got := f.read(old, nil); got != Refused {
+		if got := f.applyFull(old, nil); got != ReadRejected {
 			t.Fatalf("read %d: %v", i, got)
 		}
 	}
 	old.Member = 1
-	if got := f.read(old, nil); got != Replaced {
+	if got := f.applyFull(old, nil); got != ReadReplaced {
 		t.Errorf("by two members: %v", got)
 	}
 }
 
 // Guards the view against what is old: a member that lags, and the reverse, a cluster that really was put back.
-func TestOldAndReplaced(t *testing.T) {
+func TestFollower_StaleAndReplacedClusters(t *testing.T) {
 	f := newFollower(1)
-	f.read(hd(1, 100, 5), []KV{put(5, "a", 1)})
-	if _, err := f.events(hd(1, 101, 4), []KV{gone(101, "nodes/a")}); err == nil {
+	f.applyFull(header(1, 100, 5), []KV{put(5, "a", 1)})
+	if _, err := f.applyEvents(header(1, 101, 4), []KV{deleted(101, "nodes/a")}); err == nil {
 		t.Error("an event of an older term is taken")
 	}
-	if _, err := f.events(hd(2, 101, 5), []KV{gone(101, "nodes/a")}); err == nil {
+	if _, err := f.applyEvents(header(2, 101, 5), []KV{deleted(101, "nodes/a")}); err == nil {
 		t.Error("an event of another cluster is taken")
 	}
-	for _, h := range []Header{hd(1, 99, 5), hd(1, 100, 4), hd(2, 200, 5)} {
-		if f.progress(h) == nil {
+	for _, h := range []Header{header(1, 99, 5), header(1, 100, 4), header(2, 200, 5)} {
+		if f.applyProgress(h) == nil {
 			t.Errorf("progress of %+v is taken", h)
 		}
 	}
 	for i, tc := range []struct {
 		h    Header
-		want Verdict
-	}{{hd(1, 99, 5), Refused}, {hd(1, 50, 3), Refused}, {hd(1, 101, 5), Taken}, {hd(1, 50, 5), Refused}, {hd(1, 51, 5), Refused},
-		{hd(1, 52, 5), Replaced}, {hd(1, 52, 5), Taken}, {hd(9, 3, 1), Replaced}} {
-		if got := f.read(tc.h, nil); got != tc.want {
+		want ReadResult
+	}{{header(1, 99, 5), ReadRejected}, {header(1, 50, 3), ReadRejected}, {header(1, 101, 5), ReadAccepted}, {header(1, 50, 5), ReadRejected}, {header(1, 51, 5), ReadRejected},
+		{header(1, 52, 5), ReadReplaced}, {header(1, 52, 5), ReadAccepted}, {header(9, 3, 1), ReadReplaced}} {
+		if got := f.applyFull(tc.h, nil); got != tc.want {
 			t.Errorf("read %d: %v, want %v", i, got, tc.want)
 		}
-		if (tc.want == Refused) != (f.head != tc.h) {
-			t.Errorf("read %d: at %+v", i, f.head)
+		if (tc.want == ReadRejected) != (f.header != tc.h) {
+			t.Errorf("read %d: at %+v", i, f.header)
 		}
 	}
 }
--- a/internal/etcdsource/golden_test.go
+++ b/internal/etcdsource/golden_test.go
@@ -8,10 +8,10 @@
 
 // Guards the value of a node's key in etcd, its keys' folders and the status of the source.
 func TestGoldenForms(t *testing.T) {
-	golden.JSON(t, "value.json", &value{})
+	golden.JSON(t, "value.json", &nodeValue{})
 	golden.JSON(t, "status.json", &Status{})
-	for key, want := range map[string]string{"nodes/a": nodesDir, "drain/a": drainDir} {
-		if dir, id, ok := split(key); dir != want || id != "a" || !ok {
+	for key, want := range map[string]string{"nodes/a": nodesPrefix, "drain/a": drainPrefix} {
+		if dir, id, ok := parseKey(key); dir != want || id != "a" || !ok {
 			t.Errorf("%s is read as %q, %q, %v", key, dir, id, ok)
 		}
 	}
--- a/internal/etcdsource/standin_test.go
+++ b/internal/etcdsource/standin_test.go
@@ -29,11 +29,11 @@
 	alive                      chan struct{}
 }
 
-func (r *recorder) Whole(nodes []member.Node, why string) { r.whole <- says(nodes) }
-func (r *recorder) Change(nodes []member.Node)            { r.change <- says(nodes) }
-func (r *recorder) Broken(why error)                      { r.broken <- why.Error() }
-func (r *recorder) Bad(key, why string)                   { r.bad <- key }
-func (r *recorder) Alive() {
+func (r *recorder) ReplaceAll(nodes []member.Node, why string) { r.whole <- describe(nodes) }
+func (r *recorder) Update(nodes []member.Node)                 { r.change <- describe(nodes) }
+func (r *recorder) Interrupted(why error)                      { r.broken <- why.Error() }
+func (r *recorder) InvalidValue(key, why string)               { r.bad <- key }
+func (r *recorder) Resumed() {
 	select {
 	case r.alive <- struct{}{}:
 	default:
@@ -79,8 +79,8 @@
 	t.Helper()
 	r := &recorder{whole: make(chan string, 100), change: make(chan string, 100), broken: make(chan string, 100), bad: make(chan string, 100),
 		alive: make(chan struct{}, 1)}
-	src := New(Config{Endpoints: urls(addrs), Prefix: "/p/", Progress: 50 * time.Millisecond, Timeout: 5 * time.Second,
-		RetryMost: 40 * time.Millisecond}, r)
+	src := NewSource(Config{Endpoints: urls(addrs), Prefix: "/p/", ProgressInterval: 50 * time.Millisecond, ReadTimeout: 5 * time.Second,
+		MaxRetryDelay: 40 * time.Millisecond}, r)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); src.Run(ctx) }()
@@ -92,7 +92,7 @@
 
 // Guards against a watch that is open and silent: it ends within a stated time and goes on where it was, without a new
 // read.
-func TestSilentStall(t *testing.T) {
+func TestSource_SilentStall(t *testing.T) {
 	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1))
 	watches := make(chan int64, 100)
 	from := func(_ etcdserverpb.Watch_WatchServer, from int64) {
@@ -124,7 +124,7 @@
 }
 
 // Guards against a gap: what was compacted away between read and watch is read whole again, and what vanished goes.
-func TestCompactedBetweenReadAndWatch(t *testing.T) {
+func TestSource_CompactedBetweenReadAndWatch(t *testing.T) {
 	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1), at(6, "nodes/b", a1))
 	once := sync.OnceFunc(func() {
 		s.Set("/p/drain/a", "{}")
@@ -139,16 +139,16 @@
 	if got := get(t, r.whole); got != "a 127.0.0.1:1 draining" {
 		t.Errorf("then %q", got)
 	}
-	if st := src.Status(); st.Compacted != 1 || st.Reads != 2 {
+	if st := src.Status(); st.Compacted != 1 || st.FullReads != 2 {
 		t.Errorf("status %+v", st)
 	}
 }
 
 // Guards the view against a member that answers from an older state: it is not taken back by it.
-func TestLyingOldMember(t *testing.T) {
+func TestSource_LyingStaleMember(t *testing.T) {
 	a, mark := at(50, "nodes/a", a1), at(60, "drain/a", "{}")
 	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 100, Term: 5}, a, mark)
-	left := confirmMost - 1 // so often it lies, then a member that is up to date answers
+	left := confirmReads - 1 // so often it lies, then a member that is up to date answers
 	lie := func() {
 		if left--; left == 0 {
 			s.Restore(etcd.Head{Cluster: 1, Revision: 101, Term: 5}, a, mark)
@@ -169,13 +169,13 @@
 			t.Errorf("the view went back to %q", got)
 		}
 	}
-	if st := src.Status(); st.Revision < 100 || st.Refused == 0 {
+	if st := src.Status(); st.Revision < 100 || st.Rejected == 0 {
 		t.Errorf("status %+v", st)
 	}
 }
 
 // Guards against a cluster that was put back in the middle of a stream, and against events that come twice.
-func TestRevisionsResetAndRepeats(t *testing.T) {
+func TestSource_ResetAndDuplicateRevisions(t *testing.T) {
 	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1))
 	s.SetScript(etcd.Script{OnWatch: func(w etcdserverpb.Watch_WatchServer, _ int64) {
 		s.SetScript(etcd.Script{})
@@ -194,7 +194,7 @@
 	if got := get(t, r.whole); got != "b 127.0.0.1:1 up" {
 		t.Errorf("after the reset: %q", got)
 	}
-	if st := src.Status(); st.Replaced != 1 || st.Refused != confirmMost-1 || st.Repeats > 1 || len(r.change) != 0 {
+	if st := src.Status(); st.Replaced != 1 || st.Rejected != confirmReads-1 || st.DuplicateEvents > 1 || len(r.change) != 0 {
 		t.Errorf("status %+v, %d changes more", st, len(r.change))
 	}
 }
--- a/internal/forward/move.go
+++ b/internal/forward/move.go
@@ -14,73 +14,73 @@
 
 // Migrate stops following every leader and returns all that is known. From then on this core promises nothing and decides nothing: it
 // writes down what becomes of its requests, for Reclaim.
-func (c *Core) Migrate(now float64) kept.Moved {
+func (c *Core) Migrate(now float64) kept.ForwarderState {
 	c.now = now
 	clear(c.planners) // their links end: what a leader knew to be out counts there until the new process says better
 	for i := range c.cells {
 		c.becomeLeaderless(i)
 	}
 	c.handedOver = true
-	transferred := kept.Moved{Handles: c.lastHandle, Lossy: c.usage.incompleteAt, Words: map[string]kept.Word{}}
+	transferred := kept.ForwarderState{LastHandle: c.lastHandle, LossyAt: c.usage.incompleteAt, Cordons: map[string]kept.Cordon{}}
 	for i := range c.cells {
 		cell := &c.cells[i]
-		transferred.Cells = append(transferred.Cells, kept.Cell{Epoch: cell.epoch, Holder: cell.holder, Life: cell.incarnation, Until: cell.promisedUntil})
+		transferred.Cells = append(transferred.Cells, kept.CellPromise{Epoch: cell.epoch, Holder: cell.holder, Incarnation: cell.incarnation, PromisedUntil: cell.promisedUntil})
 		cell.waiting = nil
 	}
-	c.cordons.Each(func(id string, state withhold.State) { transferred.Words[id] = kept.Word(state) })
+	c.cordons.Each(func(id string, state withhold.State) { transferred.Cordons[id] = kept.Cordon(state) })
 	c.usage.each(now, func(account string, usage windowUsage) {
-		transferred.Tales = append(transferred.Tales, kept.Tale{Customer: account, Plan: usage.plan, Epoch: usage.epoch, Seq: usage.seq, Debt: usage.debt, At: usage.at})
+		transferred.UsageReports = append(transferred.UsageReports, kept.UsageReport{Account: account, Plan: usage.plan, Epoch: usage.epoch, Sequence: usage.seq, Debt: usage.debt, ReportedAt: usage.at})
 	})
 	for _, request := range c.requestsByID() {
-		transferred.Open = append(transferred.Open, kept.Open{Request: request.Request, Came: request.receivedAt, Sent: slices.Clone(request.sentAt), Done: slices.Clone(request.attemptDone),
-			Counted: request.unitsCounted, Ran: request.mayHaveRun, RanAt: request.firstRunAt, Over: request.completed})
+		transferred.Requests = append(transferred.Requests, kept.OpenRequest{Request: request.Request, ReceivedAt: request.receivedAt, SentAt: slices.Clone(request.sentAt), AttemptDone: slices.Clone(request.attemptDone),
+			UnitsCounted: request.unitsCounted, MayHaveRun: request.mayHaveRun, FirstRunAt: request.firstRunAt, Completed: request.completed})
 	}
 	return transferred
 }
 
 // Resume goes on with what the process before knew; call it before the first link. It tells whether promises went over: those of a
 // fleet cut into other cells do not, and nothing is promised for a lease then.
-func (c *Core) Resume(now float64, transferred kept.Moved) bool {
+func (c *Core) Resume(now float64, transferred kept.ForwarderState) bool {
 	c.now = now
 	same := len(transferred.Cells) == len(c.cells)
 	for i := range c.cells {
 		if cell := &c.cells[i]; same {
 			promise := transferred.Cells[i]
-			cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Life, promise.Until
+			cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Incarnation, promise.PromisedUntil
 		} else {
 			cell.promisedUntil = now + c.cfg.LeaseS
 		}
 		c.cells[i].leaderlessSince = now
 	}
-	c.lastHandle, c.disconnectedAt, c.usage.incompleteAt = transferred.Handles, now, transferred.Lossy
+	c.lastHandle, c.disconnectedAt, c.usage.incompleteAt = transferred.LastHandle, now, transferred.LossyAt
 	if !same {
 		c.usage.incompleteAt = now
 	}
-	for _, report := range transferred.Tales {
-		c.usage.record(report.Customer, windowUsage{report.Plan, report.Epoch, report.Seq, report.Debt, report.At})
+	for _, report := range transferred.UsageReports {
+		c.usage.record(report.Account, windowUsage{report.Plan, report.Epoch, report.Sequence, report.Debt, report.ReportedAt})
 	}
-	for _, id := range slices.Sorted(maps.Keys(transferred.Words)) {
-		if _, changed := c.cordons.Merge(id, withhold.State(transferred.Words[id])); changed {
-			c.out.SetCordoned(id, transferred.Words[id].Held)
+	for _, id := range slices.Sorted(maps.Keys(transferred.Cordons)) {
+		if _, changed := c.cordons.Merge(id, withhold.State(transferred.Cordons[id])); changed {
+			c.out.SetCordoned(id, transferred.Cordons[id].Held)
 		}
 	}
-	for _, saved := range transferred.Open {
+	for _, saved := range transferred.Requests {
 		c.restoreRequest(saved)
 	}
 	return same
 }
 
 // restoreRequest takes one request over. What is out goes on; what has nothing out waits for a leader.
-func (c *Core) restoreRequest(saved kept.Open) {
+func (c *Core) restoreRequest(saved kept.OpenRequest) {
 	class, knownClass := c.classIndex[saved.Class]
 	plan, knownPlan := c.planIndex[saved.Plan]
-	if !knownClass || !knownPlan || len(saved.Sent) != len(saved.Done) || c.requests[saved.ID] != nil || len(c.requests) >= maxOpenRequests {
+	if !knownClass || !knownPlan || len(saved.SentAt) != len(saved.AttemptDone) || c.requests[saved.ID] != nil || len(c.requests) >= maxOpenRequests {
 		c.out.Fail(saved.ID)
 		return
 	}
-	request := &openRequest{Request: saved.Request, class: class, plan: plan, cellID: c.cfg.CellOf(saved.Account), receivedAt: saved.Came, waitingSince: c.now,
-		sentAt: saved.Sent, attemptDone: saved.Done, unitsCounted: saved.Counted, mayHaveRun: saved.Ran, firstRunAt: saved.RanAt, completed: saved.Over}
-	for _, done := range saved.Done {
+	request := &openRequest{Request: saved.Request, class: class, plan: plan, cellID: c.cfg.CellOf(saved.Account), receivedAt: saved.ReceivedAt, waitingSince: c.now,
+		sentAt: saved.SentAt, attemptDone: saved.AttemptDone, unitsCounted: saved.UnitsCounted, mayHaveRun: saved.MayHaveRun, firstRunAt: saved.FirstRunAt, completed: saved.Completed}
+	for _, done := range saved.AttemptDone {
 		request.inFlight += b2i(!done)
 	}
 	c.requests[request.ID] = request
@@ -113,13 +113,13 @@
 		return
 	}
 	switch order.Kind {
-	case kept.Send:
+	case kept.OrderSend:
 		if !request.completed {
 			request.sentAt, request.attemptDone, request.unitsCounted = append(request.sentAt, now), append(request.attemptDone, false), true
 			request.inFlight++
 			c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + 1}
 		}
-	case kept.Refuse, kept.Fail:
+	case kept.OrderReject, kept.OrderFail:
 		request.completed = true
 		c.releaseIfDone(request)
 	}
--- a/internal/forward/move_test.go
+++ b/internal/forward/move_test.go
@@ -12,7 +12,7 @@
 )
 
 // encodeAndDecode is what a forwarder knows after its way to another process.
-func encodeAndDecode(t *testing.T, transferred kept.Moved) kept.Moved {
+func encodeAndDecode(t *testing.T, transferred kept.ForwarderState) kept.ForwarderState {
 	t.Helper()
 	var parts []kept.Part
 	for _, p := range transferred.Split() {
@@ -91,7 +91,7 @@
 	predecessor.receive(0, link.Message{Kind: link.KindSend, Cell: predecessor.cellID(), Epoch: 5, Handle: predecessor.core.lastHandle, Name: "z2", DurationS: 1, Round: 3, Units: 2})
 	predecessor.now += 3.2
 	transferred := encodeAndDecode(t, predecessor.core.Migrate(predecessor.now))
-	if len(transferred.Open) != 3 {
+	if len(transferred.Requests) != 3 {
 		t.Fatalf("%+v", transferred)
 	}
 	const shift = 50.0 // of the clocks
@@ -145,8 +145,8 @@
 	predecessor.core.Migrate(predecessor.now)
 	predecessor.calls = nil
 	predecessor.core.HandleRequest(predecessor.now, policy.Request{ID: "late", Class: "look", Plan: "basic", Account: testAccount, DeadlineAt: predecessor.now + 4, Units: 2})
-	predecessor.core.RecordOrder(predecessor.now, kept.Order{Kind: kept.Send, ID: "sent", Server: "z1"})
-	predecessor.core.RecordOrder(predecessor.now, kept.Order{Kind: kept.Send, ID: "done", Server: "z1"})
+	predecessor.core.RecordOrder(predecessor.now, kept.Order{Kind: kept.OrderSend, ID: "sent", Backend: "z1"})
+	predecessor.core.RecordOrder(predecessor.now, kept.Order{Kind: kept.OrderSend, ID: "done", Backend: "z1"})
 	predecessor.attemptEnds("done", 0, policy.OK)
 	predecessor.expect()
 	predecessor.core.Reclaim(predecessor.now)
@@ -190,10 +190,10 @@
 
 // Guards the parts against a message's bound, and against each other's order.
 func TestTransferredState_PartSize(t *testing.T) {
-	transferred := kept.Moved{Life: 1 << 63, Handles: 1<<64 - 1, Words: map[string]kept.Word{}}
+	transferred := kept.ForwarderState{Incarnation: 1 << 63, LastHandle: 1<<64 - 1, Cordons: map[string]kept.Cordon{}}
 	for i := range 5000 {
-		transferred.Tales = append(transferred.Tales, kept.Tale{Customer: testAccount, Plan: 1, Epoch: 1<<63 + uint64(i), Seq: uint32(i), Debt: 1.5, At: 1e9})
-		transferred.Open = append(transferred.Open, kept.Open{Request: policy.Request{ID: string(make([]byte, 100)), Account: testAccount}, Sent: []float64{1, 2}, Done: []bool{true, false}})
+		transferred.UsageReports = append(transferred.UsageReports, kept.UsageReport{Account: testAccount, Plan: 1, Epoch: 1<<63 + uint64(i), Sequence: uint32(i), Debt: 1.5, ReportedAt: 1e9})
+		transferred.Requests = append(transferred.Requests, kept.OpenRequest{Request: policy.Request{ID: string(make([]byte, 100)), Account: testAccount}, SentAt: []float64{1, 2}, AttemptDone: []bool{true, false}})
 	}
 	for _, p := range transferred.Split() {
 		if b, err := json.Marshal(p); err != nil || len(b) > 128<<10 {
@@ -201,7 +201,7 @@
 		}
 	}
 	got := encodeAndDecode(t, transferred)
-	if len(got.Tales) != 5000 || got.Tales[4999] != transferred.Tales[4999] || len(got.Open) != 5000 || got.Life != transferred.Life || got.Handles != transferred.Handles {
+	if len(got.UsageReports) != 5000 || got.UsageReports[4999] != transferred.UsageReports[4999] || len(got.Requests) != 5000 || got.Incarnation != transferred.Incarnation || got.LastHandle != transferred.LastHandle {
 		t.Error("something is lost")
 	}
 }
--- a/internal/forward/remote.go
+++ b/internal/forward/remote.go
@@ -93,7 +93,7 @@
 func (g *RemoteGateway) Migrate(now float64) []kept.Part {
 	g.handedOver = true
 	transferred := g.core.Migrate(now)
-	transferred.Life = g.incarnation
+	transferred.Incarnation = g.incarnation
 	if g.closeLinks != nil {
 		g.closeLinks()
 		g.closeLinks = nil
@@ -114,7 +114,7 @@
 		return errors.New("what the process before knew is not a forwarder's")
 	}
 	transferred.Shift(shift)
-	g.incarnation = transferred.Life
+	g.incarnation = transferred.Incarnation
 	if !g.core.Resume(now, transferred) {
 		g.LogFault("the process before was of another number of cells: nothing is promised for a lease")
 	}
@@ -276,7 +276,7 @@
 	result := make(chan Status, 1)
 	g.Post(func(now float64) {
 		status := Status{Kind: "forwarder", Number: g.cfg.Number, Stats: g.core.Stats, BytesIn: g.closedBytesIn, BytesOut: g.closedBytesOut, EndpointListAge: g.EndpointListAge()}
-		status.EndpointListStale = status.EndpointListAge.Old()
+		status.EndpointListStale = status.EndpointListAge.Stale()
 		for _, c := range g.links {
 			status.Links = append(status.Links, c != nil)
 			if c != nil {
--- a/internal/held/held.go
+++ b/internal/held/held.go
@@ -39,13 +39,13 @@
 
 // Table joins discovery's list with what operators hold. One goroutine owns it.
 type Table struct {
-	listed  map[string]roster.Target // as discovery told them last, those alone that have not gone
-	cordons Cordons                  // Most at the most
+	listed  map[string]roster.Endpoint // as discovery told them last, those alone that have not gone
+	cordons Cordons                    // Most at the most
 	version int64
 }
 
 // New returns a table in which nothing is listed or held.
-func New() *Table { return &Table{listed: map[string]roster.Target{}, cordons: Cordons{}} }
+func New() *Table { return &Table{listed: map[string]roster.Endpoint{}, cordons: Cordons{}} }
 
 // ApplyList takes in a list of discovery, or a change of it, and returns it as it stands with the holds.
 func (t *Table) ApplyList(list roster.List) roster.List {
@@ -54,14 +54,14 @@
 		clear(t.listed)
 	}
 	out := list
-	out.Servers = make([]roster.Target, 0, len(list.Servers))
-	for _, entry := range list.Servers {
+	out.Endpoints = make([]roster.Endpoint, 0, len(list.Endpoints))
+	for _, entry := range list.Endpoints {
 		if entry.State == stateTerminated {
 			delete(t.listed, entry.ID)
 		} else {
 			t.listed[entry.ID] = entry
 		}
-		out.Servers = append(out.Servers, t.withCordon(entry))
+		out.Endpoints = append(out.Endpoints, t.withCordon(entry))
 	}
 	for id, cordon := range t.cordons { // what was called back and has gone, or has told its start, needs no memory
 		entry, listed := t.listed[id]
@@ -74,7 +74,7 @@
 
 // withCordon is an entry as it stands with its hold. One that was called back may have been restarted faster than discovery
 // tells: until a start after the hold is told, it counts as started at the call back.
-func (t *Table) withCordon(entry roster.Target) roster.Target {
+func (t *Table) withCordon(entry roster.Endpoint) roster.Endpoint {
 	cordon, cordoned := t.cordons[entry.ID]
 	switch {
 	case !cordoned || entry.State == stateTerminated:
@@ -152,7 +152,7 @@
 func (t *Table) Listed() roster.List {
 	list := roster.List{Version: t.version, Full: true}
 	for _, entry := range t.listed {
-		list.Servers = append(list.Servers, entry)
+		list.Endpoints = append(list.Endpoints, entry)
 	}
 	return list
 }
@@ -171,7 +171,7 @@
 	list := roster.List{Version: t.version}
 	for _, id := range ids {
 		if entry, listed := t.listed[id]; listed {
-			list.Servers = append(list.Servers, t.withCordon(entry))
+			list.Endpoints = append(list.Endpoints, t.withCordon(entry))
 		}
 	}
 	return list
--- a/internal/held/held_test.go
+++ b/internal/held/held_test.go
@@ -9,20 +9,20 @@
 	"eiderspread/internal/roster"
 )
 
-func target(id, state string, startedMS int64) roster.Target {
-	return roster.Target{ID: id, Addr: "127.0.0.1:1", State: state, StartedMS: startedMS}
+func target(id, state string, startedMS int64) roster.Endpoint {
+	return roster.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state, StartedMS: startedMS}
 }
 
-func fullList(list ...roster.Target) roster.List    { return roster.List{Full: true, Servers: list} }
-func partialList(list ...roster.Target) roster.List { return roster.List{Servers: list} }
+func fullList(list ...roster.Endpoint) roster.List    { return roster.List{Full: true, Endpoints: list} }
+func partialList(list ...roster.Endpoint) roster.List { return roster.List{Endpoints: list} }
 
 // onlyEntry returns the one entry of a list.
-func onlyEntry(t *testing.T, list roster.List) roster.Target {
+func onlyEntry(t *testing.T, list roster.List) roster.Endpoint {
 	t.Helper()
-	if len(list.Servers) != 1 {
-		t.Fatalf("%d entries, want 1: %+v", len(list.Servers), list.Servers)
+	if len(list.Endpoints) != 1 {
+		t.Fatalf("%d entries, want 1: %+v", len(list.Endpoints), list.Endpoints)
 	}
-	return list.Servers[0]
+	return list.Endpoints[0]
 }
 
 // Guards the drain rule for nodes taken out by hand: discovery must not put one back, whatever it says meanwhile.
@@ -47,7 +47,7 @@
 			t.Fatalf("after %+v: %s, want %s", step.told, entry.State, step.want)
 		}
 	}
-	if list, err := tab.Cordon(1500, "a"); err != nil || len(list.Servers) != 0 {
+	if list, err := tab.Cordon(1500, "a"); err != nil || len(list.Endpoints) != 0 {
 		t.Fatal("a second hold changes something", list, err)
 	}
 	if list, err = tab.Uncordon(3000, "a"); err != nil || onlyEntry(t, list) != target("a", stateInService, 2000) {
@@ -87,7 +87,7 @@
 	if _, err := tab.Uncordon(1, "x"); !errors.Is(err, ErrUnknownBackend) {
 		t.Fatal(err)
 	}
-	if list, err := tab.Uncordon(1, "a"); err != nil || len(list.Servers) != 0 {
+	if list, err := tab.Uncordon(1, "a"); err != nil || len(list.Endpoints) != 0 {
 		t.Fatal("a node in use can be called back", list, err)
 	}
 	tab.Cordon(1, "a")
@@ -125,7 +125,7 @@
 			if list.Full {
 				clear(shown)
 			}
-			for _, entry := range list.Servers {
+			for _, entry := range list.Endpoints {
 				shown[entry.ID] = entry.State
 			}
 		}
--- a/internal/ingress/backends.go
+++ b/internal/ingress/backends.go
@@ -35,7 +35,7 @@
 // Send implements policy.Actions.
 func (in *Ingress) Send(id, server string, timeoutS float64) {
 	r := in.requests[id]
-	if r == nil && in.orderPredecessor(kept.Order{Kind: kept.Send, ID: id, Server: server, Wait: timeoutS}) {
+	if r == nil && in.orderPredecessor(kept.Order{Kind: kept.OrderSend, ID: id, Backend: server, DelayS: timeoutS}) {
 		return
 	}
 	if r == nil {
@@ -68,7 +68,7 @@
 // Cancel implements policy.Actions.
 func (in *Ingress) Cancel(id string, number int) {
 	if in.requests[id] == nil {
-		in.orderPredecessor(kept.Order{Kind: kept.Cancel, ID: id, Number: number})
+		in.orderPredecessor(kept.Order{Kind: kept.OrderCancel, ID: id, Attempt: number})
 	}
 	if r := in.requests[id]; r != nil && number >= 0 && number < len(r.attempts) && !r.attempts[number].done &&
 		r.attempts[number].firstByteAt == 0 {
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -121,7 +121,7 @@
 		return c, fmt.Errorf("settings: limits.dialTimeoutS and limits.connIdleS must be above 0")
 	}
 	c.InitialEndpoints.Full = true
-	if err := c.InitialEndpoints.Check(); err != nil {
+	if err := c.InitialEndpoints.Validate(); err != nil {
 		return c, fmt.Errorf("known: %w", err)
 	}
 	if !c.Settings.PeerMessages {
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -9,7 +9,7 @@
 
 type (
 	targets = roster.List
-	target  = roster.Target
+	target  = roster.Endpoint
 )
 
 // applyDiscoveryList applies a list that was told at a time to the pools and tells the module.
@@ -24,11 +24,11 @@
 func (in *Ingress) applyList(t targets) { in.applyListAt(t, in.now) }
 
 func (in *Ingress) applyListAt(t targets, notifiedAt float64) {
-	if len(t.Servers) == 0 && !t.Full {
+	if len(t.Endpoints) == 0 && !t.Full {
 		return
 	}
 	in.backends.applyList(in, t, notifiedAt)
-	in.decider.UpdateBackends(in.now, t.Policy(), t.Full)
+	in.decider.UpdateBackends(in.now, t.Backends(), t.Full)
 }
 
 // watchDiscovery follows discovery for as long as ctx lasts, from each configuration that was read again on at
@@ -59,7 +59,7 @@
 
 // newWatcher makes the watcher of discovery; watchDiscovery's goroutine owns it but for its age.
 func (in *Ingress) newWatcher() *roster.Watcher {
-	return roster.New(in.cfg.Discovery, in.cfg.InitialEndpoints.Version,
+	return roster.NewWatcher(in.cfg.Discovery, in.cfg.InitialEndpoints.Version,
 		func(t targets) {
 			at := in.clock.Now()
 			in.post(at, func() { in.applyDiscoveryList(t, at) })
@@ -76,10 +76,10 @@
 // logListAge says so in the log, once each way, when the list of backends is too old to be trusted. The ingress goes on with it.
 func (in *Ingress) logListAge(age roster.Age) {
 	switch {
-	case age.Old() && !in.endpointListStale:
+	case age.Stale() && !in.endpointListStale:
 		in.endpointListStale = true
-		in.log.Error("the list of backends is old", "heard_s", age.HeardS, "told_s", age.ToldS)
-	case !age.Old() && in.endpointListStale:
+		in.log.Error("the list of backends is old", "heard_s", age.SinceUpdateS, "told_s", age.ReportedAgeS)
+	case !age.Stale() && in.endpointListStale:
 		in.endpointListStale = false
 		in.log.Info("the list of backends is fresh again")
 	}
--- a/internal/ingress/door_test.go
+++ b/internal/ingress/door_test.go
@@ -265,7 +265,7 @@
 func completeHandover(t *testing.T, link *takeover.Link) {
 	t.Helper()
 	link.Send(takeover.Ready, nil, testTimeout)
-	if _, err := link.Expect(takeover.Go, 0, testTimeout); err != nil {
+	if _, err := link.Expect(takeover.Proceed, 0, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -281,7 +281,7 @@
 			idle.line()
 			open.send(lookCommand("open")...)
 			receive(t, r.decider.requests)
-			path, _ := takeover.Path(os.TempDir(), r.ingress.cfg.Name)
+			path, _ := takeover.SocketPath(os.TempDir(), r.ingress.cfg.Name)
 			link := dialAsSuccessor(t, path)
 			completeHandover(t, link)
 			r.terminate()
@@ -352,7 +352,7 @@
 	idle.line()
 	text := command(lookCommand("half")...)
 	io.WriteString(half, text[:30])
-	path, err := takeover.Path(os.TempDir(), r.ingress.cfg.Name)
+	path, err := takeover.SocketPath(os.TempDir(), r.ingress.cfg.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ingress/fleetholds.go
+++ b/internal/ingress/fleetholds.go
@@ -9,7 +9,7 @@
 // to the next.
 func (in *Ingress) Cordon(id string, on bool) {
 	if in.predecessorRequests != nil && in.predecessor != nil { // the old process writes to nodes still
-		in.queueOrder(kept.Order{Kind: kept.Hold, ID: id, Held: on})
+		in.queueOrder(kept.Order{Kind: kept.OrderCordon, ID: id, Cordoned: on})
 	}
 	holds, ms := in.cordons.Cordons(), int64(in.now*1000)
 	switch h, some := holds[id]; {
--- a/internal/ingress/guard.go
+++ b/internal/ingress/guard.go
@@ -50,14 +50,14 @@
 		return a.expiresAt, policy.SendAfterDeadline
 	}
 	r := a.request
-	what := policy.Attempt{Class: r.class, Backend: a.backend.Policy(a.backend.state), DecidedAt: a.sentAt, TimeoutAt: a.expiresAt,
+	what := policy.Attempt{Class: r.class, Backend: a.backend.Backend(a.backend.state), DecidedAt: a.sentAt, TimeoutAt: a.expiresAt,
 		HedgingAllowed: in.cfg.Settings.HedgingAllowed, MaxAttempts: max(in.maxAttempts, r.maxAttempts), SlowStartS: in.cfg.Settings.SlowStartS}
 	var space [8]policy.PriorAttempt
 	what.Prior = space[:0]
 	for _, e := range r.attempts[:a.number] {
 		earlier := policy.PriorAttempt{WrittenAt: e.writeStartedAt, InFlight: !e.reported, MayHaveRun: e.mayHaveRun()}
 		if e.backend != nil {
-			earlier.Backend = e.backend.Policy(e.backend.state)
+			earlier.Backend = e.backend.Backend(e.backend.state)
 		}
 		what.Prior = append(what.Prior, earlier)
 	}
--- a/internal/ingress/guard_test.go
+++ b/internal/ingress/guard_test.go
@@ -133,7 +133,7 @@
 	}
 	r.client().send(lookCommand("b")...)
 	receive(t, conns).command()
-	drained := targets{Servers: []target{{ID: "s0", Addr: addr, State: "terminating"}}}
+	drained := targets{Endpoints: []target{{ID: "s0", Addr: addr, State: "terminating"}}}
 	r.onLoop(func() { r.ingress.applyDiscoveryList(drained, r.ingress.now-1) })
 	if _, violated := r.guardCountsOf(policy.SendToDraining); violated != 1 {
 		t.Error("a send to a backend that drained is not counted")
--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -91,7 +91,7 @@
 
 // connectPredecessor asks the process that this one replaces for its sockets; nil if there is none.
 func connectPredecessor(cfg Config) (*predecessorState, error) {
-	path, err := takeover.Path(os.TempDir(), cfg.Name)
+	path, err := takeover.SocketPath(os.TempDir(), cfg.Name)
 	if err != nil {
 		return nil, nil // said where it is listened at
 	}
@@ -140,8 +140,8 @@
 	h := in.predecessor
 	err := h.link.Send(takeover.Ready, nil, linkTimeout)
 	var m takeover.Message
-	for err == nil && m.Kind != takeover.Go {
-		if m, err = h.link.Receive(linkTimeout); err == nil && m.Kind == takeover.Kept {
+	for err == nil && m.Kind != takeover.Proceed {
+		if m, err = h.link.Receive(linkTimeout); err == nil && m.Kind == takeover.Snapshot {
 			var part kept.Part
 			if err = json.Unmarshal(m.Body, &part); err == nil && len(h.snapshot) == maxSnapshotParts {
 				err = fmt.Errorf("more than %d parts of what its module knows", maxSnapshotParts)
@@ -158,7 +158,7 @@
 		err = json.Unmarshal(m.Body, &message)
 	}
 	if err == nil && message.Endpoints != nil {
-		if err = message.Endpoints.Check(); err == nil {
+		if err = message.Endpoints.Validate(); err == nil {
 			message.Endpoints.Version = -1 // another agent may have told it: the whole list is asked for
 			in.cfg.InitialEndpoints = *message.Endpoints
 			in.watcher = in.newWatcher()
@@ -210,8 +210,8 @@
 			in.receiveEvent(h, m.Body)
 			continue
 		}
-		if m.Kind == takeover.Client && len(m.Files) != 1 || m.Kind == takeover.Value && len(m.Files) != 2 ||
-			m.Kind != takeover.Client && m.Kind != takeover.Value {
+		if m.Kind == takeover.Client && len(m.Files) != 1 || m.Kind == takeover.LargeValue && len(m.Files) != 2 ||
+			m.Kind != takeover.Client && m.Kind != takeover.LargeValue {
 			m.Close()
 			continue
 		}
@@ -257,7 +257,7 @@
 	}
 	switch {
 	case len(conns) < len(m.Files):
-	case m.Kind == takeover.Value:
+	case m.Kind == takeover.LargeValue:
 		err = in.resumeLargeValue(conns[0], conns[1], m.Body)
 	default:
 		err = in.resumeClient(conns[0], m.Body)
@@ -302,7 +302,7 @@
 
 // listenForSuccessor listens for a new process from now on.
 func (in *Ingress) listenForSuccessor() {
-	path, err := takeover.Path(os.TempDir(), in.cfg.Name)
+	path, err := takeover.SocketPath(os.TempDir(), in.cfg.Name)
 	if err == nil {
 		in.successor.listener, err = takeover.Listen(path)
 	}
@@ -379,7 +379,7 @@
 	list := in.cordons.Listed()
 	message := goMessage{in.clients.open(), in.clock.BootTime(), &list}
 	text, err := json.Marshal(message)
-	if err == nil && len(text) > takeover.MaxBody {
+	if err == nil && len(text) > takeover.MaxBodyBytes {
 		message.Endpoints = nil // the new one goes by its own, and by discovery
 		text, err = json.Marshal(message)
 	}
@@ -413,7 +413,7 @@
 
 // transferClient gives a parked connection on which nothing is open to the new process; false if that can't be.
 func (in *Ingress) transferClient(c *clientConn) bool {
-	if in.successor.stage != handoverActive || c.closing || c.transferring || len(c.input.data) > takeover.MaxBody {
+	if in.successor.stage != handoverActive || c.closing || c.transferring || len(c.input.data) > takeover.MaxBodyBytes {
 		return false
 	}
 	c.transferring = true
@@ -427,19 +427,19 @@
 		if i > 0 {
 			part.Classes = nil
 		}
-		if i > 0 || len(part.Servers) > maxSnapshotBackends {
-			part.Servers = nil
+		if i > 0 || len(part.Backends) > maxSnapshotBackends {
+			part.Backends = nil
 		}
 		text, err := json.Marshal(part)
 		if err == nil {
-			err = link.Send(takeover.Kept, text, linkTimeout)
+			err = link.Send(takeover.Snapshot, text, linkTimeout)
 		}
 		if err != nil {
 			link.Close()
 			return
 		}
 	}
-	if err := link.Send(takeover.Go, goBody, linkTimeout); err != nil {
+	if err := link.Send(takeover.Proceed, goBody, linkTimeout); err != nil {
 		link.Close()
 		return
 	}
@@ -455,7 +455,7 @@
 		case p := <-queue:
 			kind, conns := takeover.Client, []syscall.Conn{p.client.conn}
 			if p.value != nil {
-				kind, conns = takeover.Value, append(conns, p.value.stream.backendConn.conn)
+				kind, conns = takeover.LargeValue, append(conns, p.value.stream.backendConn.conn)
 			}
 			if err := link.Send(kind, p.body, linkTimeout, conns...); err != nil {
 				link.Close() // its reader tells the loop, which goes on with what was not passed
@@ -485,7 +485,7 @@
 	if _, moved := in.decider.(*eventRelay); moved {
 		in.reclaimDecider()
 	} else {
-		in.restoreSnapshot(kept.Back(s.snapshot))
+		in.restoreSnapshot(kept.Reclaimed(s.snapshot))
 	}
 	in.successor = successorState{listener: s.listener, pauseAccept: make(chan struct{})}
 	in.resumeMigratingValues()
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -105,7 +105,7 @@
 				{Name: "bill", LatencyObjectiveS: 1, DeadlineS: 2, Idempotency: policy.NonIdempotent}},
 			Plans: []policy.Plan{{Name: "basic", Rate: 5, Burst: 10, Weight: 1}}}}}
 	for i, addr := range backends {
-		c.InitialEndpoints.Servers = append(c.InitialEndpoints.Servers, target{ID: fmt.Sprint("s", i), Addr: addr, State: "in_service"})
+		c.InitialEndpoints.Endpoints = append(c.InitialEndpoints.Endpoints, target{ID: fmt.Sprint("s", i), Addr: addr, State: "in_service"})
 	}
 	c.InitialEndpoints.Full = true
 	return c
@@ -425,7 +425,7 @@
 	addr, conns := listenBackend(t)
 	for name, change := range map[string]func(*testIngress){
 		"draining": func(r *testIngress) {
-			r.ingress.applyDiscoveryList(targets{Servers: []target{{ID: "s0", Addr: addr, State: "terminating"}}}, r.ingress.now)
+			r.ingress.applyDiscoveryList(targets{Endpoints: []target{{ID: "s0", Addr: addr, State: "terminating"}}}, r.ingress.now)
 		},
 		"gone": func(r *testIngress) { r.ingress.applyDiscoveryList(targets{Full: true}, r.ingress.now) },
 		"over": func(r *testIngress) { r.ingress.Reject("a", 0) },
@@ -753,7 +753,7 @@
 			})
 			cfg := testConfig()
 			cfg.Discovery = a.addr()
-			cfg.InitialEndpoints = targets{Version: 4, Full: true, Servers: []target{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
+			cfg.InitialEndpoints = targets{Version: 4, Full: true, Endpoints: []target{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
 			r := startIngress(t, cfg, nil)
 			for _, want := range []string{"[old 0]", "[x 0 y 0]", "[x 1]", "[z 0]"} {
 				if got := fmt.Sprint(r.ids()); got != want {
@@ -792,7 +792,7 @@
 		t.Fatalf("the first address told %s", got)
 	}
 	cfg.Discovery = to.addr()
-	cfg.InitialEndpoints = targets{Version: 1, Full: true, Servers: []target{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
+	cfg.InitialEndpoints = targets{Version: 1, Full: true, Endpoints: []target{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
 	r.reread <- cfg
 	for _, want := range []string{"[y 0]", "[v 0]"} {
 		if got := fmt.Sprint(r.ids()); got != want {
--- a/internal/ingress/pool.go
+++ b/internal/ingress/pool.go
@@ -97,7 +97,7 @@
 // nothing new is given back to the module at once.
 func (s *backendPool) applyList(in *Ingress, t targets, notifiedAt float64) {
 	listed := map[string]bool{}
-	for _, e := range t.Servers {
+	for _, e := range t.Endpoints {
 		listed[e.ID] = true
 		be := s.byID[e.ID]
 		if be == nil {
@@ -105,7 +105,7 @@
 			s.byID[e.ID] = be
 		}
 		moved := be.Addr != e.Addr || be.StartedMS != e.StartedMS
-		be.target, be.state = e, roster.States[e.State]
+		be.target, be.state = e, roster.StateByName[e.State]
 		if be.state != policy.Up && be.drainNotifiedAt == 0 {
 			be.drainNotifiedAt = notifiedAt
 			in.checkBackendDrain(be, notifiedAt)
--- a/internal/ingress/pool_test.go
+++ b/internal/ingress/pool_test.go
@@ -103,7 +103,7 @@
 			r.onLoop(func() {
 				e := r.ingress.backends.byID["s0"].target
 				change(&e)
-				r.ingress.applyDiscoveryList(targets{Servers: []target{e}}, r.ingress.now)
+				r.ingress.applyDiscoveryList(targets{Endpoints: []target{e}}, r.ingress.now)
 			})
 			io.WriteString(b, value)
 			c.served("the answer that was out")
--- a/internal/ingress/relay.go
+++ b/internal/ingress/relay.go
@@ -96,7 +96,7 @@
 // HandleDisconnect implements Gateway.
 func (r *eventRelay) HandleDisconnect(now float64, id string) {
 	r.MigratingDecider.HandleDisconnect(now, id)
-	r.forwardEvent(kept.Event{Gone: id})
+	r.forwardEvent(kept.Event{Disconnected: id})
 }
 
 // receiveOrder takes an order off the link.
@@ -117,20 +117,20 @@
 // executeOrder does what the new process's gateway wants done to a request of this one.
 func (in *Ingress) executeOrder(r *eventRelay, o kept.Order) {
 	switch o.Kind {
-	case kept.Send:
+	case kept.OrderSend:
 		if in.requests[o.ID] == nil && in.predecessorRequests[o.ID] == nil { // it has ended while the order was on its way
-			r.forwardEvent(kept.Event{Outcome: &policy.Outcome{ID: o.ID, Backend: o.Server, Attempt: o.Number, Status: policy.NotSent, Completed: true}})
+			r.forwardEvent(kept.Event{Outcome: &policy.Outcome{ID: o.ID, Backend: o.Backend, Attempt: o.Attempt, Status: policy.NotSent, Completed: true}})
 			return
 		}
-		in.Send(o.ID, o.Server, o.Wait)
-	case kept.Refuse:
-		in.Reject(o.ID, o.Wait)
-	case kept.Fail:
+		in.Send(o.ID, o.Backend, o.DelayS)
+	case kept.OrderReject:
+		in.Reject(o.ID, o.DelayS)
+	case kept.OrderFail:
 		in.Fail(o.ID)
-	case kept.Cancel:
-		in.Cancel(o.ID, o.Number)
-	case kept.Hold:
-		in.Cordon(o.ID, o.Held)
+	case kept.OrderCancel:
+		in.Cancel(o.ID, o.Attempt)
+	case kept.OrderCordon:
+		in.Cordon(o.ID, o.Cordoned)
 	}
 }
 
@@ -165,9 +165,9 @@
 	go in.sendOrders(h.link, h.orders)
 	in.predecessorRequests = map[string]*predecessorRequest{}
 	for _, p := range parts {
-		if p.Moved != nil {
-			for _, o := range p.Moved.Open {
-				in.predecessorRequests[o.ID] = &predecessorRequest{attemptsDone: slices.Clone(o.Done), completed: o.Over}
+		if p.Forwarder != nil {
+			for _, o := range p.Forwarder.Requests {
+				in.predecessorRequests[o.ID] = &predecessorRequest{attemptsDone: slices.Clone(o.AttemptDone), completed: o.Completed}
 			}
 		}
 	}
@@ -206,10 +206,10 @@
 		return false
 	}
 	switch o.Kind {
-	case kept.Send:
-		o.Number = len(e.attemptsDone)
+	case kept.OrderSend:
+		o.Attempt = len(e.attemptsDone)
 		e.attemptsDone = append(e.attemptsDone, false)
-	case kept.Refuse, kept.Fail:
+	case kept.OrderReject, kept.OrderFail:
 		e.completed = true
 	}
 	in.queueOrder(o)
@@ -271,11 +271,11 @@
 			in.decider.HandleOutcome(now, o)
 			in.forgetPredecessorRequest(o.ID, x)
 		}
-	case e.Gone != "":
-		if x := in.predecessorRequests[e.Gone]; x != nil {
+	case e.Disconnected != "":
+		if x := in.predecessorRequests[e.Disconnected]; x != nil {
 			x.completed = true
-			in.decider.HandleDisconnect(now, e.Gone)
-			in.forgetPredecessorRequest(e.Gone, x)
+			in.decider.HandleDisconnect(now, e.Disconnected)
+			in.forgetPredecessorRequest(e.Disconnected, x)
 		}
 	}
 }
--- a/internal/ingress/relay_test.go
+++ b/internal/ingress/relay_test.go
@@ -23,9 +23,9 @@
 	reclaimed chan struct{}
 }
 
-func newFakeMigratingDecider(r *testIngress, open ...kept.Open) *fakeMigratingDecider {
+func newFakeMigratingDecider(r *testIngress, open ...kept.OpenRequest) *fakeMigratingDecider {
 	m := &fakeMigratingDecider{fakeDecider: r.decider, resumed: make(chan []kept.Part, 1), ordered: make(chan kept.Order, 64), reclaimed: make(chan struct{}, 1)}
-	m.migrated = kept.Moved{Life: 7, Open: open}.Split()
+	m.migrated = kept.ForwarderState{Incarnation: 7, Requests: open}.Split()
 	r.otherDecider = m
 	return m
 }
@@ -45,8 +45,8 @@
 	return cfg
 }
 
-func openRequest(id string) kept.Open {
-	return kept.Open{Request: policy.Request{ID: id, Class: "look"}}
+func openRequest(id string) kept.OpenRequest {
+	return kept.OpenRequest{Request: policy.Request{ID: id, Class: "look"}}
 }
 
 const answer = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
@@ -67,13 +67,13 @@
 		receive(t, was.requests)
 	}
 	young := startIngress(t, cfg, func(r *testIngress) { is = newFakeMigratingDecider(r) })
-	if m, ok := kept.Join(receive(t, is.resumed)); !ok || len(m.Open) != 4 || m.Life != 7 {
+	if m, ok := kept.Join(receive(t, is.resumed)); !ok || len(m.Requests) != 4 || m.Incarnation != 7 {
 		t.Fatalf("%+v", m)
 	}
 	young.onLoop(func() { young.ingress.Send("served", "s0", 0) })
 	b := receive(t, conns)
 	b.command()
-	if o := receive(t, was.ordered); o.Kind != kept.Send || o.ID != "served" {
+	if o := receive(t, was.ordered); o.Kind != kept.OrderSend || o.ID != "served" {
 		t.Errorf("%+v was not written down", o)
 	}
 	io.WriteString(b, answer)
@@ -136,7 +136,7 @@
 	w := r.client()
 	w.send(lookCommand("open")...)
 	receive(t, m.requests)
-	path, err := takeover.Path(os.TempDir(), cfg.Name)
+	path, err := takeover.SocketPath(os.TempDir(), cfg.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,10 +146,10 @@
 	}
 	link := dialAsSuccessor(t, path)
 	link.Send(takeover.Ready, nil, testTimeout)
-	if _, err := link.Expect(takeover.Kept, 0, testTimeout); err != nil {
+	if _, err := link.Expect(takeover.Snapshot, 0, testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := link.Expect(takeover.Go, 0, testTimeout); err != nil {
+	if _, err := link.Expect(takeover.Proceed, 0, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if err := other.Take(); err != nil { // the new process runs on, though its link breaks
--- a/internal/ingress/requests.go
+++ b/internal/ingress/requests.go
@@ -113,7 +113,7 @@
 	if r := in.requests[id]; r != nil {
 		in.answerRequest(r, in.busyReply(retryInS))
 	} else {
-		in.orderPredecessor(kept.Order{Kind: kept.Refuse, ID: id, Wait: retryInS})
+		in.orderPredecessor(kept.Order{Kind: kept.OrderReject, ID: id, DelayS: retryInS})
 	}
 }
 
@@ -129,7 +129,7 @@
 	if r := in.requests[id]; r != nil {
 		in.failRequest(r)
 	} else {
-		in.orderPredecessor(kept.Order{Kind: kept.Fail, ID: id})
+		in.orderPredecessor(kept.Order{Kind: kept.OrderFail, ID: id})
 	}
 }
 
--- a/internal/ingress/status.go
+++ b/internal/ingress/status.go
@@ -79,7 +79,7 @@
 		if g, ok := in.decider.(interface{ Overload() *overload.Shedder }); ok {
 			load = g.Overload().Status(in.now)
 		}
-		got <- Status{Overload: load, Kind: "ingress", Name: in.cfg.Name, EndpointList: age, EndpointListStale: age.Old(), Backends: len(in.backends.byID), Clients: in.clients.open(),
+		got <- Status{Overload: load, Kind: "ingress", Name: in.cfg.Name, EndpointList: age, EndpointListStale: age.Stale(), Backends: len(in.backends.byID), Clients: in.clients.open(),
 			Requests: len(in.requests), ClosingClients: in.closingClients, Draining: in.drain.Active(), Counters: in.counters.status(), Guard: in.guardCounts.status()}
 	})
 	select {
--- a/internal/ingress/status_test.go
+++ b/internal/ingress/status_test.go
@@ -50,14 +50,14 @@
 		}
 		return st
 	}
-	if st := ask(); st.Kind != "ingress" || st.Name != "n0" || st.Backends != 2 || st.EndpointListStale || st.EndpointList.HeardS > testTimeout.Seconds() {
+	if st := ask(); st.Kind != "ingress" || st.Name != "n0" || st.Backends != 2 || st.EndpointListStale || st.EndpointList.SinceUpdateS > testTimeout.Seconds() {
 		t.Errorf("%+v", st)
 	}
 	var log bytes.Buffer
 	r.onLoop(func() {
 		r.ingress.log = slog.New(slog.NewTextHandler(&log, nil))
 		for _, old := range []bool{true, true, false, false, true} {
-			r.ingress.logListAge(roster.Age{HeardS: map[bool]float64{true: 11, false: 1}[old]})
+			r.ingress.logListAge(roster.Age{SinceUpdateS: map[bool]float64{true: 11, false: 1}[old]})
 		}
 		r.ingress.log = slog.New(slog.DiscardHandler)
 	})
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -8,57 +8,59 @@
 )
 
 const (
-	// SeqAhead are messages of the former process that may still be on their way.
-	SeqAhead = 64
-	// None, in units, stands in a ceiling that was handed on: it lets nothing through.
-	None = -1e9
-	// CustomersMost bounds a Part, so that it fits a message of the link.
-	CustomersMost = 16
+	// SequenceMargin are messages of the former process that may still be on their way.
+	SequenceMargin = 64
+	// NoCapacity, in units, stands in a ceiling that was handed on: it lets nothing through.
+	NoCapacity = -1e9
+	// MaxAccountsPerPart bounds a Part, so that it fits a message of the link.
+	MaxAccountsPerPart = 16
 )
 
 // Part is a part of what a gateway knows; each part has all but customers.
 type Part struct {
-	Boot      uint8
-	Seq       uint16
-	Born      float64
-	Limit     float64 // a server
-	Figures   []float64
-	Classes   map[string][2]float64
-	Servers   map[string][]float64
-	Customers []Customer
-	Moved     *Moved `json:",omitempty"` // of a forwarder; nothing else is in it then
+	Incarnation     uint8                 `json:"Boot"`
+	Sequence        uint16                `json:"Seq"`
+	StartedAt       float64               `json:"Born"`
+	LimitPerBackend float64               `json:"Limit"` // a server
+	Figures         []float64             `json:"Figures"`
+	Classes         map[string][2]float64 `json:"Classes"`
+	Backends        map[string][]float64  `json:"Servers"`
+	Accounts        []Account             `json:"Customers"`
+	Forwarder       *ForwarderState       `json:"Moved,omitempty"` // of a forwarder; nothing else is in it then
 }
 
-// Customer is a customer, and where the gateway owns it, its count.
-type Customer struct {
-	Key            uint32
-	Hash           uint64
-	Plan           string
-	First, Entries int
-	Known, Out     bool
-	Figures        []float64
-	Ledger         []float64          `json:",omitempty"`
-	Members        map[int][5]float64 `json:",omitempty"`
+// Account is a customer, and where the gateway owns it, its count.
+type Account struct {
+	Key          uint32             `json:"Key"`
+	Hash         uint64             `json:"Hash"`
+	Plan         string             `json:"Plan"`
+	FirstGateway int                `json:"First"`
+	GatewayCount int                `json:"Entries"`
+	OwnerReplied bool               `json:"Known"`
+	HasInFlight  bool               `json:"Out"`
+	Figures      []float64          `json:"Figures"`
+	Ledger       []float64          `json:"Ledger,omitempty"`
+	Members      map[int][5]float64 `json:"Members,omitempty"`
 }
 
-// Add puts a customer into the last part, or into a new one when that is full.
-func Add(parts []Part, c Customer) []Part {
+// AppendAccount puts a customer into the last part, or into a new one when that is full.
+func AppendAccount(parts []Part, c Account) []Part {
 	last := parts[len(parts)-1]
-	if len(last.Customers) == CustomersMost {
-		last.Customers = nil
+	if len(last.Accounts) == MaxAccountsPerPart {
+		last.Accounts = nil
 		parts = append(parts, last)
 	}
 	p := &parts[len(parts)-1]
-	p.Customers = append(p.Customers, c)
+	p.Accounts = append(p.Accounts, c)
 	return parts
 }
 
-// Back are parts for the gateway that handed them on, whose successor died. To others that one's life has ended: what it
+// Reclaimed are parts for the gateway that handed them on, whose successor died. To others that one's life has ended: what it
 // let in was told under the boot that it had taken over, and must not seem handed back.
-func Back(parts []Part) []Part {
+func Reclaimed(parts []Part) []Part {
 	parts = slices.Clone(parts)
 	for i := range parts {
-		parts[i].Boot++
+		parts[i].Incarnation++
 	}
 	return parts
 }
--- a/internal/kept/moved.go
+++ b/internal/kept/moved.go
@@ -2,137 +2,138 @@
 
 import "eiderspread/internal/terms"
 
-// Moved is a part of what a forwarder knows, for the process that goes on for it; each part has life and handles. Times are the
+// ForwarderState is a part of what a forwarder knows, for the process that goes on for it; each part has life and handles. Times are the
 // old process's, in Unix seconds by its clock; whoever takes them over knows how the clocks differ.
-type Moved struct {
-	Life    uint64 // the forwarder's, as planners know it
-	Handles uint64 // the last that a request was told under
-	Lossy   float64
-	Cells   []Cell          `json:",omitempty"`
-	Words   map[string]Word `json:",omitempty"` // on nodes that operators hold
-	Tales   []Tale          `json:",omitempty"`
-	Open    []Open          `json:",omitempty"`
+type ForwarderState struct {
+	Incarnation  uint64            `json:"Life"`    // the forwarder's, as planners know it
+	LastHandle   uint64            `json:"Handles"` // the last that a request was told under
+	LossyAt      float64           `json:"Lossy"`
+	Cells        []CellPromise     `json:"Cells,omitempty"`
+	Cordons      map[string]Cordon `json:"Words,omitempty"` // on nodes that operators hold
+	UsageReports []UsageReport     `json:"Tales,omitempty"`
+	Requests     []OpenRequest     `json:"Open,omitempty"`
 }
 
-// Cell is a promise: to whom, under which epoch, until when.
-type Cell struct {
-	Epoch  uint64
-	Holder int
-	Life   uint64
-	Until  float64
+// CellPromise is a promise: to whom, under which epoch, until when.
+type CellPromise struct {
+	Epoch         uint64  `json:"Epoch"`
+	Holder        int     `json:"Holder"`
+	Incarnation   uint64  `json:"Life"`
+	PromisedUntil float64 `json:"Until"`
 }
 
-// Word is the latest that was heard of a held node.
-type Word struct {
-	Version uint64
-	Held    bool
+// Cordon is the latest that was heard of a held node.
+type Cordon struct {
+	Version uint64 `json:"Version"`
+	Held    bool   `json:"Held"`
 }
 
-// Tale is what a leader last told of an account's window.
-type Tale struct {
-	Customer string
-	Plan     int
-	Epoch    uint64
-	Seq      uint32
-	Debt, At float64
+// UsageReport is what a leader last told of an account's window.
+type UsageReport struct {
+	Account    string  `json:"Customer"`
+	Plan       int     `json:"Plan"`
+	Epoch      uint64  `json:"Epoch"`
+	Sequence   uint32  `json:"Seq"`
+	Debt       float64 `json:"Debt"`
+	ReportedAt float64 `json:"At"`
 }
 
-// Open is a request that is owed an answer, or that has attempts out: Sent and Done by attempt.
-type Open struct {
+// OpenRequest is a request that is owed an answer, or that has attempts out: Sent and Done by attempt.
+type OpenRequest struct {
 	terms.Request
-	Came    float64
-	Sent    []float64 `json:",omitempty"`
-	Done    []bool    `json:",omitempty"`
-	Counted bool      `json:",omitempty"`
-	Ran     bool      `json:",omitempty"`
-	RanAt   float64   `json:",omitempty"`
-	Over    bool      `json:",omitempty"`
+	ReceivedAt   float64   `json:"Came"`
+	SentAt       []float64 `json:"Sent,omitempty"`
+	AttemptDone  []bool    `json:"Done,omitempty"`
+	UnitsCounted bool      `json:"Counted,omitempty"`
+	MayHaveRun   bool      `json:"Ran,omitempty"`
+	FirstRunAt   float64   `json:"RanAt,omitempty"`
+	Completed    bool      `json:"Over,omitempty"`
 }
 
 const (
-	partBytes = 64 << 10 // of a part, about
-	entry     = 200      // bytes of an entry beside its names
+	maxPartBytes       = 64 << 10 // of a part, about
+	entryOverheadBytes = 200      // bytes of an entry beside its names
 )
 
 // Split cuts what a forwarder knows into parts that each fit a message of the link.
-func (m Moved) Split() (parts []Part) {
-	head := Moved{Life: m.Life, Handles: m.Handles, Lossy: m.Lossy}
-	now, size := head, 0
+func (m ForwarderState) Split() (parts []Part) {
+	head := ForwarderState{Incarnation: m.Incarnation, LastHandle: m.LastHandle, LossyAt: m.LossyAt}
+	current, size := head, 0
 	cut := func(more int) {
-		if size += more; size > partBytes {
-			done := now
-			parts = append(parts, Part{Moved: &done})
-			now, size = head, more
+		if size += more; size > maxPartBytes {
+			done := current
+			parts = append(parts, Part{Forwarder: &done})
+			current, size = head, more
 		}
 	}
 	for _, c := range m.Cells {
-		cut(entry)
-		now.Cells = append(now.Cells, c)
+		cut(entryOverheadBytes)
+		current.Cells = append(current.Cells, c)
 	}
-	for id, w := range m.Words {
-		if cut(entry + len(id)); now.Words == nil {
-			now.Words = map[string]Word{}
+	for id, cordon := range m.Cordons {
+		if cut(entryOverheadBytes + len(id)); current.Cordons == nil {
+			current.Cordons = map[string]Cordon{}
 		}
-		now.Words[id] = w
+		current.Cordons[id] = cordon
 	}
-	for _, t := range m.Tales {
-		cut(entry + len(t.Customer))
-		now.Tales = append(now.Tales, t)
+	for _, report := range m.UsageReports {
+		cut(entryOverheadBytes + len(report.Account))
+		current.UsageReports = append(current.UsageReports, report)
 	}
-	for _, o := range m.Open {
-		cut(2*entry + len(o.ID) + len(o.Class) + len(o.Plan) + len(o.Account) + 32*len(o.Sent))
-		now.Open = append(now.Open, o)
+	for _, request := range m.Requests {
+		cut(2*entryOverheadBytes + len(request.ID) + len(request.Class) + len(request.Plan) + len(request.Account) + 32*len(request.SentAt))
+		current.Requests = append(current.Requests, request)
 	}
-	return append(parts, Part{Moved: &now})
+	return append(parts, Part{Forwarder: &current})
 }
 
 // Join puts parts together again. The order of cells, tales and requests is that of Split.
-func Join(parts []Part) (m Moved, ok bool) {
-	m.Words = map[string]Word{}
+func Join(parts []Part) (m ForwarderState, ok bool) {
+	m.Cordons = map[string]Cordon{}
 	for _, p := range parts {
-		x := p.Moved
-		if x == nil {
-			return Moved{}, false
+		forwarder := p.Forwarder
+		if forwarder == nil {
+			return ForwarderState{}, false
 		}
-		m.Life, m.Handles, m.Lossy = x.Life, x.Handles, x.Lossy
-		m.Cells, m.Tales, m.Open = append(m.Cells, x.Cells...), append(m.Tales, x.Tales...), append(m.Open, x.Open...)
-		for id, w := range x.Words {
-			m.Words[id] = w
+		m.Incarnation, m.LastHandle, m.LossyAt = forwarder.Incarnation, forwarder.LastHandle, forwarder.LossyAt
+		m.Cells, m.UsageReports, m.Requests = append(m.Cells, forwarder.Cells...), append(m.UsageReports, forwarder.UsageReports...), append(m.Requests, forwarder.Requests...)
+		for id, cordon := range forwarder.Cordons {
+			m.Cordons[id] = cordon
 		}
 	}
 	return m, len(parts) > 0
 }
 
 // Shift moves all times by the difference of two clocks.
-func (m *Moved) Shift(by float64) {
-	m.Lossy += by
+func (m *ForwarderState) Shift(by float64) {
+	m.LossyAt += by
 	for i := range m.Cells {
-		m.Cells[i].Until += by
+		m.Cells[i].PromisedUntil += by
 	}
-	for i := range m.Tales {
-		m.Tales[i].At += by
+	for i := range m.UsageReports {
+		m.UsageReports[i].ReportedAt += by
 	}
-	for i := range m.Open {
-		m.Open[i].Shift(by)
+	for i := range m.Requests {
+		m.Requests[i].Shift(by)
 	}
 }
 
 // Shift moves a request's times.
-func (o *Open) Shift(by float64) {
+func (o *OpenRequest) Shift(by float64) {
 	o.DeadlineAt += by
-	o.Came += by
-	o.RanAt += by
-	for i := range o.Sent {
-		o.Sent[i] += by
+	o.ReceivedAt += by
+	o.FirstRunAt += by
+	for i := range o.SentAt {
+		o.SentAt[i] += by
 	}
 }
 
 // Event is what the old process tells of its requests after all went over: a request that was read late, an attempt's end, or a
 // client that has gone.
 type Event struct {
-	Request *terms.Request `json:",omitempty"`
-	Outcome *terms.Outcome `json:",omitempty"`
-	Gone    string         `json:",omitempty"`
+	Request      *terms.Request `json:"Request,omitempty"`
+	Outcome      *terms.Outcome `json:"Outcome,omitempty"`
+	Disconnected string         `json:"Gone,omitempty"`
 }
 
 // OrderKind is what the new process wants done to a request of the old one.
@@ -140,19 +141,19 @@
 
 // The kinds of orders.
 const (
-	Send OrderKind = iota
-	Refuse
-	Fail
-	Cancel
-	Hold // of a node, by operators: ID is its, Held tells whether it is held or called back
+	OrderSend OrderKind = iota
+	OrderReject
+	OrderFail
+	OrderCancel
+	OrderCordon // of a node, by operators: ID is its, Held tells whether it is held or called back
 )
 
 // Order is one. Number is the attempt's; Wait a time-out or a hint, in seconds.
 type Order struct {
-	Kind   OrderKind
-	ID     string
-	Server string  `json:",omitempty"`
-	Number int     `json:",omitempty"`
-	Wait   float64 `json:",omitempty"`
-	Held   bool    `json:",omitempty"`
+	Kind     OrderKind `json:"Kind"`
+	ID       string    `json:"ID"`
+	Backend  string    `json:"Server,omitempty"`
+	Attempt  int       `json:"Number,omitempty"`
+	DelayS   float64   `json:"Wait,omitempty"`
+	Cordoned bool      `json:"Held,omitempty"`
 }
--- a/internal/lab/etcdfleet/rig.go
+++ b/internal/lab/etcdfleet/rig.go
@@ -162,7 +162,7 @@
 
 // source takes a change of a node: one in three goes to etcd alone, one to the roster alone, one to both, by the node's id; a
 // node that goes is known to both to have gone.
-func (r *Rig) source(f *lab.Fleet, t roster.Target) (toRoster bool) {
+func (r *Rig) source(f *lab.Fleet, t roster.Endpoint) (toRoster bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.hist == nil {
@@ -306,7 +306,7 @@
 	r.agents = append(r.agents, a)
 	r.mu.Unlock()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if l, err := a.list(); err == nil && len(l.Servers) > 0 {
+		if l, err := a.list(); err == nil && len(l.Endpoints) > 0 {
 			break
 		}
 		if time.Now().After(end) {
@@ -372,7 +372,7 @@
 		if _, err := w.Write(line); err != nil || flush.Flush() != nil {
 			return
 		}
-		if known && (l.Full || len(l.Servers) > 0) {
+		if known && (l.Full || len(l.Endpoints) > 0) {
 			lab.TellRest(y.hist, y.party, l)
 		}
 	}
@@ -433,7 +433,7 @@
 				return false
 			}
 			var up []string
-			for _, t := range l.Servers {
+			for _, t := range l.Endpoints {
 				if t.State == "in_service" {
 					up = append(up, t.ID)
 				}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -442,15 +442,15 @@
 		if err := json.Unmarshal(text, &before); err != nil {
 			return err
 		}
-		for _, t := range before.Known.Servers { // of which nothing was told since
+		for _, t := range before.Known.Endpoints { // of which nothing was told since
 			if told[t.ID] == "" {
 				told[t.ID] = t.State
 			}
 		}
 		known := f.Roster.All(f.Party(i))
-		known.Servers = slices.DeleteFunc(known.Servers, func(t roster.Target) bool { return told[t.ID] == "" || told[t.ID] == "terminated" })
-		for n := range known.Servers {
-			known.Servers[n].State = told[known.Servers[n].ID]
+		known.Endpoints = slices.DeleteFunc(known.Endpoints, func(t roster.Endpoint) bool { return told[t.ID] == "" || told[t.ID] == "terminated" })
+		for n := range known.Endpoints {
+			known.Endpoints[n].State = told[known.Endpoints[n].ID]
 		}
 		c["known"] = known
 		if text, err = json.Marshal(c); err != nil {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -61,7 +61,7 @@
 	// Discovery, if set, gives the address at which a party asks, in place of the stand-in roster.
 	Discovery func(f *Fleet, party string) (string, error)
 	// Source, if set, is told of each change of a node before the stand-in roster is, and says whether the roster is to be told too.
-	Source  func(f *Fleet, t roster.Target) bool
+	Source  func(f *Fleet, t roster.Endpoint) bool
 	OneAddr bool    // all parties see a node at one address
 	StaleS  float64 // of the rule on stale words; 0: not judged
 }
@@ -386,7 +386,7 @@
 }
 
 // addrFor is where a party sees a node: behind a link.
-func (f *Fleet) addrFor(party string, t roster.Target) string {
+func (f *Fleet) addrFor(party string, t roster.Endpoint) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	links := f.nodeLinks[t.ID]
@@ -459,14 +459,14 @@
 	if n.born() {
 		started = n.started.UnixMilli()
 	}
-	t := roster.Target{ID: n.ID, Addr: n.Addr(), Zone: ZoneOf(n.ID, f.cfg.Zones), State: state, Weight: 1, StartedMS: started}
+	t := roster.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: ZoneOf(n.ID, f.cfg.Zones), State: state, Weight: 1, StartedMS: started}
 	if f.cfg.Source == nil || f.cfg.Source(f, t) {
 		f.Roster.Set(t)
 	}
 }
 
 // AddrFor is the address at which a party sees a node.
-func (f *Fleet) AddrFor(party string, t roster.Target) string { return f.addrFor(party, t) }
+func (f *Fleet) AddrFor(party string, t roster.Endpoint) string { return f.addrFor(party, t) }
 
 // without takes a node out of those that run, and tells whether it was among them.
 func (f *Fleet) without(n *Node) bool {
--- a/internal/lab/mutants/list.go
+++ b/internal/lab/mutants/list.go
@@ -202,7 +202,7 @@
 		Edits: edit("internal/roster/roster.go", `"terminating": policy.Draining`, `"terminating": policy.Up`),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "what changed is passed on whole", Rule: "drains kept", Unit: "./internal/ingress",
-		Edits: edit("internal/roster/roster.go", "if t.Full || len(t.Servers) > 0 {", "if t.Full || len(t.Servers) > 0 && t.Version%2 == 0 {"),
+		Edits: edit("internal/roster/roster.go", "if list.Full || len(list.Endpoints) > 0 {", "if list.Full || len(list.Endpoints) > 0 && list.Version%2 == 0 {"),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	// ---- The ingress: what an attempt's end means ----
 	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/ingress",
@@ -365,17 +365,21 @@
 `), Runs: []string{simTwo + "ceilings"}},
 	// ---- Membership from etcd ----
 	{Name: "a stale source takes nothing back", Rule: "none on a stale word", Unit: "./internal/member",
-		Edits: edit("internal/member/core.go", "if !s.current && s.milder(n) {", "if false {"), Runs: []string{labEtcd}},
+		Edits: edit("internal/member/core.go", "if !s.current && s.relaxes(n) {", "if false {"), Runs: []string{labEtcd}},
 	{Name: "what was compacted away is read anew", Rule: "views equal the truth", Unit: "./internal/etcdsource",
-		Edits: edit("internal/etcdsource/source.go", "\t\t*why = fmt.Sprintf(\"revision %d was compacted away\", s.f.head.Revision+1)\n", ""), Runs: []string{labEtcd + " -troubles cut-and-compacted"}},
+		Edits: edit("internal/etcdsource/source.go", `		*why = fmt.Sprintf("revision %d was compacted away", s.follower.header.Revision+1)
+`, ""), Runs: []string{labEtcd + " -troubles cut-and-compacted"}},
 	{Name: "an older state is told three times", Rule: "none on a stale word", Unit: "./internal/etcdsource",
-		Edits: edit("internal/etcdsource/follow.go", "if f.fell++; f.fell < confirmMost || len(f.fellBy) < f.members {", "if false {"), Runs: []string{labEtcd + " -troubles a-liar"}},
+		Edits: edit("internal/etcdsource/follow.go", "if f.regressions++; f.regressions < confirmReads || len(f.regressedMembers) < f.requiredMembers {", "if false {"), Runs: []string{labEtcd + " -troubles a-liar"}},
 	{Name: "what a read does not list is gone", Rule: "views equal the truth", Unit: "./internal/member",
-		Edits: edit("internal/member/core.go", "\t\tif !listed[id] {\n\t\t\tn.State = Gone", "\t\tif false {\n\t\t\tn.State = Gone"), Runs: []string{labEtcd}},
+		Edits: edit("internal/member/core.go", `		if !listed[id] {
+			n.State = Removed`, `		if false {
+			n.State = Removed`), Runs: []string{labEtcd}},
 	{Name: "the last word of an answer holds", Rule: "none on a stale word", Unit: "./internal/etcdsource",
 		Edits: edit("internal/etcdsource/follow.go", "\t\t\twords[i] = w\n", "\t\t\t_ = i\n"), Runs: []string{labEtcdLong + " -troubles cut"}},
 	{Name: "an agent remembers what etcd told", Rule: "none on a stale word", Unit: "./internal/agent",
-		Edits: edit("internal/agent/agent.go", "\ta.core.Remember(was.Known)\n", ""), Runs: []string{labEtcd}},
+		Edits: edit("internal/agent/agent.go", `	a.merger.Restore(saved.Merged)
+`, ""), Runs: []string{labEtcd}},
 	// ---- Operators ----
 	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/held",
 		Edits: edit("internal/held/held.go", `		if entry.State == stateInService {
@@ -393,12 +397,12 @@
 	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/forward",
 		Edits: edit(mover, "c.cells[i] = cellState{holder: -1, requester: -1, promisedUntil: now + c.cfg.LeaseS, leaderlessSince: now}", "c.cells[i].requester, c.cells[i].leaderlessSince = -1, now"), Runs: []string{simTwo + "handed-torn"}},
 	{Name: "promises go over", Rule: "one leader", Unit: "./internal/forward",
-		Edits: edit(mover, "cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Life, promise.Until", "cell.epoch, cell.holder, cell.promisedUntil = promise.Epoch, -1, now"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Incarnation, promise.PromisedUntil", "cell.epoch, cell.holder, cell.promisedUntil = promise.Epoch, -1, now"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/forward",
-		Edits: edit(mover, "for _, report := range transferred.Tales {", "for _, report := range transferred.Tales[:0] {"), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, "for _, report := range transferred.UsageReports {", "for _, report := range transferred.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
 	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/forward",
 		Why:   "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
-		Edits: edit(mover, "mayHaveRun: saved.Ran, firstRunAt: saved.RanAt", "mayHaveRun: false, firstRunAt: saved.RanAt"), Runs: []string{simTwo + "handed-keys"}},
+		Edits: edit(mover, "mayHaveRun: saved.MayHaveRun, firstRunAt: saved.FirstRunAt", "mayHaveRun: false, firstRunAt: saved.FirstRunAt"), Runs: []string{simTwo + "handed-keys"}},
 	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/forward",
 		Edits: edit(mover, "request.inFlight += b2i(!done)", "request.inFlight += 0 * b2i(!done)"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "what a successor sent is written down", Rule: "one attempt out", Unit: "./internal/forward",
--- a/internal/lab/net_test.go
+++ b/internal/lab/net_test.go
@@ -171,8 +171,8 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		roster.New(addr, 1, func(l roster.List) {
-			for _, s := range l.Servers {
+		roster.NewWatcher(addr, 1, func(l roster.List) {
+			for _, s := range l.Endpoints {
 				got <- s.ID + " " + s.State
 			}
 			if l.Full {
@@ -192,7 +192,7 @@
 			t.Fatalf("never told %q", text)
 		}
 	}
-	set := func(id, state string) { r.Set(roster.Target{ID: id, Addr: "127.0.0.1:1", State: state}) }
+	set := func(id, state string) { r.Set(roster.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state}) }
 	set("a", "in_service")
 	want("a in_service")
 	r.Late(50 * time.Millisecond)
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -17,11 +17,11 @@
 type Roster struct {
 	hist *audit.History
 	// AddrFor, if set before the first party asks, gives the address under which a party sees a node.
-	AddrFor func(party string, t roster.Target) string
+	AddrFor func(party string, t roster.Endpoint) string
 
 	mu      sync.Mutex
 	version int64
-	list    map[string]roster.Target
+	list    map[string]roster.Endpoint
 	changes []change
 	changed chan struct{} // closed and replaced with each change
 	late    time.Duration
@@ -37,11 +37,11 @@
 
 // NewRoster returns a roster without nodes.
 func NewRoster(hist *audit.History) *Roster {
-	return &Roster{hist: hist, version: 1, list: map[string]roster.Target{}, changed: make(chan struct{}), breaks: make(chan struct{})}
+	return &Roster{hist: hist, version: 1, list: map[string]roster.Endpoint{}, changed: make(chan struct{}), breaks: make(chan struct{})}
 }
 
 // Set says how a node stands from now on.
-func (r *Roster) Set(t roster.Target) {
+func (r *Roster) Set(t roster.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -50,7 +50,7 @@
 	} else {
 		r.list[t.ID] = t
 	}
-	r.changes = append(r.changes, change{roster.List{Version: r.version, Servers: []roster.Target{t}}, time.Now().Add(r.late)})
+	r.changes = append(r.changes, change{roster.List{Version: r.version, Endpoints: []roster.Endpoint{t}}, time.Now().Add(r.late)})
 	r.wake()
 }
 
@@ -89,12 +89,12 @@
 	defer r.mu.Unlock()
 	l := roster.List{Version: r.version, Full: true}
 	for _, t := range r.list {
-		l.Servers = append(l.Servers, r.seen(party, t))
+		l.Endpoints = append(l.Endpoints, r.seen(party, t))
 	}
 	return l
 }
 
-func (r *Roster) seen(party string, t roster.Target) roster.Target {
+func (r *Roster) seen(party string, t roster.Endpoint) roster.Endpoint {
 	if r.AddrFor != nil {
 		t.Addr = r.AddrFor(party, t)
 	}
@@ -140,7 +140,7 @@
 	if after < known {
 		l := roster.List{Version: r.version, Full: true}
 		for _, t := range r.list {
-			l.Servers = append(l.Servers, r.seen(party, t))
+			l.Endpoints = append(l.Endpoints, r.seen(party, t))
 		}
 		return []roster.List{l}, wait, changed, breaks, silent
 	}
@@ -153,7 +153,7 @@
 			break
 		}
 		l := c.List
-		l.Servers = []roster.Target{r.seen(party, l.Servers[0])}
+		l.Endpoints = []roster.Endpoint{r.seen(party, l.Endpoints[0])}
 		list = append(list, l)
 	}
 	return
@@ -205,7 +205,7 @@
 
 // TellUp records what is about to be written of nodes that are up: a party may send as soon as it can have read it.
 func TellUp(hist *audit.History, party string, l roster.List) {
-	for _, t := range l.Servers {
+	for _, t := range l.Endpoints {
 		if t.State == "in_service" {
 			hist.TellOf(party, t.ID, t.State, t.StartedMS)
 		}
@@ -215,7 +215,7 @@
 // TellRest records what was written of nodes that are not. Of a whole list, what it does not hold is gone.
 func TellRest(hist *audit.History, party string, l roster.List) {
 	listed := map[string]bool{}
-	for _, t := range l.Servers {
+	for _, t := range l.Endpoints {
 		listed[t.ID] = true
 		if t.State != "in_service" {
 			hist.TellOf(party, t.ID, t.State, t.StartedMS)
--- a/internal/lab/sim/replace.go
+++ b/internal/lab/sim/replace.go
@@ -83,11 +83,11 @@
 	if f.old == nil || r == nil || r.life != f.oldLife {
 		return false
 	}
-	if o.Kind == kept.Send {
+	if o.Kind == kept.OrderSend {
 		if f.attempts[r] == 0 {
 			f.attempts[r] = len(r.attempts)
 		}
-		o.Number = f.attempts[r]
+		o.Attempt = f.attempts[r]
 		f.attempts[r]++
 	}
 	f.send(o)
@@ -110,23 +110,23 @@
 	f.old.RecordOrder(f.now(), o)
 	r := f.open[o.ID]
 	switch {
-	case o.Kind == kept.Hold:
-		f.lives[f.oldLife][o.ID] = o.Held
+	case o.Kind == kept.OrderCordon:
+		f.lives[f.oldLife][o.ID] = o.Cordoned
 	case r == nil:
-	case o.Kind == kept.Send && r.over: // it has ended while the order was on its way
-		r.attempts = append(r.attempts, &simAttempt{f: f, r: r, number: o.Number, done: true})
+	case o.Kind == kept.OrderSend && r.over: // it has ended while the order was on its way
+		r.attempts = append(r.attempts, &simAttempt{f: f, r: r, number: o.Attempt, done: true})
 		f.happen(r, func(g gateway) {
-			g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: o.Server, Attempt: o.Number, Status: policy.NotSent, Completed: true})
+			g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: o.Backend, Attempt: o.Attempt, Status: policy.NotSent, Completed: true})
 		})
-	case o.Kind == kept.Send:
-		f.write(o.ID, o.Server, o.Wait)
+	case o.Kind == kept.OrderSend:
+		f.write(o.ID, o.Backend, o.DelayS)
 	case r.over:
-	case o.Kind == kept.Refuse:
-		f.refuse(o.ID, o.Wait)
-	case o.Kind == kept.Fail:
+	case o.Kind == kept.OrderReject:
+		f.refuse(o.ID, o.DelayS)
+	case o.Kind == kept.OrderFail:
 		f.answer(o.ID, audit.Failed)
-	case o.Kind == kept.Cancel:
-		f.cancel(o.ID, o.Number)
+	case o.Kind == kept.OrderCancel:
+		f.cancel(o.ID, o.Attempt)
 	}
 }
 
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -600,7 +600,7 @@
 
 // Reject implements policy.Actions.
 func (f *simForwarder) Reject(id string, retryS float64) {
-	if !f.order(id, kept.Order{Kind: kept.Refuse, ID: id, Wait: retryS}) {
+	if !f.order(id, kept.Order{Kind: kept.OrderReject, ID: id, DelayS: retryS}) {
 		f.refuse(id, retryS)
 	}
 }
@@ -621,7 +621,7 @@
 
 // Fail implements policy.Actions.
 func (f *simForwarder) Fail(id string) {
-	if !f.order(id, kept.Order{Kind: kept.Fail, ID: id}) {
+	if !f.order(id, kept.Order{Kind: kept.OrderFail, ID: id}) {
 		f.answer(id, audit.Failed)
 	}
 }
@@ -640,7 +640,7 @@
 func (f *simForwarder) SetCordoned(server string, held bool) {
 	f.lives[f.life][server] = held
 	if f.old != nil {
-		f.send(kept.Order{Kind: kept.Hold, ID: server, Held: held})
+		f.send(kept.Order{Kind: kept.OrderCordon, ID: server, Cordoned: held})
 	}
 }
 
@@ -684,7 +684,7 @@
 
 // Cancel implements policy.Actions.
 func (f *simForwarder) Cancel(id string, attempt int) {
-	if !f.order(id, kept.Order{Kind: kept.Cancel, ID: id, Number: attempt}) {
+	if !f.order(id, kept.Order{Kind: kept.OrderCancel, ID: id, Attempt: attempt}) {
 		f.cancel(id, attempt)
 	}
 }
@@ -697,7 +697,7 @@
 
 // Send implements policy.Actions.
 func (f *simForwarder) Send(id, server string, timeoutS float64) {
-	if !f.order(id, kept.Order{Kind: kept.Send, ID: id, Server: server, Wait: timeoutS}) {
+	if !f.order(id, kept.Order{Kind: kept.OrderSend, ID: id, Backend: server, DelayS: timeoutS}) {
 		f.write(id, server, timeoutS)
 	}
 }
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// BenchmarkChange is one node that changes among 10,000 that two sources list.
-func BenchmarkChange(b *testing.B) {
-	c := newCore()
+// BenchmarkMerger_Update is one node that changes among 10,000 that two sources list.
+func BenchmarkMerger_Update(b *testing.B) {
+	m := newTestMerger()
 	var list []Node
 	for i := range 10_000 {
 		list = append(list, node(fmt.Sprint(i), 0, Up))
 	}
-	c.Whole(100, "etcd", list)
-	c.Whole(100, "roster", list)
+	m.ReplaceAll(100, "etcd", list)
+	m.ReplaceAll(100, "roster", list)
 	b.ReportAllocs()
 	now := 100.0
 	for i := 0; b.Loop(); i++ {
 		now += 0.01
-		c.Change(now, "etcd", []Node{node(fmt.Sprint(i%10_000), 0, State(i/10_000%2))})
+		m.Update(now, "etcd", []Node{node(fmt.Sprint(i%10_000), 0, State(i/10_000%2))})
 		if i%10 == 0 {
-			c.Resumed(now, "roster")
-			c.Tick(now)
+			m.MarkResumed(now, "roster")
+			m.Tick(now)
 		}
 	}
 }
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -17,7 +17,7 @@
 const (
 	Up State = iota
 	Draining
-	Gone
+	Removed
 )
 
 func (s State) String() string { return [...]string{"up", "draining", "gone"}[s] }
@@ -25,427 +25,428 @@
 // Identity tells nodes apart: a restarted one, a new one at an old address, an old id at a new address. StartedMS is
 // Unix milliseconds; 0 in a source's word stands for every start.
 type Identity struct {
-	ID, Addr  string
-	StartedMS int64
+	ID        string `json:"ID"`
+	Addr      string `json:"Addr"`
+	StartedMS int64  `json:"StartedMS"`
 }
 
 // Node is a source's word on a node.
 type Node struct {
 	Identity
-	State  State
-	Zone   string
-	Cell   int
-	Weight float64
+	State  State   `json:"State"`
+	Zone   string  `json:"Zone"`
+	Cell   int     `json:"Cell"`
+	Weight float64 `json:"Weight"`
 }
 
 // Config states how the sources are to be trusted. Times are in seconds.
 type Config struct {
-	StaleS   map[string]float64 // by source: without a word for so long it is stale
-	OrphanS  float64            // a node that no current source knows gets no new work after so long
-	FlapS    float64            // returns within this time of each other count as flapping
-	FlapMost float64            // the longest wait of a node that returns
+	StaleAfterS  map[string]float64 // by source: without a word for so long it is stale
+	OrphanAfterS float64            // a node that no current source knows gets no new work after so long
+	FlapWindowS  float64            // returns within this time of each other count as flapping
+	MaxFlapHoldS float64            // the longest wait of a node that returns
 }
 
 // Entry is one node of the joined list, and why it stands as it does.
 type Entry struct {
 	Node
-	Why string
+	Reason string
 }
 
-const dueSlack = 1e-6 // seconds: what is over after a time is looked at right behind it
+const recheckSlackS = 1e-6 // seconds: what is over after a time is looked at right behind it
 
-// goneS at least the word gone is kept, in seconds, once no source lists the node: another source may be so late with its own.
-const goneS = 60
+// removedRetentionS at least the word gone is kept, in seconds, once no source lists the node: another source may be so late with its own.
+const removedRetentionS = 60
 
-const flapFirst = 1.0 // seconds that the second return within FlapS waits; each further one twice as long
+const firstFlapHoldS = 1.0 // seconds that the second return within FlapWindowS waits; each further one twice as long
 
-// Core joins sources. It is not safe for concurrent use; times are Unix seconds that never go back.
-type Core struct {
-	cfg     Config
-	now     float64
-	sources map[string]*source
-	list    map[string]*entry // by id
-	due     float64           // when time alone may change a node
-	sweepAt float64
+// Merger joins sources. It is not safe for concurrent use; times are Unix seconds that never go back.
+type Merger struct {
+	cfg           Config
+	now           float64
+	sources       map[string]*source
+	entries       map[string]*entry // by id
+	nextRecheckAt float64           // when time alone may change a node
+	nextSweepAt   float64
 }
 
 type source struct {
-	name    string
-	current bool // has read the whole, and speaks
-	read    bool // has read the whole, ever
-	heardAt float64
-	words   map[string]Node // by id: the last of each; a deletion is Gone
-	marks   map[string]Node // by id: words on the id alone that are not up
-	pending map[string]Node // milder words of a time in which it was stale
+	name        string
+	current     bool // has read the whole, and speaks
+	synced      bool // has read the whole, ever
+	lastHeardAt float64
+	reports     map[string]Node // by id: the last of each; a deletion is Gone
+	idReports   map[string]Node // by id: words on the id alone that are not up
+	deferred    map[string]Node // milder words of a time in which it was stale
 }
 
 type entry struct {
 	Entry
-	outAt   float64 // when it last left Up
-	returns int     // within FlapS of each other
-	backAt  float64 // of the last return
-	holdTo  float64 // no return before
-	knownAt float64 // when a current source last knew it
+	leftUpAt    float64 // when it last left Up
+	returnCount int     // within FlapWindowS of each other
+	returnedAt  float64 // of the last return
+	holdUntil   float64 // no return before
+	lastKnownAt float64 // when a current source last knew it
 }
 
-// New returns a core that knows nothing but the known list, which may be old: its nodes stand as they are for as long
+// NewMerger returns a core that knows nothing but the known list, which may be old: its nodes stand as they are for as long
 // as no source is current.
-func New(cfg Config, now float64, known []Node) *Core {
-	c := &Core{cfg: cfg, now: now, sources: map[string]*source{}, list: map[string]*entry{}}
-	for name := range cfg.StaleS {
-		c.sources[name] = &source{name: name, heardAt: math.Inf(-1), words: map[string]Node{}, marks: map[string]Node{}, pending: map[string]Node{}}
+func NewMerger(cfg Config, now float64, known []Node) *Merger {
+	m := &Merger{cfg: cfg, now: now, sources: map[string]*source{}, entries: map[string]*entry{}}
+	for name := range cfg.StaleAfterS {
+		m.sources[name] = &source{name: name, lastHeardAt: math.Inf(-1), reports: map[string]Node{}, idReports: map[string]Node{}, deferred: map[string]Node{}}
 	}
 	for _, n := range known {
-		if n.State != Gone {
-			c.list[n.ID] = &entry{Entry: Entry{n, "known from before"}, knownAt: now}
+		if n.State != Removed {
+			m.entries[n.ID] = &entry{Entry: Entry{n, "known from before"}, lastKnownAt: now}
 		}
 	}
-	return c
+	return m
 }
 
-// Whole takes all that a source lists, at one revision. What it named before and does not list is gone; a mark that it
+// ReplaceAll takes all that a source lists, at one revision. What it named before and does not list is gone; a mark that it
 // does not name any more is taken back.
-func (c *Core) Whole(now float64, name string, nodes []Node) []Entry {
-	c.now = max(c.now, now)
-	s := c.sources[name]
+func (m *Merger) ReplaceAll(now float64, name string, nodes []Node) []Entry {
+	m.now = max(m.now, now)
+	s := m.sources[name]
 	listed := map[string]bool{}
-	clear(s.marks)
-	clear(s.pending)
+	clear(s.idReports)
+	clear(s.deferred)
 	for _, n := range nodes {
 		listed[n.ID] = n.Addr != ""
-		s.set(n)
+		s.apply(n)
 	}
-	for id, n := range s.words {
+	for id, n := range s.reports {
 		if !listed[id] {
-			n.State = Gone
-			s.words[id] = n
+			n.State = Removed
+			s.reports[id] = n
 		}
 	}
-	s.current, s.read, s.heardAt = true, true, c.now
-	return c.join()
+	s.current, s.synced, s.lastHeardAt = true, true, m.now
+	return m.mergeAll()
 }
 
-// set takes one word in. One without an address is on the id alone: gone if the node is deleted, else a mark.
-func (s *source) set(n Node) {
+// apply takes one word in. One without an address is on the id alone: gone if the node is deleted, else a mark.
+func (s *source) apply(n Node) {
 	switch {
 	case n.Addr != "":
-		s.words[n.ID] = n
-		delete(s.marks, n.ID) // the word holds it, too
-	case n.State == Gone:
-		if w, ok := s.words[n.ID]; ok {
-			w.State = Gone
-			s.words[n.ID] = w
+		s.reports[n.ID] = n
+		delete(s.idReports, n.ID) // the word holds it, too
+	case n.State == Removed:
+		if report, ok := s.reports[n.ID]; ok {
+			report.State = Removed
+			s.reports[n.ID] = report
 		}
 	case n.State == Up:
-		delete(s.marks, n.ID)
+		delete(s.idReports, n.ID)
 	default:
-		s.marks[n.ID] = n
+		s.idReports[n.ID] = n
 	}
 }
 
-// milder tells that a word takes something back that the source has said.
-func (s *source) milder(n Node) bool {
-	w, ok := s.words[n.ID]
-	m, marked := s.marks[n.ID]
-	return ok && (n.Addr != "" && covers(w.Identity, n.Identity)) && n.State < w.State || marked && n.State < m.State
+// relaxes tells that a word takes something back that the source has said.
+func (s *source) relaxes(n Node) bool {
+	report, ok := s.reports[n.ID]
+	idReport, marked := s.idReports[n.ID]
+	return ok && (n.Addr != "" && sameNode(report.Identity, n.Identity)) && n.State < report.State || marked && n.State < idReport.State
 }
 
-// Change takes what changed at one revision, behind all that the source has told. A source that is not current has
+// Update takes what changed at one revision, behind all that the source has told. A source that is not current has
 // gaps: its changes make it no more current, and count only where they are stricter, the others once it is.
-func (c *Core) Change(now float64, name string, nodes []Node) []Entry {
-	c.now = max(c.now, now)
-	s := c.sources[name]
+func (m *Merger) Update(now float64, name string, nodes []Node) []Entry {
+	m.now = max(m.now, now)
+	s := m.sources[name]
 	var ids []string
 	for _, n := range nodes {
-		if !s.current && s.milder(n) {
-			s.pending[n.ID] = n // rule 3
+		if !s.current && s.relaxes(n) {
+			s.deferred[n.ID] = n // rule 3
 			continue
 		}
-		delete(s.pending, n.ID)
-		s.set(n)
+		delete(s.deferred, n.ID)
+		s.apply(n)
 		ids = append(ids, n.ID)
 	}
 	if s.current {
-		s.heardAt = c.now
+		s.lastHeardAt = m.now
 	}
 	slices.Sort(ids)
-	return c.joinOf(slices.Compact(ids))
+	return m.mergeNodes(slices.Compact(ids))
 }
 
-// Resumed takes a source's word that it has told all up to now, without a gap.
-func (c *Core) Resumed(now float64, name string) []Entry {
-	c.now = max(c.now, now)
-	s := c.sources[name]
-	if !s.read {
+// MarkResumed takes a source's word that it has told all up to now, without a gap.
+func (m *Merger) MarkResumed(now float64, name string) []Entry {
+	m.now = max(m.now, now)
+	s := m.sources[name]
+	if !s.synced {
 		return nil
 	}
 	was := s.current
-	s.current, s.heardAt = true, c.now
-	for _, n := range s.pending {
-		s.set(n)
+	s.current, s.lastHeardAt = true, m.now
+	for _, n := range s.deferred {
+		s.apply(n)
 	}
-	clear(s.pending)
+	clear(s.deferred)
 	if was {
 		return nil // nothing new: Change has told the rest
 	}
-	return c.join()
+	return m.mergeAll()
 }
 
-// Broken notes that a source may have gaps from now on: it is stale until it has told the whole.
-func (c *Core) Broken(now float64, name string) []Entry {
-	c.now = max(c.now, now)
-	c.stale(c.sources[name])
-	return c.join()
+// MarkInterrupted notes that a source may have gaps from now on: it is stale until it has told the whole.
+func (m *Merger) MarkInterrupted(now float64, name string) []Entry {
+	m.now = max(m.now, now)
+	m.markStale(m.sources[name])
+	return m.mergeAll()
 }
 
 // Tick looks after silence and waits; call it a few times a second.
-func (c *Core) Tick(now float64) []Entry {
-	c.now = max(c.now, now)
+func (m *Merger) Tick(now float64) []Entry {
+	m.now = max(m.now, now)
 	flipped := false
-	for _, s := range c.sources {
-		if s.current && c.now > s.heardAt+c.cfg.StaleS[s.name] {
-			c.stale(s)
+	for _, s := range m.sources {
+		if s.current && m.now > s.lastHeardAt+m.cfg.StaleAfterS[s.name] {
+			m.markStale(s)
 			flipped = true
 		}
 	}
 	var changed []Entry
-	if flipped || c.now >= c.due {
-		changed = c.join()
+	if flipped || m.now >= m.nextRecheckAt {
+		changed = m.mergeAll()
 	}
-	if c.now >= c.sweepAt {
-		c.sweepAt = c.now + 1
-		c.sweep()
+	if m.now >= m.nextSweepAt {
+		m.nextSweepAt = m.now + 1
+		m.forgetRemoved()
 	}
 	return changed
 }
 
-// stale takes a source's word from now on for what it is: what only it knows begins to age.
-func (c *Core) stale(s *source) {
+// markStale takes a source's word from now on for what it is: what only it knows begins to age.
+func (m *Merger) markStale(s *source) {
 	if !s.current {
 		return
 	}
-	for id, e := range c.list {
-		if w, ok := s.words[id]; ok && covers(w.Identity, e.Identity) {
-			e.knownAt = c.now
+	for id, e := range m.entries {
+		if report, ok := s.reports[id]; ok && sameNode(report.Identity, e.Identity) {
+			e.lastKnownAt = m.now
 		}
 	}
 	s.current = false
 }
 
-// sweep forgets nodes that went long ago, and words on them once no source lists them.
-func (c *Core) sweep() {
+// forgetRemoved forgets nodes that went long ago, and words on them once no source lists them.
+func (m *Merger) forgetRemoved() {
 	listed := func(id string) bool {
-		for _, s := range c.sources {
-			w, ok := s.words[id]
-			p, waits := s.pending[id]
-			if ok && w.State != Gone || waits && p.State != Gone {
+		for _, s := range m.sources {
+			report, ok := s.reports[id]
+			p, waits := s.deferred[id]
+			if ok && report.State != Removed || waits && p.State != Removed {
 				return true
 			}
 		}
 		return false
 	}
-	for id, e := range c.list {
-		if e.State == Gone && c.now > e.outAt+max(c.cfg.FlapS, goneS) && !listed(id) {
-			delete(c.list, id)
+	for id, e := range m.entries {
+		if e.State == Removed && m.now > e.leftUpAt+max(m.cfg.FlapWindowS, removedRetentionS) && !listed(id) {
+			delete(m.entries, id)
 		}
 	}
-	for _, s := range c.sources {
-		for id, w := range s.words {
-			if w.State == Gone && c.list[id] == nil && !listed(id) {
-				delete(s.words, id)
+	for _, s := range m.sources {
+		for id, report := range s.reports {
+			if report.State == Removed && m.entries[id] == nil && !listed(id) {
+				delete(s.reports, id)
 			}
 		}
 	}
 }
 
-// Memory is what a Core knows, to be kept across a restart of its program.
-type Memory struct {
-	List  []Node            // as it stands
-	Words map[string][]Node // by source; those without an address are on the id alone
+// Snapshot is what a Core knows, to be kept across a restart of its program.
+type Snapshot struct {
+	Entries []Node            `json:"List"`  // as it stands
+	Reports map[string][]Node `json:"Words"` // by source; those without an address are on the id alone
 }
 
-// Memory is what is known now.
-func (c *Core) Memory() Memory {
-	m := Memory{Words: map[string][]Node{}}
-	for _, e := range c.List() {
-		m.List = append(m.List, e.Node)
+// Snapshot is what is known now.
+func (m *Merger) Snapshot() Snapshot {
+	snapshot := Snapshot{Reports: map[string][]Node{}}
+	for _, e := range m.Entries() {
+		snapshot.Entries = append(snapshot.Entries, e.Node)
 	}
-	for name, s := range c.sources {
-		for _, of := range []map[string]Node{s.words, s.marks, s.pending} {
+	for name, s := range m.sources {
+		for _, of := range []map[string]Node{s.reports, s.idReports, s.deferred} {
 			for _, id := range slices.Sorted(maps.Keys(of)) {
-				m.Words[name] = append(m.Words[name], of[id])
+				snapshot.Reports[name] = append(snapshot.Reports[name], of[id])
 			}
 		}
 	}
-	return m
+	return snapshot
 }
 
-// Remember takes back what sources had said before a restart: their words are those of stale sources, until each has read the
+// Restore takes back what sources had said before a restart: their words are those of stale sources, until each has read the
 // whole again. Call it before anything else; the list that was kept goes to New.
-func (c *Core) Remember(m Memory) {
-	for name, words := range m.Words {
-		if s := c.sources[name]; s != nil {
+func (m *Merger) Restore(snapshot Snapshot) {
+	for name, words := range snapshot.Reports {
+		if s := m.sources[name]; s != nil {
 			for _, n := range words {
-				if !s.milder(n) {
-					s.set(n)
+				if !s.relaxes(n) {
+					s.apply(n)
 				}
 			}
 		}
 	}
 }
 
-// Current tells whether a source is.
-func (c *Core) Current(name string) bool { return c.sources[name].current }
+// IsCurrent tells whether a source is.
+func (m *Merger) IsCurrent(name string) bool { return m.sources[name].current }
 
-// List is the joined list, by id.
-func (c *Core) List() (list []Entry) {
-	for _, id := range slices.Sorted(maps.Keys(c.list)) {
-		if e := c.list[id]; e.State != Gone {
+// Entries is the joined list, by id.
+func (m *Merger) Entries() (list []Entry) {
+	for _, id := range slices.Sorted(maps.Keys(m.entries)) {
+		if e := m.entries[id]; e.State != Removed {
 			list = append(list, e.Entry)
 		}
 	}
 	return list
 }
 
-// covers tells whether a word on a is one on b, too.
-func covers(a, b Identity) bool {
+// sameNode tells whether a word on a is one on b, too.
+func sameNode(a, b Identity) bool {
 	return a.ID == b.ID && (a.StartedMS == 0 || b.StartedMS == 0 || a.StartedMS == b.StartedMS) && a.Addr == b.Addr
 }
 
-// newest is the identity that an id stands for now: of current sources' words that are not gone the latest start, else
+// latestReport is the identity that an id stands for now: of current sources' words that are not gone the latest start, else
 // that of the list.
-func (c *Core) newest(id string) (n Node, found bool) {
-	for _, name := range slices.Sorted(maps.Keys(c.sources)) {
-		s := c.sources[name]
-		if w, ok := s.words[id]; ok && s.current && w.State != Gone && w.Addr != "" && (!found || w.StartedMS > n.StartedMS) {
-			n, found = w, true
+func (m *Merger) latestReport(id string) (n Node, found bool) {
+	for _, name := range slices.Sorted(maps.Keys(m.sources)) {
+		s := m.sources[name]
+		if report, ok := s.reports[id]; ok && s.current && report.State != Removed && report.Addr != "" && (!found || report.StartedMS > n.StartedMS) {
+			n, found = report, true
 		}
 	}
 	return n, found
 }
 
-// join applies the rules to every node and returns what changed, nodes that went included.
-func (c *Core) join() []Entry {
+// mergeAll applies the rules to every node and returns what changed, nodes that went included.
+func (m *Merger) mergeAll() []Entry {
 	ids := map[string]bool{}
-	for id := range c.list {
+	for id := range m.entries {
 		ids[id] = true
 	}
-	for _, s := range c.sources {
-		for id, w := range s.words {
-			if w.State != Gone {
+	for _, s := range m.sources {
+		for id, report := range s.reports {
+			if report.State != Removed {
 				ids[id] = true
 			}
 		}
 	}
-	c.due = math.Inf(1)
-	return c.joinOf(slices.Sorted(maps.Keys(ids)))
+	m.nextRecheckAt = math.Inf(1)
+	return m.mergeNodes(slices.Sorted(maps.Keys(ids)))
 }
 
-// joinOf applies the rules to some nodes, in their order.
-func (c *Core) joinOf(ids []string) (changed []Entry) {
+// mergeNodes applies the rules to some nodes, in their order.
+func (m *Merger) mergeNodes(ids []string) (changed []Entry) {
 	anyCurrent := false
-	for _, s := range c.sources {
+	for _, s := range m.sources {
 		anyCurrent = anyCurrent || s.current
 	}
 	for _, id := range ids {
-		if e, ok := c.one(id, anyCurrent); ok {
+		if e, ok := m.mergeNode(id, anyCurrent); ok {
 			changed = append(changed, e)
 		}
 	}
 	return changed
 }
 
-// one applies the rules to one node.
-func (c *Core) one(id string, anyCurrent bool) (Entry, bool) {
-	e := c.list[id]
-	n, brought := c.newest(id)
+// mergeNode applies the rules to one node.
+func (m *Merger) mergeNode(id string, anyCurrent bool) (Entry, bool) {
+	e := m.entries[id]
+	n, brought := m.latestReport(id)
 	if !brought {
 		if e == nil {
 			return Entry{}, false // rule 2
 		}
 		n = e.Node
-	} else if e != nil && !covers(n.Identity, e.Identity) && n.StartedMS < e.StartedMS {
+	} else if e != nil && !sameNode(n.Identity, e.Identity) && n.StartedMS < e.StartedMS {
 		n = e.Node // old news of an earlier start
-	} else if e != nil && n.StartedMS == 0 && covers(n.Identity, e.Identity) {
+	} else if e != nil && n.StartedMS == 0 && sameNode(n.Identity, e.Identity) {
 		n.Identity = e.Identity // a word without a start is no other identity
 	}
 	state, why, current := Up, "", false
-	for _, name := range slices.Sorted(maps.Keys(c.sources)) {
-		s := c.sources[name]
-		w, ok := s.words[id]
-		ok = ok && covers(w.Identity, n.Identity)
-		if m, marked := s.marks[id]; marked && (!ok || m.State > w.State) {
-			w, ok = m, true
+	for _, name := range slices.Sorted(maps.Keys(m.sources)) {
+		s := m.sources[name]
+		report, ok := s.reports[id]
+		ok = ok && sameNode(report.Identity, n.Identity)
+		if idReport, marked := s.idReports[id]; marked && (!ok || idReport.State > report.State) {
+			report, ok = idReport, true
 		}
 		if !ok {
 			continue
 		}
 		current = current || s.current
-		if w.State > state || why == "" {
+		if report.State > state || why == "" {
 			trust := ""
 			if !s.current {
 				trust = ", which is stale"
 			}
-			state, why = w.State, fmt.Sprintf("%s by %s%s", w.State, name, trust)
+			state, why = report.State, fmt.Sprintf("%s by %s%s", report.State, name, trust)
 		}
 	}
 	if why == "" {
 		state, why = n.State, "known from before"
 	}
 	if e != nil && (current || !anyCurrent) {
-		e.knownAt = c.now
+		e.lastKnownAt = m.now
 	}
 	if e != nil && !current && anyCurrent && state == Up {
-		if c.now > e.knownAt+c.cfg.OrphanS {
+		if m.now > e.lastKnownAt+m.cfg.OrphanAfterS {
 			state, why = Draining, "no current source knows it"
 		} else {
-			c.due = min(c.due, e.knownAt+c.cfg.OrphanS+dueSlack)
+			m.nextRecheckAt = min(m.nextRecheckAt, e.lastKnownAt+m.cfg.OrphanAfterS+recheckSlackS)
 		}
 	}
-	if e != nil && e.State != Up && state == Up && covers(n.Identity, e.Identity) {
+	if e != nil && e.State != Up && state == Up && sameNode(n.Identity, e.Identity) {
 		switch {
 		case !current:
 			return Entry{}, false // rule 3
-		case c.now < e.holdTo:
-			c.due = min(c.due, e.holdTo)
+		case m.now < e.holdUntil:
+			m.nextRecheckAt = min(m.nextRecheckAt, e.holdUntil)
 			return Entry{}, false // rule 5
 		}
 	}
 	if e == nil {
-		if state == Gone {
+		if state == Removed {
 			return Entry{}, false
 		}
-		e = &entry{knownAt: c.now}
-		c.list[id] = e
+		e = &entry{lastKnownAt: m.now}
+		m.entries[id] = e
 	} else if e.Identity == n.Identity && e.State == state {
-		e.Why = why
+		e.Reason = why
 		return Entry{}, false
 	}
-	if state == Gone {
-		e.outAt = c.now
+	if state == Removed {
+		e.leftUpAt = m.now
 	}
 	if e.Identity == n.Identity && e.State == Up && state != Up {
-		e.outAt = c.now
-		if c.now > e.backAt+c.cfg.FlapS {
-			e.returns = 0
+		e.leftUpAt = m.now
+		if m.now > e.returnedAt+m.cfg.FlapWindowS {
+			e.returnCount = 0
 		}
-		if e.returns > 0 {
-			e.holdTo = c.now + min(flapFirst*math.Exp2(float64(e.returns-1)), c.cfg.FlapMost)
+		if e.returnCount > 0 {
+			e.holdUntil = m.now + min(firstFlapHoldS*math.Exp2(float64(e.returnCount-1)), m.cfg.MaxFlapHoldS)
 		}
 	}
 	if e.Identity == n.Identity && e.State != Up && state == Up {
-		e.returns++
-		e.backAt = c.now
+		e.returnCount++
+		e.returnedAt = m.now
 	}
 	n.State = state
 	e.Entry = Entry{n, why}
 	return e.Entry, true
 }
 
-// Sources lists the sources and whether each is current, for people.
-func (c *Core) Sources() (list []SourceStatus) {
-	for name, s := range c.sources {
-		list = append(list, SourceStatus{name, s.current, max(c.now-s.heardAt, 0), len(s.words)})
+// SourceStatuses lists the sources and whether each is current, for people.
+func (m *Merger) SourceStatuses() (list []SourceStatus) {
+	for name, s := range m.sources {
+		list = append(list, SourceStatus{name, s.current, max(m.now-s.lastHeardAt, 0), len(s.reports)})
 	}
 	slices.SortFunc(list, func(a, b SourceStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return list
@@ -453,8 +454,8 @@
 
 // SourceStatus is a source for people.
 type SourceStatus struct {
-	Name    string
-	Current bool
-	AgeS    float64 // since its last word
-	Words   int
+	Name    string  `json:"Name"`
+	Current bool    `json:"Current"`
+	AgeS    float64 `json:"AgeS"` // since its last word
+	Reports int     `json:"Words"`
 }
--- a/internal/member/core_test.go
+++ b/internal/member/core_test.go
@@ -7,43 +7,45 @@
 	"testing"
 )
 
-func newCore(known ...Node) *Core {
-	return New(Config{StaleS: map[string]float64{"etcd": 1, "roster": 5}, OrphanS: 10, FlapS: 60, FlapMost: 30}, 100, known)
+func newTestMerger(known ...Node) *Merger {
+	return NewMerger(Config{StaleAfterS: map[string]float64{"etcd": 1, "roster": 5}, OrphanAfterS: 10, FlapWindowS: 60, MaxFlapHoldS: 30}, 100, known)
 }
 
 func node(id string, started int64, state State) Node {
 	return Node{Identity: Identity{id, "127.0.0.1:" + id, started}, State: state}
 }
 
-// says words the list as "id state start", by id.
-func says(c *Core) string {
+// describe words the list as "id state start", by id.
+func describe(m *Merger) string {
 	var list []string
-	for _, e := range c.List() {
+	for _, e := range m.Entries() {
 		list = append(list, fmt.Sprintf("%s %s %d", e.ID, e.State, e.StartedMS))
 	}
 	return strings.Join(list, ", ")
 }
 
 // Guards the rules one by one: each line takes a step and says what stands then.
-func TestRules(t *testing.T) {
+func TestMerger_Rules(t *testing.T) {
 	mark := func(id string, s State) Node { return Node{Identity: Identity{ID: id}, State: s} }
 	one := func(s State) []Node { return []Node{node("1", 0, s)} }
 	type step struct {
-		do   func(c *Core)
+		do   func(m *Merger)
 		want string
 	}
-	whole := func(at float64, src string, n ...Node) func(*Core) { return func(c *Core) { c.Whole(at, src, n) } }
-	change := func(at float64, src string, n ...Node) func(*Core) { return func(c *Core) { c.Change(at, src, n) } }
-	tick := func(at float64) func(*Core) { return func(c *Core) { c.Tick(at) } }
-	resumed := func(at float64, src string) func(*Core) { return func(c *Core) { c.Resumed(at, src) } }
-	broken := func(at float64, src string) func(*Core) { return func(c *Core) { c.Broken(at, src) } }
+	whole := func(at float64, src string, n ...Node) func(*Merger) {
+		return func(m *Merger) { m.ReplaceAll(at, src, n) }
+	}
+	change := func(at float64, src string, n ...Node) func(*Merger) { return func(m *Merger) { m.Update(at, src, n) } }
+	tick := func(at float64) func(*Merger) { return func(m *Merger) { m.Tick(at) } }
+	resumed := func(at float64, src string) func(*Merger) { return func(m *Merger) { m.MarkResumed(at, src) } }
+	broken := func(at float64, src string) func(*Merger) { return func(m *Merger) { m.MarkInterrupted(at, src) } }
 	for name, steps := range map[string][]step{
 		"the stricter word wins": {
 			{whole(100, "etcd", one(Up)...), "1 up 0"},
 			{whole(100, "roster", one(Draining)...), "1 draining 0"},
 			{change(101, "etcd", one(Up)...), "1 draining 0"},
 			{change(101, "roster", one(Up)...), "1 up 0"},
-			{change(102, "etcd", Node{Identity: Identity{ID: "1"}, State: Gone}), ""},
+			{change(102, "etcd", Node{Identity: Identity{ID: "1"}, State: Removed}), ""},
 			{change(103, "roster", one(Up)...), ""},
 		},
 		"a stale source takes out, and brings nothing in or back": {
@@ -65,8 +67,8 @@
 			{whole(100.1, "etcd"), "1 up 0"}, // taken back, which is not gone
 			{change(100.2, "etcd", one(Up)...), "1 up 0"},
 			{change(100.3, "etcd", one(Draining)...), "1 draining 0"},
-			{change(100.4, "etcd", mark("1", Gone)), ""}, // the node is deleted, the mark stands
-			{change(100.5, "etcd", mark("1", Up)), ""},   // the mark is taken back, the node is deleted still
+			{change(100.4, "etcd", mark("1", Removed)), ""}, // the node is deleted, the mark stands
+			{change(100.5, "etcd", mark("1", Up)), ""},      // the mark is taken back, the node is deleted still
 			{whole(100.6, "etcd", mark("1", Draining)), ""},
 			{whole(100.7, "etcd"), ""},
 			{change(100.8, "etcd", Node{Identity: Identity{"1", "127.0.0.1:1", 9}, State: Up}), "1 up 9"},
@@ -91,7 +93,7 @@
 		},
 		"progress keeps current": {
 			{whole(100, "etcd", one(Up)...), "1 up 0"},
-			{func(c *Core) { c.Resumed(100.9, "etcd") }, "1 up 0"},
+			{func(m *Merger) { m.MarkResumed(100.9, "etcd") }, "1 up 0"},
 			{tick(101.8), "1 up 0"},
 			{change(101.85, "etcd", node("2", 0, Up)), "1 up 0, 2 up 0"},
 		},
@@ -106,10 +108,10 @@
 			{whole(100, "roster", one(Up)...), "1 up 0"},
 			{tick(120), "1 up 0"}, // all are stale: what is known stays
 			{whole(120, "etcd", node("2", 0, Up)), "1 up 0, 2 up 0"},
-			{func(c *Core) {
+			{func(m *Merger) {
 				for at := 120.5; at < 131; at += 0.5 {
-					c.Resumed(at, "etcd")
-					c.Tick(at)
+					m.MarkResumed(at, "etcd")
+					m.Tick(at)
 				}
 			}, "1 draining 0, 2 up 0"},
 			{whole(132, "roster", one(Up)...), "1 up 0, 2 up 0"},
@@ -121,37 +123,37 @@
 			{change(100.3, "etcd", one(Draining)...), "1 draining 0"},
 			{change(100.4, "etcd", one(Up)...), "1 draining 0"},
 			{tick(101.2), "1 draining 0"},
-			{func(c *Core) { c.Resumed(101.25, "etcd"); c.Tick(101.4) }, "1 up 0"},
+			{func(m *Merger) { m.MarkResumed(101.25, "etcd"); m.Tick(101.4) }, "1 up 0"},
 			{change(101.5, "etcd", one(Draining)...), "1 draining 0"},
-			{func(c *Core) { c.Change(101.6, "etcd", one(Up)); c.Resumed(102.5, "etcd"); c.Tick(103.4) }, "1 draining 0"},
-			{func(c *Core) { c.Resumed(103.45, "etcd"); c.Tick(103.6) }, "1 up 0"},
+			{func(m *Merger) { m.Update(101.6, "etcd", one(Up)); m.MarkResumed(102.5, "etcd"); m.Tick(103.4) }, "1 draining 0"},
+			{func(m *Merger) { m.MarkResumed(103.45, "etcd"); m.Tick(103.6) }, "1 up 0"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCore()
+			m := newTestMerger()
 			if strings.Contains(name, "marks") {
-				c.cfg.FlapS = 0 // not what these are about
+				m.cfg.FlapWindowS = 0 // not what these are about
 			}
 			for i, s := range steps {
-				s.do(c)
-				if got := says(c); got != s.want {
+				s.do(m)
+				if got := describe(m); got != s.want {
 					t.Fatalf("step %d: %q, want %q", i, got, s.want)
 				}
 			}
 		})
 	}
-	c := newCore(node("k", 0, Up))
-	if c.Tick(1000); says(c) != "k up 0" {
-		t.Errorf("what is known stays while no source is current: %q", says(c))
+	m := newTestMerger(node("k", 0, Up))
+	if m.Tick(1000); describe(m) != "k up 0" {
+		t.Errorf("what is known stays while no source is current: %q", describe(m))
 	}
 }
 
 // Guards the invariant at each step of random sequences: no node is up against any source's strict word, and none comes
 // in or back but by a current source's word.
-func TestNoNewWorkOnAStaleOrStrictWord(t *testing.T) {
+func TestMerger_NoNewWorkOnStaleOrStricterReport(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		c := newCore(node("0", 0, Up))
+		m := newTestMerger(node("0", 0, Up))
 		now := 100.0
 		type oracle struct {
 			current bool
@@ -179,15 +181,15 @@
 				var list []Node
 				seen := map[string]bool{}
 				for range rng.IntN(5) {
-					if n := draw(); !seen[n.ID] && n.State != Gone {
+					if n := draw(); !seen[n.ID] && n.State != Removed {
 						seen[n.ID] = true
 						list = append(list, n)
 					}
 				}
-				for id, w := range o.words {
+				for id, report := range o.words {
 					if !seen[id] {
-						w.State = Gone
-						o.words[id] = w
+						report.State = Removed
+						o.words[id] = report
 					}
 				}
 				for _, n := range list {
@@ -195,10 +197,10 @@
 				}
 				o.current, o.read, o.heard = true, true, now
 				clear(o.pending)
-				c.Whole(now, name, list)
+				m.ReplaceAll(now, name, list)
 			case 1, 2, 3:
 				n := draw()
-				if w, ok := o.words[n.ID]; !ok || o.current || n.State >= w.State || !covers(w.Identity, n.Identity) {
+				if report, ok := o.words[n.ID]; !ok || o.current || n.State >= report.State || !sameNode(report.Identity, n.Identity) {
 					o.words[n.ID] = n
 					delete(o.pending, n.ID)
 				} else {
@@ -207,10 +209,10 @@
 				if o.current {
 					o.heard = now
 				}
-				c.Change(now, name, []Node{n})
+				m.Update(now, name, []Node{n})
 			case 4:
 				o.current = false
-				c.Broken(now, name)
+				m.MarkInterrupted(now, name)
 			case 6:
 				if o.read {
 					o.current, o.heard = true, now
@@ -219,22 +221,22 @@
 					}
 					clear(o.pending)
 				}
-				c.Resumed(now, name)
+				m.MarkResumed(now, name)
 			case 5:
 				for name, o := range src {
 					if o.current && now > o.heard+stale[name] {
 						o.current = false
 					}
 				}
-				c.Tick(now)
+				m.Tick(now)
 				for name, o := range src { // what went everywhere is forgotten, and nothing else
-					for id, w := range o.words {
-						if _, kept := c.sources[name].words[id]; kept {
+					for id, report := range o.words {
+						if _, kept := m.sources[name].reports[id]; kept {
 							continue
 						}
 						for other, p := range src {
-							if v, ok := p.words[id]; ok && v.State != Gone {
-								t.Fatalf("seed %d step %d: %s forgets %v of %s while %s lists it", seed, step, name, w, id, other)
+							if v, ok := p.words[id]; ok && v.State != Removed {
+								t.Fatalf("seed %d step %d: %s forgets %v of %s while %s lists it", seed, step, name, report, id, other)
 							}
 						}
 						delete(o.words, id)
@@ -242,24 +244,24 @@
 				}
 			}
 			next := map[string]Entry{}
-			for _, e := range c.List() {
+			for _, e := range m.Entries() {
 				next[e.ID] = e
 				if e.State != Up {
 					continue
 				}
 				byCurrent := false
 				for name, o := range src {
-					w, ok := o.words[e.ID]
-					if !ok || !covers(w.Identity, e.Identity) {
+					report, ok := o.words[e.ID]
+					if !ok || !sameNode(report.Identity, e.Identity) {
 						continue
 					}
-					if w.State != Up {
-						t.Fatalf("seed %d step %d: %s is up, but %s by %s (%s)", seed, step, e.ID, w.State, name, e.Why)
+					if report.State != Up {
+						t.Fatalf("seed %d step %d: %s is up, but %s by %s (%s)", seed, step, e.ID, report.State, name, e.Reason)
 					}
 					byCurrent = byCurrent || o.current
 				}
 				if old, ok := was[e.ID]; (!ok || old.State != Up || old.Identity != e.Identity) && !byCurrent {
-					t.Fatalf("seed %d step %d: %s came in by no current source (%s)", seed, step, e.ID, e.Why)
+					t.Fatalf("seed %d step %d: %s came in by no current source (%s)", seed, step, e.ID, e.Reason)
 				}
 			}
 			was = next
@@ -268,39 +270,39 @@
 }
 
 // Guards against lists that grow for ever under ids that are ever new.
-func TestForgetsWhatWent(t *testing.T) {
-	c := newCore()
+func TestMerger_ForgetsRemovedNodes(t *testing.T) {
+	m := newTestMerger()
 	now := 100.0
 	for i := range 2000 {
 		now += 0.2
-		c.Whole(now, "etcd", []Node{node(fmt.Sprint(i), 0, Up)})
-		c.Tick(now)
+		m.ReplaceAll(now, "etcd", []Node{node(fmt.Sprint(i), 0, Up)})
+		m.Tick(now)
 	}
-	if n, w := len(c.list), len(c.sources["etcd"].words); n > 400 || w > 400 {
+	if n, w := len(m.entries), len(m.sources["etcd"].reports); n > 400 || w > 400 {
 		t.Errorf("%d nodes, %d words are kept", n, w)
 	}
 }
 
 // Guards the word gone against a source that is late: it holds for a minute however short the time of flapping is.
-func TestGoneOutlivesALateSource(t *testing.T) {
-	c := New(Config{StaleS: map[string]float64{"etcd": 100, "roster": 100}, OrphanS: 100, FlapS: 0.001, FlapMost: 0.001}, 0, nil)
+func TestMerger_RemovalOutlivesLateSource(t *testing.T) {
+	m := NewMerger(Config{StaleAfterS: map[string]float64{"etcd": 100, "roster": 100}, OrphanAfterS: 100, FlapWindowS: 0.001, MaxFlapHoldS: 0.001}, 0, nil)
 	n := Node{Identity: Identity{ID: "z", Addr: "127.0.0.1:1", StartedMS: 5}}
-	c.Whole(1, "roster", nil)
-	c.Whole(1, "etcd", []Node{n})
-	n.State = Gone
-	c.Change(2, "etcd", []Node{n})
+	m.ReplaceAll(1, "roster", nil)
+	m.ReplaceAll(1, "etcd", []Node{n})
+	n.State = Removed
+	m.Update(2, "etcd", []Node{n})
 	for at := 3.0; at < 50; at++ {
-		c.Tick(at)
+		m.Tick(at)
 	}
 	n.State = Up
-	if got := c.Change(50, "roster", []Node{n}); len(got) != 0 || len(c.List()) != 0 {
+	if got := m.Update(50, "roster", []Node{n}); len(got) != 0 || len(m.Entries()) != 0 {
 		t.Errorf("a late word brings it in: %+v", got)
 	}
 	for at := 51.0; at < 70; at++ {
-		c.Tick(at)
+		m.Tick(at)
 	}
 	n.StartedMS = 6 // another life is another node
-	if got := c.Change(70, "roster", []Node{n}); len(got) != 1 || got[0].State != Up {
+	if got := m.Update(70, "roster", []Node{n}); len(got) != 1 || got[0].State != Up {
 		t.Errorf("the next life: %+v", got)
 	}
 }
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -132,9 +132,9 @@
 		defer end()
 		s.core.SetTracer(recorder.Put)
 	}
-	s.core.UpdateBackends(s.clock.Now(), s.cfg.Ingress.InitialEndpoints.Policy(), true)
-	go roster.New(s.cfg.Ingress.Discovery, s.cfg.Ingress.InitialEndpoints.Version, func(t roster.List) {
-		s.post(func(now float64) { s.core.UpdateBackends(now, t.Policy(), t.Full) })
+	s.core.UpdateBackends(s.clock.Now(), s.cfg.Ingress.InitialEndpoints.Backends(), true)
+	go roster.NewWatcher(s.cfg.Ingress.Discovery, s.cfg.Ingress.InitialEndpoints.Version, func(t roster.List) {
+		s.post(func(now float64) { s.core.UpdateBackends(now, t.Backends(), t.Full) })
 	}, func(what string, args ...any) {
 		s.post(func(float64) { s.Log(what, args...) })
 	}).Run(serveCtx, nil)
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -31,8 +31,8 @@
 func follow(t *testing.T, agent http.HandlerFunc, change func(*Watcher)) <-chan List {
 	srv := httptest.NewServer(agent)
 	lists := make(chan List, 64)
-	w := New(strings.TrimPrefix(srv.URL, "http://"), 0, func(l List) { lists <- l }, func(string, ...any) {})
-	w.silence = time.Hour
+	w := NewWatcher(strings.TrimPrefix(srv.URL, "http://"), 0, func(l List) { lists <- l }, func(string, ...any) {})
+	w.watchTimeout = time.Hour
 	if change != nil {
 		change(w)
 	}
@@ -43,7 +43,7 @@
 	return lists
 }
 
-func say(w http.ResponseWriter, text string) {
+func writeFlushed(w http.ResponseWriter, text string) {
 	io.WriteString(w, text)
 	w.(http.Flusher).Flush()
 }
@@ -51,38 +51,38 @@
 const entry = `{"id":"%s","addr":"127.0.0.1:1","state":"%s"}`
 
 // Guards against a list that is never read: a watch cut by lines takes an object over several for an error, for ever.
-func TestIndentedLists(t *testing.T) {
+func TestWatcher_ReadsIndentedObjects(t *testing.T) {
 	lists := follow(t, func(w http.ResponseWriter, r *http.Request) {
-		say(w, "{\n  \"version\": 5,\n  \"full\": true,\n  \"servers\": [\n    "+fmt.Sprintf(entry, "x", "in_service")+"\n\n  ]\n}\n\r\n\n")
-		say(w, "{\n \"version\": 6, \"servers\": [\n"+fmt.Sprintf(entry, "x", "terminating"))
-		say(w, "]}")
+		writeFlushed(w, "{\n  \"version\": 5,\n  \"full\": true,\n  \"servers\": [\n    "+fmt.Sprintf(entry, "x", "in_service")+"\n\n  ]\n}\n\r\n\n")
+		writeFlushed(w, "{\n \"version\": 6, \"servers\": [\n"+fmt.Sprintf(entry, "x", "terminating"))
+		writeFlushed(w, "]}")
 		<-r.Context().Done()
 	}, nil)
-	if l := get(t, lists); l.Version != 5 || !l.Full || len(l.Servers) != 1 {
+	if l := get(t, lists); l.Version != 5 || !l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("got %+v", l)
 	}
-	if l := get(t, lists); l.Version != 6 || l.Servers[0].State != "terminating" {
+	if l := get(t, lists); l.Version != 6 || l.Endpoints[0].State != "terminating" {
 		t.Errorf("got %+v", l)
 	}
 }
 
 // Guards against a change of which nothing is taken for one entry that can't be read: the rest counts as told.
-func TestOneBadEntry(t *testing.T) {
+func TestWatcher_DropsOnlyInvalidEntries(t *testing.T) {
 	lists := follow(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
 			return // the whole list can't be had just then
 		}
-		say(w, `{"version":5,"servers":[`+fmt.Sprintf(entry, "odd", "odd")+","+fmt.Sprintf(entry, "x", "terminating")+"]}\n")
+		writeFlushed(w, `{"version":5,"servers":[`+fmt.Sprintf(entry, "odd", "odd")+","+fmt.Sprintf(entry, "x", "terminating")+"]}\n")
 		<-r.Context().Done()
 	}, nil)
-	if l := get(t, lists); len(l.Servers) != 1 || l.Servers[0].ID != "x" || l.Full {
+	if l := get(t, lists); len(l.Endpoints) != 1 || l.Endpoints[0].ID != "x" || l.Full {
 		t.Errorf("got %+v", l)
 	}
 }
 
 // Guards against a call that hangs, as it was made while the agent was silent: what that gets at its return counts as told. It may answer a
 // call made later, or the one that hangs.
-func TestAgentThatWasSilent(t *testing.T) {
+func TestWatcher_RepeatsCallsToSilentAgent(t *testing.T) {
 	for name, serves := range map[string]func(call int) bool{
 		"a later call is answered":      func(call int) bool { return call > 2 },
 		"the call that hangs, in place": func(call int) bool { return call == 1 },
@@ -103,10 +103,10 @@
 					}
 				}
 				if serves(call) {
-					say(w, `{"version":7,"servers":[`+fmt.Sprintf(entry, "x", "terminating")+"]}\n")
+					writeFlushed(w, `{"version":7,"servers":[`+fmt.Sprintf(entry, "x", "terminating")+"]}\n")
 				}
 				<-r.Context().Done()
-			}, func(w *Watcher) { w.answerMost = time.Millisecond })
+			}, func(w *Watcher) { w.answerTimeout = time.Millisecond })
 			if l := get(t, lists); l.Version != 7 {
 				t.Errorf("got %+v", l)
 			}
@@ -116,16 +116,16 @@
 
 // Guards against a long pause after a watch that lived on a list that did not change: beside its silence that is more than the 6 s at which
 // a change counts as told. Only what tells nothing at all waits longer, and never so long that a drain's grace passes.
-func TestPausesBetweenWatches(t *testing.T) {
+func TestWatcher_Backoff(t *testing.T) {
 	for name, tc := range map[string]struct {
 		line string
 		last time.Duration
-	}{"told something": {`{"version":0,"servers":[]}` + "\n", backoffFirst}, "alive": {"\n", backoffFirst}, "told nothing": {"", backoffMost}} {
+	}{"told something": {`{"version":0,"servers":[]}` + "\n", minBackoff}, "alive": {"\n", minBackoff}, "told nothing": {"", maxBackoff}} {
 		t.Run(name, func(t *testing.T) {
 			pauses, at := make(chan time.Duration, 64), make(chan time.Time)
 			close(at)
-			follow(t, func(w http.ResponseWriter, _ *http.Request) { say(w, tc.line) }, func(w *Watcher) {
-				w.after = func(d time.Duration) <-chan time.Time {
+			follow(t, func(w http.ResponseWriter, _ *http.Request) { writeFlushed(w, tc.line) }, func(w *Watcher) {
+				w.backoffTimer = func(d time.Duration) <-chan time.Time {
 					select {
 					case pauses <- d:
 					default:
@@ -134,19 +134,19 @@
 				}
 			})
 			for i := range 6 {
-				if d := get(t, pauses); i == 5 && d != tc.last || d > backoffMost {
+				if d := get(t, pauses); i == 5 && d != tc.last || d > maxBackoff {
 					t.Errorf("pause %d is %v, want %v", i, d, tc.last)
 				}
 			}
 		})
 	}
-	if answerMost+backoffMost > 250*time.Millisecond {
+	if answerTimeout+maxBackoff > 250*time.Millisecond {
 		t.Error("an agent that is back may go unasked for longer than a drain's grace")
 	}
 }
 
 // What a watch says is told apart the same way however it comes in pieces, and whatever stands in its texts.
-func TestSplit(t *testing.T) {
+func TestObjectSplitter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text strings.Builder
 		var want []string
@@ -168,7 +168,7 @@
 		size := rapid.IntRange(1, 40).Draw(t, "size")
 		lines := bufio.NewScanner(&pieces{strings.NewReader(text.String()), size})
 		lines.Buffer(nil, 1<<16)
-		lines.Split(new(splitter).split)
+		lines.Split(new(objectSplitter).split)
 		var got []string
 		for lines.Scan() {
 			got = append(got, lines.Text())
@@ -193,7 +193,7 @@
 
 // Guards a move, two in a row, to an address that is silent and on from there: what is known stays until the last has told the whole list, and
 // what comes between that list and the watch behind it costs one pause.
-func TestMovesInARow(t *testing.T) {
+func TestWatcher_ChangesAddressTwice(t *testing.T) {
 	asked := make(chan string, 64)
 	silent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		asked <- "silent"
@@ -204,26 +204,26 @@
 	last := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- "last " + r.URL.RawQuery
 		if r.URL.RawQuery == "" {
-			say(w, `{"version":3,"servers":[`+fmt.Sprintf(entry, "y", "in_service")+"]}")
+			writeFlushed(w, `{"version":3,"servers":[`+fmt.Sprintf(entry, "y", "in_service")+"]}")
 			return
 		}
 		if first { // reset between the list and its watch
 			first = false
 			panic(http.ErrAbortHandler)
 		}
-		say(w, `{"version":4,"servers":[`+fmt.Sprintf(entry, "y", "terminating")+"]}\n")
+		writeFlushed(w, `{"version":4,"servers":[`+fmt.Sprintf(entry, "y", "terminating")+"]}\n")
 		<-r.Context().Done()
 	}))
 	defer last.Close()
 	began := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		say(w, `{"version":50,"full":true,"servers":[`+fmt.Sprintf(entry, "x", "in_service")+"]}\n")
+		writeFlushed(w, `{"version":50,"full":true,"servers":[`+fmt.Sprintf(entry, "x", "in_service")+"]}\n")
 		<-r.Context().Done()
 	}))
 	defer began.Close()
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 	lists, moves := make(chan List, 64), make(chan string)
-	w := New(addr(began), 0, func(l List) { lists <- l }, func(string, ...any) {})
-	w.silence, w.answerMost = time.Hour, time.Hour // by the moves alone
+	w := NewWatcher(addr(began), 0, func(l List) { lists <- l }, func(string, ...any) {})
+	w.watchTimeout, w.answerTimeout = time.Hour, time.Hour // by the moves alone
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx, moves) }()
@@ -248,21 +248,21 @@
 	if l := get(t, lists); l.Version != 3 || !l.Full {
 		t.Errorf("got %+v", l)
 	}
-	if l := get(t, lists); l.Version != 4 || l.Servers[0].State != "terminating" {
+	if l := get(t, lists); l.Version != 4 || l.Endpoints[0].State != "terminating" {
 		t.Errorf("got %+v", l)
 	}
 }
 
 // Guards an agent that starts anew and counts from the beginning: its whole list is taken, whatever was known.
-func TestWholeListOfALowerVersion(t *testing.T) {
+func TestWatcher_AcceptsFullListOfLowerVersion(t *testing.T) {
 	lists := follow(t, func(w http.ResponseWriter, r *http.Request) {
-		say(w, `{"version":9,"full":true,"servers":[]}`+"\n"+`{"version":1,"full":true,"servers":[`+fmt.Sprintf(entry, "x", "terminating")+"]}\n")
+		writeFlushed(w, `{"version":9,"full":true,"servers":[]}`+"\n"+`{"version":1,"full":true,"servers":[`+fmt.Sprintf(entry, "x", "terminating")+"]}\n")
 		<-r.Context().Done()
 	}, nil)
 	if l := get(t, lists); l.Version != 9 {
 		t.Errorf("got %+v", l)
 	}
-	if l := get(t, lists); l.Version != 1 || len(l.Servers) != 1 {
+	if l := get(t, lists); l.Version != 1 || len(l.Endpoints) != 1 {
 		t.Errorf("got %+v", l)
 	}
 }
--- a/internal/roster/split.go
+++ b/internal/roster/split.go
@@ -2,18 +2,18 @@
 
 import "bytes"
 
-// splitter cuts a watch into what it says: each object, however many lines it takes, and each empty line between two as an empty
+// objectSplitter cuts a watch into what it says: each object, however many lines it takes, and each empty line between two as an empty
 // token, which tells that the agent is there. What begins with anything else is cut at its line's end, and is no object.
-type splitter struct {
-	looked  int // bytes of the object at the start that were looked at; the rest of its state is as of there
-	depth   int
-	quoted  bool
-	escaped bool
+type objectSplitter struct {
+	scanned  int // bytes of the object at the start that were looked at; the rest of its state is as of there
+	depth    int
+	inString bool
+	escaped  bool
 }
 
 // split is a bufio.SplitFunc.
-func (s *splitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
-	if s.looked == 0 {
+func (s *objectSplitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
+	if s.scanned == 0 {
 		start := 0
 		for start < len(data) && (data[start] == ' ' || data[start] == '\t' || data[start] == '\r') {
 			start++
@@ -35,23 +35,23 @@
 			return 0, nil, nil
 		}
 	}
-	for ; s.looked < len(data); s.looked++ {
-		switch c := data[s.looked]; {
+	for ; s.scanned < len(data); s.scanned++ {
+		switch c := data[s.scanned]; {
 		case s.escaped:
 			s.escaped = false
-		case s.quoted:
-			s.escaped, s.quoted = c == '\\', c != '"'
+		case s.inString:
+			s.escaped, s.inString = c == '\\', c != '"'
 		case c == '"':
-			s.quoted = true
+			s.inString = true
 		case c == '{', c == '[':
 			s.depth++
 		case c == '}', c == ']':
 			if s.depth--; s.depth == 0 {
-				end := s.looked + 1
+				end := s.scanned + 1
 				if end < len(data) && data[end] == '\n' { // its own line's end is no empty line
 					end++
 				}
-				*s = splitter{}
+				*s = objectSplitter{}
 				return end, bytes.TrimSuffix(data[:end], []byte{'\n'}), nil
 			}
 		}
--- a/internal/takeover/golden_test.go
+++ b/internal/takeover/golden_test.go
@@ -28,7 +28,7 @@
 	}
 	defer link.Close()
 	var packets [][]byte
-	kinds := []Kind{Hello, Sockets, Ready, Kept, Go, Client, Value, Event, Order}
+	kinds := []Kind{Hello, Sockets, Ready, Snapshot, Proceed, Client, LargeValue, Event, Order}
 	for i, kind := range kinds {
 		if err := link.Send(kind, []byte{Version, byte(i)}, time.Minute); err != nil {
 			t.Fatal(err)
@@ -40,7 +40,7 @@
 		}
 		packets = append(packets, b[:n])
 	}
-	path, err := Path("/folder", "a/name")
+	path, err := SocketPath("/folder", "a/name")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -34,24 +34,24 @@
 
 // The kinds of messages.
 const (
-	Hello   Kind = 'H'
-	Sockets Kind = 'S'
-	Ready   Kind = 'R'
-	Kept    Kind = 'K'
-	Go      Kind = 'G'
-	Client  Kind = 'C'
-	Value   Kind = 'V'
-	Event   Kind = 'E'
-	Order   Kind = 'O'
+	Hello      Kind = 'H'
+	Sockets    Kind = 'S'
+	Ready      Kind = 'R'
+	Snapshot   Kind = 'K'
+	Proceed    Kind = 'G'
+	Client     Kind = 'C'
+	LargeValue Kind = 'V'
+	Event      Kind = 'E'
+	Order      Kind = 'O'
 )
 
 const (
 	// Version is what Hello carries.
 	Version = 1
-	// MaxBody bounds what a message carries beside descriptors.
-	MaxBody = 128 << 10
-	maxFDs  = 2
-	maxPath = 100 // a Unix socket's path may have some more
+	// MaxBodyBytes bounds what a message carries beside descriptors.
+	MaxBodyBytes  = 128 << 10
+	maxFDs        = 2
+	maxSocketPath = 100 // a Unix socket's path may have some more
 )
 
 // Message is one message; its files are the receiver's to close.
@@ -61,10 +61,10 @@
 	Files []*os.File
 }
 
-// Path is where the process of a name is asked, in a folder that both processes have.
-func Path(dir, name string) (string, error) {
+// SocketPath is where the process of a name is asked, in a folder that both processes have.
+func SocketPath(dir, name string) (string, error) {
 	path := filepath.Join(dir, "eiderspread-"+filepath.Base("/"+name)+".sock")
-	if len(path) > maxPath {
+	if len(path) > maxSocketPath {
 		return "", fmt.Errorf("takeover: %s is too long for a socket", path)
 	}
 	return path, nil
@@ -142,7 +142,7 @@
 
 // Send sends a message with the descriptors of conns, which stay the sender's, by a deadline.
 func (l *Link) Send(kind Kind, body []byte, by time.Duration, conns ...syscall.Conn) error {
-	if len(body) > MaxBody || len(conns) > maxFDs {
+	if len(body) > MaxBodyBytes || len(conns) > maxFDs {
 		return fmt.Errorf("takeover: message of %d bytes and %d descriptors", len(body), len(conns))
 	}
 	l.conn.SetWriteDeadline(time.Now().Add(by))
@@ -175,7 +175,7 @@
 // Receive waits for the next message, for no longer than most if that is above 0.
 func (l *Link) Receive(most time.Duration) (Message, error) {
 	if l.buf == nil {
-		l.buf = make([]byte, MaxBody+1)
+		l.buf = make([]byte, MaxBodyBytes+1)
 	}
 	deadline := time.Time{}
 	if most > 0 {
@@ -187,7 +187,7 @@
 	if err != nil {
 		return Message{}, err
 	}
-	files, err := files(oob[:oobn])
+	files, err := parseFiles(oob[:oobn])
 	switch {
 	case err != nil:
 	case n == 0:
@@ -203,7 +203,7 @@
 	return Message{}, err
 }
 
-func files(oob []byte) (list []*os.File, err error) {
+func parseFiles(oob []byte) (list []*os.File, err error) {
 	if len(oob) == 0 {
 		return nil, nil
 	}
@@ -251,15 +251,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if t, ok := c.(*net.TCPConn); ok && !listens(t) { // one that its peer has reset has no address any more, and may hold the rest of a value
+	if t, ok := c.(*net.TCPConn); ok && !isListener(t) { // one that its peer has reset has no address any more, and may hold the rest of a value
 		return t, nil
 	}
 	c.Close()
 	return nil, errors.New("takeover: not a TCP connection")
 }
 
-// listens tells that a socket is a listener's.
-func listens(c *net.TCPConn) bool {
+// isListener tells that a socket is a listener's.
+func isListener(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
@@ -278,7 +278,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return at[*net.TCPListener](l, l.Addr(), addr)
+	return boundTo[*net.TCPListener](l, l.Addr(), addr)
 }
 
 // UDPConn makes a datagram socket of a descriptor, which is closed, if it is bound to addr.
@@ -288,11 +288,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return at[*net.UDPConn](c, c.LocalAddr(), addr)
+	return boundTo[*net.UDPConn](c, c.LocalAddr(), addr)
 }
 
-// at returns a socket as what it must be, if it is bound where it must be; else it is closed.
-func at[T io.Closer](s io.Closer, is net.Addr, want string) (T, error) {
+// boundTo returns a socket as what it must be, if it is bound where it must be; else it is closed.
+func boundTo[T io.Closer](s io.Closer, is net.Addr, want string) (T, error) {
 	t, ok := s.(T)
 	if ok && is.String() == want {
 		return t, nil
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -17,7 +17,7 @@
 // pair is a link and its other side.
 func pair(t *testing.T) (a, b *Link, path string) {
 	t.Helper()
-	path, err := Path(t.TempDir(), "n")
+	path, err := SocketPath(t.TempDir(), "n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 
 // Guards what the replacement rests on: a connection goes on at the receiver with every byte, while the sender closes it,
 // and a listener's queue is taken over with it.
-func TestSocketsGoOnElsewhere(t *testing.T) {
+func TestLink_PassesSockets(t *testing.T) {
 	a, b, _ := pair(t)
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -113,7 +113,7 @@
 }
 
 // Guards the descriptors of a process that is told nonsense: each that came is closed.
-func TestNonsenseLeavesNothingOpen(t *testing.T) {
+func TestLink_MalformedMessagesLeakNothing(t *testing.T) {
 	a, b, _ := pair(t)
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 	before := open()
 	for range 20 {
-		b.Send(Go, nil, patience, l, l)
+		b.Send(Proceed, nil, patience, l, l)
 		if _, err := a.Expect(Sockets, 1, patience); err == nil {
 			t.Fatal("another kind was taken")
 		}
@@ -156,13 +156,13 @@
 	if after := open(); after > before {
 		t.Errorf("%d descriptors, %d before", after, before)
 	}
-	if err := b.Send(Client, make([]byte, MaxBody+1), patience); err == nil {
+	if err := b.Send(Client, make([]byte, MaxBodyBytes+1), patience); err == nil {
 		t.Error("an overlong message was sent")
 	}
-	if err := b.Send(Client, bytes.Repeat([]byte("x"), MaxBody), patience); err != nil {
+	if err := b.Send(Client, bytes.Repeat([]byte("x"), MaxBodyBytes), patience); err != nil {
 		t.Error(err)
 	}
-	if m, err := a.Receive(patience); err != nil || len(m.Body) != MaxBody {
+	if m, err := a.Receive(patience); err != nil || len(m.Body) != MaxBodyBytes {
 		t.Error(len(m.Body), err)
 	}
 	b.Close()
@@ -172,9 +172,9 @@
 }
 
 // Guards starts beside what a killed process left, and against paths that the system would cut.
-func TestPaths(t *testing.T) {
+func TestSocketPath(t *testing.T) {
 	dir := t.TempDir()
-	path, _ := Path(dir, "n")
+	path, _ := SocketPath(dir, "n")
 	if l, err := Dial(path); l != nil || err != nil {
 		t.Fatal("nothing is there:", l, err)
 	}
@@ -200,10 +200,10 @@
 		t.Fatal("the old process took the new one's path away:", err)
 	}
 	second.Close()
-	if _, err := Path(strings.Repeat("x", 100), "n"); err == nil {
+	if _, err := SocketPath(strings.Repeat("x", 100), "n"); err == nil {
 		t.Error("a path that is too long is no error")
 	}
-	if p, _ := Path(dir, "../../n"); filepath.Dir(p) != dir {
+	if p, _ := SocketPath(dir, "../../n"); filepath.Dir(p) != dir {
 		t.Error("a name leads out of the folder:", p)
 	}
 }
--- a/policy/ceilings_test.go
+++ b/policy/ceilings_test.go
@@ -60,7 +60,7 @@
 	if parts := g.Snapshot(100.02); len(parts) == 0 || len(r.of("refuse", "")) != 9 || account.hardLimit.Unpaid != 0 {
 		t.Errorf("%d refused at a hand-over, %v units owed", len(r.of("refuse", "")), account.hardLimit.Unpaid)
 	}
-	if account.hardLimit.Local.Level != kept.None {
+	if account.hardLimit.Local.Level != kept.NoCapacity {
 		t.Error("the ceiling was kept")
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -36,7 +36,7 @@
 		if len(parts) != 1 {
 			t.Fatalf("%d parts", len(parts))
 		}
-		slices.SortFunc(parts[0].Customers, func(a, b kept.Customer) int { return cmp.Compare(a.Key, b.Key) })
+		slices.SortFunc(parts[0].Accounts, func(a, b kept.Account) int { return cmp.Compare(a.Key, b.Key) })
 		return parts[0]
 	}
 	text, err := json.Marshal(keep(g))
@@ -50,11 +50,11 @@
 	next, _ := newTestGateway(t, nil)
 	next.Restore(105, want)
 	got := keep(next)
-	got.Seq -= kept.SeqAhead
-	for i := range got.Customers { // attempts are out at the old one alone, and an owner has taken in its own total
-		x, was := &got.Customers[i], want.Customers[i]
+	got.Sequence -= kept.SequenceMargin
+	for i := range got.Accounts { // attempts are out at the old one alone, and an owner has taken in its own total
+		x, was := &got.Accounts[i], want.Accounts[i]
 		const total, taken = 6, 7
-		if x.Out = was.Out; x.Figures[taken] == was.Figures[total] {
+		if x.HasInFlight = was.HasInFlight; x.Figures[taken] == was.Figures[total] {
 			x.Figures[taken] = was.Figures[taken]
 		}
 	}
--- a/policy/keep.go
+++ b/policy/keep.go
@@ -28,23 +28,23 @@
 			g.reject(req, why.HardLimitExhausted)
 		}
 	}
-	part := kept.Part{Boot: g.incarnation, Seq: g.sequence, Born: g.startedAt, Limit: g.adaptiveLimit / float64(max(1, len(g.backends.Listed))), Figures: kept.Values(g.snapshotFields()),
-		Classes: map[string][2]float64{}, Servers: map[string][]float64{}}
+	part := kept.Part{Incarnation: g.incarnation, Sequence: g.sequence, StartedAt: g.startedAt, LimitPerBackend: g.adaptiveLimit / float64(max(1, len(g.backends.Listed))), Figures: kept.Values(g.snapshotFields()),
+		Classes: map[string][2]float64{}, Backends: map[string][]float64{}}
 	for name, class := range g.classes {
 		part.Classes[name] = [2]float64{class.meanLatency, float64(class.samples)}
 	}
 	for id, backend := range g.backends.ByID {
-		part.Servers[id] = kept.Values(backend.snapshotFields())
+		part.Backends[id] = kept.Values(backend.snapshotFields())
 	}
 	parts = []kept.Part{part}
 	for _, account := range g.accounts {
-		saved := kept.Customer{Key: account.key, Hash: account.hash, Plan: account.plan.Name, First: account.firstGateway, Entries: account.gatewayCount, Known: account.ownerReplied,
-			Out: account.inFlight > 0, Figures: kept.Values(account.snapshotFields())}
+		saved := kept.Account{Key: account.key, Hash: account.hash, Plan: account.plan.Name, FirstGateway: account.firstGateway, GatewayCount: account.gatewayCount, OwnerReplied: account.ownerReplied,
+			HasInFlight: account.inFlight > 0, Figures: kept.Values(account.snapshotFields())}
 		if account.ledger != nil {
 			saved.Ledger, saved.Members = account.ledger.Snapshot()
 		}
-		parts = kept.Add(parts, saved)
-		account.hardLimit.Local.Level, account.hardLimit.Shared.Level, account.prefetched = kept.None, kept.None, 0
+		parts = kept.AppendAccount(parts, saved)
+		account.hardLimit.Local.Level, account.hardLimit.Shared.Level, account.prefetched = kept.NoCapacity, kept.NoCapacity, 0
 	}
 	return parts
 }
@@ -54,36 +54,36 @@
 func (g *Gateway) Restore(now float64, part kept.Part) {
 	g.advanceClock(now)
 	g.leaseFrom = now + places.ReportLeaseS
-	g.incarnation, g.sequence, g.startedAt = part.Boot, max(g.sequence, part.Seq+kept.SeqAhead), part.Born
-	g.adaptiveLimit = part.Limit * float64(max(1, len(g.backends.Listed)))
+	g.incarnation, g.sequence, g.startedAt = part.Incarnation, max(g.sequence, part.Sequence+kept.SequenceMargin), part.StartedAt
+	g.adaptiveLimit = part.LimitPerBackend * float64(max(1, len(g.backends.Listed)))
 	kept.Restore(g.snapshotFields(), part.Figures)
 	for name, f := range part.Classes {
 		if class := g.classes[name]; class != nil {
 			class.meanLatency, class.samples = f[0], int(f[1])
 		}
 	}
-	for id, f := range part.Servers {
+	for id, f := range part.Backends {
 		if backend := g.backends.ByID[id]; backend != nil {
 			kept.Restore(backend.snapshotFields(), f)
 		}
 	}
-	for _, saved := range part.Customers {
+	for _, saved := range part.Accounts {
 		plan := g.plansByName[saved.Plan]
-		if plan == nil || saved.Entries < 0 || saved.Entries > g.settings.Gateways {
+		if plan == nil || saved.GatewayCount < 0 || saved.GatewayCount > g.settings.Gateways {
 			continue
 		} else if account := g.accounts[accountKey{saved.Key, uint32(plan.index)}]; account != nil {
 			kept.Restore(account.snapshotFields()[:4], saved.Figures)
 			continue
 		}
 		account := g.newAccount(saved.Key, plan)
-		account.hash, account.firstGateway, account.gatewayCount, account.ownerReplied = saved.Hash, saved.First, saved.Entries, saved.Known
+		account.hash, account.firstGateway, account.gatewayCount, account.ownerReplied = saved.Hash, saved.FirstGateway, saved.GatewayCount, saved.OwnerReplied
 		if kept.Restore(account.snapshotFields(), saved.Figures); account.gatewayCount > 0 {
 			account.primaryOwner = g.walkRing(account, false)
 		}
 		if saved.Ledger != nil {
 			account.ledger = tally.RestoreLedger(saved.Ledger, saved.Members)
 		}
-		if saved.Out || account.admittedUnits != account.ackedUnits {
+		if saved.HasInFlight || account.admittedUnits != account.ackedUnits {
 			g.queueReport(account, false)
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -439,10 +439,10 @@
 		t.Fatalf("no occasion: %v units, %v before", sum, total)
 	}
 	// The successor dies, and the old one takes everything back: for others it is another life, of which the total may be less.
-	for _, p := range kept.Back(parts) {
+	for _, p := range kept.Reclaimed(parts) {
 		old.Restore(now, p)
 	}
-	if old.incarnation == was.Incarnation || parts[0].Boot != was.Incarnation {
+	if old.incarnation == was.Incarnation || parts[0].Incarnation != was.Incarnation {
 		t.Errorf("boot %d after the successor's life as %d: what that one let in seems handed back", old.incarnation, was.Incarnation)
 	}
 	if is.Incarnation != was.Incarnation || math.Abs(is.Total-sum) > 0.3 {
