--- a/cmd/decisiontrace/main.go
+++ b/cmd/decisiontrace/main.go
@@ -10,11 +10,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"eiderspread/internal/peermsg"
-	"eiderspread/internal/trace/analyse"
-	"eiderspread/internal/trace/plots"
-	"eiderspread/internal/trace/spans"
-	"eiderspread/internal/why"
+	"eiderspread/internal/base/peerprotocol"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/observability/trace/analyse"
+	"eiderspread/internal/observability/trace/plots"
+	"eiderspread/internal/observability/trace/spans"
 )
 
 type inputs struct {
@@ -107,7 +107,7 @@
 			return fmt.Errorf("account: %w", err)
 		}
 	case c.Account != "":
-		key = peermsg.HashPoint(c.Account) >> 32
+		key = peerprotocol.HashPoint(c.Account) >> 32
 	case c.ID == "":
 		return fmt.Errorf("a story needs --id or --account")
 	}
@@ -192,7 +192,7 @@
 type reasonsCmd struct{}
 
 func (reasonsCmd) Run() error {
-	for _, r := range why.Reasons() {
+	for _, r := range reason.Reasons() {
 		fmt.Println(r)
 	}
 	return nil
--- a/cmd/decisiontrace/overload.go
+++ b/cmd/decisiontrace/overload.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"strings"
 
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/trace/plots"
+	"eiderspread/internal/observability/trace/plots"
+	"eiderspread/internal/testbed/oracle"
 )
 
 type overloadCmd struct {
@@ -28,7 +28,7 @@
 		if err != nil {
 			return err
 		}
-		var l audit.Load
+		var l oracle.Load
 		if err := json.Unmarshal(text, &l); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
--- a/cmd/eiderspread/main.go
+++ b/cmd/eiderspread/main.go
@@ -11,7 +11,7 @@
 	"runtime"
 	"syscall"
 
-	"eiderspread/internal/ingress"
+	"eiderspread/internal/dataplane/ingress"
 )
 
 const (
--- a/cmd/eiderspread/main_test.go
+++ b/cmd/eiderspread/main_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/ingress"
+	"eiderspread/internal/dataplane/ingress"
 )
 
 // Guards against a start that hangs or panics on a configuration that can't be used: it must be
--- a/cmd/fleet/golden_test.go
+++ b/cmd/fleet/golden_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the keys of the operator's file of an upgrade.
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -10,7 +10,7 @@
 	"os"
 	"time"
 
-	"eiderspread/internal/program"
+	"eiderspread/internal/controlplane/process"
 )
 
 const usage = `usage: fleet COMMAND ...
@@ -59,9 +59,9 @@
 		return fmt.Errorf("%s wants one file", kind)
 	}
 	if *check {
-		return program.CheckConfig(kind, set.Arg(0))
+		return process.CheckConfig(kind, set.Arg(0))
 	}
-	return program.Run(kind, set.Arg(0))
+	return process.Run(kind, set.Arg(0))
 }
 
 // status prints what programs tell of themselves. One that does not answer is an error, after the others.
--- a/cmd/fleet/upgrade.go
+++ b/cmd/fleet/upgrade.go
@@ -11,8 +11,8 @@
 	"os/exec"
 	"time"
 
-	"eiderspread/internal/operator"
-	"eiderspread/internal/rollout"
+	"eiderspread/internal/base/operatorconfig"
+	"eiderspread/internal/controlplane/rollout"
 )
 
 const (
@@ -77,7 +77,7 @@
 		UpS     float64 `toml:"up_s"`
 		SettleS float64 `toml:"settle_s"`
 	}
-	if err := operator.Decode(set.Arg(0), &f); err != nil {
+	if err := operatorconfig.Decode(set.Arg(0), &f); err != nil {
 		return err
 	}
 	times := rollout.DefaultTimeouts
--- a/cmd/membershipagent/lab.go
+++ b/cmd/membershipagent/lab.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/etcdfleet"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/etcdfleet"
 )
 
 // runLab runs a fleet whose membership comes from the stand-in for etcd through agents, while etcd breaks, and has the auditor
@@ -61,10 +61,10 @@
 		return etcdfleet.Sizes(list, *length, *seed, *dir, spawner(self), w)
 	}
 	n := func(x int) int { return max(1, int(float64(x)**scale)) }
-	sc := lab.Scenario{Length: *length, Accounts: lab.Accounts(n(20), n(10), n(3), *forwarders, 4, *seed),
-		FleetConfig: lab.FleetConfig{Forwarders: *forwarders, Planners: *planners, Nodes: *nodes, Classes: lab.LabClasses, Plans: lab.LabPlans,
-			Node: lab.LabNode, Seed: *seed, Dir: *dir, Spawn: spawner(self)}}
-	if err := lab.Make("etcd", &sc, etcdfleet.Kinds, *every); err != nil {
+	sc := testbed.Scenario{Length: *length, Accounts: testbed.Accounts(n(20), n(10), n(3), *forwarders, 4, *seed),
+		FleetConfig: testbed.FleetConfig{Forwarders: *forwarders, Planners: *planners, Nodes: *nodes, Classes: testbed.LabClasses, Plans: testbed.LabPlans,
+			Node: testbed.LabNode, Seed: *seed, Dir: *dir, Spawn: spawner(self)}}
+	if err := testbed.Make("etcd", &sc, etcdfleet.Kinds, *every); err != nil {
 		return err
 	}
 	rig, err := etcdfleet.New(*dir, *members)
@@ -88,7 +88,7 @@
 	if *quiet {
 		log = io.Discard
 	}
-	f, rep, err := lab.RunWith(sc, log, func() { rig.Print(w) })
+	f, rep, err := testbed.RunWith(sc, log, func() { rig.Print(w) })
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 }
 
 // spawner starts the programs under test: this one, and those that lie beside it.
-func spawner(self string) lab.Spawn {
+func spawner(self string) testbed.Spawn {
 	return func(kind, file string) *exec.Cmd {
 		switch kind {
 		case "agent":
--- a/cmd/membershipagent/main.go
+++ b/cmd/membershipagent/main.go
@@ -17,7 +17,7 @@
 
 	clientv3 "go.etcd.io/etcd/client/v3"
 
-	"eiderspread/internal/agent"
+	"eiderspread/internal/membership/agent"
 )
 
 const usage = `usage: membershipagent COMMAND ...
--- a/cmd/membershipagent/main_test.go
+++ b/cmd/membershipagent/main_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/standin/etcd"
+	"eiderspread/internal/testbed/etcdstandin"
 )
 
 // Guards the command line: a wrong call is one clear error.
@@ -37,7 +37,7 @@
 // ends with the command that holds it.
 func TestNodesCommands(t *testing.T) {
 	dir := t.TempDir()
-	server, err := etcd.New()
+	server, err := etcdstandin.New()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/membershipagent/standin.go
+++ b/cmd/membershipagent/standin.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"eiderspread/internal/link"
-	"eiderspread/internal/standin/etcd"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/testbed/etcdstandin"
 )
 
 // runStandin runs the project's stand-in for etcd by hand, so that the other commands can be tried with nothing else installed.
@@ -22,7 +22,7 @@
 	user := set.String("user", "", "want this user's password of clients")
 	password := set.String("password-file", "", "where that password is")
 	ttl := set.Duration("token-ttl", 5*time.Minute, "how long a token lasts")
-	var id link.Identity
+	var id transport.Identity
 	set.StringVar(&id.Cert, "cert", "", "certificate of the members: clients then need one of the same authority")
 	set.StringVar(&id.Key, "key", "", "its key")
 	set.StringVar(&id.CA, "ca", "", "its authority")
@@ -32,7 +32,7 @@
 	if set.NArg() != 0 {
 		return fmt.Errorf("standin wants flags alone, not %q", set.Arg(0))
 	}
-	cfg := etcd.Config{Listen: strings.Split(*listen, ","), File: *file, TokenTTL: *ttl}
+	cfg := etcdstandin.Config{Listen: strings.Split(*listen, ","), File: *file, TokenTTL: *ttl}
 	for _, a := range cfg.Listen {
 		if p, err := netip.ParseAddrPort(a); err != nil || !p.Addr().IsLoopback() {
 			return fmt.Errorf("standin listens on loopback addresses alone, not on %q", a)
@@ -52,7 +52,7 @@
 	if cfg.TLS, err = id.Config(); err != nil {
 		return err
 	}
-	c, err := etcd.Open(cfg)
+	c, err := etcdstandin.Open(cfg)
 	if err != nil {
 		return err
 	}
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the simulator's lines and the decisions behind them: recorded inputs, one with health checks and one of another kind of site with streams,
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -7,8 +7,8 @@
 	"io"
 	"os"
 
-	"eiderspread/internal/settings"
-	"eiderspread/internal/wire"
+	"eiderspread/internal/base/settings"
+	"eiderspread/internal/base/simprotocol"
 	"eiderspread/policy"
 )
 
@@ -22,16 +22,16 @@
 // host is what one process holds: its gateways, and the numbered lists of servers.
 type host struct {
 	now   float64
-	in    *wire.Reader
-	out   *wire.Writer
-	line  wire.Line
+	in    *simprotocol.Reader
+	out   *simprotocol.Writer
+	line  simprotocol.Line
 	gates map[int]*policy.Gateway
 	lists map[int][]policy.Backend
 }
 
 // actions writes the actions of one gateway.
 type actions struct {
-	w *wire.Writer
+	w *simprotocol.Writer
 	i int
 }
 
@@ -71,7 +71,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	h := &host{
-		in: wire.NewReader(in), out: wire.NewWriter(out),
+		in: simprotocol.NewReader(in), out: simprotocol.NewWriter(out),
 		gates: map[int]*policy.Gateway{}, lists: map[int][]policy.Backend{},
 	}
 	inBatch := false
@@ -179,7 +179,7 @@
 
 // fields reads fields of a line and keeps the first error.
 type fields struct {
-	l   *wire.Line
+	l   *simprotocol.Line
 	err error
 }
 
--- a/cmd/testbed/budget.go
+++ b/cmd/testbed/budget.go
@@ -7,13 +7,13 @@
 	"text/tabwriter"
 	"time"
 
-	"eiderspread/internal/budget"
+	"eiderspread/internal/decision/errorbound"
 )
 
 // printBudget tells by how much the count of one account of one level may be wrong in each failure.
 func printBudget(args []string, w io.Writer) error {
 	set := flag.NewFlagSet("budget", flag.ContinueOnError)
-	var a budget.Account
+	var a errorbound.Account
 	set.IntVar(&a.Gateways, "gateways", 3, "that the account comes through")
 	set.Float64Var(&a.Rate, "rate", 38, "units a second of its plan")
 	set.Float64Var(&a.Burst, "burst", 76, "units that may be used at once")
@@ -33,13 +33,13 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "failure\tbeyond, units\tof 10 s\tof 60 s\twithheld, units\tof 10 s\tof 60 s\n")
-	for k := range budget.FaultKinds {
-		x := budget.Fault{Kind: k, To: length.Seconds(), Sides: *sides, LossRate: *loss}
-		list := []budget.Fault{x}
+	for k := range errorbound.FaultKinds {
+		x := errorbound.Fault{Kind: k, To: length.Seconds(), Sides: *sides, LossRate: *loss}
+		list := []errorbound.Fault{x}
 		switch k {
-		case budget.NoFault:
+		case errorbound.NoFault:
 			list = nil
-		case budget.OwnerRestarted:
+		case errorbound.OwnerRestarted:
 			list[0].To = 0
 		}
 		row := func(of func(from, to float64) float64) (s string) {
@@ -49,8 +49,8 @@
 			}
 			return s
 		}
-		fmt.Fprintf(t, "%v\t%s\t%s\n", k, row(func(from, to float64) float64 { over, _ := budget.ExcessWithin(a, list, from, to); return over }),
-			row(func(from, to float64) float64 { return budget.RejectionsWithin(a, list, from, to) }))
+		fmt.Fprintf(t, "%v\t%s\t%s\n", k, row(func(from, to float64) float64 { over, _ := errorbound.ExcessWithin(a, list, from, to); return over }),
+			row(func(from, to float64) float64 { return errorbound.RejectionsWithin(a, list, from, to) }))
 	}
 	return t.Flush()
 }
--- a/cmd/testbed/counts.go
+++ b/cmd/testbed/counts.go
@@ -10,8 +10,8 @@
 	"sync"
 	"text/tabwriter"
 
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/sim"
+	"eiderspread/internal/testbed/oracle"
+	"eiderspread/internal/testbed/simulation"
 )
 
 // printCounts plays each failure of a shared count by itself in virtual time, and puts what it let in beyond and withheld beside its budget.
@@ -25,7 +25,7 @@
 	type cell struct {
 		failure       string
 		n             int
-		beyond, short map[int]audit.Margin
+		beyond, short map[int]oracle.Margin
 		err           error
 	}
 	var cells []*cell
@@ -34,7 +34,7 @@
 		if err != nil || n < 2 || n > 1000 || *seeds < 1 {
 			return fmt.Errorf("counts wants sizes from 2 to 1000 and at least one seed, not %q and %d", s, *seeds)
 		}
-		for _, f := range sim.CountFailures {
+		for _, f := range simulation.CountFailures {
 			cells = append(cells, &cell{failure: f, n: n})
 		}
 	}
@@ -43,7 +43,7 @@
 	for _, c := range cells {
 		all.Go(func() {
 			places <- struct{}{}
-			c.beyond, c.short, c.err = sim.CountWorst(c.failure, c.n, *seeds)
+			c.beyond, c.short, c.err = simulation.CountWorst(c.failure, c.n, *seeds)
 			<-places
 		})
 	}
@@ -56,7 +56,7 @@
 			return c.err
 		}
 		fmt.Fprintf(t, "%d\t%s", c.n, c.failure)
-		for _, m := range []audit.Margin{c.beyond[1], c.beyond[10], c.beyond[60], c.short[10], c.short[60]} {
+		for _, m := range []oracle.Margin{c.beyond[1], c.beyond[10], c.beyond[60], c.short[10], c.short[60]} {
 			fmt.Fprintf(t, "\t%.0f (%.0f)", m.Units, m.Allowed)
 		}
 		fmt.Fprintln(t)
--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/oracle"
 )
 
 func runLab(args []string) error {
@@ -35,16 +35,16 @@
 }
 
 // labRun does what testbed lab is asked for. Its report is nil where that was a measurement.
-func labRun(args []string, w io.Writer) (*audit.Report, error) {
+func labRun(args []string, w io.Writer) (*oracle.Report, error) {
 	set := flag.NewFlagSet("lab", flag.ContinueOnError)
 	forwarders := set.Int("forwarders", 20, "forwarders, or one-program ingresses with -planners 0")
 	planners := set.Int("planners", 3, "planners; 0 for a fleet of one level")
 	nodes := set.Int("nodes", 10, "zone nodes")
 	length := set.Duration("for", time.Minute, "how long clients ask")
-	scenario := set.String("scenario", "storm", "what goes wrong, one of:\n"+strings.Join(lab.ScenarioNames(), "\n"))
+	scenario := set.String("scenario", "storm", "what goes wrong, one of:\n"+strings.Join(testbed.ScenarioNames(), "\n"))
 	every := set.Duration("every", 0, "mean time between two faults, in place of the scenario's")
 	upgrades := set.Int("upgrades", 0, "upgrade the whole fleet so many times meanwhile, program by program")
-	kinds := set.String("kinds", "", "faults to choose from, by commas, in place of the scenario's:\n"+strings.Join(lab.KindNames(), "\n"))
+	kinds := set.String("kinds", "", "faults to choose from, by commas, in place of the scenario's:\n"+strings.Join(testbed.KindNames(), "\n"))
 	record := set.String("record", "", "keep the run in this file, for testbed judge, replay and shrink")
 	replay := set.String("replay", "", "play the faults that this file of -record holds")
 	seed := set.Uint64("seed", 1, "of accounts, traffic and faults")
@@ -77,16 +77,16 @@
 		return nil, errors.New("-upgrades is for fleets of two levels")
 	}
 	n := func(x int) int { return max(1, int(float64(x)**scale)) }
-	sc := lab.Scenario{Length: *length, Upgrades: *upgrades,
-		Accounts: lab.Accounts(n(20), n(10), n(3), *forwarders, *spread, *seed),
-		FleetConfig: lab.FleetConfig{Forwarders: *forwarders, Planners: *planners, Nodes: *nodes, Classes: lab.LabClasses,
-			Plans: lab.LabPlans, Node: lab.LabNode, Seed: *seed, Dir: *dir, Params: fleet.Params{},
+	sc := testbed.Scenario{Length: *length, Upgrades: *upgrades,
+		Accounts: testbed.Accounts(n(20), n(10), n(3), *forwarders, *spread, *seed),
+		FleetConfig: testbed.FleetConfig{Forwarders: *forwarders, Planners: *planners, Nodes: *nodes, Classes: testbed.LabClasses,
+			Plans: testbed.LabPlans, Node: testbed.LabNode, Seed: *seed, Dir: *dir, Params: topology.Params{},
 			Spawn: spawner(self)}}
 	for i := range sc.Accounts {
 		sc.Accounts[i].Rate *= *plan
 	}
 	if *failsafes > 0 {
-		into, back, err := lab.Failsafes(sc.FleetConfig, *failsafes)
+		into, back, err := testbed.Failsafes(sc.FleetConfig, *failsafes)
 		if err != nil {
 			return nil, err
 		}
@@ -96,7 +96,7 @@
 		return nil, nil
 	}
 	if *deaths > 0 {
-		back, err := lab.Deaths(sc.FleetConfig, *deaths)
+		back, err := testbed.Deaths(sc.FleetConfig, *deaths)
 		if err != nil {
 			return nil, err
 		}
@@ -105,12 +105,12 @@
 		return nil, nil
 	}
 	if *cost {
-		fmt.Fprintf(w, "%d cores, %d nodes, %d accounts, %v, seed %d\n%s\n", runtime.NumCPU(), *nodes, len(sc.Accounts), *length, *seed, lab.CostHeader)
+		fmt.Fprintf(w, "%d cores, %d nodes, %d accounts, %v, seed %d\n%s\n", runtime.NumCPU(), *nodes, len(sc.Accounts), *length, *seed, testbed.CostHeader)
 		for _, size := range strings.Split(*sizes, ",") {
 			if _, err := fmt.Sscanf(size, "%d/%d", &sc.Forwarders, &sc.Planners); err != nil {
 				return nil, fmt.Errorf("size %q: %w", size, err)
 			}
-			sc.Accounts = lab.Accounts(n(20), n(10), n(3), sc.Forwarders, *spread, *seed)
+			sc.Accounts = testbed.Accounts(n(20), n(10), n(3), sc.Forwarders, *spread, *seed)
 			for i := range sc.Accounts {
 				sc.Accounts[i].Rate *= *plan
 			}
@@ -118,7 +118,7 @@
 			if err := os.MkdirAll(sc.Dir, 0o700); err != nil {
 				return nil, err
 			}
-			c, rep, err := lab.MeasureCost(sc, 3*time.Second)
+			c, rep, err := testbed.MeasureCost(sc, 3*time.Second)
 			if err != nil {
 				return nil, err
 			}
@@ -132,14 +132,14 @@
 	var chosen []string
 	if *kinds != "" {
 		chosen = strings.Split(*kinds, ",")
-		if err := lab.CheckKinds(chosen); err != nil {
+		if err := testbed.CheckKinds(chosen); err != nil {
 			return nil, err
 		}
 	}
 	if *shed {
 		sc.Operator = "[overload]\non = true\n"
 	}
-	if err := lab.Make(*scenario, &sc, chosen, *every); err != nil {
+	if err := testbed.Make(*scenario, &sc, chosen, *every); err != nil {
 		return nil, err
 	}
 	if *replay != "" {
@@ -151,7 +151,7 @@
 	}
 	fmt.Fprintf(w, "%s: %d cores, %d forwarders, %d planners, %d nodes, %d accounts, %v, seed %d, %d faults; logs in %s\n", *scenario,
 		runtime.NumCPU(), *forwarders, *planners, sc.Nodes, len(sc.Accounts), *length, *seed, len(sc.Faults), *dir)
-	f, rep, err := lab.Run(sc, w)
+	f, rep, err := testbed.Run(sc, w)
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +174,7 @@
 }
 
 // spawner starts the programs under test, which lie beside this one.
-func spawner(self string) lab.Spawn {
+func spawner(self string) testbed.Spawn {
 	return func(kind, file string) *exec.Cmd {
 		if kind == "ingress" {
 			c := exec.Command(filepath.Join(filepath.Dir(self), "eiderspread"))
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"eiderspread/internal/lab"
+	"eiderspread/internal/testbed"
 )
 
 const usage = `usage: testbed COMMAND ...
@@ -42,7 +42,7 @@
 		if len(rest) != 1 {
 			return fmt.Errorf("ingress wants one file")
 		}
-		return lab.RunIngress(rest[0])
+		return testbed.RunIngress(rest[0])
 	case "judge":
 		return judge(rest)
 	case "shrink":
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"eiderspread/internal/budget"
-	"eiderspread/internal/lab/sim"
+	"eiderspread/internal/decision/errorbound"
+	"eiderspread/internal/testbed/simulation"
 	"strings"
 	"testing"
 )
@@ -26,7 +26,7 @@
 	if err := printBudget([]string{"-gateways", "80", "-rate", "25", "-burst", "48"}, &out); err != nil {
 		t.Fatal(err)
 	}
-	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 1+int(budget.FaultKinds) || !strings.HasPrefix(lines[1], "calm") {
+	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 1+int(errorbound.FaultKinds) || !strings.HasPrefix(lines[1], "calm") {
 		t.Errorf("%s", out.String())
 	}
 	for _, bad := range [][]string{{"-rate", "0"}, {"-sides", "1"}, {"-loss", "2"}, {"more"}, {"-gateways", "0"}} {
@@ -41,7 +41,7 @@
 	if err := printCounts([]string{"-ingresses", "3", "-seeds", "1"}, &out); err != nil {
 		t.Fatal(err)
 	}
-	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 2+len(sim.CountFailures) {
+	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 2+len(simulation.CountFailures) {
 		t.Errorf("%s", out.String())
 	}
 	for _, bad := range [][]string{{"-ingresses", "1"}, {"-ingresses", "4,x"}, {"-seeds", "0"}} {
--- a/cmd/testbed/mutants.go
+++ b/cmd/testbed/mutants.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/lab/mutants"
+	"eiderspread/internal/testbed/mutation"
 )
 
 // runMutants takes guards out one by one and prints which run found out.
@@ -30,9 +30,9 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	r := mutants.Runner{Root: *root, Dir: dir, Most: *most}
-	var list []mutants.Mutant
-	for _, m := range mutants.List {
+	r := mutation.Runner{Root: *root, Dir: dir, Most: *most}
+	var list []mutation.Mutant
+	for _, m := range mutation.List {
 		if strings.Contains(m.Name, *only) {
 			list = append(list, m)
 		}
@@ -40,12 +40,12 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	missed, wrong := 0, 0
-	next := make(chan mutants.Mutant)
+	next := make(chan mutation.Mutant)
 	fmt.Printf("%d mutants, %d at a time, %d cores\n| guard | rule | caught by | after | verdict | unit tests |\n|---|---|---|---|---|---|\n", len(list), *jobs, runtime.NumCPU())
 	for range *jobs {
 		all.Go(func() {
 			for m := range next {
-				var res mutants.Result
+				var res mutation.Result
 				var err error
 				if *check {
 					_, err = r.Build(context.Background(), m)
--- a/cmd/testbed/overload.go
+++ b/cmd/testbed/overload.go
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/sim"
-	"eiderspread/internal/overload"
+	"eiderspread/internal/decision/loadshed"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/oracle"
+	"eiderspread/internal/testbed/simulation"
 )
 
 // overloadHeader is the head of the table of runs under overload.
@@ -48,8 +48,8 @@
 				return fmt.Errorf("-ingresses: %q is no number of ingresses", size)
 			}
 			for _, how := range strings.Split(*only, ",") {
-				p := overloadRun{name: name, ingresses: n, planners: *planners, nodes: *nodes, length: *length, cfg: overload.Config{Enabled: how == "as one"}}
-				reps := make([]*audit.Report, *seeds)
+				p := overloadRun{name: name, ingresses: n, planners: *planners, nodes: *nodes, length: *length, cfg: loadshed.Config{Enabled: how == "as one"}}
+				reps := make([]*oracle.Report, *seeds)
 				errs := make([]error, *seeds)
 				var all sync.WaitGroup
 				for i := range reps {
@@ -90,11 +90,11 @@
 	ingresses, nodes int
 	planners         int
 	length           time.Duration
-	cfg              overload.Config
+	cfg              loadshed.Config
 }
 
-func (p overloadRun) virtual(seed uint64) (*audit.Report, error) {
-	cfg, err := sim.Sized(p.name, p.planners > 0, p.ingresses, p.nodes, seed, p.length.Seconds())
+func (p overloadRun) virtual(seed uint64) (*oracle.Report, error) {
+	cfg, err := simulation.Sized(p.name, p.planners > 0, p.ingresses, p.nodes, seed, p.length.Seconds())
 	if err != nil {
 		return nil, err
 	}
@@ -102,10 +102,10 @@
 	if p.planners > 0 {
 		cfg.Planners = p.planners
 	}
-	return sim.New(cfg).Run(), nil
+	return simulation.New(cfg).Run(), nil
 }
 
-func (p overloadRun) sockets(seed uint64) (*audit.Report, error) {
+func (p overloadRun) sockets(seed uint64) (*oracle.Report, error) {
 	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return nil, err
@@ -115,21 +115,21 @@
 	if err != nil {
 		return nil, err
 	}
-	sc := lab.Scenario{Length: p.length, NodesAsked: p.nodes, FleetConfig: lab.FleetConfig{Forwarders: p.ingresses, Planners: p.planners, Nodes: p.nodes, Classes: lab.LabClasses, Plans: lab.LabPlans,
-		Node: lab.LabNode, Seed: seed, Dir: dir, Spawn: spawner(self)}}
+	sc := testbed.Scenario{Length: p.length, NodesAsked: p.nodes, FleetConfig: testbed.FleetConfig{Forwarders: p.ingresses, Planners: p.planners, Nodes: p.nodes, Classes: testbed.LabClasses, Plans: testbed.LabPlans,
+		Node: testbed.LabNode, Seed: seed, Dir: dir, Spawn: spawner(self)}}
 	if p.cfg.Enabled {
 		sc.Operator = "[overload]\non = true\n"
 	}
-	if err := lab.Make(p.name, &sc, nil, 0); err != nil {
+	if err := testbed.Make(p.name, &sc, nil, 0); err != nil {
 		return nil, err
 	}
-	_, rep, err := lab.Run(sc, io.Discard)
+	_, rep, err := testbed.Run(sc, io.Discard)
 	return rep, err
 }
 
 // overloadRow prints the means of some runs.
-func overloadRow(w io.Writer, name string, n int, how string, reps []*audit.Report) {
-	m, spreads := audit.Load{Classes: map[string]float64{}, Spread: &audit.Spread{}}, 0.0
+func overloadRow(w io.Writer, name string, n int, how string, reps []*oracle.Report) {
+	m, spreads := oracle.Load{Classes: map[string]float64{}, Spread: &oracle.Spread{}}, 0.0
 	breaches, even, share := 0, 0.0, 0.0
 	k := 1 / float64(len(reps))
 	back := 0.0
@@ -169,7 +169,7 @@
 }
 
 // keepOverload writes the figures of one run.
-func keepOverload(dir, name string, n int, how string, rep *audit.Report) error {
+func keepOverload(dir, name string, n int, how string, rep *oracle.Report) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/cmd/testbed/runs.go
+++ b/cmd/testbed/runs.go
@@ -8,18 +8,18 @@
 	"path/filepath"
 	"strings"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/sim"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/oracle"
+	"eiderspread/internal/testbed/simulation"
 )
 
 // kept is what lab -record keeps: the call, the faults, and beside it, in FILE.history, what nodes and clients saw.
 type kept struct {
-	Args   []string    `json:"args"` // of testbed lab
-	Faults []lab.Fault `json:"faults"`
+	Args   []string        `json:"args"` // of testbed lab
+	Faults []testbed.Fault `json:"faults"`
 }
 
-func writeRun(path string, set *flag.FlagSet, sc lab.Scenario, f *lab.Fleet) error {
+func writeRun(path string, set *flag.FlagSet, sc testbed.Scenario, f *testbed.Fleet) error {
 	k := kept{Faults: sc.Faults}
 	set.Visit(func(x *flag.Flag) {
 		if x.Name != "record" && x.Name != "dir" && x.Name != "replay" {
@@ -37,7 +37,7 @@
 }
 
 // writeHistory keeps what nodes and clients saw of a run, and the rules that it is judged by.
-func writeHistory(path string, sc lab.Scenario, f *lab.Fleet) error {
+func writeHistory(path string, sc testbed.Scenario, f *testbed.Fleet) error {
 	out, err := os.Create(path)
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 	defer out.Close()
 	rules := f.Rules()
 	rules.Floors = sc.Floors
-	return audit.Write(out, f.Hist, rules)
+	return oracle.Write(out, f.Hist, rules)
 }
 
 func readRun(path string) (k kept, err error) {
@@ -69,11 +69,11 @@
 		return err
 	}
 	defer in.Close()
-	h, rules, err := audit.Read(in)
+	h, rules, err := oracle.Read(in)
 	if err != nil {
 		return err
 	}
-	rep := audit.Audit(h, rules)
+	rep := oracle.Audit(h, rules)
 	rep.Print(os.Stdout)
 	return rep.Verdict()
 }
@@ -97,12 +97,12 @@
 	if err != nil {
 		return err
 	}
-	h, rules, err := audit.Read(in)
+	h, rules, err := oracle.Read(in)
 	in.Close()
 	if err != nil {
 		return err
 	}
-	rep := audit.Audit(h, rules)
+	rep := oracle.Audit(h, rules)
 	if len(rep.Breaches) == 0 {
 		return fmt.Errorf("%s holds no breach", args[0])
 	}
@@ -113,7 +113,7 @@
 	}
 	defer os.RemoveAll(dir)
 	file := filepath.Join(dir, "run")
-	left := sim.Shrink(k.Faults, func(list []lab.Fault) bool {
+	left := simulation.Shrink(k.Faults, func(list []testbed.Fault) bool {
 		text, _ := json.Marshal(kept{Faults: list})
 		if os.WriteFile(file, text, 0o600) != nil {
 			return false
--- a/cmd/testbed/sim.go
+++ b/cmd/testbed/sim.go
@@ -14,17 +14,17 @@
 	"sync/atomic"
 	"time"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/sim"
-	"eiderspread/internal/trace"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/observability/trace"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/oracle"
+	"eiderspread/internal/testbed/simulation"
 )
 
 // runSim plays schedules of a scenario in virtual time, and cuts the first that fails down to the faults that matter.
 func runSim(args []string) error {
 	set := flag.NewFlagSet("sim", flag.ContinueOnError)
-	scenario := set.String("scenario", "storm", "one of: "+strings.Join(names(lab.ScenarioNames()), ", "))
+	scenario := set.String("scenario", "storm", "one of: "+strings.Join(names(testbed.ScenarioNames()), ", "))
 	planners := set.Int("planners", 3, "3 for two levels, 0 for one")
 	forwarders := set.Int("forwarders", 0, "how many, or ingresses; 0 for 5, or 4 of one level")
 	schedules := set.Int("schedules", 20, "how many")
@@ -38,25 +38,25 @@
 	if err := set.Parse(args); err != nil {
 		return err
 	}
-	play := func(cfg sim.Config) *audit.Report { return sim.New(cfg).Run() }
-	fails := func(r *audit.Report) bool {
+	play := func(cfg simulation.Config) *oracle.Report { return simulation.New(cfg).Run() }
+	fails := func(r *oracle.Report) bool {
 		return *rule == "" && len(r.Counts) > 0 || *rule != "" && r.Counts[*rule] > 0
 	}
 	began := time.Now()
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var next atomic.Uint64
-	var failed []sim.Config
+	var failed []simulation.Config
 	size := 0
 	seen, counts, nearest := map[string]int{}, map[string]int{}, map[string]float64{}
 	tries, attempts, messages, drowned, handshakes := 0, 0, 0, 0, 0
-	var cost audit.Cost
+	var cost oracle.Cost
 	var ideal, withheld, beyond, service, placeS, beyondS float64
-	reasons, byPlan, kinds := map[why.Reason]int{}, map[string]float64{}, map[string]int{}
+	reasons, byPlan, kinds := map[reason.Reason]int{}, map[string]float64{}, map[string]int{}
 	for range *jobs {
 		all.Go(func() {
 			for n := next.Add(1) - 1; n < uint64(*schedules); n = next.Add(1) - 1 {
-				cfg, err := sim.MakeOf(*scenario, *planners > 0, *forwarders, *first+n, length.Seconds())
+				cfg, err := simulation.MakeOf(*scenario, *planners > 0, *forwarders, *first+n, length.Seconds())
 				if err != nil {
 					mu.Lock()
 					fmt.Fprintln(os.Stderr, err)
@@ -68,10 +68,10 @@
 				size = cfg.Forwarders
 				mu.Unlock()
 				cfg.Overload.Enabled = *shed
-				var told [][]why.Decision
+				var told [][]reason.Decision
 				if n == 0 && *folder != "" {
-					told = make([][]why.Decision, cmp.Or(cfg.Planners, cfg.Forwarders))
-					cfg.Trace = func(i int, d why.Decision) { told[i] = append(told[i], d) }
+					told = make([][]reason.Decision, cmp.Or(cfg.Planners, cfg.Forwarders))
+					cfg.Trace = func(i int, d reason.Decision) { told[i] = append(told[i], d) }
 				}
 				r := play(cfg)
 				cfg.Trace = nil
@@ -99,7 +99,7 @@
 					byPlan[k] += v
 				}
 				for k, n := range r.Reasons {
-					reasons[why.Reason(k)] += n
+					reasons[reason.Reason(k)] += n
 				}
 				for k, v := range r.Seen {
 					seen[k] += v
@@ -127,7 +127,7 @@
 	all.Wait()
 	fmt.Printf("%s, planners %d: %d schedules of %v from seed %d in %v on %d cores: %d tries, %d attempts, %d schedules failed\n", *scenario, *planners,
 		min(int(next.Load()), *schedules), *length, *first, time.Since(began).Round(time.Millisecond), runtime.NumCPU(), tries, attempts, len(failed))
-	for _, r := range append(slices.Clone(audit.RuleNames), "one leader", "everybody is led") {
+	for _, r := range append(slices.Clone(oracle.RuleNames), "one leader", "everybody is led") {
 		if seen[r]+counts[r] > 0 {
 			fmt.Printf("  %-18s breaches %d, occasions %d\n", r, counts[r], seen[r])
 		}
@@ -145,7 +145,7 @@
 	if ideal > 0 {
 		fmt.Printf("  counts: %.0f units would be let in without fault, %.1f%% of them were withheld; the worst moments of accounts add up to %.1f%% beyond\n",
 			ideal, 100*withheld/ideal, 100*beyond/ideal)
-		list := slices.SortedFunc(maps.Keys(reasons), func(a, b why.Reason) int { return reasons[b] - reasons[a] })
+		list := slices.SortedFunc(maps.Keys(reasons), func(a, b reason.Reason) int { return reasons[b] - reasons[a] })
 		fmt.Printf("  messages between ingresses: %.1f a second at each, %.1f%% of them beyond its intake\n",
 			float64(messages)/played/length.Seconds()/float64(max(1, size)), 100*float64(drowned)/float64(max(1, messages)))
 		if placeS > 0 {
@@ -167,7 +167,7 @@
 	}
 	if cfg := failed[0]; *shrink && cfg.Forwarders > 0 {
 		began := time.Now()
-		faults := sim.Shrink(cfg.Faults, func(list []lab.Fault) bool {
+		faults := simulation.Shrink(cfg.Faults, func(list []testbed.Fault) bool {
 			if time.Since(began) > time.Minute {
 				return false
 			}
@@ -189,7 +189,7 @@
 }
 
 // writeTraces writes what ingresses told of their decisions, a file each. Times are the schedule's.
-func writeTraces(folder string, cfg sim.Config, told [][]why.Decision) error {
+func writeTraces(folder string, cfg simulation.Config, told [][]reason.Decision) error {
 	for i, list := range told {
 		f, err := os.Create(filepath.Join(folder, fmt.Sprintf("sim%d-%d.trace", i, cfg.Seed)))
 		if err != nil {
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"time"
 
-	"eiderspread/internal/lab"
+	"eiderspread/internal/testbed"
 )
 
 // runSoak plays soaks of real processes, one number after the other, and tells of each whether the rules held.
@@ -33,14 +33,14 @@
 	if err != nil {
 		return err
 	}
-	lab.Host = lab.OwnHost()
+	testbed.Host = testbed.OwnHost()
 	bad := 0
 	for number := *from; number < *from+uint64(*runs); number++ {
 		folder := filepath.Join(*dir, fmt.Sprint(number))
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return err
 		}
-		sc, err := lab.Soak(number, *length, lab.FleetConfig{Dir: folder, Spawn: soakSpawner(self)})
+		sc, err := testbed.Soak(number, *length, testbed.FleetConfig{Dir: folder, Spawn: soakSpawner(self)})
 		if err != nil {
 			return err
 		}
@@ -65,13 +65,13 @@
 }
 
 // playSoak plays one run. Its report goes into its folder, and the history of one that breaks a rule, for testbed judge.
-func playSoak(sc lab.Scenario, folder string) (verdict, err error) {
+func playSoak(sc testbed.Scenario, folder string) (verdict, err error) {
 	report, err := os.Create(filepath.Join(folder, "report.txt"))
 	if err != nil {
 		return nil, err
 	}
 	defer report.Close()
-	fleet, rep, err := lab.Run(sc, report)
+	fleet, rep, err := testbed.Run(sc, report)
 	if err != nil {
 		return nil, err
 	}
@@ -86,6 +86,6 @@
 }
 
 // soakSpawner starts this program as an ingress, with the laboratory's faults in it.
-func soakSpawner(self string) lab.Spawn {
+func soakSpawner(self string) testbed.Spawn {
 	return func(_, file string) *exec.Cmd { return exec.Command(self, "ingress", file) }
 }
--- a/cmd/testbed/subsets.go
+++ b/cmd/testbed/subsets.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"eiderspread/internal/peermsg"
-	"eiderspread/internal/subset"
+	"eiderspread/internal/base/peerprotocol"
+	"eiderspread/internal/decision/subset"
 )
 
 // printSubsets works out, for fleets of given sizes, what each way of choosing preferred nodes does.
@@ -77,7 +77,7 @@
 // points are the hashes of so many nodes' ids.
 func points(n, from int) (ids []uint64) {
 	for i := range n {
-		ids = append(ids, peermsg.HashPoint(fmt.Sprint("s-", from+i)))
+		ids = append(ids, peerprotocol.HashPoint(fmt.Sprint("s-", from+i)))
 	}
 	return ids
 }
--- a/internal/mono/mono.go
+++ b/internal/base/monotime/mono.go
@@ -1,5 +1,5 @@
 // Package mono tells the time of a program: Unix seconds at its start, advanced by the monotonic clock alone.
-package mono
+package monotime
 
 import (
 	"time"
--- a/internal/operator/operator.go
+++ b/internal/base/operatorconfig/operator.go
@@ -1,5 +1,5 @@
 // Package operator reads the files that operators write under deploy/.
-package operator
+package operatorconfig
 
 import (
 	"fmt"
--- a/internal/peermsg/golden_test.go
+++ b/internal/base/peerprotocol/golden_test.go
@@ -1,9 +1,9 @@
-package peermsg
+package peerprotocol
 
 import (
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the bytes between gateways: every field of a record, by each of the four ways that its last bytes are used, and items.
--- a/internal/peermsg/peermsg.go
+++ b/internal/base/peerprotocol/peermsg.go
@@ -1,6 +1,6 @@
 // Package peermsg is the encoding of the messages between gateways: a header, then records of fixed size, then items.
 // What goes in, when and to whom is decided in package policy. It does no I/O.
-package peermsg
+package peerprotocol
 
 import (
 	"encoding/binary"
--- a/internal/peermsg/peermsg_test.go
+++ b/internal/base/peerprotocol/peermsg_test.go
@@ -1,4 +1,4 @@
-package peermsg
+package peerprotocol
 
 import (
 	"math"
--- a/internal/settings/golden_test.go
+++ b/internal/base/settings/golden_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 	"eiderspread/policy"
 )
 
--- a/internal/wire/wire.go
+++ b/internal/base/simprotocol/wire.go
@@ -1,6 +1,6 @@
 // Package wire reads and writes the lines of the simulator's protocol. It knows
 // their form, not what to do about them.
-package wire
+package simprotocol
 
 import (
 	"bufio"
--- a/internal/kept/golden_test.go
+++ b/internal/base/snapshot/golden_test.go
@@ -1,9 +1,9 @@
-package kept
+package snapshot
 
 import (
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards what processes of two versions hand to each other at a hot restart.
--- a/internal/kept/kept.go
+++ b/internal/base/snapshot/kept.go
@@ -1,6 +1,6 @@
 // Package kept is what a gateway knows in a form that another process takes over: plain figures, none infinite, in the order
 // that the gateway itself gives them. It decides nothing and does no I/O.
-package kept
+package snapshot
 
 import (
 	"math"
--- a/internal/kept/moved.go
+++ b/internal/base/snapshot/moved.go
@@ -1,6 +1,6 @@
-package kept
+package snapshot
 
-import "eiderspread/internal/terms"
+import "eiderspread/internal/decision/config"
 
 // ForwarderState is a part of what a forwarder knows, for the process that goes on for it; each part has life and handles. Times are the
 // old process's, in Unix seconds by its clock; whoever takes them over knows how the clocks differ.
@@ -40,7 +40,7 @@
 
 // OpenRequest is a request that is owed an answer, or that has attempts out: Sent and Done by attempt.
 type OpenRequest struct {
-	terms.Request
+	config.Request
 	ReceivedAt   float64   `json:"Came"`
 	SentAt       []float64 `json:"Sent,omitempty"`
 	AttemptDone  []bool    `json:"Done,omitempty"`
@@ -131,9 +131,9 @@
 // Event is what the old process tells of its requests after all went over: a request that was read late, an attempt's end, or a
 // client that has gone.
 type Event struct {
-	Request      *terms.Request `json:"Request,omitempty"`
-	Outcome      *terms.Outcome `json:"Outcome,omitempty"`
-	Disconnected string         `json:"Gone,omitempty"`
+	Request      *config.Request `json:"Request,omitempty"`
+	Outcome      *config.Outcome `json:"Outcome,omitempty"`
+	Disconnected string          `json:"Gone,omitempty"`
 }
 
 // OrderKind is what the new process wants done to a request of the old one.
--- a/internal/withhold/withhold.go
+++ b/internal/controlplane/cordon/withhold.go
@@ -4,7 +4,7 @@
 //
 // Why a majority of forwarders is enough is in docs/two-levels-by-hand.md: a planner that leads rests on promises of a majority, one of
 // which was given, on the same link, behind the word.
-package withhold
+package cordon
 
 import (
 	"errors"
--- a/internal/withhold/withhold_test.go
+++ b/internal/controlplane/cordon/withhold_test.go
@@ -1,4 +1,4 @@
-package withhold
+package cordon
 
 import (
 	"errors"
--- a/internal/held/golden_test.go
+++ b/internal/controlplane/cordontable/golden_test.go
@@ -1,4 +1,4 @@
-package held
+package cordontable
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the file of what operators hold.
--- a/internal/held/held.go
+++ b/internal/controlplane/cordontable/held.go
@@ -1,13 +1,13 @@
 // Package held is the table of backends that operators have taken out by hand. It does no I/O and has no clock: a Table
 // lays what is held over the lists that discovery tells, and says what changes for the decision module. Store keeps the
 // holds in a file that outlives a process.
-package held
+package cordontable
 
 import (
 	"errors"
 	"maps"
 
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
 )
 
 // MaxCordons bounds the ids that a Table keeps; a hold beyond it is an error.
@@ -39,22 +39,22 @@
 
 // Table joins discovery's list with what operators hold. One goroutine owns it.
 type Table struct {
-	listed  map[string]roster.Endpoint // as discovery told them last, those alone that have not gone
-	cordons Cordons                    // Most at the most
+	listed  map[string]discovery.Endpoint // as discovery told them last, those alone that have not gone
+	cordons Cordons                       // Most at the most
 	version int64
 }
 
 // New returns a table in which nothing is listed or held.
-func New() *Table { return &Table{listed: map[string]roster.Endpoint{}, cordons: Cordons{}} }
+func New() *Table { return &Table{listed: map[string]discovery.Endpoint{}, cordons: Cordons{}} }
 
 // ApplyList takes in a list of discovery, or a change of it, and returns it as it stands with the holds.
-func (t *Table) ApplyList(list roster.List) roster.List {
+func (t *Table) ApplyList(list discovery.List) discovery.List {
 	t.version = list.Version
 	if list.Full {
 		clear(t.listed)
 	}
 	out := list
-	out.Endpoints = make([]roster.Endpoint, 0, len(list.Endpoints))
+	out.Endpoints = make([]discovery.Endpoint, 0, len(list.Endpoints))
 	for _, entry := range list.Endpoints {
 		if entry.State == stateTerminated {
 			delete(t.listed, entry.ID)
@@ -74,7 +74,7 @@
 
 // withCordon is an entry as it stands with its hold. One that was called back may have been restarted faster than discovery
 // tells: until a start after the hold is told, it counts as started at the call back.
-func (t *Table) withCordon(entry roster.Endpoint) roster.Endpoint {
+func (t *Table) withCordon(entry discovery.Endpoint) discovery.Endpoint {
 	cordon, cordoned := t.cordons[entry.ID]
 	switch {
 	case !cordoned || entry.State == stateTerminated:
@@ -89,23 +89,23 @@
 }
 
 // Cordon takes a backend out; one that is held already stays so. The change is empty for one that is not listed now.
-func (t *Table) Cordon(nowMS int64, id string) (roster.List, error) {
+func (t *Table) Cordon(nowMS int64, id string) (discovery.List, error) {
 	cordon, cordoned := t.cordons[id]
 	_, listed := t.listed[id]
 	switch {
 	case cordoned && cordon.active():
 		return t.changedEntries(nil), nil
 	case !listed:
-		return roster.List{}, ErrUnknownBackend
+		return discovery.List{}, ErrUnknownBackend
 	case len(t.cordons) >= MaxCordons:
-		return roster.List{}, ErrTooMany
+		return discovery.List{}, ErrTooMany
 	}
 	t.cordons[id] = Cordon{SinceMS: nowMS}
 	return t.changedEntries([]string{id}), nil
 }
 
 // Uncordon calls a backend back; one that is listed and not held stays in use.
-func (t *Table) Uncordon(nowMS int64, id string) (roster.List, error) {
+func (t *Table) Uncordon(nowMS int64, id string) (discovery.List, error) {
 	cordon, cordoned := t.cordons[id]
 	entry, listed := t.listed[id]
 	switch {
@@ -114,7 +114,7 @@
 	case cordoned && cordon.active():
 		delete(t.cordons, id) // its start is told, or will be when it is listed again
 	case !listed:
-		return roster.List{}, ErrUnknownBackend
+		return discovery.List{}, ErrUnknownBackend
 	default:
 		return t.changedEntries(nil), nil
 	}
@@ -122,7 +122,7 @@
 }
 
 // Replace replaces all holds, as another process has left them, and returns what changes by it.
-func (t *Table) Replace(cordons Cordons) roster.List {
+func (t *Table) Replace(cordons Cordons) discovery.List {
 	ids := map[string]bool{}
 	for id, cordon := range t.cordons {
 		if cordons[id] != cordon {
@@ -149,8 +149,8 @@
 func (t *Table) Cordons() Cordons { return maps.Clone(t.cordons) }
 
 // Listed is the whole list as discovery told it, without the holds.
-func (t *Table) Listed() roster.List {
-	list := roster.List{Version: t.version, Full: true}
+func (t *Table) Listed() discovery.List {
+	list := discovery.List{Version: t.version, Full: true}
 	for _, entry := range t.listed {
 		list.Endpoints = append(list.Endpoints, entry)
 	}
@@ -167,8 +167,8 @@
 	return n
 }
 
-func (t *Table) changedEntries(ids []string) roster.List {
-	list := roster.List{Version: t.version}
+func (t *Table) changedEntries(ids []string) discovery.List {
+	list := discovery.List{Version: t.version}
 	for _, id := range ids {
 		if entry, listed := t.listed[id]; listed {
 			list.Endpoints = append(list.Endpoints, t.withCordon(entry))
--- a/internal/held/held_test.go
+++ b/internal/controlplane/cordontable/held_test.go
@@ -1,4 +1,4 @@
-package held
+package cordontable
 
 import (
 	"errors"
@@ -6,18 +6,20 @@
 	"math/rand/v2"
 	"testing"
 
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
 )
 
-func target(id, state string, startedMS int64) roster.Endpoint {
-	return roster.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state, StartedMS: startedMS}
+func target(id, state string, startedMS int64) discovery.Endpoint {
+	return discovery.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state, StartedMS: startedMS}
 }
 
-func fullList(list ...roster.Endpoint) roster.List    { return roster.List{Full: true, Endpoints: list} }
-func partialList(list ...roster.Endpoint) roster.List { return roster.List{Endpoints: list} }
+func fullList(list ...discovery.Endpoint) discovery.List {
+	return discovery.List{Full: true, Endpoints: list}
+}
+func partialList(list ...discovery.Endpoint) discovery.List { return discovery.List{Endpoints: list} }
 
 // onlyEntry returns the one entry of a list.
-func onlyEntry(t *testing.T, list roster.List) roster.Endpoint {
+func onlyEntry(t *testing.T, list discovery.List) discovery.Endpoint {
 	t.Helper()
 	if len(list.Endpoints) != 1 {
 		t.Fatalf("%d entries, want 1: %+v", len(list.Endpoints), list.Endpoints)
@@ -34,7 +36,7 @@
 		t.Fatal(entry, err)
 	}
 	for _, step := range []struct {
-		told roster.List
+		told discovery.List
 		want string
 	}{
 		{partialList(target("a", stateInService, 0)), stateTerminating},
@@ -121,7 +123,7 @@
 		tab, other := New(), New()
 		cordoned, discovered := map[string]bool{}, map[string]string{}
 		shown := map[string]string{}
-		see := func(list roster.List) {
+		see := func(list discovery.List) {
 			if list.Full {
 				clear(shown)
 			}
--- a/internal/held/store_test.go
+++ b/internal/controlplane/cordontable/store_test.go
@@ -1,4 +1,4 @@
-package held
+package cordontable
 
 import (
 	"bufio"
--- a/internal/forward/core.go
+++ b/internal/controlplane/forwarder/core.go
@@ -1,7 +1,7 @@
 // Package forward is the forwarder's side of two levels: it stands where the decision module stands in a
 // one-program ingress, and has planners decide. core.go and usage.go decide (whom to follow, what becomes of
 // requests whose planner is lost) without I/O or a clock; remote.go is the link.
-package forward
+package forwarder
 
 import (
 	"cmp"
@@ -10,9 +10,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/link"
-	"eiderspread/internal/withhold"
+	"eiderspread/internal/controlplane/cordon"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
 	"eiderspread/policy"
 )
 
@@ -29,7 +29,7 @@
 
 // Config is fixed for the life of a Core.
 type Config struct {
-	fleet.Params
+	topology.Params
 	Number         int // this forwarder's, from 0
 	Classes        []policy.Class
 	Plans          []policy.Plan
@@ -42,7 +42,7 @@
 // links. All of it is asked for while one of the Core's methods runs.
 type Output interface {
 	policy.Actions
-	SendToPlanner(planner int, msgs ...link.Message)
+	SendToPlanner(planner int, msgs ...transport.Message)
 	PlannerWritable(planner int) bool         // whether the link keeps up
 	SetCordoned(server string, cordoned bool) // nothing is to be written to it any more, or again
 }
@@ -65,7 +65,7 @@
 	usage           usageTable
 	nextHeartbeatAt float64
 	disconnectedAt  float64 // when the last link ended, if none stands
-	cordons         withhold.Registers
+	cordons         cordon.Registers
 	handedOver      bool // another process goes on: see Move
 	Stats           Stats
 }
@@ -125,7 +125,7 @@
 	c := &Core{cfg: cfg, out: out, rng: rand.New(rand.NewPCG(cfg.Seed, 0x2545f4914f6cdd1d)), now: now,
 		classIndex: map[string]int{}, planIndex: map[string]int{}, cells: make([]cellState, cfg.Cells),
 		planners: make([]plannerLink, cfg.Planners), requests: map[string]*openRequest{}, submitted: map[uint64]*openRequest{}, disconnectedAt: now, orphans: map[string]orphanCount{},
-		usage: newUsageTable(fleet.LongestWindowS(cfg.Plans), now, maxUsageAccounts)}
+		usage: newUsageTable(topology.LongestWindowS(cfg.Plans), now, maxUsageAccounts)}
 	for i, k := range cfg.Classes {
 		c.classIndex[k.Name] = i
 	}
@@ -148,12 +148,12 @@
 		return nil, false
 	}
 	cell := &c.cells[cellID]
-	ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !fleet.Fenced)
+	ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !topology.Fenced)
 	return cell, ok
 }
 
 // handleClaim answers a planner's claim: a promise that was given is renewed, a new one given if no other runs.
-func (c *Core) handleClaim(planner int, msg *link.Message) {
+func (c *Core) handleClaim(planner int, msg *transport.Message) {
 	if int(msg.Cell) >= len(c.cells) {
 		return
 	}
@@ -161,15 +161,15 @@
 	incarnation := c.planners[planner].incarnation
 	switch {
 	case cell.holder == planner && cell.incarnation == incarnation && cell.epoch == msg.Epoch:
-		if c.now >= cell.promisedUntil && fleet.Fenced {
+		if c.now >= cell.promisedUntil && topology.Fenced {
 			c.becomeLeaderless(int(msg.Cell)) // it ran out in between; the planner says anew that it leads
 		}
 		cell.promisedUntil = c.now + c.cfg.LeaseS
-		c.out.SendToPlanner(planner, link.Message{Kind: link.KindGrant, Cell: msg.Cell, Epoch: msg.Epoch, Round: msg.Round})
+		c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindGrant, Cell: msg.Cell, Epoch: msg.Epoch, Round: msg.Round})
 	case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation): // its own former one is over
 		c.becomeLeaderless(int(msg.Cell))
 		cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = msg.Epoch, planner, incarnation, c.now+c.cfg.LeaseS
-		c.out.SendToPlanner(planner, link.Message{Kind: link.KindGrant, Cell: msg.Cell, Epoch: msg.Epoch, Round: msg.Round})
+		c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindGrant, Cell: msg.Cell, Epoch: msg.Epoch, Round: msg.Round})
 		c.reportUsage(int(msg.Cell))
 		c.sendViews(-1, int(msg.Cell))
 	default:
@@ -183,12 +183,12 @@
 	c.usage.each(c.now, func(account string, usage windowUsage) {
 		if c.cfg.CellOf(account) == cellID {
 			c.Stats.UsageReports++
-			c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindUsageReport, Cell: uint16(cellID), Epoch: cell.epoch, Name: account,
+			c.out.SendToPlanner(cell.holder, transport.Message{Kind: transport.KindUsageReport, Cell: uint16(cellID), Epoch: cell.epoch, Name: account,
 				Plan: uint8(usage.plan), Handle: usage.epoch, Round: usage.seq, Units: usage.debt, DurationS: max(c.now-usage.at, 0)})
 		}
 	})
 	c.reportOrphans(cellID)
-	c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindUsageReportEnd, Cell: uint16(cellID), Epoch: cell.epoch,
+	c.out.SendToPlanner(cell.holder, transport.Message{Kind: transport.KindUsageReportEnd, Cell: uint16(cellID), Epoch: cell.epoch,
 		Flag: c.usage.complete(c.now)})
 }
 
@@ -204,16 +204,16 @@
 func (c *Core) reportOrphansOf(account string, orphans orphanCount) {
 	cellID := c.cfg.CellOf(account)
 	cell := &c.cells[cellID]
-	c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindOrphans, Cell: uint16(cellID), Epoch: cell.epoch, Name: account, Plan: uint8(orphans.plan),
+	c.out.SendToPlanner(cell.holder, transport.Message{Kind: transport.KindOrphans, Cell: uint16(cellID), Epoch: cell.epoch, Name: account, Plan: uint8(orphans.plan),
 		Number: uint32(orphans.attempts)})
 }
 
 // sendViews tells planner p, or all with -1, how cells stand here: one cell, or all with -1.
 func (c *Core) sendViews(planner, cellID int) {
-	var msgs []link.Message
+	var msgs []transport.Message
 	for i := range c.cells {
 		if cell := &c.cells[i]; cellID < 0 || i == cellID {
-			msg := link.Message{Kind: link.KindView, Cell: uint16(i), Epoch: cell.epoch, Number: uint32(cell.holder + 1),
+			msg := transport.Message{Kind: transport.KindView, Cell: uint16(i), Epoch: cell.epoch, Number: uint32(cell.holder + 1),
 				DurationS: max(cell.promisedUntil-c.now, 0)}
 			if cell.requester >= 0 && c.now < cell.requestedAt+handbackRequestTTLS {
 				msg.Requester = uint16(cell.requester + 1)
@@ -229,12 +229,12 @@
 }
 
 // followLeader takes the holder's word that it leads: what waits is told to it.
-func (c *Core) followLeader(planner int, msg *link.Message) {
+func (c *Core) followLeader(planner int, msg *transport.Message) {
 	if int(msg.Cell) >= len(c.cells) {
 		return
 	}
 	cell := &c.cells[msg.Cell]
-	if cell.hasLeader || cell.holder != planner || cell.epoch != msg.Epoch || c.now >= cell.promisedUntil && fleet.Fenced {
+	if cell.hasLeader || cell.holder != planner || cell.epoch != msg.Epoch || c.now >= cell.promisedUntil && topology.Fenced {
 		return
 	}
 	cell.hasLeader = true
@@ -270,7 +270,7 @@
 	slices.SortFunc(abandoned, func(a, b *openRequest) int { return cmp.Compare(a.handle, b.handle) })
 	for _, request := range abandoned {
 		if c.planners[cell.holder].linked {
-			c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindWithdraw, Handle: request.handle})
+			c.out.SendToPlanner(cell.holder, transport.Message{Kind: transport.KindWithdraw, Handle: request.handle})
 		}
 		c.withdraw(request)
 		if !request.completed && request.inFlight == 0 {
@@ -286,7 +286,7 @@
 		return
 	}
 	c.planners[planner] = plannerLink{linked: true, incarnation: incarnation}
-	c.out.SendToPlanner(planner, link.Message{Kind: link.KindDisconnected, Handle: link.CordonCapableHandle})
+	c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindDisconnected, Handle: transport.CordonCapableHandle})
 	c.sendViews(planner, -1)
 }
 
@@ -303,25 +303,25 @@
 }
 
 // HandleMessage takes what a planner says.
-func (c *Core) HandleMessage(now float64, planner int, msg *link.Message) {
+func (c *Core) HandleMessage(now float64, planner int, msg *transport.Message) {
 	if c.now = now; c.handedOver {
 		return
 	}
 	switch msg.Kind {
-	case link.KindClaim:
+	case transport.KindClaim:
 		c.handleClaim(planner, msg)
-	case link.KindLead:
+	case transport.KindLead:
 		c.followLeader(planner, msg)
-	case link.KindCordonRead, link.KindCordonWrite:
+	case transport.KindCordonRead, transport.KindCordonWrite:
 		c.handleCordon(planner, msg)
-	case link.KindRelease:
-		if msg.Cell == link.CordonCapableCell {
+	case transport.KindRelease:
+		if msg.Cell == transport.CordonCapableCell {
 			c.planners[planner].cordonCapable = true
-			c.cordons.Each(func(id string, state withhold.State) { c.out.SendToPlanner(planner, cordonStateMessage(0, id, state)) })
-		} else if msg.Cell == link.ShedLevelCell {
+			c.cordons.Each(func(id string, state cordon.State) { c.out.SendToPlanner(planner, cordonStateMessage(0, id, state)) })
+		} else if msg.Cell == transport.ShedLevelCell {
 			for other := range c.planners {
 				if other != planner && c.planners[other].linked {
-					c.out.SendToPlanner(other, link.Message{Kind: link.KindDisconnected, Handle: msg.Epoch})
+					c.out.SendToPlanner(other, transport.Message{Kind: transport.KindDisconnected, Handle: msg.Epoch})
 				}
 			}
 		} else if int(msg.Cell) < len(c.cells) {
@@ -331,12 +331,12 @@
 				c.sendViews(-1, int(msg.Cell))
 			}
 		}
-	case link.KindHandbackRequest:
+	case transport.KindHandbackRequest:
 		if int(msg.Cell) < len(c.cells) {
 			cell := &c.cells[msg.Cell]
 			cell.requester, cell.requestedAt = planner, now
 		}
-	case link.KindSend, link.KindReject, link.KindFail, link.KindCancel, link.KindProbe:
+	case transport.KindSend, transport.KindReject, transport.KindFail, transport.KindCancel, transport.KindProbe:
 		if _, ok := c.follows(planner, msg.Cell, msg.Epoch); !ok {
 			c.Stats.StaleActions++
 			return
@@ -348,8 +348,8 @@
 // ---- Requests ----
 
 // execute carries out what the followed planner decided.
-func (c *Core) execute(planner int, msg *link.Message) {
-	if msg.Kind == link.KindProbe {
+func (c *Core) execute(planner int, msg *transport.Message) {
+	if msg.Kind == transport.KindProbe {
 		c.out.Probe(msg.Name)
 		return
 	}
@@ -358,18 +358,18 @@
 		return // over since, or of an older telling
 	}
 	switch msg.Kind {
-	case link.KindSend:
+	case transport.KindSend:
 		if request.completed {
 			return
 		}
 		if request.inFlight > 0 { // never two attempts out, whoever asks
-			c.out.SendToPlanner(planner, link.Message{Kind: link.KindOutcome, Handle: request.handle, Number: uint32(len(request.plannerAttempts)),
+			c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindOutcome, Handle: request.handle, Number: uint32(len(request.plannerAttempts)),
 				Class: uint8(policy.NotSent)})
 			request.plannerAttempts = append(request.plannerAttempts, -1)
 			return
 		}
 		if c.attemptsExhausted(request) {
-			c.out.SendToPlanner(planner, link.Message{Kind: link.KindDisconnected, Handle: request.handle})
+			c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindDisconnected, Handle: request.handle})
 			c.finishWithoutLeader(request)
 			return
 		}
@@ -381,17 +381,17 @@
 		request.sentAt, request.attemptDone = append(request.sentAt, c.now), append(request.attemptDone, false)
 		request.inFlight++
 		c.out.Send(request.ID, msg.Name, msg.DurationS)
-	case link.KindReject:
+	case transport.KindReject:
 		if c.mayReject(request) {
 			c.out.Reject(request.ID, msg.DurationS)
 		} else {
 			c.out.Fail(request.ID)
 		}
 		request.completed = true
-	case link.KindFail:
+	case transport.KindFail:
 		c.out.Fail(request.ID)
 		request.completed = true
-	case link.KindCancel:
+	case transport.KindCancel:
 		if int(msg.Number) < len(request.plannerAttempts) && request.plannerAttempts[msg.Number] >= 0 && !request.attemptDone[request.plannerAttempts[msg.Number]] {
 			c.out.Cancel(request.ID, request.plannerAttempts[msg.Number])
 		}
@@ -505,7 +505,7 @@
 		c.Stats.Resubmitted++
 	}
 	cell := &c.cells[request.cellID]
-	c.out.SendToPlanner(cell.holder, link.Message{Kind: link.KindRequest, Cell: uint16(request.cellID), Epoch: cell.epoch, Handle: request.handle,
+	c.out.SendToPlanner(cell.holder, transport.Message{Kind: transport.KindRequest, Cell: uint16(request.cellID), Epoch: cell.epoch, Handle: request.handle,
 		Class: uint8(request.class), Plan: uint8(request.plan), Name: request.Account, DurationS: request.DeadlineAt - c.now, Units: units,
 		Flag: request.Retry})
 }
@@ -559,7 +559,7 @@
 	request.completed = request.completed || outcome.Completed || outcome.Status == policy.OK
 	cell := &c.cells[request.cellID]
 	if request.handle != 0 {
-		msg := link.Message{Kind: link.KindOutcome, Handle: request.handle, Number: uint32(slices.Index(request.plannerAttempts, outcome.Attempt)),
+		msg := transport.Message{Kind: transport.KindOutcome, Handle: request.handle, Number: uint32(slices.Index(request.plannerAttempts, outcome.Attempt)),
 			Class: uint8(outcome.Status), Flag: request.completed, DurationS: outcome.LatencyS}
 		msg.HasLoad, msg.Load = loadFields(outcome.Load)
 		c.out.SendToPlanner(cell.holder, msg)
@@ -593,7 +593,7 @@
 	if request := c.requests[id]; request != nil && !request.completed {
 		request.completed = true
 		if request.handle != 0 {
-			c.out.SendToPlanner(c.cells[request.cellID].holder, link.Message{Kind: link.KindDisconnected, Handle: request.handle})
+			c.out.SendToPlanner(c.cells[request.cellID].holder, transport.Message{Kind: transport.KindDisconnected, Handle: request.handle})
 		}
 		c.releaseIfDone(request)
 	}
@@ -604,7 +604,7 @@
 	c.now = now
 	for i := range c.cells {
 		if cell := &c.cells[i]; cell.hasLeader {
-			msg := link.Message{Kind: link.KindProbeResult, Cell: uint16(i), Epoch: cell.epoch, Name: result.Backend, Class: uint8(result.Status),
+			msg := transport.Message{Kind: transport.KindProbeResult, Cell: uint16(i), Epoch: cell.epoch, Name: result.Backend, Class: uint8(result.Status),
 				DurationS: result.LatencyS}
 			msg.HasLoad, msg.Load = loadFields(result.Load)
 			c.out.SendToPlanner(cell.holder, msg)
@@ -619,7 +619,7 @@
 	}
 	for i := range c.cells {
 		cell := &c.cells[i]
-		if cell.hasLeader && now >= cell.promisedUntil && fleet.Fenced {
+		if cell.hasLeader && now >= cell.promisedUntil && topology.Fenced {
 			c.becomeLeaderless(i)
 		}
 		remaining := cell.waiting[:0]
@@ -658,7 +658,7 @@
 	slices.SortFunc(requests, func(a, b *openRequest) int { return cmp.Compare(a.ID, b.ID) })
 	for _, request := range requests {
 		if request.handle != 0 {
-			c.out.SendToPlanner(c.cells[request.cellID].holder, link.Message{Kind: link.KindDisconnected, Handle: request.handle})
+			c.out.SendToPlanner(c.cells[request.cellID].holder, transport.Message{Kind: transport.KindDisconnected, Handle: request.handle})
 		}
 		c.finishWithoutLeader(request)
 	}
--- a/internal/forward/core_test.go
+++ b/internal/controlplane/forwarder/core_test.go
@@ -1,12 +1,12 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/link"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
 	"eiderspread/policy"
 )
 
@@ -23,13 +23,13 @@
 	core        *Core
 	now         float64
 	calls       []string
-	lastMessage link.Message // to a planner
+	lastMessage transport.Message // to a planner
 	writable    bool
 }
 
 func newTestCore(t *testing.T) *testCore {
 	core := &testCore{t: t, now: 1000, writable: true}
-	p := fleet.Params{Name: "t", Forwarders: 3, Planners: 3, Cells: 2}
+	p := topology.Params{Name: "t", Forwarders: 3, Planners: 3, Cells: 2}
 	if err := p.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -42,13 +42,13 @@
 	t.calls = append(t.calls, fmt.Sprintf(format, args...))
 }
 
-func (t *testCore) SendToPlanner(planner int, msgs ...link.Message) {
+func (t *testCore) SendToPlanner(planner int, msgs ...transport.Message) {
 	for _, msg := range msgs {
-		if msg.Kind == link.KindView || msg.Handle == link.CordonCapableHandle {
+		if msg.Kind == transport.KindView || msg.Handle == transport.CordonCapableHandle {
 			continue // said all the time
 		}
-		names := map[link.Kind]string{link.KindGrant: "grant", link.KindUsageReport: "tale", link.KindUsageReportEnd: "end", link.KindRequest: "request",
-			link.KindOutcome: "outcome", link.KindDisconnected: "gone", link.KindWithdraw: "untold", link.KindOrphans: "outs", link.KindCordonState: "holdis"}
+		names := map[transport.Kind]string{transport.KindGrant: "grant", transport.KindUsageReport: "tale", transport.KindUsageReportEnd: "end", transport.KindRequest: "request",
+			transport.KindOutcome: "outcome", transport.KindDisconnected: "gone", transport.KindWithdraw: "untold", transport.KindOrphans: "outs", transport.KindCordonState: "holdis"}
 		t.record("p%d %s", planner, names[msg.Kind])
 		t.lastMessage = msg
 	}
@@ -78,7 +78,9 @@
 	t.calls = nil
 }
 
-func (t *testCore) receive(planner int, msg link.Message) { t.core.HandleMessage(t.now, planner, &msg) }
+func (t *testCore) receive(planner int, msg transport.Message) {
+	t.core.HandleMessage(t.now, planner, &msg)
+}
 
 // cell of the one customer that the tests ask for.
 const testAccount = "00000000b4d65521"
@@ -91,8 +93,8 @@
 	if !t.core.planners[planner].linked {
 		t.core.LinkUp(t.now, planner, uint64(planner)+7)
 	}
-	t.receive(planner, link.Message{Kind: link.KindClaim, Cell: t.cellID(), Epoch: epoch, Round: 1})
-	t.receive(planner, link.Message{Kind: link.KindLead, Cell: t.cellID(), Epoch: epoch})
+	t.receive(planner, transport.Message{Kind: transport.KindClaim, Cell: t.cellID(), Epoch: epoch, Round: 1})
+	t.receive(planner, transport.Message{Kind: transport.KindLead, Cell: t.cellID(), Epoch: epoch})
 	if cell := t.core.cells[t.cellID()]; !cell.hasLeader || cell.holder != planner || cell.epoch != epoch {
 		t.t.Fatalf("planner %d does not lead: %+v", planner, cell)
 	}
@@ -104,7 +106,7 @@
 
 // decideSend has planner p send the request that was told last.
 func (t *testCore) decideSend(planner int, epoch uint64, server string, seq uint32) {
-	t.receive(planner, link.Message{Kind: link.KindSend, Cell: t.cellID(), Epoch: epoch, Handle: t.core.lastHandle, Name: server, DurationS: 1, Round: seq, Units: 2})
+	t.receive(planner, transport.Message{Kind: transport.KindSend, Cell: t.cellID(), Epoch: epoch, Handle: t.core.lastHandle, Name: server, DurationS: 1, Round: seq, Units: 2})
 }
 
 func (t *testCore) attemptEnds(id string, n int, status policy.Status) {
@@ -118,7 +120,7 @@
 	core.expect("p0 grant", "p0 end")
 	core.core.LinkUp(core.now, 1, 8)
 	claim := func(planner int, epoch uint64) {
-		core.receive(planner, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: epoch, Round: 2})
+		core.receive(planner, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: epoch, Round: 2})
 	}
 	claim(1, 6)
 	core.expect() // the promise to 0 runs
@@ -136,15 +138,15 @@
 	claim(0, 5)
 	claim(0, 7)
 	core.expect()
-	core.receive(0, link.Message{Kind: link.KindLead, Cell: core.cellID(), Epoch: 5})
+	core.receive(0, transport.Message{Kind: transport.KindLead, Cell: core.cellID(), Epoch: 5})
 	if core.core.cells[core.cellID()].hasLeader {
 		t.Error("an old leader's word is taken")
 	}
-	core.receive(1, link.Message{Kind: link.KindLead, Cell: core.cellID(), Epoch: 6})
-	core.receive(0, link.Message{Kind: link.KindRelease, Cell: core.cellID(), Epoch: 6}) // not its to give up
+	core.receive(1, transport.Message{Kind: transport.KindLead, Cell: core.cellID(), Epoch: 6})
+	core.receive(0, transport.Message{Kind: transport.KindRelease, Cell: core.cellID(), Epoch: 6}) // not its to give up
 	claim(0, 7)
 	core.expect()
-	core.receive(1, link.Message{Kind: link.KindRelease, Cell: core.cellID(), Epoch: 6})
+	core.receive(1, transport.Message{Kind: transport.KindRelease, Cell: core.cellID(), Epoch: 6})
 	claim(0, 7)
 	core.expect("p0 grant", "p0 end")
 	core.core.LinkDown(core.now, 0)
@@ -164,10 +166,10 @@
 	core.now--
 	core.core.LinkUp(core.now, 0, 7)
 	for ; core.now < 1000+core.core.cfg.LeaseS; core.now += 0.05 {
-		core.receive(0, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: 70})
+		core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 70})
 		core.expect()
 	}
-	core.receive(0, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: 70})
+	core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 70})
 	core.expect("p0 grant", "p0 end")
 }
 
@@ -178,9 +180,9 @@
 	core.request("a", "bill")
 	old := core.core.lastHandle
 	late := func() {
-		for _, kind := range []link.Kind{link.KindSend, link.KindReject, link.KindFail, link.KindCancel, link.KindProbe} {
-			core.receive(0, link.Message{Kind: kind, Cell: core.cellID(), Epoch: 1, Handle: old, Name: "z1"})
-			core.receive(0, link.Message{Kind: kind, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, Name: "z1"})
+		for _, kind := range []transport.Kind{transport.KindSend, transport.KindReject, transport.KindFail, transport.KindCancel, transport.KindProbe} {
+			core.receive(0, transport.Message{Kind: kind, Cell: core.cellID(), Epoch: 1, Handle: old, Name: "z1"})
+			core.receive(0, transport.Message{Kind: kind, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, Name: "z1"})
 		}
 	}
 	core.calls = nil
@@ -241,7 +243,7 @@
 			core.expect("p1 grant", "p1 tale", "p1 outs", "p1 end", "p1 outs") // it is out: nobody else may send it
 			for left := tc.after; left > 0; left -= 0.25 {
 				core.now += 0.25
-				core.receive(1, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: 2, Round: 3})
+				core.receive(1, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 2, Round: 3})
 			}
 			core.calls = nil
 			core.attemptEnds("a", 0, tc.status)
@@ -329,11 +331,11 @@
 		t.Errorf("told %+v", core.lastMessage)
 	}
 	core.attemptEnds("a", 0, policy.Reset)
-	core.receive(0, link.Message{Kind: link.KindReject, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, DurationS: 1})
+	core.receive(0, transport.Message{Kind: transport.KindReject, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, DurationS: 1})
 	core.expect("p0 outcome", "fail a")
-	core.receive(0, link.Message{Kind: link.KindCancel, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, Number: 1 << 31})
-	core.receive(0, link.Message{Kind: link.KindClaim, Cell: 60000, Epoch: 1})
-	core.receive(0, link.Message{Kind: link.KindSend, Cell: 60000, Epoch: 1})
+	core.receive(0, transport.Message{Kind: transport.KindCancel, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, Number: 1 << 31})
+	core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: 60000, Epoch: 1})
+	core.receive(0, transport.Message{Kind: transport.KindSend, Cell: 60000, Epoch: 1})
 	core.expect()
 }
 
@@ -350,7 +352,7 @@
 func TestUsageReport_LatestAdmissionAndCompleteness(t *testing.T) {
 	core := newTestCore(t)
 	core.elect(0, 1)
-	if core.lastMessage.Kind != link.KindUsageReportEnd || core.lastMessage.Flag {
+	if core.lastMessage.Kind != transport.KindUsageReportEnd || core.lastMessage.Flag {
 		t.Errorf("a forwarder that has just started tells all: %+v", core.lastMessage)
 	}
 	core.now += 10
@@ -361,14 +363,14 @@
 	for i, seq := range []uint32{3, 1} { // the later pass comes first
 		id := fmt.Sprint("a", i)
 		core.request(id, "look")
-		core.receive(0, link.Message{Kind: link.KindSend, Cell: core.cellID(), Epoch: 2, Handle: core.core.lastHandle, Name: "z", DurationS: 1, Round: seq, Units: float64(seq)})
+		core.receive(0, transport.Message{Kind: transport.KindSend, Cell: core.cellID(), Epoch: 2, Handle: core.core.lastHandle, Name: "z", DurationS: 1, Round: seq, Units: float64(seq)})
 		core.attemptEnds(id, 0, policy.OK)
 	}
 	core.now += 0.5
 	core.core.LinkUp(core.now, 1, 8)
 	core.calls = nil
-	var report link.Message
-	core.receive(1, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: 3})
+	var report transport.Message
+	core.receive(1, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 3})
 	core.expect("p1 grant", "p1 tale", "p1 end")
 	core.core.reportUsage(int(core.cellID()))
 	core.core.usage.each(core.now, func(_ string, usage windowUsage) {
@@ -411,7 +413,7 @@
 	core.decideSend(0, 64, "z1", 2)
 	core.calls = nil
 	for ; core.now < 1000+1+2-2*TickIntervalS; core.now += TickIntervalS { // the leader's promise is renewed all the time
-		core.receive(0, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: 64, Round: 1})
+		core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 64, Round: 1})
 		core.core.Tick(core.now)
 	}
 	for _, x := range core.calls {
@@ -420,7 +422,7 @@
 		}
 	}
 	for ; core.now < 1000+1+5; core.now += TickIntervalS {
-		core.receive(0, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: 64, Round: 1})
+		core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 64, Round: 1})
 		core.core.Tick(core.now)
 	}
 	answers := 0
--- a/internal/forward/file.go
+++ b/internal/controlplane/forwarder/file.go
@@ -1,23 +1,23 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
 	"net/netip"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/ingress"
-	"eiderspread/internal/link"
-	"eiderspread/internal/operator"
+	"eiderspread/internal/base/operatorconfig"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/dataplane/ingress"
 )
 
 // FileConfig is a forwarder's operator's file, checked.
 type FileConfig struct {
-	fleet.Params
+	topology.Params
 	Number       int
 	PlannerAddrs []string // addresses by planner's number
 	StatusAddr   string
 	PlannerNames []string // with TLS: the name that each planner's certificate holds
-	TLS          link.Identity
+	TLS          transport.Identity
 	Ingress      ingress.Config
 	IngressPath  string
 }
@@ -25,11 +25,11 @@
 // ReadFile reads deploy/forwarder.toml and the configuration that it names.
 func ReadFile(path string) (FileConfig, error) {
 	var f struct {
-		fleet.File
+		topology.File
 		PlannersAt []string `toml:"planners_at"`
 		Names      []string
 	}
-	if err := operator.Decode(path, &f); err != nil {
+	if err := operatorconfig.Decode(path, &f); err != nil {
 		return FileConfig{}, err
 	}
 	out, err := newFileConfig(f.File, f.PlannersAt, f.Names)
@@ -39,7 +39,7 @@
 	return out, nil
 }
 
-func newFileConfig(f fleet.File, plannerAddrs, plannerNames []string) (FileConfig, error) {
+func newFileConfig(f topology.File, plannerAddrs, plannerNames []string) (FileConfig, error) {
 	out := FileConfig{Number: f.Number, PlannerAddrs: plannerAddrs, StatusAddr: f.Status, PlannerNames: plannerNames, TLS: f.Identity(), IngressPath: f.Base}
 	var err error
 	if out.Params, err = f.Params(); err != nil {
@@ -56,7 +56,7 @@
 			return out, fmt.Errorf("planners_at: number %d: %w", i, err)
 		}
 	}
-	if out.TLS != (link.Identity{}) && len(plannerNames) != f.Planners {
+	if out.TLS != (transport.Identity{}) && len(plannerNames) != f.Planners {
 		return out, fmt.Errorf("names: %d given for %d planners", len(plannerNames), f.Planners)
 	}
 	if _, err = out.TLS.Config(); err != nil {
--- a/internal/forward/golden_test.go
+++ b/internal/controlplane/forwarder/golden_test.go
@@ -1,9 +1,9 @@
-package forward
+package forwarder
 
 import (
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards a forwarder's status and the keys of its operator's file.
--- a/internal/forward/holds.go
+++ b/internal/controlplane/forwarder/holds.go
@@ -1,8 +1,8 @@
-package forward
+package forwarder
 
 import (
-	"eiderspread/internal/link"
-	"eiderspread/internal/withhold"
+	"eiderspread/internal/controlplane/cordon"
+	"eiderspread/internal/controlplane/transport"
 )
 
 // Cordoned lists the servers that operators hold, as far as this forwarder has heard.
@@ -10,9 +10,9 @@
 
 // handleCordon takes a planner's question or word on a held server. What is new binds at once, and goes to every planner before anything that
 // is said to it from now on: the next promise above all.
-func (c *Core) handleCordon(planner int, msg *link.Message) {
-	if msg.Kind == link.KindCordonWrite {
-		state := withhold.State{Version: msg.Epoch, Held: msg.Flag}
+func (c *Core) handleCordon(planner int, msg *transport.Message) {
+	if msg.Kind == transport.KindCordonWrite {
+		state := cordon.State{Version: msg.Epoch, Held: msg.Flag}
 		newer, changed := c.cordons.Merge(msg.Name, state)
 		if changed {
 			c.out.SetCordoned(msg.Name, state.Held)
@@ -28,6 +28,6 @@
 	}
 }
 
-func cordonStateMessage(call uint64, id string, state withhold.State) link.Message {
-	return link.Message{Kind: link.KindCordonState, Handle: call, Name: id, Epoch: state.Version, Flag: state.Held}
+func cordonStateMessage(call uint64, id string, state cordon.State) transport.Message {
+	return transport.Message{Kind: transport.KindCordonState, Handle: call, Name: id, Epoch: state.Version, Flag: state.Held}
 }
--- a/internal/forward/move.go
+++ b/internal/controlplane/forwarder/move.go
@@ -1,11 +1,11 @@
-package forward
+package forwarder
 
 import (
 	"maps"
 	"slices"
 
-	"eiderspread/internal/kept"
-	"eiderspread/internal/withhold"
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/controlplane/cordon"
 )
 
 // What a forwarder hands to the process that goes on for it, and how it takes its requests back if that one dies. The rules are in
@@ -14,25 +14,25 @@
 
 // Migrate stops following every leader and returns all that is known. From then on this core promises nothing and decides nothing: it
 // writes down what becomes of its requests, for Reclaim.
-func (c *Core) Migrate(now float64) kept.ForwarderState {
+func (c *Core) Migrate(now float64) snapshot.ForwarderState {
 	c.now = now
 	clear(c.planners) // their links end: what a leader knew to be out counts there until the new process says better
 	for i := range c.cells {
 		c.becomeLeaderless(i)
 	}
 	c.handedOver = true
-	transferred := kept.ForwarderState{LastHandle: c.lastHandle, LossyAt: c.usage.incompleteAt, Cordons: map[string]kept.Cordon{}}
+	transferred := snapshot.ForwarderState{LastHandle: c.lastHandle, LossyAt: c.usage.incompleteAt, Cordons: map[string]snapshot.Cordon{}}
 	for i := range c.cells {
 		cell := &c.cells[i]
-		transferred.Cells = append(transferred.Cells, kept.CellPromise{Epoch: cell.epoch, Holder: cell.holder, Incarnation: cell.incarnation, PromisedUntil: cell.promisedUntil})
+		transferred.Cells = append(transferred.Cells, snapshot.CellPromise{Epoch: cell.epoch, Holder: cell.holder, Incarnation: cell.incarnation, PromisedUntil: cell.promisedUntil})
 		cell.waiting = nil
 	}
-	c.cordons.Each(func(id string, state withhold.State) { transferred.Cordons[id] = kept.Cordon(state) })
+	c.cordons.Each(func(id string, state cordon.State) { transferred.Cordons[id] = snapshot.Cordon(state) })
 	c.usage.each(now, func(account string, usage windowUsage) {
-		transferred.UsageReports = append(transferred.UsageReports, kept.UsageReport{Account: account, Plan: usage.plan, Epoch: usage.epoch, Sequence: usage.seq, Debt: usage.debt, ReportedAt: usage.at})
+		transferred.UsageReports = append(transferred.UsageReports, snapshot.UsageReport{Account: account, Plan: usage.plan, Epoch: usage.epoch, Sequence: usage.seq, Debt: usage.debt, ReportedAt: usage.at})
 	})
 	for _, request := range c.requestsByID() {
-		transferred.Requests = append(transferred.Requests, kept.OpenRequest{Request: request.Request, ReceivedAt: request.receivedAt, SentAt: slices.Clone(request.sentAt), AttemptDone: slices.Clone(request.attemptDone),
+		transferred.Requests = append(transferred.Requests, snapshot.OpenRequest{Request: request.Request, ReceivedAt: request.receivedAt, SentAt: slices.Clone(request.sentAt), AttemptDone: slices.Clone(request.attemptDone),
 			UnitsCounted: request.unitsCounted, MayHaveRun: request.mayHaveRun, FirstRunAt: request.firstRunAt, Completed: request.completed})
 	}
 	return transferred
@@ -40,7 +40,7 @@
 
 // Resume goes on with what the process before knew; call it before the first link. It tells whether promises went over: those of a
 // fleet cut into other cells do not, and nothing is promised for a lease then.
-func (c *Core) Resume(now float64, transferred kept.ForwarderState) bool {
+func (c *Core) Resume(now float64, transferred snapshot.ForwarderState) bool {
 	c.now = now
 	same := len(transferred.Cells) == len(c.cells)
 	for i := range c.cells {
@@ -60,7 +60,7 @@
 		c.usage.record(report.Account, windowUsage{report.Plan, report.Epoch, report.Sequence, report.Debt, report.ReportedAt})
 	}
 	for _, id := range slices.Sorted(maps.Keys(transferred.Cordons)) {
-		if _, changed := c.cordons.Merge(id, withhold.State(transferred.Cordons[id])); changed {
+		if _, changed := c.cordons.Merge(id, cordon.State(transferred.Cordons[id])); changed {
 			c.out.SetCordoned(id, transferred.Cordons[id].Held)
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // restoreRequest takes one request over. What is out goes on; what has nothing out waits for a leader.
-func (c *Core) restoreRequest(saved kept.OpenRequest) {
+func (c *Core) restoreRequest(saved snapshot.OpenRequest) {
 	class, knownClass := c.classIndex[saved.Class]
 	plan, knownPlan := c.planIndex[saved.Plan]
 	if !knownClass || !knownPlan || len(saved.SentAt) != len(saved.AttemptDone) || c.requests[saved.ID] != nil || len(c.requests) >= maxOpenRequests {
@@ -106,20 +106,20 @@
 }
 
 // RecordOrder writes down what the process that goes on for this one has decided for a request.
-func (c *Core) RecordOrder(now float64, order kept.Order) {
+func (c *Core) RecordOrder(now float64, order snapshot.Order) {
 	c.now = now
 	request := c.requests[order.ID]
 	if !c.handedOver || request == nil {
 		return
 	}
 	switch order.Kind {
-	case kept.OrderSend:
+	case snapshot.OrderSend:
 		if !request.completed {
 			request.sentAt, request.attemptDone, request.unitsCounted = append(request.sentAt, now), append(request.attemptDone, false), true
 			request.inFlight++
 			c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + 1}
 		}
-	case kept.OrderReject, kept.OrderFail:
+	case snapshot.OrderReject, snapshot.OrderFail:
 		request.completed = true
 		c.releaseIfDone(request)
 	}
--- a/internal/forward/move_test.go
+++ b/internal/controlplane/forwarder/move_test.go
@@ -1,32 +1,32 @@
-package forward
+package forwarder
 
 import (
 	"encoding/json"
 	"slices"
 	"testing"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/kept"
-	"eiderspread/internal/link"
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
 	"eiderspread/policy"
 )
 
 // encodeAndDecode is what a forwarder knows after its way to another process.
-func encodeAndDecode(t *testing.T, transferred kept.ForwarderState) kept.ForwarderState {
+func encodeAndDecode(t *testing.T, transferred snapshot.ForwarderState) snapshot.ForwarderState {
 	t.Helper()
-	var parts []kept.Part
+	var parts []snapshot.Part
 	for _, p := range transferred.Split() {
 		b, err := json.Marshal(p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got kept.Part
+		var got snapshot.Part
 		if err := json.Unmarshal(b, &got); err != nil {
 			t.Fatal(err)
 		}
 		parts = append(parts, got)
 	}
-	got, ok := kept.Join(parts)
+	got, ok := snapshot.Join(parts)
 	if !ok {
 		t.Fatal("parts of something else")
 	}
@@ -47,7 +47,7 @@
 
 // Guards fencing across a replacement: a promise goes on, neither longer nor shorter, and the old process gives none.
 func TestMigrate_Promises(t *testing.T) {
-	if !fleet.Fenced {
+	if !topology.Fenced {
 		t.Skip("a build without fencing")
 	}
 	predecessor := newTestCore(t)
@@ -55,18 +55,18 @@
 	predecessor.now += 0.2
 	successor := predecessor.migrate()
 	predecessor.calls = nil
-	predecessor.receive(1, link.Message{Kind: link.KindClaim, Cell: predecessor.cellID(), Epoch: 9, Round: 1})
+	predecessor.receive(1, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 9, Round: 1})
 	predecessor.core.LinkUp(predecessor.now, 1, 8)
 	predecessor.core.Tick(predecessor.now + 5)
 	predecessor.expect()
 	claim := func(planner int, epoch uint64) {
-		successor.receive(planner, link.Message{Kind: link.KindClaim, Cell: successor.cellID(), Epoch: epoch, Round: 2})
+		successor.receive(planner, transport.Message{Kind: transport.KindClaim, Cell: successor.cellID(), Epoch: epoch, Round: 2})
 	}
 	successor.core.LinkUp(successor.now, 0, 7)
 	successor.core.LinkUp(successor.now, 1, 8)
 	claim(1, 6)
 	successor.expect()
-	successor.receive(0, link.Message{Kind: link.KindLead, Cell: successor.cellID(), Epoch: 5}) // without a claim: the promise is known
+	successor.receive(0, transport.Message{Kind: transport.KindLead, Cell: successor.cellID(), Epoch: 5}) // without a claim: the promise is known
 	if !successor.core.cells[successor.cellID()].hasLeader {
 		t.Error("the leader that the old process followed is not followed")
 	}
@@ -88,7 +88,7 @@
 	predecessor.request("key", "hold")
 	predecessor.decideSend(0, 5, "z1", 2)
 	predecessor.attemptEnds("key", 0, policy.Error) // it ran, and its leader tries again
-	predecessor.receive(0, link.Message{Kind: link.KindSend, Cell: predecessor.cellID(), Epoch: 5, Handle: predecessor.core.lastHandle, Name: "z2", DurationS: 1, Round: 3, Units: 2})
+	predecessor.receive(0, transport.Message{Kind: transport.KindSend, Cell: predecessor.cellID(), Epoch: 5, Handle: predecessor.core.lastHandle, Name: "z2", DurationS: 1, Round: 3, Units: 2})
 	predecessor.now += 3.2
 	transferred := encodeAndDecode(t, predecessor.core.Migrate(predecessor.now))
 	if len(transferred.Requests) != 3 {
@@ -127,7 +127,7 @@
 	successor := predecessor.migrate()
 	successor.now += 0.6
 	successor.core.LinkUp(successor.now, 1, 8)
-	successor.receive(1, link.Message{Kind: link.KindClaim, Cell: successor.cellID(), Epoch: 6, Round: 1})
+	successor.receive(1, transport.Message{Kind: transport.KindClaim, Cell: successor.cellID(), Epoch: 6, Round: 1})
 	successor.expect("p1 grant", "p1 tale", "p1 outs", "p1 end")
 	if !successor.lastMessage.Flag {
 		t.Error("the tale is not complete")
@@ -145,22 +145,22 @@
 	predecessor.core.Migrate(predecessor.now)
 	predecessor.calls = nil
 	predecessor.core.HandleRequest(predecessor.now, policy.Request{ID: "late", Class: "look", Plan: "basic", Account: testAccount, DeadlineAt: predecessor.now + 4, Units: 2})
-	predecessor.core.RecordOrder(predecessor.now, kept.Order{Kind: kept.OrderSend, ID: "sent", Backend: "z1"})
-	predecessor.core.RecordOrder(predecessor.now, kept.Order{Kind: kept.OrderSend, ID: "done", Backend: "z1"})
+	predecessor.core.RecordOrder(predecessor.now, snapshot.Order{Kind: snapshot.OrderSend, ID: "sent", Backend: "z1"})
+	predecessor.core.RecordOrder(predecessor.now, snapshot.Order{Kind: snapshot.OrderSend, ID: "done", Backend: "z1"})
 	predecessor.attemptEnds("done", 0, policy.OK)
 	predecessor.expect()
 	predecessor.core.Reclaim(predecessor.now)
 	predecessor.core.LinkUp(predecessor.now, 0, 7)
-	predecessor.receive(0, link.Message{Kind: link.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 9}) // a renewal: another may have a newer promise
+	predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 9}) // a renewal: another may have a newer promise
 	predecessor.expect()
-	if fleet.Fenced {
+	if topology.Fenced {
 		predecessor.now += predecessor.core.cfg.LeaseS + 0.01
-		predecessor.receive(0, link.Message{Kind: link.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 10})
-		if predecessor.lastMessage.Kind != link.KindUsageReportEnd || predecessor.lastMessage.Flag {
+		predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 10})
+		if predecessor.lastMessage.Kind != transport.KindUsageReportEnd || predecessor.lastMessage.Flag {
 			t.Errorf("not told as incomplete: %+v", predecessor.lastMessage)
 		}
 		predecessor.calls = nil
-		predecessor.receive(0, link.Message{Kind: link.KindLead, Cell: predecessor.cellID(), Epoch: 5})
+		predecessor.receive(0, transport.Message{Kind: transport.KindLead, Cell: predecessor.cellID(), Epoch: 5})
 		predecessor.expect("p0 outs", "p0 request", "p0 request") // late and waits
 	}
 	predecessor.attemptEnds("sent", 0, policy.Timeout)
@@ -190,10 +190,10 @@
 
 // Guards the parts against a message's bound, and against each other's order.
 func TestTransferredState_PartSize(t *testing.T) {
-	transferred := kept.ForwarderState{Incarnation: 1 << 63, LastHandle: 1<<64 - 1, Cordons: map[string]kept.Cordon{}}
+	transferred := snapshot.ForwarderState{Incarnation: 1 << 63, LastHandle: 1<<64 - 1, Cordons: map[string]snapshot.Cordon{}}
 	for i := range 5000 {
-		transferred.UsageReports = append(transferred.UsageReports, kept.UsageReport{Account: testAccount, Plan: 1, Epoch: 1<<63 + uint64(i), Sequence: uint32(i), Debt: 1.5, ReportedAt: 1e9})
-		transferred.Requests = append(transferred.Requests, kept.OpenRequest{Request: policy.Request{ID: string(make([]byte, 100)), Account: testAccount}, SentAt: []float64{1, 2}, AttemptDone: []bool{true, false}})
+		transferred.UsageReports = append(transferred.UsageReports, snapshot.UsageReport{Account: testAccount, Plan: 1, Epoch: 1<<63 + uint64(i), Sequence: uint32(i), Debt: 1.5, ReportedAt: 1e9})
+		transferred.Requests = append(transferred.Requests, snapshot.OpenRequest{Request: policy.Request{ID: string(make([]byte, 100)), Account: testAccount}, SentAt: []float64{1, 2}, AttemptDone: []bool{true, false}})
 	}
 	for _, p := range transferred.Split() {
 		if b, err := json.Marshal(p); err != nil || len(b) > 128<<10 {
@@ -211,13 +211,13 @@
 func TestResume_UnreadableParts(t *testing.T) {
 	core := newTestCore(t) // whose own lease is over by now
 	gateway := &RemoteGateway{core: core.core}
-	if gateway.Resume(core.now, 0, []kept.Part{{}}) == nil {
+	if gateway.Resume(core.now, 0, []snapshot.Part{{}}) == nil {
 		t.Error("parts of something else were taken")
 	}
 	core.core.LinkUp(core.now, 0, 7)
-	core.receive(0, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: 5, Round: 1})
+	core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 5, Round: 1})
 	core.expect()
 	core.now += core.core.cfg.LeaseS + 0.01
-	core.receive(0, link.Message{Kind: link.KindClaim, Cell: core.cellID(), Epoch: 5, Round: 2})
+	core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 5, Round: 2})
 	core.expect("p0 grant", "p0 end")
 }
--- a/internal/forward/remote.go
+++ b/internal/controlplane/forwarder/remote.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"net/http"
 	"time"
 
-	"eiderspread/internal/ingress"
-	"eiderspread/internal/kept"
-	"eiderspread/internal/link"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
 )
 
@@ -32,8 +32,8 @@
 	cfg                           FileConfig
 	tls                           *tls.Config
 	incarnation                   uint64
-	links                         []*link.Conn // by planner, nil: none
-	closedBytesIn, closedBytesOut uint64       // bytes of links that have ended
+	links                         []*transport.Conn // by planner, nil: none
+	closedBytesIn, closedBytesOut uint64            // bytes of links that have ended
 	ctx                           context.Context
 	closeLinks                    context.CancelFunc // ends all links, nil: planners are not dialled
 	handedOver                    bool               // another process goes on
@@ -42,7 +42,7 @@
 // NewGatewayFunc returns the maker that ingress.RunWith wants.
 func NewGatewayFunc(cfg FileConfig) func(context.Context, ingress.Host) (ingress.Decider, error) {
 	return func(ctx context.Context, host ingress.Host) (ingress.Decider, error) {
-		gateway := &RemoteGateway{Host: host, cfg: cfg, incarnation: rand.Uint64(), links: make([]*link.Conn, len(cfg.PlannerAddrs)), ctx: ctx}
+		gateway := &RemoteGateway{Host: host, cfg: cfg, incarnation: rand.Uint64(), links: make([]*transport.Conn, len(cfg.PlannerAddrs)), ctx: ctx}
 		var err error
 		if gateway.tls, err = cfg.TLS.Config(); err != nil {
 			return nil, err
@@ -90,7 +90,7 @@
 }
 
 // Migrate implements ingress.Mover: this process links to no planner any more.
-func (g *RemoteGateway) Migrate(now float64) []kept.Part {
+func (g *RemoteGateway) Migrate(now float64) []snapshot.Part {
 	g.handedOver = true
 	transferred := g.core.Migrate(now)
 	transferred.Incarnation = g.incarnation
@@ -107,8 +107,8 @@
 }
 
 // Resume implements ingress.Mover.
-func (g *RemoteGateway) Resume(now, shift float64, parts []kept.Part) error {
-	transferred, ok := kept.Join(parts)
+func (g *RemoteGateway) Resume(now, shift float64, parts []snapshot.Part) error {
+	transferred, ok := snapshot.Join(parts)
 	if !ok {
 		g.core.Reclaim(now) // promises that it gave may run: none is given for a lease
 		return errors.New("what the process before knew is not a forwarder's")
@@ -122,7 +122,9 @@
 }
 
 // RecordOrder implements ingress.Mover.
-func (g *RemoteGateway) RecordOrder(now float64, order kept.Order) { g.core.RecordOrder(now, order) }
+func (g *RemoteGateway) RecordOrder(now float64, order snapshot.Order) {
+	g.core.RecordOrder(now, order)
+}
 
 // Reclaim implements ingress.Mover: to planners it is another life of the forwarder.
 func (g *RemoteGateway) Reclaim(now float64) {
@@ -152,7 +154,7 @@
 }
 
 // SendToPlanner implements Out.
-func (g *RemoteGateway) SendToPlanner(planner int, msgs ...link.Message) {
+func (g *RemoteGateway) SendToPlanner(planner int, msgs ...transport.Message) {
 	if c := g.links[planner]; c != nil {
 		c.Send(msgs...)
 	}
@@ -204,15 +206,15 @@
 		conn.SetDeadline(time.Time{})
 		conn = t
 	}
-	l := link.NewConn(conn, silence)
+	l := transport.NewConn(conn, silence)
 	defer context.AfterFunc(ctx, func() { l.Close(ctx.Err()) })()
-	l.Send(link.Message{Kind: link.KindHello, Plan: link.Version, Name: g.cfg.Name, Number: uint32(g.cfg.Number), Epoch: incarnation,
+	l.Send(transport.Message{Kind: transport.KindHello, Plan: transport.Version, Name: g.cfg.Name, Number: uint32(g.cfg.Number), Epoch: incarnation,
 		Cell: uint16(g.cfg.Cells)})
 	greeted := false
-	err = l.Serve(func(msgs []link.Message) {
+	err = l.Serve(func(msgs []transport.Message) {
 		if !greeted {
 			msg := msgs[0]
-			if msg.Kind != link.KindHello || msg.Plan != link.Version || msg.Name != g.cfg.Name || int(msg.Number) != planner || int(msg.Cell) != g.cfg.Cells {
+			if msg.Kind != transport.KindHello || msg.Plan != transport.Version || msg.Name != g.cfg.Name || int(msg.Number) != planner || int(msg.Cell) != g.cfg.Cells {
 				l.Close(errors.New("not the planner that was expected"))
 				return
 			}
@@ -245,7 +247,7 @@
 }
 
 // removeLink lets go of a planner's link.
-func (g *RemoteGateway) removeLink(planner int, l *link.Conn) {
+func (g *RemoteGateway) removeLink(planner int, l *transport.Conn) {
 	g.closedBytesIn += l.BytesIn.Load()
 	g.closedBytesOut += l.BytesOut.Load()
 	g.links[planner] = nil
@@ -259,17 +261,17 @@
 
 // Status is what a forwarder tells people.
 type Status struct {
-	Kind              string       `json:"kind"`
-	Number            int          `json:"number"`
-	Links             []bool       `json:"links"`
-	Requests          int          `json:"requests"`
-	BytesIn           uint64       `json:"bytes_in"`
-	BytesOut          uint64       `json:"bytes_out"`
-	Stats             Stats        `json:"stats"`
-	Cells             []CellStatus `json:"cells"`
-	Cordoned          []string     `json:"held"` // backends, by operators
-	EndpointListAge   roster.Age   `json:"list"` // how old the list of backends is
-	EndpointListStale bool         `json:"old"`  // too old to be trusted
+	Kind              string        `json:"kind"`
+	Number            int           `json:"number"`
+	Links             []bool        `json:"links"`
+	Requests          int           `json:"requests"`
+	BytesIn           uint64        `json:"bytes_in"`
+	BytesOut          uint64        `json:"bytes_out"`
+	Stats             Stats         `json:"stats"`
+	Cells             []CellStatus  `json:"cells"`
+	Cordoned          []string      `json:"held"` // backends, by operators
+	EndpointListAge   discovery.Age `json:"list"` // how old the list of backends is
+	EndpointListStale bool          `json:"old"`  // too old to be trusted
 }
 
 func (g *RemoteGateway) handleStatus(w http.ResponseWriter, req *http.Request) {
--- a/internal/forward/usage.go
+++ b/internal/controlplane/forwarder/usage.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"maps"
--- a/internal/planner/bench_test.go
+++ b/internal/controlplane/planner/bench_test.go
@@ -5,20 +5,20 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/link"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
 	"eiderspread/policy"
 )
 
 // discard answers every Send at once on the next turn, through the codec as a link would.
 type discard struct {
 	buf   []byte
-	sends []link.Message
+	sends []transport.Message
 }
 
-func (d *discard) SendToForwarder(_ int, msgs ...link.Message) {
+func (d *discard) SendToForwarder(_ int, msgs ...transport.Message) {
 	for i := range msgs {
-		if d.buf = link.AppendMessage(d.buf, &msgs[i]); msgs[i].Kind == link.KindSend {
+		if d.buf = transport.AppendMessage(d.buf, &msgs[i]); msgs[i].Kind == transport.KindSend {
 			d.sends = append(d.sends, msgs[i])
 		}
 	}
@@ -27,7 +27,7 @@
 
 // newTestCore makes a host that leads all cells, for 20 forwarders, and what renews its leads.
 func newTestCore(tb testing.TB, plan policy.Plan) (*Core, *discard, func(now float64)) {
-	p := fleet.Params{Name: "b", Forwarders: 20, Planners: 1, Cells: 6}
+	p := topology.Params{Name: "b", Forwarders: 20, Planners: 1, Cells: 6}
 	if err := p.Check(); err != nil {
 		tb.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	for forwarder := range p.Forwarders {
 		core.LinkUp(now, forwarder, 1)
 		for cellID := range p.Cells {
-			core.HandleMessage(now, forwarder, &link.Message{Kind: link.KindView, Cell: uint16(cellID)})
+			core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindView, Cell: uint16(cellID)})
 		}
 	}
 	core.Tick(now)
@@ -53,7 +53,7 @@
 		for cellID := range p.Cells {
 			lease := &core.leases.cells[cellID]
 			for forwarder := range p.Forwarders {
-				core.HandleMessage(now, forwarder, &link.Message{Kind: link.KindGrant, Cell: uint16(cellID), Epoch: lease.epoch, Round: lease.round})
+				core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindGrant, Cell: uint16(cellID), Epoch: lease.epoch, Round: lease.round})
 			}
 		}
 	}
@@ -70,14 +70,14 @@
 	request := func(now float64, forwarder int) (sent bool) {
 		out.sends = nil
 		handle++
-		core.HandleMessage(now, forwarder, &link.Message{Kind: link.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: handle, Name: "c", DurationS: 2, Units: 1})
+		core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: handle, Name: "c", DurationS: 2, Units: 1})
 		if sent = len(out.sends) > 0; !sent { // it waits for the cap: its client hangs up
-			core.HandleMessage(now, forwarder, &link.Message{Kind: link.KindDisconnected, Handle: handle})
+			core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindDisconnected, Handle: handle})
 		}
 		return sent
 	}
 	reportOrphans := func(now float64, forwarder, n int) {
-		core.HandleMessage(now, forwarder, &link.Message{Kind: link.KindOrphans, Cell: cellID, Epoch: core.cells[cellID].epoch, Name: "c", Number: uint32(n)})
+		core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindOrphans, Cell: cellID, Epoch: core.cells[cellID].epoch, Name: "c", Number: uint32(n)})
 	}
 	if !request(1000, 0) || !request(1000, 0) || request(1000, 1) {
 		t.Fatal("the cap does not hold to begin with")
@@ -98,7 +98,7 @@
 	}
 	core.Tick(1000.2)
 	renew(1000.2)
-	core.HandleMessage(1000.2, 1, &link.Message{Kind: link.KindWithdraw, Handle: handle - 1})
+	core.HandleMessage(1000.2, 1, &transport.Message{Kind: transport.KindWithdraw, Handle: handle - 1})
 	if !request(1000.2, 1) {
 		t.Error("what is told no more holds its place")
 	}
@@ -109,13 +109,13 @@
 	core, out, _ := newTestCore(t, policy.Plan{Name: "p", Rate: 1e6, Burst: 1e6, Weight: 1})
 	cellID := uint16(core.cfg.CellOf("c"))
 	for forwarder := range 2 {
-		core.HandleMessage(1000, forwarder, &link.Message{Kind: link.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: 7, Name: "c", DurationS: 2, Units: 1})
-		core.HandleMessage(1000, forwarder, &link.Message{Kind: link.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: 7, Name: "c", DurationS: 2, Units: 1})
+		core.HandleMessage(1000, forwarder, &transport.Message{Kind: transport.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: 7, Name: "c", DurationS: 2, Units: 1})
+		core.HandleMessage(1000, forwarder, &transport.Message{Kind: transport.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: 7, Name: "c", DurationS: 2, Units: 1})
 	}
 	if len(out.sends) != 2 || core.Stats.Requests != 2 {
 		t.Fatalf("%d sends of %d requests", len(out.sends), core.Stats.Requests)
 	}
-	core.HandleMessage(1000.1, 0, &link.Message{Kind: link.KindOutcome, Handle: 7, Flag: true})
+	core.HandleMessage(1000.1, 0, &transport.Message{Kind: transport.KindOutcome, Handle: 7, Flag: true})
 	if core.requests[0][7] != nil || core.requests[1][7] == nil {
 		t.Error("one's end is taken for the other's")
 	}
@@ -135,13 +135,13 @@
 			renew(now)
 		}
 		forwarder, cellID := i%p.Forwarders, uint16(i%p.Cells)
-		frame = link.AppendMessage(frame[:0], &link.Message{Kind: link.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: uint64(i + 1),
+		frame = transport.AppendMessage(frame[:0], &transport.Message{Kind: transport.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: uint64(i + 1),
 			Name: fmt.Sprintf("%016x", i%5000), DurationS: 2, Units: 1})
-		msgs, _ := link.ParseFrame(frame)
+		msgs, _ := transport.ParseFrame(frame)
 		core.HandleMessage(now, forwarder, &msgs[0])
 		for _, msg := range out.sends {
-			frame = link.AppendMessage(frame[:0], &link.Message{Kind: link.KindOutcome, Handle: msg.Handle, Flag: true, DurationS: 0.05, HasLoad: true})
-			msgs, _ := link.ParseFrame(frame)
+			frame = transport.AppendMessage(frame[:0], &transport.Message{Kind: transport.KindOutcome, Handle: msg.Handle, Flag: true, DurationS: 0.05, HasLoad: true})
+			msgs, _ := transport.ParseFrame(frame)
 			core.HandleMessage(now, forwarder, &msgs[0])
 		}
 		out.sends, out.buf = out.sends[:0], out.buf[:0]
@@ -154,7 +154,7 @@
 // Guards holds whose id a link would cut off: the yes would be for another id, and bind nobody.
 func TestSetCordoned_RejectsIDsTooLongForLink(t *testing.T) {
 	core, _, _ := newTestCore(t, policy.Plan{Name: "p", Rate: 1, Burst: 1, Weight: 1})
-	for n, ok := range map[int]bool{link.MaxNameBytes: true, link.MaxNameBytes + 1: false} {
+	for n, ok := range map[int]bool{transport.MaxNameBytes: true, transport.MaxNameBytes + 1: false} {
 		id := strings.Repeat("z", n)
 		core.UpdateBackends(1000, []policy.Backend{{ID: id}}, false)
 		if err := core.SetCordoned(1000, 0.8, id, true, func(error) {}); (err == nil) != ok {
--- a/internal/planner/door.go
+++ b/internal/controlplane/planner/door.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
-	"eiderspread/internal/console"
-	"eiderspread/internal/withhold"
+	"eiderspread/internal/controlplane/cordon"
+	"eiderspread/internal/dataplane/admin"
 )
 
 const (
@@ -61,8 +61,8 @@
 func (a *adminAPI) setCordoned(ctx context.Context, id string, cordoned bool) error {
 	return a.runOnLoop(ctx, func(now float64, result chan<- error) {
 		err := a.server.core.SetCordoned(now, cordonTimeoutS, id, cordoned, func(err error) { result <- err })
-		if errors.Is(err, withhold.ErrUnknownBackend) {
-			err = fmt.Errorf("%w: %w", console.ErrUnknown, err)
+		if errors.Is(err, cordon.ErrUnknownBackend) {
+			err = fmt.Errorf("%w: %w", admin.ErrUnknown, err)
 		}
 		if err != nil {
 			result <- err
--- a/internal/planner/file.go
+++ b/internal/controlplane/planner/file.go
@@ -4,17 +4,17 @@
 	"fmt"
 	"net/netip"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/ingress"
-	"eiderspread/internal/link"
-	"eiderspread/internal/operator"
-	"eiderspread/internal/overload"
-	"eiderspread/internal/trace"
+	"eiderspread/internal/base/operatorconfig"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/decision/loadshed"
+	"eiderspread/internal/observability/trace"
 )
 
 // FileConfig is a planner's operator's file, checked.
 type FileConfig struct {
-	fleet.Params
+	topology.Params
 	Number         int
 	ListenAddr     string
 	StatusAddr     string
@@ -22,22 +22,22 @@
 	TraceFolder    string   // folder for traces of decisions; empty: none are written
 	TraceMB        int      // bounds each file
 	ForwarderNames []string // with TLS: the common name of each forwarder's certificate, by its number
-	TLS            link.Identity
+	TLS            transport.Identity
 	Ingress        ingress.Config
 }
 
 // ReadFile reads deploy/planner.toml and the configuration that it names.
 func ReadFile(path string) (FileConfig, error) {
 	var f struct {
-		fleet.File
+		topology.File
 		Listen   string
 		Console  string
 		Trace    string
 		TraceMB  int `toml:"trace_mb"`
 		Allowed  []string
-		Overload overload.Config
+		Overload loadshed.Config
 	}
-	if err := operator.Decode(path, &f); err != nil {
+	if err := operatorconfig.Decode(path, &f); err != nil {
 		return FileConfig{}, err
 	}
 	out, err := newFileConfig(f.File, f.Listen, f.Allowed)
@@ -56,7 +56,7 @@
 	return out, nil
 }
 
-func newFileConfig(f fleet.File, listenAddr string, forwarderNames []string) (FileConfig, error) {
+func newFileConfig(f topology.File, listenAddr string, forwarderNames []string) (FileConfig, error) {
 	out := FileConfig{Number: f.Number, ListenAddr: listenAddr, StatusAddr: f.Status, ForwarderNames: forwarderNames, TLS: f.Identity()}
 	var err error
 	if out.Params, err = f.Params(); err != nil {
@@ -68,7 +68,7 @@
 	if f.Number < 0 || f.Number >= f.Planners {
 		return out, fmt.Errorf("number is %d, want 0 to %d", f.Number, f.Planners-1)
 	}
-	if out.TLS != (link.Identity{}) && len(forwarderNames) != f.Forwarders {
+	if out.TLS != (transport.Identity{}) && len(forwarderNames) != f.Forwarders {
 		return out, fmt.Errorf("allowed: %d names given for %d forwarders", len(forwarderNames), f.Forwarders)
 	}
 	if _, err = out.TLS.Config(); err != nil {
--- a/internal/planner/golden_test.go
+++ b/internal/controlplane/planner/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"eiderspread/internal/lab/golden"
-	"eiderspread/internal/overload"
+	"eiderspread/internal/decision/loadshed"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards a planner's status and the keys of its operator's file.
@@ -15,5 +15,5 @@
 		t.Fatal(err)
 	}
 	golden.Same(t, "file", []any{f.ListenAddr, f.AdminAddr, f.TraceFolder, f.TraceMB, f.ForwarderNames, f.Ingress.Settings.LoadShedding},
-		[]any{"127.0.0.1:7800", "127.0.0.1:9920", "testdata", 256, []string{"forwarder-0", "forwarder-1"}, overload.Config{Enabled: true, Floor: 0.05}})
+		[]any{"127.0.0.1:7800", "127.0.0.1:9920", "testdata", 256, []string{"forwarder-0", "forwarder-1"}, loadshed.Config{Enabled: true, Floor: 0.05}})
 }
--- a/internal/planner/holds.go
+++ b/internal/controlplane/planner/holds.go
@@ -3,26 +3,26 @@
 import (
 	"fmt"
 
-	"eiderspread/internal/link"
-	"eiderspread/internal/withhold"
+	"eiderspread/internal/controlplane/cordon"
+	"eiderspread/internal/controlplane/transport"
 	"eiderspread/policy"
 )
 
 // errIDTooLong refuses what would reach forwarders as another id: a yes to it would bind nobody.
-var errIDTooLong = fmt.Errorf("an id of over %d bytes can't be held", link.MaxNameBytes)
+var errIDTooLong = fmt.Errorf("an id of over %d bytes can't be held", transport.MaxNameBytes)
 
 // cordonOverlay is what operators of the fleet hold, laid over the list of servers that the modules are told. The rule that makes a yes bind
 // whoever leads is package withhold's.
 type cordonOverlay struct {
 	core         *Core
-	coordinator  *withhold.Coordinator
+	coordinator  *cordon.Coordinator
 	cordonedAt   map[string]float64 // when this planner heard that an id is held; bounded by withhold.Most
 	uncordonedAt map[string]float64 // and that it was called back
 }
 
 func newCordonOverlay(cfg Config, core *Core) cordonOverlay {
 	s := cordonOverlay{core: core, cordonedAt: map[string]float64{}, uncordonedAt: map[string]float64{}}
-	s.coordinator = withhold.NewCoordinator(cfg.Number, cfg.Forwarders, cfg.Majority(), cfg.LeaseS, cordonOutput{core})
+	s.coordinator = cordon.NewCoordinator(cfg.Number, cfg.Forwarders, cfg.Majority(), cfg.LeaseS, cordonOutput{core})
 	return s
 }
 
@@ -46,11 +46,11 @@
 func (c *Core) SetCordoned(now, within float64, id string, cordoned bool, done func(error)) error {
 	c.advanceTo(now)
 	_, listed := c.backends[id]
-	if len(id) > link.MaxNameBytes {
+	if len(id) > transport.MaxNameBytes {
 		return errIDTooLong
 	}
 	if !listed && !c.cordons.coordinator.Registers().Get(id).Held {
-		return withhold.ErrUnknownBackend
+		return cordon.ErrUnknownBackend
 	}
 	return c.cordons.coordinator.SetCordoned(now, within, id, cordoned, done)
 }
@@ -63,16 +63,16 @@
 
 // ReadRegister implements withhold.Out.
 func (o cordonOutput) ReadRegister(forwarder int, call uint64, id string) {
-	o.core.out.SendToForwarder(forwarder, link.Message{Kind: link.KindCordonRead, Handle: call, Name: id})
+	o.core.out.SendToForwarder(forwarder, transport.Message{Kind: transport.KindCordonRead, Handle: call, Name: id})
 }
 
 // WriteRegister implements withhold.Out.
-func (o cordonOutput) WriteRegister(forwarder int, call uint64, id string, state withhold.State) {
-	o.core.out.SendToForwarder(forwarder, link.Message{Kind: link.KindCordonWrite, Handle: call, Name: id, Epoch: state.Version, Flag: state.Held})
+func (o cordonOutput) WriteRegister(forwarder int, call uint64, id string, state cordon.State) {
+	o.core.out.SendToForwarder(forwarder, transport.Message{Kind: transport.KindCordonWrite, Handle: call, Name: id, Epoch: state.Version, Flag: state.Held})
 }
 
 // RegisterChanged implements withhold.Out: the modules learn of it at once.
-func (o cordonOutput) RegisterChanged(id string, state withhold.State) {
+func (o cordonOutput) RegisterChanged(id string, state cordon.State) {
 	core, s := o.core, &o.core.cordons
 	switch _, cordoned := s.cordonedAt[id]; {
 	case state.Held:
--- a/internal/planner/host.go
+++ b/internal/controlplane/planner/host.go
@@ -7,12 +7,12 @@
 	"slices"
 	"strconv"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/link"
-	"eiderspread/internal/overload"
-	"eiderspread/internal/peermsg"
-	"eiderspread/internal/why"
-	"eiderspread/internal/withhold"
+	"eiderspread/internal/base/peerprotocol"
+	"eiderspread/internal/controlplane/cordon"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/decision/loadshed"
+	"eiderspread/internal/decision/reason"
 	"eiderspread/policy"
 )
 
@@ -22,7 +22,7 @@
 // Config is fixed for the life of a Host. Settings are the fleet's; number and count of gateways are replaced by a
 // cell's.
 type Config struct {
-	fleet.Params
+	topology.Params
 	Number   int // this planner's, from 0
 	Settings policy.Settings
 	Seed     uint64
@@ -30,7 +30,7 @@
 
 // Output carries what a Host says. It is used while one of the Host's methods runs.
 type Output interface {
-	SendToForwarder(forwarder int, msgs ...link.Message)
+	SendToForwarder(forwarder int, msgs ...transport.Message)
 	Log(text string, args ...any)
 }
 
@@ -50,7 +50,7 @@
 	modulesMade           uint64
 	forwarderIncarnations []uint64 // by forwarder
 	Stats                 Stats
-	tracer                func(why.Decision) // nil: nobody asks for reasons
+	tracer                func(reason.Decision) // nil: nobody asks for reasons
 }
 
 // Stats counts, from the start on.
@@ -96,7 +96,7 @@
 
 // NewCore returns a planner's decisions at its start: it leads nothing.
 func NewCore(cfg Config, now float64, out Output) (*Core, error) {
-	core := &Core{cfg: cfg, out: out, now: now, windowSpanS: fleet.LongestWindowS(cfg.Settings.Plans), cells: make([]ledCell, cfg.Cells),
+	core := &Core{cfg: cfg, out: out, now: now, windowSpanS: topology.LongestWindowS(cfg.Settings.Plans), cells: make([]ledCell, cfg.Cells),
 		linked: make([]bool, cfg.Forwarders), forwarderIncarnations: make([]uint64, cfg.Forwarders), requests: make([]map[uint64]*openRequest, cfg.Forwarders),
 		backends: map[string]policy.Backend{}, leases: newLeaseManager(cfg.Params, cfg.Number, cfg.Seed)}
 	for i := range core.requests {
@@ -146,7 +146,7 @@
 
 // SetTracer has the decisions of every module told from the next lead on; a request's id is its forwarder's number and handle. What f does must
 // be quick.
-func (c *Core) SetTracer(f func(why.Decision)) { c.tracer = f }
+func (c *Core) SetTracer(f func(reason.Decision)) { c.tracer = f }
 
 func (c *Core) stopLeading(cellID int) {
 	cell := &c.cells[cellID]
@@ -200,7 +200,7 @@
 			}
 		}
 	}
-	c.out.SendToForwarder(forwarder, link.Message{Kind: link.KindRelease, Cell: link.CordonCapableCell})
+	c.out.SendToForwarder(forwarder, transport.Message{Kind: transport.KindRelease, Cell: transport.CordonCapableCell})
 	c.leases.linkUp(now, forwarder)
 }
 
@@ -249,23 +249,23 @@
 }
 
 // HandleMessage takes what a forwarder says.
-func (c *Core) HandleMessage(now float64, forwarder int, msg *link.Message) {
+func (c *Core) HandleMessage(now float64, forwarder int, msg *transport.Message) {
 	c.advanceTo(now)
 	switch msg.Kind {
-	case link.KindView:
+	case transport.KindView:
 		c.leases.handleView(now, forwarder, msg)
-	case link.KindGrant:
+	case transport.KindGrant:
 		c.leases.handleGrant(now, forwarder, msg)
-	case link.KindUsageReport, link.KindUsageReportEnd, link.KindOrphans:
+	case transport.KindUsageReport, transport.KindUsageReportEnd, transport.KindOrphans:
 		c.handleUsageReport(forwarder, msg)
-	case link.KindRequest:
+	case transport.KindRequest:
 		c.handleRequest(forwarder, msg)
-	case link.KindOutcome:
+	case transport.KindOutcome:
 		c.handleOutcome(forwarder, msg)
-	case link.KindCordonState:
-		c.cordons.coordinator.HandleState(now, forwarder, msg.Handle, msg.Name, withhold.State{Version: msg.Epoch, Held: msg.Flag})
-	case link.KindDisconnected, link.KindWithdraw:
-		if msg.Kind == link.KindDisconnected && msg.Handle == link.CordonCapableHandle {
+	case transport.KindCordonState:
+		c.cordons.coordinator.HandleState(now, forwarder, msg.Handle, msg.Name, cordon.State{Version: msg.Epoch, Held: msg.Flag})
+	case transport.KindDisconnected, transport.KindWithdraw:
+		if msg.Kind == transport.KindDisconnected && msg.Handle == transport.CordonCapableHandle {
 			c.cordons.coordinator.LinkUp(forwarder)
 			return
 		}
@@ -277,7 +277,7 @@
 		if request == nil || c.ledCell(uint16(request.cellID), c.cells[request.cellID].epoch) == nil {
 			return
 		}
-		if msg.Kind == link.KindWithdraw {
+		if msg.Kind == transport.KindWithdraw {
 			c.abandonRequest(request)
 			return
 		}
@@ -286,7 +286,7 @@
 			c.cells[request.cellID].module.HandleDisconnect(now, request.moduleID)
 		}
 		c.releaseIfDone(request)
-	case link.KindProbeResult:
+	case transport.KindProbeResult:
 		if cell := c.ledCell(msg.Cell, msg.Epoch); cell != nil && msg.Class <= uint8(policy.NotSent) {
 			cell.module.HandleProbeResult(now, policy.ProbeResult{Backend: msg.Name, Status: policy.Status(msg.Class), LatencyS: msg.DurationS,
 				Load: loadReport(msg)})
@@ -295,7 +295,7 @@
 }
 
 // handleUsageReport takes a part of a tale, which comes before the lead or in it.
-func (c *Core) handleUsageReport(forwarder int, msg *link.Message) {
+func (c *Core) handleUsageReport(forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(c.cells) {
 		return
 	}
@@ -304,12 +304,12 @@
 		return
 	}
 	switch msg.Kind {
-	case link.KindUsageReport:
+	case transport.KindUsageReport:
 		c.Stats.UsageReports++
 		cell.windows.applyReport(c.now, forwarder, msg)
-	case link.KindUsageReportEnd:
+	case transport.KindUsageReportEnd:
 		c.reportCounts(int(msg.Cell), cell.windows.endReport(c.now, forwarder, msg.Flag))
-	case link.KindOrphans:
+	case transport.KindOrphans:
 		c.reportCounts(int(msg.Cell), cell.windows.setOrphans(c.now, forwarder, msg.Name, int(msg.Plan), int(min(msg.Number, 1<<15))))
 	}
 }
@@ -324,11 +324,11 @@
 		if cell.countSeq++; cell.countSeq == 0 {
 			cell.countSeq++
 		}
-		cell.module.HandlePeerMessage(c.now, (cellID+1)%c.cfg.Cells, peermsg.MemberReport(1, cell.countSeq, count.account, count.plan, count.total, count.fresh, count.orphans))
+		cell.module.HandlePeerMessage(c.now, (cellID+1)%c.cfg.Cells, peerprotocol.MemberReport(1, cell.countSeq, count.account, count.plan, count.total, count.fresh, count.orphans))
 	}
 }
 
-func (c *Core) handleRequest(forwarder int, msg *link.Message) {
+func (c *Core) handleRequest(forwarder int, msg *transport.Message) {
 	cell := c.ledCell(msg.Cell, msg.Epoch)
 	if cell == nil || int(msg.Class) >= len(c.cfg.Settings.Classes) || int(msg.Plan) >= len(c.cfg.Settings.Plans) ||
 		c.requests[forwarder][msg.Handle] != nil {
@@ -345,7 +345,7 @@
 	c.releaseIfDone(request)
 }
 
-func (c *Core) handleOutcome(forwarder int, msg *link.Message) {
+func (c *Core) handleOutcome(forwarder int, msg *transport.Message) {
 	request := c.requests[forwarder][msg.Handle]
 	if request == nil || int(msg.Number) >= len(request.attemptDone) || request.attemptDone[msg.Number] || msg.Class > uint8(policy.NotSent) {
 		return
@@ -368,7 +368,7 @@
 	}
 }
 
-func loadReport(msg *link.Message) *policy.Load {
+func loadReport(msg *transport.Message) *policy.Load {
 	if !msg.HasLoad {
 		return nil
 	}
@@ -483,8 +483,8 @@
 	return 0, 0, false
 }
 
-func (a *cellActions) newMessage(kind link.Kind, request *openRequest) link.Message {
-	return link.Message{Kind: kind, Cell: uint16(a.cellID), Epoch: a.epoch, Handle: request.handle}
+func (a *cellActions) newMessage(kind transport.Kind, request *openRequest) transport.Message {
+	return transport.Message{Kind: kind, Cell: uint16(a.cellID), Epoch: a.epoch, Handle: request.handle}
 }
 
 // Send implements policy.Actions.
@@ -496,7 +496,7 @@
 	a.core.Stats.Sends++
 	request.backends, request.attemptDone = append(request.backends, server), append(request.attemptDone, false)
 	request.inFlight++
-	msg := a.newMessage(link.KindSend, request)
+	msg := a.newMessage(transport.KindSend, request)
 	msg.Name, msg.DurationS = server, timeoutS
 	units := 0.0
 	if len(request.backends) == 1 {
@@ -511,7 +511,7 @@
 	if request := a.findRequest(id); request != nil {
 		a.core.Stats.Rejected++
 		request.completed = true
-		msg := a.newMessage(link.KindReject, request)
+		msg := a.newMessage(transport.KindReject, request)
 		msg.DurationS = retryInS
 		a.core.out.SendToForwarder(request.forwarder, msg)
 		a.core.releaseIfDone(request)
@@ -523,7 +523,7 @@
 	if request := a.findRequest(id); request != nil {
 		a.core.Stats.Failed++
 		request.completed = true
-		a.core.out.SendToForwarder(request.forwarder, a.newMessage(link.KindFail, request))
+		a.core.out.SendToForwarder(request.forwarder, a.newMessage(transport.KindFail, request))
 		a.core.releaseIfDone(request)
 	}
 }
@@ -531,7 +531,7 @@
 // Cancel implements policy.Actions.
 func (a *cellActions) Cancel(id string, attempt int) {
 	if request := a.findRequest(id); request != nil {
-		msg := a.newMessage(link.KindCancel, request)
+		msg := a.newMessage(transport.KindCancel, request)
 		msg.Number = uint32(attempt)
 		a.core.out.SendToForwarder(request.forwarder, msg)
 	}
@@ -547,7 +547,7 @@
 func (a *cellActions) Probe(server string) {
 	for forwarder, up := range a.core.linked {
 		if up {
-			a.core.out.SendToForwarder(forwarder, link.Message{Kind: link.KindProbe, Cell: uint16(a.cellID), Epoch: a.epoch, Name: server})
+			a.core.out.SendToForwarder(forwarder, transport.Message{Kind: transport.KindProbe, Cell: uint16(a.cellID), Epoch: a.epoch, Name: server})
 			return
 		}
 	}
@@ -568,7 +568,7 @@
 	LeaseLeftS     float64          `json:"lead_left_s"`
 	Rank           int              `json:"rank"`
 	MissingReports int              `json:"untold_forwarders"`  // of a recovery that goes on
-	Overload       *overload.Status `json:"overload,omitempty"` // nil: off, or not led
+	Overload       *loadshed.Status `json:"overload,omitempty"` // nil: off, or not led
 }
 
 // CellStatuses lists how the cells stand, how many forwarders are linked and how many requests are open.
--- a/internal/planner/leases.go
+++ b/internal/controlplane/planner/leases.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/link"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
 )
 
 const (
@@ -47,7 +47,7 @@
 
 // leaseManager decides which cells this planner leads. Times are seconds of this machine.
 type leaseManager struct {
-	params          fleet.Params
+	params          topology.Params
 	planner         int
 	rng             *rand.Rand
 	cells           []cellLease
@@ -55,13 +55,13 @@
 	nextHeartbeatAt float64
 	draining        bool // no cell is claimed any more
 
-	send    func(forwarder int, msgs ...link.Message)
+	send    func(forwarder int, msgs ...transport.Message)
 	onClaim func(cellID int, epoch uint64)              // a claim was made: tales may come
 	onLead  func(now float64, cellID int, epoch uint64) // a majority has promised
 	onLoss  func(cellID int)                            // the claim or the lead is over; nothing may be decided by it from now on
 }
 
-func newLeaseManager(p fleet.Params, planner int, seed uint64) *leaseManager {
+func newLeaseManager(p topology.Params, planner int, seed uint64) *leaseManager {
 	manager := &leaseManager{params: p, planner: planner, rng: rand.New(rand.NewPCG(seed, 0x6a09e667f3bcc908)), cells: make([]cellLease, p.Cells),
 		linked: make([]bool, p.Forwarders)}
 	for i := range manager.cells {
@@ -84,7 +84,7 @@
 		}
 		return 0
 	})
-	return sentTimes[m.params.Majority()-1] + m.params.LeaseS*fleet.LeadFraction
+	return sentTimes[m.params.Majority()-1] + m.params.LeaseS*topology.LeadFraction
 }
 
 // isLeader tells whether this planner may decide for the cell at this moment, under this epoch.
@@ -93,7 +93,7 @@
 		return false
 	}
 	lease := &m.cells[cellID]
-	return lease.leading && lease.epoch == epoch && (now < lease.expiresAt || !fleet.Fenced)
+	return lease.leading && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)
 }
 
 // linkUp takes a link to a forwarder. One that has promised a cell to this lead, as before its link broke or its process was replaced,
@@ -102,7 +102,7 @@
 	m.linked[forwarder] = true
 	for i := range m.cells {
 		if lease := &m.cells[i]; m.isLeader(now, i, lease.epoch) {
-			m.send(forwarder, link.Message{Kind: link.KindLead, Cell: uint16(i), Epoch: lease.epoch})
+			m.send(forwarder, transport.Message{Kind: transport.KindLead, Cell: uint16(i), Epoch: lease.epoch})
 		}
 	}
 }
@@ -115,7 +115,7 @@
 }
 
 // handleView takes a forwarder's word on a cell.
-func (m *leaseManager) handleView(now float64, forwarder int, msg *link.Message) {
+func (m *leaseManager) handleView(now float64, forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(m.cells) {
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 // handleGrant takes a promise, or its renewal.
-func (m *leaseManager) handleGrant(now float64, forwarder int, msg *link.Message) {
+func (m *leaseManager) handleGrant(now float64, forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(m.cells) {
 		return
 	}
@@ -151,9 +151,9 @@
 	lease := &m.cells[cellID]
 	lease.round++
 	lease.sentAt[lease.round%roundHistory] = now
-	msgs := []link.Message{{Kind: link.KindClaim, Cell: uint16(cellID), Epoch: lease.epoch, Round: lease.round}}
+	msgs := []transport.Message{{Kind: transport.KindClaim, Cell: uint16(cellID), Epoch: lease.epoch, Round: lease.round}}
 	if lease.leading {
-		msgs = append(msgs, link.Message{Kind: link.KindLead, Cell: uint16(cellID), Epoch: lease.epoch})
+		msgs = append(msgs, transport.Message{Kind: transport.KindLead, Cell: uint16(cellID), Epoch: lease.epoch})
 	}
 	for forwarder, up := range m.linked {
 		if up {
@@ -174,7 +174,7 @@
 // to a planner that has stopped listening.
 func (m *leaseManager) expireLeads(now float64) {
 	for i := range m.cells {
-		if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt && fleet.Fenced {
+		if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt && topology.Fenced {
 			epoch := lease.epoch
 			m.becomeFollower(now, i)
 			m.sendRelease(i, epoch)
@@ -198,7 +198,7 @@
 func (m *leaseManager) sendRelease(cellID int, epoch uint64) {
 	for forwarder, up := range m.linked {
 		if up {
-			m.send(forwarder, link.Message{Kind: link.KindRelease, Cell: uint16(cellID), Epoch: epoch})
+			m.send(forwarder, transport.Message{Kind: transport.KindRelease, Cell: uint16(cellID), Epoch: epoch})
 		}
 	}
 }
@@ -220,7 +220,7 @@
 		m.nextHeartbeatAt = now + m.params.HeartbeatS
 		for forwarder, up := range m.linked {
 			if up {
-				m.send(forwarder, link.Message{Kind: link.KindHeartbeat})
+				m.send(forwarder, transport.Message{Kind: transport.KindHeartbeat})
 			}
 		}
 	}
@@ -290,7 +290,7 @@
 		lease.freeSince = min(lease.freeSince, now)
 	}
 	switch {
-	case now >= lease.nextClaimAt && now >= lease.freeSince+float64(m.plannersToLetClaim(lease, cellID, rank))*fleet.ClaimStaggerS:
+	case now >= lease.nextClaimAt && now >= lease.freeSince+float64(m.plannersToLetClaim(lease, cellID, rank))*topology.ClaimStaggerS:
 		lease.epoch, lease.leading, lease.stateSince, lease.round = (epoch/epochStep+1)*epochStep+uint64(m.rng.Uint32())<<6+uint64(m.planner), false, now, 0
 		for forwarder := range lease.grantedSentAt {
 			lease.grantedSentAt[forwarder] = math.Inf(-1)
@@ -302,7 +302,7 @@
 		lease.handbackRequestedAt = now
 		for forwarder, up := range m.linked {
 			if up {
-				m.send(forwarder, link.Message{Kind: link.KindHandbackRequest, Cell: uint16(cellID)})
+				m.send(forwarder, transport.Message{Kind: transport.KindHandbackRequest, Cell: uint16(cellID)})
 			}
 		}
 	}
--- a/internal/planner/leases_test.go
+++ b/internal/controlplane/planner/leases_test.go
@@ -6,14 +6,14 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/link"
-	"eiderspread/internal/peermsg"
+	"eiderspread/internal/base/peerprotocol"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
 	"eiderspread/policy"
 )
 
-func params(t *testing.T, forwarders, planners int) fleet.Params {
-	p := fleet.Params{Name: "t", Forwarders: forwarders, Planners: planners, Cells: 2}
+func params(t *testing.T, forwarders, planners int) topology.Params {
+	p := topology.Params{Name: "t", Forwarders: forwarders, Planners: planners, Cells: 2}
 	if err := p.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -22,13 +22,13 @@
 
 // Guards the majority's arithmetic: how long a lead lasts by what was granted when.
 func TestLease_EndsWithItsMajority(t *testing.T) {
-	if !fleet.Fenced {
+	if !topology.Fenced {
 		t.Skip("a build without fencing")
 	}
-	var sent []link.Message
+	var sent []transport.Message
 	var transitions []string
 	manager := newLeaseManager(params(t, 5, 3), 0, 1)
-	manager.send = func(_ int, m ...link.Message) { sent = append(sent, m...) }
+	manager.send = func(_ int, m ...transport.Message) { sent = append(sent, m...) }
 	manager.onClaim = func(int, uint64) {}
 	manager.onLead = func(_ float64, cellID int, e uint64) {
 		transitions = append(transitions, fmt.Sprint("gained ", cellID, " ", e))
@@ -37,7 +37,7 @@
 	for forwarder := range 5 {
 		manager.linkUp(10, forwarder)
 		for cellID := range 2 {
-			manager.handleView(10, forwarder, &link.Message{Cell: uint16(cellID), Epoch: uint64(forwarder) * epochStep})
+			manager.handleView(10, forwarder, &transport.Message{Cell: uint16(cellID), Epoch: uint64(forwarder) * epochStep})
 		}
 	}
 	manager.tick(10) // cell 0 is this planner's first, cell 1 the next one's
@@ -47,7 +47,7 @@
 		t.Fatalf("claims %+v", manager.cells)
 	}
 	grant := func(now float64, forwarder int, epoch uint64, round uint32) {
-		manager.handleGrant(now, forwarder, &link.Message{Epoch: epoch, Round: round})
+		manager.handleGrant(now, forwarder, &transport.Message{Epoch: epoch, Round: round})
 	}
 	grant(10.01, 0, e, 1)
 	grant(10.01, 0, e, 1)
@@ -61,7 +61,7 @@
 	if strings.Join(transitions, ",") != fmt.Sprint("gained 0 ", e) || !manager.isLeader(10.02, 0, e) || manager.isLeader(10.02, 0, 4) {
 		t.Fatalf("%v", transitions)
 	}
-	leaseS := manager.params.LeaseS * fleet.LeadFraction
+	leaseS := manager.params.LeaseS * topology.LeadFraction
 	if math.Abs(lease.expiresAt-(10+leaseS)) > 1e-9 {
 		t.Errorf("ends at %v", lease.expiresAt)
 	}
@@ -78,7 +78,7 @@
 	}
 	sent = nil
 	manager.expireLeads(10.06 + leaseS)
-	if len(sent) != 5 || sent[0].Kind != link.KindRelease || sent[0].Epoch != e { // else they go on telling it requests
+	if len(sent) != 5 || sent[0].Kind != transport.KindRelease || sent[0].Epoch != e { // else they go on telling it requests
 		t.Errorf("forwarders are not told that the lead ran out: %v", sent)
 	}
 	grant(10.06+leaseS, 3, e, round)
@@ -93,10 +93,10 @@
 	seen := map[uint64]bool{}
 	for incarnation := range uint64(20) {
 		manager := newLeaseManager(params(t, 3, 3), 0, incarnation)
-		manager.send, manager.onClaim = func(int, ...link.Message) {}, func(int, uint64) {}
+		manager.send, manager.onClaim = func(int, ...transport.Message) {}, func(int, uint64) {}
 		for forwarder := range 3 {
 			manager.linkUp(10, forwarder)
-			manager.handleView(10, forwarder, &link.Message{Cell: 0, Epoch: 7 * epochStep})
+			manager.handleView(10, forwarder, &transport.Message{Cell: 0, Epoch: 7 * epochStep})
 		}
 		manager.tick(10)
 		if e := manager.cells[0].epoch; seen[e] || e/epochStep != 8 {
@@ -108,29 +108,29 @@
 
 // Guards a planner that leaves, and one that was given its place back.
 func TestLease_DrainAndHandback(t *testing.T) {
-	var sent []link.Message
+	var sent []transport.Message
 	manager := newLeaseManager(params(t, 3, 3), 1, 1) // second in the order of cell 0
-	manager.send = func(_ int, m ...link.Message) { sent = append(sent, m...) }
+	manager.send = func(_ int, m ...transport.Message) { sent = append(sent, m...) }
 	manager.onClaim, manager.onLead, manager.onLoss = func(int, uint64) {}, func(float64, int, uint64) {}, func(int) {}
 	for forwarder := range 3 {
 		manager.linkUp(10, forwarder)
-		manager.handleView(10, forwarder, &link.Message{Cell: 0})
+		manager.handleView(10, forwarder, &transport.Message{Cell: 0})
 	}
 	manager.tick(10)
 	if manager.cells[0].epoch != 0 {
 		t.Error("the second in the order does not wait")
 	}
-	manager.tick(10 + 2*fleet.ClaimStaggerS)
+	manager.tick(10 + 2*topology.ClaimStaggerS)
 	e := manager.cells[0].epoch
 	if e/epochStep != 1 || e%64 != 1 {
 		t.Fatal("the second in the order does not claim")
 	}
 	for forwarder := range 3 {
-		manager.handleGrant(10.1, forwarder, &link.Message{Epoch: e, Round: 1})
+		manager.handleGrant(10.1, forwarder, &transport.Message{Epoch: e, Round: 1})
 	}
 	releases := func() (n int) {
 		for _, msg := range sent {
-			if msg.Kind == link.KindRelease && msg.Epoch == e {
+			if msg.Kind == transport.KindRelease && msg.Epoch == e {
 				n++
 			}
 		}
@@ -140,15 +140,15 @@
 	for ; now < 10.1+handbackDelayS+0.5; now += 0.05 {
 		manager.tick(now)
 		for forwarder := range 3 {
-			manager.handleGrant(now, forwarder, &link.Message{Epoch: e, Round: manager.cells[0].round})
-			manager.handleView(now, forwarder, &link.Message{Cell: 0, Epoch: e, Number: 2, DurationS: 0.4, Requester: 3}) // planner 2 comes behind
+			manager.handleGrant(now, forwarder, &transport.Message{Epoch: e, Round: manager.cells[0].round})
+			manager.handleView(now, forwarder, &transport.Message{Cell: 0, Epoch: e, Number: 2, DurationS: 0.4, Requester: 3}) // planner 2 comes behind
 		}
 	}
 	if !manager.cells[0].leading || releases() != 0 {
 		t.Fatal("a cell is given to a planner that comes behind")
 	}
 	for forwarder := range 2 {
-		manager.handleView(now, forwarder, &link.Message{Cell: 0, Epoch: e, Number: 2, DurationS: 0.4, Requester: 1})
+		manager.handleView(now, forwarder, &transport.Message{Cell: 0, Epoch: e, Number: 2, DurationS: 0.4, Requester: 1})
 	}
 	manager.tick(now)
 	if manager.cells[0].epoch != 0 || releases() != 3 {
@@ -158,33 +158,33 @@
 	lease := &manager.cells[0]
 	lease.nextClaimAt = 0
 	for forwarder := range 3 {
-		manager.handleView(now, forwarder, &link.Message{Cell: 0, Epoch: e})
+		manager.handleView(now, forwarder, &transport.Message{Cell: 0, Epoch: e})
 	}
 	manager.tick(now)
-	manager.tick(now + 2*fleet.ClaimStaggerS)
+	manager.tick(now + 2*topology.ClaimStaggerS)
 	again := manager.cells[0].epoch
 	if again/epochStep != 2 || again%64 != 1 {
 		t.Fatalf("claims %d after %d", again, e)
 	}
 	for forwarder := range 2 {
-		manager.handleGrant(now+0.1, forwarder, &link.Message{Epoch: again, Round: 1})
+		manager.handleGrant(now+0.1, forwarder, &transport.Message{Epoch: again, Round: 1})
 	}
 	if !manager.isLeader(now+0.1, 0, again) {
 		t.Fatalf("leads no more: %+v", lease)
 	}
-	manager.handleView(now+0.2, 2, &link.Message{Cell: 0, Epoch: again + 1, Number: 3})
+	manager.handleView(now+0.2, 2, &transport.Message{Cell: 0, Epoch: again + 1, Number: 3})
 	if !lease.leading {
 		t.Error("given up at once")
 	}
-	manager.handleGrant(now+0.2, 0, &link.Message{Epoch: again, Round: 1})
+	manager.handleGrant(now+0.2, 0, &transport.Message{Epoch: again, Round: 1})
 	lease.expiresAt = now + 9
-	manager.handleView(now+0.6, 2, &link.Message{Cell: 0, Epoch: again + 1, Number: 3})
+	manager.handleView(now+0.6, 2, &transport.Message{Cell: 0, Epoch: again + 1, Number: 3})
 	if lease.leading {
 		t.Error("a forwarder is left without a leader")
 	}
 	manager.drain(now)
 	for forwarder := range 3 {
-		manager.handleView(now, forwarder, &link.Message{Cell: 0})
+		manager.handleView(now, forwarder, &transport.Message{Cell: 0})
 	}
 	manager.tick(now + 5)
 	if manager.cells[0].epoch != 0 {
@@ -196,7 +196,7 @@
 func TestWindowTable_AvailableAfterLeaderChange(t *testing.T) {
 	plans := []policy.Plan{{Name: "p", Rate: 10, Burst: 100}, {Name: "open", MaxConcurrency: 2}}
 	report := func(table *windowTable, forwarder int, seq uint32, debt, age float64, outs int) {
-		table.applyReport(100, forwarder, &link.Message{Name: "c", Handle: 4, Round: seq, Units: debt, DurationS: age})
+		table.applyReport(100, forwarder, &transport.Message{Name: "c", Handle: 4, Round: seq, Units: debt, DurationS: age})
 		table.setOrphans(100, forwarder, "c", 0, outs)
 	}
 	total := func(counts []memberCount) (sum float64) {
@@ -270,7 +270,7 @@
 	t.Run("a plan without a rate", func(t *testing.T) {
 		table := newWindowTable(1, plans, 10)
 		table.setOrphans(100, 0, "c", 1, 2)
-		table.applyReport(100, 0, &link.Message{Name: "c", Plan: 9})
+		table.applyReport(100, 0, &transport.Message{Name: "c", Plan: 9})
 		table.startLeading(100)
 		if counts := table.initialCounts(100, "c", 1); len(counts) != 1 || counts[0].orphans != 2 || counts[0].total != 0 {
 			t.Errorf("%+v", counts)
@@ -303,8 +303,8 @@
 		t.Fatal(err)
 	}
 	module.UpdateBackends(10, []policy.Backend{{ID: "z"}}, true)
-	module.HandlePeerMessage(10, 1, peermsg.MemberReport(1, 1, "c", 0, 63, 63, 0))
-	module.HandlePeerMessage(10, 1, peermsg.MemberReport(1, 2, "c", 0, 90, 0, 0))
+	module.HandlePeerMessage(10, 1, peerprotocol.MemberReport(1, 1, "c", 0, 63, 63, 0))
+	module.HandlePeerMessage(10, 1, peerprotocol.MemberReport(1, 2, "c", 0, 90, 0, 0))
 	n := 0
 	served := func() int {
 		out.sent = 0
@@ -319,7 +319,7 @@
 	if got := served(); got != 10 {
 		t.Errorf("%d of 10 units that were left are passed", got)
 	}
-	module.HandlePeerMessage(10, 1, peermsg.MemberReport(1, 3, "c", 0, 85, 0, 0))
+	module.HandlePeerMessage(10, 1, peerprotocol.MemberReport(1, 3, "c", 0, 85, 0, 0))
 	if got := served(); got != 5 {
 		t.Errorf("%d of 5 units that were handed back are passed", got)
 	}
--- a/internal/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -14,11 +14,11 @@
 	"sync/atomic"
 	"time"
 
-	"eiderspread/internal/console"
-	"eiderspread/internal/link"
-	"eiderspread/internal/mono"
-	"eiderspread/internal/roster"
-	"eiderspread/internal/trace"
+	"eiderspread/internal/base/monotime"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/dataplane/admin"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/observability/trace"
 )
 
 const (
@@ -32,7 +32,7 @@
 type Server struct {
 	cfg         FileConfig
 	log         *slog.Logger
-	clock       mono.Clock
+	clock       monotime.Clock
 	core        *Core
 	events      chan func(now float64)
 	done        chan struct{}
@@ -40,10 +40,10 @@
 	tls         *tls.Config
 	incarnation uint64
 
-	links                         []*link.Conn  // by forwarder; loop only
-	connSlots                     chan struct{} // a place for each connection, taken before it is accepted
-	closedBytesIn, closedBytesOut atomic.Uint64 // bytes of links that have ended
-	logSecond                     int64         // the second of the notes, and how many there were; loop only
+	links                         []*transport.Conn // by forwarder; loop only
+	connSlots                     chan struct{}     // a place for each connection, taken before it is accepted
+	closedBytesIn, closedBytesOut atomic.Uint64     // bytes of links that have ended
+	logSecond                     int64             // the second of the notes, and how many there were; loop only
 	logLines                      int
 }
 
@@ -58,8 +58,8 @@
 
 // Open makes a planner and its listener; nothing is read yet.
 func Open(cfg FileConfig, log *slog.Logger) (*Server, error) {
-	s := &Server{cfg: cfg, log: log, clock: mono.NewClock(), events: make(chan func(float64), eventQueueSize),
-		done: make(chan struct{}), incarnation: rand.Uint64(), links: make([]*link.Conn, cfg.Forwarders),
+	s := &Server{cfg: cfg, log: log, clock: monotime.NewClock(), events: make(chan func(float64), eventQueueSize),
+		done: make(chan struct{}), incarnation: rand.Uint64(), links: make([]*transport.Conn, cfg.Forwarders),
 		connSlots: make(chan struct{}, 2*cfg.Forwarders+8)}
 	var err error
 	if s.tls, err = cfg.TLS.Config(); err != nil {
@@ -76,7 +76,7 @@
 }
 
 // SendToForwarder implements Out.
-func (s *Server) SendToForwarder(forwarder int, msgs ...link.Message) {
+func (s *Server) SendToForwarder(forwarder int, msgs ...transport.Message) {
 	if c := s.links[forwarder]; c != nil {
 		c.Send(msgs...)
 	}
@@ -114,7 +114,7 @@
 		defer srv.Close()
 	}
 	if s.cfg.AdminAddr != "" {
-		c, err := console.Listen(s.cfg.AdminAddr, &adminAPI{s})
+		c, err := admin.Listen(s.cfg.AdminAddr, &adminAPI{s})
 		if err != nil {
 			return err
 		}
@@ -133,7 +133,7 @@
 		s.core.SetTracer(recorder.Put)
 	}
 	s.core.UpdateBackends(s.clock.Now(), s.cfg.Ingress.InitialEndpoints.Backends(), true)
-	go roster.NewWatcher(s.cfg.Ingress.Discovery, s.cfg.Ingress.InitialEndpoints.Version, func(t roster.List) {
+	go discovery.NewWatcher(s.cfg.Ingress.Discovery, s.cfg.Ingress.InitialEndpoints.Version, func(t discovery.List) {
 		s.post(func(now float64) { s.core.UpdateBackends(now, t.Backends(), t.Full) })
 	}, func(what string, args ...any) {
 		s.post(func(float64) { s.Log(what, args...) })
@@ -203,9 +203,9 @@
 		conn.SetDeadline(time.Time{})
 		conn = t
 	}
-	l := link.NewConn(conn, silence)
+	l := transport.NewConn(conn, silence)
 	forwarder := -1
-	err := l.Serve(func(msgs []link.Message) {
+	err := l.Serve(func(msgs []transport.Message) {
 		if forwarder < 0 {
 			hello := msgs[0]
 			n, err := s.checkHello(conn, hello)
@@ -234,12 +234,12 @@
 }
 
 // checkHello checks the first record of a link.
-func (s *Server) checkHello(conn net.Conn, msg link.Message) (int, error) {
+func (s *Server) checkHello(conn net.Conn, msg transport.Message) (int, error) {
 	switch {
-	case msg.Kind != link.KindHello:
+	case msg.Kind != transport.KindHello:
 		return 0, errors.New("no hello")
-	case msg.Plan != link.Version:
-		return 0, fmt.Errorf("link version %d, want %d", msg.Plan, link.Version)
+	case msg.Plan != transport.Version:
+		return 0, fmt.Errorf("link version %d, want %d", msg.Plan, transport.Version)
 	case msg.Name != s.cfg.Name:
 		return 0, fmt.Errorf("a forwarder of fleet %q", msg.Name)
 	case int(msg.Number) >= s.cfg.Forwarders:
@@ -256,14 +256,14 @@
 	return int(msg.Number), nil
 }
 
-func (s *Server) addLink(now float64, forwarder int, incarnation uint64, l *link.Conn) {
+func (s *Server) addLink(now float64, forwarder int, incarnation uint64, l *transport.Conn) {
 	if s.links[forwarder] != nil {
 		old := s.links[forwarder]
 		s.removeLink(now, forwarder)
 		old.Close(errors.New("another link of this forwarder"))
 	}
 	s.links[forwarder] = l
-	l.Send(link.Message{Kind: link.KindHello, Plan: link.Version, Name: s.cfg.Name, Number: uint32(s.cfg.Number), Epoch: s.incarnation,
+	l.Send(transport.Message{Kind: transport.KindHello, Plan: transport.Version, Name: s.cfg.Name, Number: uint32(s.cfg.Number), Epoch: s.incarnation,
 		Cell: uint16(s.cfg.Cells)})
 	s.core.LinkUp(now, forwarder, incarnation)
 }
--- a/internal/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/ingress"
-	"eiderspread/internal/lab/certs"
-	"eiderspread/internal/link"
-	"eiderspread/internal/settings"
+	"eiderspread/internal/base/settings"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/testbed/certs"
 	"eiderspread/policy"
 )
 
@@ -36,7 +36,7 @@
 	return &authority{t, a}
 }
 
-func (a *authority) issue(name string) link.Identity {
+func (a *authority) issue(name string) transport.Identity {
 	id, err := a.Issue(name)
 	if err != nil {
 		a.t.Fatal(err)
@@ -44,11 +44,11 @@
 	return id
 }
 
-func serve(t *testing.T, id link.Identity) *Server {
+func serve(t *testing.T, id transport.Identity) *Server {
 	t.Helper()
 	cfg := FileConfig{Number: 1, ListenAddr: "127.0.0.1:0", TLS: id, ForwarderNames: []string{"f-0", "f-1"}, Ingress: ingress.Config{Discovery: "127.0.0.1:1",
 		Settings: settings.Settings{Settings: policy.Settings{Gateways: 1, Classes: simClasses, Plans: simPlans, MaxAttempts: 5}}}}
-	cfg.Params = fleet.Params{Name: "t", Forwarders: 2, Planners: 2, LinkTimeoutS: 5}
+	cfg.Params = topology.Params{Name: "t", Forwarders: 2, Planners: 2, LinkTimeoutS: 5}
 	if err := cfg.Params.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -64,32 +64,32 @@
 }
 
 // greet says hello and tells whether the planner answers it.
-func greet(t *testing.T, conn net.Conn, hello link.Message) bool {
+func greet(t *testing.T, conn net.Conn, hello transport.Message) bool {
 	t.Helper()
-	l := link.NewConn(conn, testTimeout)
+	l := transport.NewConn(conn, testTimeout)
 	l.Send(hello)
 	ok := false
-	l.Serve(func(m []link.Message) {
-		ok = m[0].Kind == link.KindHello && m[0].Number == 1
+	l.Serve(func(m []transport.Message) {
+		ok = m[0].Kind == transport.KindHello && m[0].Number == 1
 		l.Close(io.EOF)
 	})
 	return ok
 }
 
-func hello(number uint32) link.Message {
-	return link.Message{Kind: link.KindHello, Plan: link.Version, Name: "t", Number: number, Epoch: 5, Cell: 6}
+func hello(number uint32) transport.Message {
+	return transport.Message{Kind: transport.KindHello, Plan: transport.Version, Name: "t", Number: number, Epoch: 5, Cell: 6}
 }
 
 // Guards against links of another version, fleet, size or number, and peers that do not say who they are.
 func TestServer_RejectsMismatchedHello(t *testing.T) {
-	s := serve(t, link.Identity{})
-	for name, change := range map[string]func(*link.Message){
-		"a member":        func(*link.Message) {},
-		"another version": func(msg *link.Message) { msg.Plan++ },
-		"another fleet":   func(msg *link.Message) { msg.Name = "u" },
-		"another number":  func(msg *link.Message) { msg.Number = 2 },
-		"other cells":     func(msg *link.Message) { msg.Cell = 5 },
-		"no hello":        func(msg *link.Message) { msg.Kind = link.KindHeartbeat },
+	s := serve(t, transport.Identity{})
+	for name, change := range map[string]func(*transport.Message){
+		"a member":        func(*transport.Message) {},
+		"another version": func(msg *transport.Message) { msg.Plan++ },
+		"another fleet":   func(msg *transport.Message) { msg.Name = "u" },
+		"another number":  func(msg *transport.Message) { msg.Number = 2 },
+		"other cells":     func(msg *transport.Message) { msg.Cell = 5 },
+		"no hello":        func(msg *transport.Message) { msg.Kind = transport.KindHeartbeat },
 	} {
 		conn, err := net.Dial("tcp", s.listener.Addr().String())
 		if err != nil {
@@ -108,7 +108,7 @@
 	good, other := newAuthority(t, "ca"), newAuthority(t, "other")
 	s := serve(t, good.issue("p-1"))
 	for name, tc := range map[string]struct {
-		id     link.Identity
+		id     transport.Identity
 		number uint32
 		want   bool
 	}{
@@ -116,10 +116,10 @@
 		"as another":           {good.issue("f-0"), 1, false},
 		"not on the list":      {good.issue("f-9"), 0, false},
 		"of another authority": {other.issue("f-0"), 0, false},
-		"without one":          {link.Identity{}, 0, false},
+		"without one":          {transport.Identity{}, 0, false},
 	} {
 		cfg := &tls.Config{MinVersion: tls.VersionTLS13}
-		if tc.id != (link.Identity{}) {
+		if tc.id != (transport.Identity{}) {
 			var err error
 			if cfg, err = tc.id.Config(); err != nil {
 				t.Fatal(err)
--- a/internal/planner/windows.go
+++ b/internal/controlplane/planner/windows.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"eiderspread/internal/link"
+	"eiderspread/internal/controlplane/transport"
 	"eiderspread/policy"
 )
 
@@ -84,7 +84,7 @@
 
 // applyReport takes a customer's part of a forwarder's tale. Of several forwarders' the one of the latest pass holds: it was
 // decided by a leader that knew of all passes before it.
-func (t *windowTable) applyReport(now float64, forwarder int, msg *link.Message) {
+func (t *windowTable) applyReport(now float64, forwarder int, msg *transport.Message) {
 	if t.reported[forwarder] || int(msg.Plan) >= len(t.plans) {
 		return
 	}
--- a/internal/planner/words.go
+++ b/internal/controlplane/planner/words.go
@@ -1,8 +1,8 @@
 package planner
 
 import (
-	"eiderspread/internal/link"
-	"eiderspread/internal/overload"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/decision/loadshed"
 )
 
 // How the modules of all cells, at whichever planners, come to hold one level of overload: each tells its own a few times a second, to those of the
@@ -23,12 +23,12 @@
 		return
 	}
 	c.shedLevels.nextAt = now + shedLevelIntervalS
-	var msgs []link.Message
+	var msgs []transport.Message
 	for i := range c.cells {
 		if shedder := c.loadShedder(i); shedder != nil {
 			level, phase := shedder.GossipState()
 			c.applyShedLevel(i, level, phase)
-			msgs = append(msgs, link.NewShedLevel(i, level, phase))
+			msgs = append(msgs, transport.NewShedLevel(i, level, phase))
 		}
 	}
 	for path := 0; path < shedLevelPaths && len(msgs) > 0; path++ {
@@ -52,7 +52,7 @@
 }
 
 // loadShedder is what the module of a cell that is led here knows of overload; nil if there is none.
-func (c *Core) loadShedder(cellID int) *overload.Shedder {
+func (c *Core) loadShedder(cellID int) *loadshed.Shedder {
 	if cell := &c.cells[cellID]; cell.module != nil && c.leases.isLeader(c.now, cellID, cell.epoch) {
 		return cell.module.Shedder()
 	}
--- a/internal/program/program.go
+++ b/internal/controlplane/process/program.go
@@ -1,6 +1,6 @@
 // Package program runs forwarders and planners as programs: signals, limits, the log. The laboratory's tests run the
 // same code in processes of their own.
-package program
+package process
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"runtime/debug"
 	"syscall"
 
-	"eiderspread/internal/forward"
-	"eiderspread/internal/ingress"
-	"eiderspread/internal/planner"
+	"eiderspread/internal/controlplane/forwarder"
+	"eiderspread/internal/controlplane/planner"
+	"eiderspread/internal/dataplane/ingress"
 )
 
 const (
@@ -27,7 +27,7 @@
 func CheckConfig(kind, path string) error {
 	switch kind {
 	case "forwarder":
-		_, err := forward.ReadFile(path)
+		_, err := forwarder.ReadFile(path)
 		return err
 	case "planner":
 		_, err := planner.ReadFile(path)
@@ -87,7 +87,7 @@
 	if kind != "forwarder" {
 		return fmt.Errorf("unknown kind %q", kind)
 	}
-	cfg, err := forward.ReadFile(path)
+	cfg, err := forwarder.ReadFile(path)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	log := newLogger(kind, cfg.Number)
 	reread := make(chan ingress.Config)
 	onSIGHUP(ctx, func() {
-		next, err := forward.ReadFile(path)
+		next, err := forwarder.ReadFile(path)
 		if err != nil {
 			log.Error("the file would not be taken", "error", err)
 			return
@@ -108,5 +108,5 @@
 		case <-ctx.Done():
 		}
 	})
-	return ingress.RunWithDecider(ctx, cfg.Ingress, reread, log, forward.NewGatewayFunc(cfg))
+	return ingress.RunWithDecider(ctx, cfg.Ingress, reread, log, forwarder.NewGatewayFunc(cfg))
 }
--- a/internal/fleet/file.go
+++ b/internal/controlplane/topology/file.go
@@ -1,10 +1,10 @@
-package fleet
+package topology
 
 import (
 	"fmt"
 	"net/netip"
 
-	"eiderspread/internal/link"
+	"eiderspread/internal/controlplane/transport"
 )
 
 // File is what the operator's files of forwarders and planners have in common; docs/operating-two-levels.md
@@ -51,4 +51,4 @@
 }
 
 // Identity is the file's part on mutual TLS.
-func (f File) Identity() link.Identity { return link.Identity(f.TLS) }
+func (f File) Identity() transport.Identity { return transport.Identity(f.TLS) }
--- a/internal/fleet/fleet.go
+++ b/internal/controlplane/topology/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet holds what forwarders and planners of one fleet must agree on: its size, its times, which cell a
 // customer is in and which planner comes first for a cell. docs/two-levels.md gives the reasons.
-package fleet
+package topology
 
 import (
 	"cmp"
--- a/internal/fleet/golden_test.go
+++ b/internal/controlplane/topology/golden_test.go
@@ -1,9 +1,9 @@
-package fleet
+package topology
 
 import (
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the keys that the operator's files of forwarders and planners have in common.
--- a/internal/link/conn.go
+++ b/internal/controlplane/transport/conn.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"encoding/binary"
--- a/internal/link/golden_test.go
+++ b/internal/controlplane/transport/golden_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"io"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the bytes between forwarders and planners: a frame with a record of every kind, each field set, and the records that peers of versions
--- a/internal/link/msg.go
+++ b/internal/controlplane/transport/msg.go
@@ -1,7 +1,7 @@
 // Package link is what forwarders and planners say to each other: records in frames, and the connection that
 // carries them. Its bounds hold in both directions; what breaks one ends the connection with one clear error.
 // Who may say what, and what follows, is decided in packages forward and planner.
-package link
+package transport
 
 import (
 	"encoding/binary"
--- a/internal/console/console.go
+++ b/internal/dataplane/admin/console.go
@@ -1,7 +1,7 @@
 // Package console is the operators' door: HTTP/1.1 at an address of its own, one call a connection. It decides nothing;
 // what a call asks for is an Ingress's to carry out. Every answer leaves within a second, also while others that have
 // connected say nothing.
-package console
+package admin
 
 import (
 	"context"
--- a/internal/console/console_test.go
+++ b/internal/dataplane/admin/console_test.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"bufio"
--- a/internal/console/golden_test.go
+++ b/internal/dataplane/admin/golden_test.go
@@ -1,4 +1,4 @@
-package console
+package admin
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the operators' calls: paths, methods, status codes and texts.
--- a/internal/takeover/golden_test.go
+++ b/internal/dataplane/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package takeover
+package hotrestart
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the messages of a hot restart and the names of the files by which two processes find each other.
--- a/internal/takeover/lock.go
+++ b/internal/dataplane/hotrestart/lock.go
@@ -1,4 +1,4 @@
-package takeover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/takeover/takeover.go
+++ b/internal/dataplane/hotrestart/takeover.go
@@ -16,7 +16,7 @@
 //	new  -> old  order   what is to be done to a request that the old one holds
 //
 // The link's end is the old process's, or the new one's; each side knows what that means by what came before it.
-package takeover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/ingress/backends.go
+++ b/internal/dataplane/ingress/backends.go
@@ -5,7 +5,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"eiderspread/internal/kept"
+	"eiderspread/internal/base/snapshot"
 	"eiderspread/policy"
 )
 
@@ -35,7 +35,7 @@
 // Send implements policy.Actions.
 func (in *Ingress) Send(id, server string, timeoutS float64) {
 	r := in.requests[id]
-	if r == nil && in.orderPredecessor(kept.Order{Kind: kept.OrderSend, ID: id, Backend: server, DelayS: timeoutS}) {
+	if r == nil && in.orderPredecessor(snapshot.Order{Kind: snapshot.OrderSend, ID: id, Backend: server, DelayS: timeoutS}) {
 		return
 	}
 	if r == nil {
@@ -68,7 +68,7 @@
 // Cancel implements policy.Actions.
 func (in *Ingress) Cancel(id string, number int) {
 	if in.requests[id] == nil {
-		in.orderPredecessor(kept.Order{Kind: kept.OrderCancel, ID: id, Attempt: number})
+		in.orderPredecessor(snapshot.Order{Kind: snapshot.OrderCancel, ID: id, Attempt: number})
 	}
 	if r := in.requests[id]; r != nil && number >= 0 && number < len(r.attempts) && !r.attempts[number].done &&
 		r.attempts[number].firstByteAt == 0 {
--- a/internal/ingress/clients.go
+++ b/internal/dataplane/ingress/clients.go
@@ -14,7 +14,7 @@
 	"github.com/tidwall/redcon"
 	"golang.org/x/sys/unix"
 
-	"eiderspread/internal/console"
+	"eiderspread/internal/dataplane/admin"
 )
 
 const (
@@ -34,7 +34,7 @@
 	readerLagS            = 0.005                // a reader that is so far behind, as too many commands were open, can't tell when what it reads has come
 	acceptSlack           = 8                    // connections accepted that the loop has not come to
 	reservedFDs           = 32                   // for the listener, discovery, peers, the slack and the runtime
-	adminFDs              = console.MaxConns + 8 // for the operators' door, the link to another process and files
+	adminFDs              = admin.MaxConns + 8   // for the operators' door, the link to another process and files
 )
 
 var clientWriteTimeout = 5 * time.Second // for how long; tests make it shorter
--- a/internal/ingress/config.go
+++ b/internal/dataplane/ingress/config.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"eiderspread/internal/settings"
+	"eiderspread/internal/base/settings"
 )
 
 // Config is what an ingress is told at its start.
--- a/internal/ingress/discovery.go
+++ b/internal/dataplane/ingress/discovery.go
@@ -4,12 +4,12 @@
 	"context"
 	"time"
 
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
 )
 
 type (
-	targets = roster.List
-	target  = roster.Endpoint
+	targets = discovery.List
+	target  = discovery.Endpoint
 )
 
 // applyDiscoveryList applies a list that was told at a time to the pools and tells the module.
@@ -58,8 +58,8 @@
 }
 
 // newWatcher makes the watcher of discovery; watchDiscovery's goroutine owns it but for its age.
-func (in *Ingress) newWatcher() *roster.Watcher {
-	return roster.NewWatcher(in.cfg.Discovery, in.cfg.InitialEndpoints.Version,
+func (in *Ingress) newWatcher() *discovery.Watcher {
+	return discovery.NewWatcher(in.cfg.Discovery, in.cfg.InitialEndpoints.Version,
 		func(t targets) {
 			at := in.clock.Now()
 			in.post(at, func() { in.applyDiscoveryList(t, at) })
@@ -68,13 +68,13 @@
 }
 
 // EndpointListAge implements Host.
-func (in *Ingress) EndpointListAge() roster.Age { return in.watcher.Age() }
+func (in *Ingress) EndpointListAge() discovery.Age { return in.watcher.Age() }
 
 // listAgeInterval is how often the age of the list of backends is looked at, for the log alone.
 const listAgeInterval = 5 * time.Second
 
 // logListAge says so in the log, once each way, when the list of backends is too old to be trusted. The ingress goes on with it.
-func (in *Ingress) logListAge(age roster.Age) {
+func (in *Ingress) logListAge(age discovery.Age) {
 	switch {
 	case age.Stale() && !in.endpointListStale:
 		in.endpointListStale = true
--- a/internal/ingress/door.go
+++ b/internal/dataplane/ingress/door.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"time"
 
-	"eiderspread/internal/console"
-	"eiderspread/internal/held"
+	"eiderspread/internal/controlplane/cordontable"
+	"eiderspread/internal/dataplane/admin"
 )
 
 // cordonPollInterval is how often the file of what operators hold is looked at: the other process of an upgrade may have written it.
@@ -30,7 +30,7 @@
 		go in.admin.Serve()
 		return
 	}
-	if err := store.ReadIfChanged(func(h held.Cordons) { in.cordons.Replace(h) }); err != nil {
+	if err := store.ReadIfChanged(func(h cordontable.Cordons) { in.cordons.Replace(h) }); err != nil {
 		in.log.Error("what operators held is not known: nothing is held", "error", err)
 	}
 	go in.admin.Serve()
@@ -43,7 +43,7 @@
 				return
 			case <-tick.C:
 			}
-			err := store.ReadIfChanged(func(h held.Cordons) {
+			err := store.ReadIfChanged(func(h cordontable.Cordons) {
 				in.onLoop(ctx, func() error {
 					in.applyList(in.cordons.Replace(h))
 					return nil
@@ -106,15 +106,15 @@
 	if in.cordonStore == nil {
 		return errCordonAtPlanners
 	}
-	return in.cordonStore.Update(ctx, func(before held.Cordons) (after held.Cordons, err error) {
+	return in.cordonStore.Update(ctx, func(before cordontable.Cordons) (after cordontable.Cordons, err error) {
 		err = in.onLoop(ctx, func() error {
 			if before != nil {
 				in.applyList(in.cordons.Replace(before))
 			}
 			l, err := do(int64(in.now*1000), id)
 			switch {
-			case errors.Is(err, held.ErrUnknownBackend):
-				return fmt.Errorf("%w: %w", console.ErrUnknown, err)
+			case errors.Is(err, cordontable.ErrUnknownBackend):
+				return fmt.Errorf("%w: %w", admin.ErrUnknown, err)
 			case err != nil:
 				return err
 			}
--- a/internal/ingress/door_test.go
+++ b/internal/dataplane/ingress/door_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/held"
-	"eiderspread/internal/takeover"
+	"eiderspread/internal/controlplane/cordontable"
+	"eiderspread/internal/dataplane/hotrestart"
 	"eiderspread/policy"
 )
 
@@ -246,14 +246,14 @@
 }
 
 // dialAsSuccessor is a new process that has been given the sockets.
-func dialAsSuccessor(t *testing.T, path string) *takeover.Link {
+func dialAsSuccessor(t *testing.T, path string) *hotrestart.Link {
 	t.Helper()
-	link, err := takeover.Dial(path)
+	link, err := hotrestart.Dial(path)
 	if link == nil || err != nil {
 		t.Fatal(err)
 	}
-	link.Send(takeover.Hello, []byte{takeover.Version}, testTimeout)
-	m, err := link.Expect(takeover.Sockets, 1, testTimeout)
+	link.Send(hotrestart.Hello, []byte{hotrestart.Version}, testTimeout)
+	m, err := link.Expect(hotrestart.Sockets, 1, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,10 +262,10 @@
 }
 
 // completeHandover has it say that it is ready, and waits for the word to go on.
-func completeHandover(t *testing.T, link *takeover.Link) {
+func completeHandover(t *testing.T, link *hotrestart.Link) {
 	t.Helper()
-	link.Send(takeover.Ready, nil, testTimeout)
-	if _, err := link.Expect(takeover.Proceed, 0, testTimeout); err != nil {
+	link.Send(hotrestart.Ready, nil, testTimeout)
+	if _, err := link.Expect(hotrestart.Proceed, 0, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -281,7 +281,7 @@
 			idle.line()
 			open.send(lookCommand("open")...)
 			receive(t, r.decider.requests)
-			path, _ := takeover.SocketPath(os.TempDir(), r.ingress.cfg.Name)
+			path, _ := hotrestart.SocketPath(os.TempDir(), r.ingress.cfg.Name)
 			link := dialAsSuccessor(t, path)
 			completeHandover(t, link)
 			r.terminate()
@@ -352,7 +352,7 @@
 	idle.line()
 	text := command(lookCommand("half")...)
 	io.WriteString(half, text[:30])
-	path, err := takeover.SocketPath(os.TempDir(), r.ingress.cfg.Name)
+	path, err := hotrestart.SocketPath(os.TempDir(), r.ingress.cfg.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -406,7 +406,7 @@
 	if r.call("POST", "/v1/backends/s0/suspend") != 200 {
 		t.Fatal("no")
 	}
-	if err := held.NewStore(cordonStorePath(cfg.Name)).ReadIfChanged(func(h held.Cordons) {
+	if err := cordontable.NewStore(cordonStorePath(cfg.Name)).ReadIfChanged(func(h cordontable.Cordons) {
 		if len(h) != 1 {
 			t.Error(h)
 		}
--- a/internal/ingress/fleetholds.go
+++ b/internal/dataplane/ingress/fleetholds.go
@@ -1,20 +1,20 @@
 package ingress
 
 import (
-	"eiderspread/internal/held"
-	"eiderspread/internal/kept"
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/controlplane/cordontable"
 )
 
 // Cordon implements Host: what a fleet's planners were told by its operators. It lasts as long as this process; who asks for it says it again
 // to the next.
 func (in *Ingress) Cordon(id string, on bool) {
 	if in.predecessorRequests != nil && in.predecessor != nil { // the old process writes to nodes still
-		in.queueOrder(kept.Order{Kind: kept.OrderCordon, ID: id, Cordoned: on})
+		in.queueOrder(snapshot.Order{Kind: snapshot.OrderCordon, ID: id, Cordoned: on})
 	}
 	holds, ms := in.cordons.Cordons(), int64(in.now*1000)
 	switch h, some := holds[id]; {
 	case on:
-		holds[id] = held.Cordon{SinceMS: ms}
+		holds[id] = cordontable.Cordon{SinceMS: ms}
 	case some:
 		h.UncordonedMS = ms
 		holds[id] = h
--- a/internal/ingress/flow.go
+++ b/internal/dataplane/ingress/flow.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"eiderspread/internal/takeover"
+	"eiderspread/internal/dataplane/hotrestart"
 	"eiderspread/policy"
 )
 
@@ -225,7 +225,7 @@
 			state.QueuedAnswers, state.QueuedSlots = append(state.QueuedAnswers, s.answer...), state.QueuedSlots+1
 		}
 		if len(state.Unwritten)+len(state.BackendInput)+len(state.ClientInput)+len(state.QueuedAnswers) < maxMigratedValueBytes*3/4 {
-			if body, err := json.Marshal(state); err == nil && len(body) <= takeover.MaxBodyBytes {
+			if body, err := json.Marshal(state); err == nil && len(body) <= hotrestart.MaxBodyBytes {
 				c.transferring = true
 				in.successor.transfers <- transfer{c, body, v}
 				return
--- a/internal/ingress/golden_test.go
+++ b/internal/dataplane/ingress/golden_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/lab/golden"
-	"eiderspread/internal/overload"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/decision/loadshed"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/testbed/golden"
 	"eiderspread/policy"
 )
 
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, "operator's file", o, OperatorConfig{Status: "127.0.0.1:8610", Trace: "testdata", TraceMB: 256, Overload: overload.Config{Enabled: true, Floor: 0.05}})
+	golden.Same(t, "operator's file", o, OperatorConfig{Status: "127.0.0.1:8610", Trace: "testdata", TraceMB: 256, Overload: loadshed.Config{Enabled: true, Floor: 0.05}})
 	c, err := ReadConfig(golden.Path("config.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 	golden.Same(t, "configuration", c, Config{Name: "n3", Listen: "127.0.0.1:6379", Discovery: "127.0.0.1:8500", AdminAddr: "127.0.0.1:9920",
 		Seed: 0x8c1f30d27a5be964, MemoryMB: 192, MaxDescriptors: 1025, PeerListen: netip.MustParseAddrPort("127.0.0.1:7946"),
 		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.1.1:7946"), netip.MustParseAddrPort("127.0.1.2:7946")}, PeerBroadcast: netip.MustParseAddrPort("127.0.1.255:7946"),
-		InitialEndpoints: roster.List{Version: 41, Full: true, Endpoints: []roster.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", Zone: "z", Cell: 2, Weight: 3, StartedMS: 4}}}})
+		InitialEndpoints: discovery.List{Version: 41, Full: true, Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", Zone: "z", Cell: 2, Weight: 3, StartedMS: 4}}}})
 }
 
 // Guards the names by which the status counts.
--- a/internal/ingress/handover.go
+++ b/internal/dataplane/ingress/handover.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"eiderspread/internal/kept"
-	"eiderspread/internal/takeover"
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/dataplane/hotrestart"
 )
 
 // How a process is replaced without a request turned back: see docs/operating-days.md. succession is the old process's
@@ -39,21 +39,21 @@
 // before that one serves; Adopt is told of each part, once backends are listed and before the first request. A gateway whose
 // successor died adopts its own parts.
 type SnapshotDecider interface {
-	Snapshot(now float64) []kept.Part
-	Restore(now float64, part kept.Part)
+	Snapshot(now float64) []snapshot.Part
+	Restore(now float64, part snapshot.Part)
 }
 
 // successorState is what an old process keeps of the link to its successor. Loop only, but for the link.
 type successorState struct {
-	link        *takeover.Link
+	link        *hotrestart.Link
 	stage       handoverStage
-	listener    *takeover.Listener
+	listener    *hotrestart.Listener
 	pauseAccept chan struct{} // closed when the listener is to rest
 	transfers   chan transfer // to the sender; as long as there may be connections, each of which is in it once
 	transferred int
-	snapshot    []kept.Part // that went to the successor
-	endTimer    *timer      // of what takes too long, from the word to go on
-	events      chan []byte // of a gateway that has moved: to the sender
+	snapshot    []snapshot.Part // that went to the successor
+	endTimer    *timer          // of what takes too long, from the word to go on
+	events      chan []byte     // of a gateway that has moved: to the sender
 }
 
 // goMessage is what the old process says with Go.
@@ -80,22 +80,22 @@
 
 // predecessorState is what a new process has from the old one until the link ends.
 type predecessorState struct {
-	link          *takeover.Link
+	link          *hotrestart.Link
 	listener      *net.TCPListener
 	peers         *net.UDPConn
-	snapshot      []kept.Part // of what its module knows; all or none
-	reservedInput int         // of the input's budget, that the old one may still use
-	bootTime      float64     // the machine's start by the old one's clock
-	orders        chan []byte // to the sender, see relay.go; nil before there may be any
+	snapshot      []snapshot.Part // of what its module knows; all or none
+	reservedInput int             // of the input's budget, that the old one may still use
+	bootTime      float64         // the machine's start by the old one's clock
+	orders        chan []byte     // to the sender, see relay.go; nil before there may be any
 }
 
 // connectPredecessor asks the process that this one replaces for its sockets; nil if there is none.
 func connectPredecessor(cfg Config) (*predecessorState, error) {
-	path, err := takeover.SocketPath(os.TempDir(), cfg.Name)
+	path, err := hotrestart.SocketPath(os.TempDir(), cfg.Name)
 	if err != nil {
 		return nil, nil // said where it is listened at
 	}
-	link, err := takeover.Dial(path)
+	link, err := hotrestart.Dial(path)
 	if link == nil || err != nil {
 		return nil, err
 	}
@@ -104,15 +104,15 @@
 	if cfg.Settings.PeerMessages {
 		fds = 2
 	}
-	m, err := takeover.Message{}, link.Send(takeover.Hello, []byte{takeover.Version}, linkTimeout)
+	m, err := hotrestart.Message{}, link.Send(hotrestart.Hello, []byte{hotrestart.Version}, linkTimeout)
 	if err == nil {
-		m, err = link.Expect(takeover.Sockets, fds, linkTimeout)
+		m, err = link.Expect(hotrestart.Sockets, fds, linkTimeout)
 	}
 	if err == nil {
-		h.listener, err = takeover.TCPListener(m.Files[0], cfg.Listen)
+		h.listener, err = hotrestart.TCPListener(m.Files[0], cfg.Listen)
 	}
 	if err == nil && fds == 2 {
-		h.peers, err = takeover.UDPConn(m.Files[1], cfg.PeerListen.String())
+		h.peers, err = hotrestart.UDPConn(m.Files[1], cfg.PeerListen.String())
 	}
 	if err != nil {
 		m.Close()
@@ -138,11 +138,11 @@
 // A gateway that moves must have all of it, and this process the lock: else the old one goes on, or another.
 func (in *Ingress) announceReady() error {
 	h := in.predecessor
-	err := h.link.Send(takeover.Ready, nil, linkTimeout)
-	var m takeover.Message
-	for err == nil && m.Kind != takeover.Proceed {
-		if m, err = h.link.Receive(linkTimeout); err == nil && m.Kind == takeover.Snapshot {
-			var part kept.Part
+	err := h.link.Send(hotrestart.Ready, nil, linkTimeout)
+	var m hotrestart.Message
+	for err == nil && m.Kind != hotrestart.Proceed {
+		if m, err = h.link.Receive(linkTimeout); err == nil && m.Kind == hotrestart.Snapshot {
+			var part snapshot.Part
 			if err = json.Unmarshal(m.Body, &part); err == nil && len(h.snapshot) == maxSnapshotParts {
 				err = fmt.Errorf("more than %d parts of what its module knows", maxSnapshotParts)
 			}
@@ -184,7 +184,7 @@
 }
 
 // restoreSnapshot goes on with what the old process's module knew.
-func (in *Ingress) restoreSnapshot(parts []kept.Part) {
+func (in *Ingress) restoreSnapshot(parts []snapshot.Part) {
 	if m, ok := in.decider.(MigratingDecider); ok {
 		in.resumeDecider(m, parts)
 		return
@@ -205,13 +205,13 @@
 		if err != nil {
 			break
 		}
-		if m.Kind == takeover.Event {
+		if m.Kind == hotrestart.Event {
 			m.Close()
 			in.receiveEvent(h, m.Body)
 			continue
 		}
-		if m.Kind == takeover.Client && len(m.Files) != 1 || m.Kind == takeover.LargeValue && len(m.Files) != 2 ||
-			m.Kind != takeover.Client && m.Kind != takeover.LargeValue {
+		if m.Kind == hotrestart.Client && len(m.Files) != 1 || m.Kind == hotrestart.LargeValue && len(m.Files) != 2 ||
+			m.Kind != hotrestart.Client && m.Kind != hotrestart.LargeValue {
 			m.Close()
 			continue
 		}
@@ -246,18 +246,18 @@
 }
 
 // receiveTransfer takes a connection that the old process passed on, or with it a value that is on its way.
-func (in *Ingress) receiveTransfer(m takeover.Message) error {
+func (in *Ingress) receiveTransfer(m hotrestart.Message) error {
 	var conns []*net.TCPConn
 	var err error
 	for _, f := range m.Files {
 		var c *net.TCPConn
-		if c, err = takeover.TCPConn(f); err == nil {
+		if c, err = hotrestart.TCPConn(f); err == nil {
 			conns = append(conns, c)
 		}
 	}
 	switch {
 	case len(conns) < len(m.Files):
-	case m.Kind == takeover.LargeValue:
+	case m.Kind == hotrestart.LargeValue:
 		err = in.resumeLargeValue(conns[0], conns[1], m.Body)
 	default:
 		err = in.resumeClient(conns[0], m.Body)
@@ -302,9 +302,9 @@
 
 // listenForSuccessor listens for a new process from now on.
 func (in *Ingress) listenForSuccessor() {
-	path, err := takeover.SocketPath(os.TempDir(), in.cfg.Name)
+	path, err := hotrestart.SocketPath(os.TempDir(), in.cfg.Name)
 	if err == nil {
-		in.successor.listener, err = takeover.Listen(path)
+		in.successor.listener, err = hotrestart.Listen(path)
 	}
 	if err != nil {
 		in.log.Warn("this process can't be replaced while it runs", "error", err)
@@ -314,7 +314,7 @@
 }
 
 // serveSuccessors serves one new process after the other; but for crashes there is one.
-func (in *Ingress) serveSuccessors(l *takeover.Listener) {
+func (in *Ingress) serveSuccessors(l *hotrestart.Listener) {
 	for {
 		link, err := l.Accept()
 		if err != nil {
@@ -327,9 +327,9 @@
 }
 
 // serveSuccessor serves one new process to the end of its link.
-func (in *Ingress) serveSuccessor(link *takeover.Link) {
-	m, err := link.Expect(takeover.Hello, 0, linkTimeout)
-	if err != nil || len(m.Body) != 1 || m.Body[0] != takeover.Version {
+func (in *Ingress) serveSuccessor(link *hotrestart.Link) {
+	m, err := link.Expect(hotrestart.Hello, 0, linkTimeout)
+	if err != nil || len(m.Body) != 1 || m.Body[0] != hotrestart.Version {
 		in.Post(func(float64) { in.logFault("a process asked for the sockets in words of another version") })
 		return
 	}
@@ -337,15 +337,15 @@
 	if in.peers != nil {
 		socks = append(socks, in.peers.conn)
 	}
-	if err := link.Send(takeover.Sockets, nil, linkTimeout, socks...); err != nil {
+	if err := link.Send(hotrestart.Sockets, nil, linkTimeout, socks...); err != nil {
 		return
 	}
-	if _, err := link.Expect(takeover.Ready, 0, 0); err != nil {
+	if _, err := link.Expect(hotrestart.Ready, 0, 0); err != nil {
 		return
 	}
 	in.Post(func(float64) { in.beginHandover(link) })
 	for err == nil { // until the new process ends, or this one
-		if m, err = link.Receive(0); err == nil && m.Kind == takeover.Order {
+		if m, err = link.Receive(0); err == nil && m.Kind == hotrestart.Order {
 			in.receiveOrder(link, m.Body)
 		}
 		m.Close()
@@ -353,7 +353,7 @@
 }
 
 // beginHandover has the listener come to rest; startTransfers goes on when nothing that it took is on its way any more.
-func (in *Ingress) beginHandover(link *takeover.Link) {
+func (in *Ingress) beginHandover(link *hotrestart.Link) {
 	if _, gone := in.decider.(*eventRelay); gone || in.closingClients || in.successor.stage != handoverNone {
 		link.Close()
 		return
@@ -379,7 +379,7 @@
 	list := in.cordons.Listed()
 	message := goMessage{in.clients.open(), in.clock.BootTime(), &list}
 	text, err := json.Marshal(message)
-	if err == nil && len(text) > takeover.MaxBodyBytes {
+	if err == nil && len(text) > hotrestart.MaxBodyBytes {
 		message.Endpoints = nil // the new one goes by its own, and by discovery
 		text, err = json.Marshal(message)
 	}
@@ -413,7 +413,7 @@
 
 // transferClient gives a parked connection on which nothing is open to the new process; false if that can't be.
 func (in *Ingress) transferClient(c *clientConn) bool {
-	if in.successor.stage != handoverActive || c.closing || c.transferring || len(c.input.data) > takeover.MaxBodyBytes {
+	if in.successor.stage != handoverActive || c.closing || c.transferring || len(c.input.data) > hotrestart.MaxBodyBytes {
 		return false
 	}
 	c.transferring = true
@@ -422,7 +422,7 @@
 }
 
 // sendToSuccessor sends what the module knew, the word to go on and then the connections, until the link or this process ends.
-func (in *Ingress) sendToSuccessor(link *takeover.Link, parts []kept.Part, goBody []byte, queue <-chan transfer, events <-chan []byte) {
+func (in *Ingress) sendToSuccessor(link *hotrestart.Link, parts []snapshot.Part, goBody []byte, queue <-chan transfer, events <-chan []byte) {
 	for i, part := range parts {
 		if i > 0 {
 			part.Classes = nil
@@ -432,14 +432,14 @@
 		}
 		text, err := json.Marshal(part)
 		if err == nil {
-			err = link.Send(takeover.Snapshot, text, linkTimeout)
+			err = link.Send(hotrestart.Snapshot, text, linkTimeout)
 		}
 		if err != nil {
 			link.Close()
 			return
 		}
 	}
-	if err := link.Send(takeover.Proceed, goBody, linkTimeout); err != nil {
+	if err := link.Send(hotrestart.Proceed, goBody, linkTimeout); err != nil {
 		link.Close()
 		return
 	}
@@ -448,14 +448,14 @@
 		case <-in.done:
 			return
 		case body := <-events:
-			if err := link.Send(takeover.Event, body, linkTimeout); err != nil {
+			if err := link.Send(hotrestart.Event, body, linkTimeout); err != nil {
 				link.Close()
 				return
 			}
 		case p := <-queue:
-			kind, conns := takeover.Client, []syscall.Conn{p.client.conn}
+			kind, conns := hotrestart.Client, []syscall.Conn{p.client.conn}
 			if p.value != nil {
-				kind, conns = takeover.LargeValue, append(conns, p.value.stream.backendConn.conn)
+				kind, conns = hotrestart.LargeValue, append(conns, p.value.stream.backendConn.conn)
 			}
 			if err := link.Send(kind, p.body, linkTimeout, conns...); err != nil {
 				link.Close() // its reader tells the loop, which goes on with what was not passed
@@ -474,7 +474,7 @@
 }
 
 // handleSuccessorLost takes the end of the link. A new process that ended before this one did leaves everything to it.
-func (in *Ingress) handleSuccessorLost(link *takeover.Link) {
+func (in *Ingress) handleSuccessorLost(link *hotrestart.Link) {
 	s := &in.successor
 	if s.link != link || s.stage == handoverNone {
 		return
@@ -485,7 +485,7 @@
 	if _, moved := in.decider.(*eventRelay); moved {
 		in.reclaimDecider()
 	} else {
-		in.restoreSnapshot(kept.Reclaimed(s.snapshot))
+		in.restoreSnapshot(snapshot.Reclaimed(s.snapshot))
 	}
 	in.successor = successorState{listener: s.listener, pauseAccept: make(chan struct{})}
 	in.resumeMigratingValues()
--- a/internal/ingress/large_test.go
+++ b/internal/dataplane/ingress/large_test.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"eiderspread/internal/takeover"
+	"eiderspread/internal/dataplane/hotrestart"
 	"eiderspread/policy"
 )
 
@@ -379,7 +379,7 @@
 	addr, conns := listenBackend(t)
 	r := startIngress(t, adminConfig(t, addr), sendTo(0))
 	w, b, text, rest := slowLarge(t, r, conns, "large", 100_000)
-	path, err := takeover.SocketPath(os.TempDir(), r.ingress.cfg.Name)
+	path, err := hotrestart.SocketPath(os.TempDir(), r.ingress.cfg.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ingress/loop.go
+++ b/internal/dataplane/ingress/loop.go
@@ -14,12 +14,12 @@
 	"sync/atomic"
 	"time"
 
-	"eiderspread/internal/console"
-	"eiderspread/internal/held"
-	"eiderspread/internal/mono"
-	"eiderspread/internal/roster"
-	"eiderspread/internal/takeover"
-	"eiderspread/internal/trace"
+	"eiderspread/internal/base/monotime"
+	"eiderspread/internal/controlplane/cordontable"
+	"eiderspread/internal/dataplane/admin"
+	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/observability/trace"
 	"eiderspread/policy"
 )
 
@@ -76,7 +76,7 @@
 	After(delayS float64, do func())      // runs do on the loop, so much later; loop only
 	LogFault(message string, args ...any) // logs a fault of somebody else, at a bounded rate; loop only
 	Now() float64                         // loop only
-	EndpointListAge() roster.Age          // how old the list of backends is; of any goroutine
+	EndpointListAge() discovery.Age       // how old the list of backends is; of any goroutine
 	HasPredecessor() bool                 // another process is replaced, and lasts for a while; before the first event
 	Cordon(id string, held bool)          // keeps off a backend whatever discovery says, until it is called back; loop only
 }
@@ -86,7 +86,7 @@
 type Ingress struct {
 	cfg    Config
 	log    *slog.Logger
-	clock  mono.Clock
+	clock  monotime.Clock
 	events chan event
 	done   chan struct{} // closed when the loop has ended
 
@@ -106,15 +106,15 @@
 	requests            map[string]*request
 	largeValues         map[*largeValue]struct{} // large values on their way; as many as there are clients at most
 	backends            backendPool
-	watcher             *roster.Watcher
-	cordons             *held.Table // what operators took out; nil without a door and out of a fleet
-	cordonStore         *held.Store // the same in a file; of the door's goroutines; nil in a fleet
-	admin               *console.Server
+	watcher             *discovery.Watcher
+	cordons             *cordontable.Table // what operators took out; nil without a door and out of a fleet
+	cordonStore         *cordontable.Store // the same in a file; of the door's goroutines; nil in a fleet
+	admin               *admin.Server
 	drain               drainState
 	successor           successorState                 // toward a process that replaces this one
 	predecessor         *predecessorState              // toward the one that this one replaces, while that lasts
 	predecessorRequests map[string]*predecessorRequest // requests that it holds and the gateway here decides on; see relay.go
-	memberLock          *takeover.Lock                 // of who speaks for a member of a fleet that has a door; nil elsewhere
+	memberLock          *hotrestart.Lock               // of who speaks for a member of a fleet that has a door; nil elsewhere
 	classes             []policy.Class                 // that hold now
 	maxAttempts         int                            // the same
 	vocabulary          atomic.Pointer[vocabulary]     // of all goroutines
@@ -177,7 +177,7 @@
 
 // newIngress makes an ingress and its sockets; nothing is read from them yet.
 func newIngress(cfg Config, log *slog.Logger) (*Ingress, error) {
-	in := &Ingress{cfg: cfg, log: log, clock: mono.NewClock(), events: make(chan event, eventQueueSize),
+	in := &Ingress{cfg: cfg, log: log, clock: monotime.NewClock(), events: make(chan event, eventQueueSize),
 		done: make(chan struct{}), requests: map[string]*request{}, largeValues: map[*largeValue]struct{}{}, systemTimer: time.NewTimer(time.Hour),
 		acceptFor: acceptAfterSIGTERM}
 	in.now = in.clock.Now()
@@ -193,7 +193,7 @@
 	}
 	var err error
 	if cfg.AdminAddr != "" && cfg.FleetMember {
-		in.memberLock = takeover.NewLock(os.TempDir(), cfg.Name)
+		in.memberLock = hotrestart.NewLock(os.TempDir(), cfg.Name)
 		if in.predecessor == nil { // else the process before has it still
 			if err = in.acquireMemberLock(); err != nil {
 				in.closeSockets()
@@ -202,13 +202,13 @@
 		}
 	}
 	if cfg.AdminAddr != "" || cfg.FleetMember {
-		in.cordons = held.New()
+		in.cordons = cordontable.New()
 	}
 	if cfg.AdminAddr != "" {
 		if !cfg.FleetMember {
-			in.cordonStore = held.NewStore(cordonStorePath(cfg.Name))
+			in.cordonStore = cordontable.NewStore(cordonStorePath(cfg.Name))
 		}
-		if in.admin, err = console.Listen(cfg.AdminAddr, &adminHandler{in}); err != nil {
+		if in.admin, err = admin.Listen(cfg.AdminAddr, &adminHandler{in}); err != nil {
 			in.closeSockets()
 			return nil, err
 		}
--- a/internal/ingress/pool.go
+++ b/internal/dataplane/ingress/pool.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
 )
 
@@ -105,7 +105,7 @@
 			s.byID[e.ID] = be
 		}
 		moved := be.Addr != e.Addr || be.StartedMS != e.StartedMS
-		be.target, be.state = e, roster.StateByName[e.State]
+		be.target, be.state = e, discovery.StateByName[e.State]
 		if be.state != policy.Up && be.drainNotifiedAt == 0 {
 			be.drainNotifiedAt = notifiedAt
 			in.checkBackendDrain(be, notifiedAt)
--- a/internal/ingress/relay.go
+++ b/internal/dataplane/ingress/relay.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"eiderspread/internal/kept"
-	"eiderspread/internal/takeover"
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/dataplane/hotrestart"
 	"eiderspread/policy"
 )
 
@@ -22,10 +22,10 @@
 // nothing, until Reclaim; Ordered tells it what the one in the new process had done to them.
 type MigratingDecider interface {
 	Decider
-	Migrate(now float64) []kept.Part
+	Migrate(now float64) []snapshot.Part
 	// Resume goes on with another process's, before the first event. shift is what is to be added to its times.
-	Resume(now, shift float64, parts []kept.Part) error
-	RecordOrder(now float64, o kept.Order)
+	Resume(now, shift float64, parts []snapshot.Part) error
+	RecordOrder(now float64, o snapshot.Order)
 	Reclaim(now float64)
 }
 
@@ -65,7 +65,7 @@
 }
 
 // forwardEvent passes an event on; one that can't be is the end of the link.
-func (r *eventRelay) forwardEvent(e kept.Event) {
+func (r *eventRelay) forwardEvent(e snapshot.Event) {
 	s := &r.ingress.successor
 	body, err := json.Marshal(e)
 	if err == nil && s.events != nil {
@@ -84,24 +84,24 @@
 // HandleRequest implements Gateway.
 func (r *eventRelay) HandleRequest(now float64, q policy.Request) {
 	r.MigratingDecider.HandleRequest(now, q)
-	r.forwardEvent(kept.Event{Request: &q})
+	r.forwardEvent(snapshot.Event{Request: &q})
 }
 
 // HandleOutcome implements Gateway.
 func (r *eventRelay) HandleOutcome(now float64, o policy.Outcome) {
 	r.MigratingDecider.HandleOutcome(now, o)
-	r.forwardEvent(kept.Event{Outcome: &o})
+	r.forwardEvent(snapshot.Event{Outcome: &o})
 }
 
 // HandleDisconnect implements Gateway.
 func (r *eventRelay) HandleDisconnect(now float64, id string) {
 	r.MigratingDecider.HandleDisconnect(now, id)
-	r.forwardEvent(kept.Event{Disconnected: id})
+	r.forwardEvent(snapshot.Event{Disconnected: id})
 }
 
 // receiveOrder takes an order off the link.
-func (in *Ingress) receiveOrder(link *takeover.Link, body []byte) {
-	var o kept.Order
+func (in *Ingress) receiveOrder(link *hotrestart.Link, body []byte) {
+	var o snapshot.Order
 	if err := json.Unmarshal(body, &o); err != nil {
 		in.Post(func(float64) { in.logFault("an order that can't be read", "error", err) })
 		return
@@ -115,21 +115,21 @@
 }
 
 // executeOrder does what the new process's gateway wants done to a request of this one.
-func (in *Ingress) executeOrder(r *eventRelay, o kept.Order) {
+func (in *Ingress) executeOrder(r *eventRelay, o snapshot.Order) {
 	switch o.Kind {
-	case kept.OrderSend:
+	case snapshot.OrderSend:
 		if in.requests[o.ID] == nil && in.predecessorRequests[o.ID] == nil { // it has ended while the order was on its way
-			r.forwardEvent(kept.Event{Outcome: &policy.Outcome{ID: o.ID, Backend: o.Backend, Attempt: o.Attempt, Status: policy.NotSent, Completed: true}})
+			r.forwardEvent(snapshot.Event{Outcome: &policy.Outcome{ID: o.ID, Backend: o.Backend, Attempt: o.Attempt, Status: policy.NotSent, Completed: true}})
 			return
 		}
 		in.Send(o.ID, o.Backend, o.DelayS)
-	case kept.OrderReject:
+	case snapshot.OrderReject:
 		in.Reject(o.ID, o.DelayS)
-	case kept.OrderFail:
+	case snapshot.OrderFail:
 		in.Fail(o.ID)
-	case kept.OrderCancel:
+	case snapshot.OrderCancel:
 		in.Cancel(o.ID, o.Attempt)
-	case kept.OrderCordon:
+	case snapshot.OrderCordon:
 		in.Cordon(o.ID, o.Cordoned)
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 // resumeDecider has the gateway go on with what came over. Its answers to what can't go on are orders already.
-func (in *Ingress) resumeDecider(m MigratingDecider, parts []kept.Part) {
+func (in *Ingress) resumeDecider(m MigratingDecider, parts []snapshot.Part) {
 	if len(parts) == 0 {
 		return
 	}
@@ -182,7 +182,7 @@
 }
 
 // sendOrders sends orders until the link or this process ends.
-func (in *Ingress) sendOrders(link *takeover.Link, orders <-chan []byte) {
+func (in *Ingress) sendOrders(link *hotrestart.Link, orders <-chan []byte) {
 	for {
 		select {
 		case <-in.done:
@@ -191,7 +191,7 @@
 			if !ok {
 				return
 			}
-			if err := link.Send(takeover.Order, body, linkTimeout); err != nil {
+			if err := link.Send(hotrestart.Order, body, linkTimeout); err != nil {
 				link.Close()
 				return
 			}
@@ -200,16 +200,16 @@
 }
 
 // orderPredecessor has the old process do something to a request of its own; false if it has none of that id.
-func (in *Ingress) orderPredecessor(o kept.Order) bool {
+func (in *Ingress) orderPredecessor(o snapshot.Order) bool {
 	e := in.predecessorRequests[o.ID]
 	if e == nil || in.predecessor == nil {
 		return false
 	}
 	switch o.Kind {
-	case kept.OrderSend:
+	case snapshot.OrderSend:
 		o.Attempt = len(e.attemptsDone)
 		e.attemptsDone = append(e.attemptsDone, false)
-	case kept.OrderReject, kept.OrderFail:
+	case snapshot.OrderReject, snapshot.OrderFail:
 		e.completed = true
 	}
 	in.queueOrder(o)
@@ -218,7 +218,7 @@
 }
 
 // queueOrder has an order sent; one that can't be is the end of the link.
-func (in *Ingress) queueOrder(o kept.Order) {
+func (in *Ingress) queueOrder(o snapshot.Order) {
 	body, err := json.Marshal(o)
 	if err == nil {
 		select {
@@ -241,7 +241,7 @@
 
 // receiveEvent takes an event off the link.
 func (in *Ingress) receiveEvent(h *predecessorState, body []byte) {
-	var e kept.Event
+	var e snapshot.Event
 	if err := json.Unmarshal(body, &e); err != nil {
 		in.Post(func(float64) { in.logFault("an event that can't be read", "error", err) })
 		return
@@ -254,7 +254,7 @@
 }
 
 // applyRelayedEvent tells the gateway what has become of a request of the old process.
-func (in *Ingress) applyRelayedEvent(now float64, e kept.Event, shift float64) {
+func (in *Ingress) applyRelayedEvent(now float64, e snapshot.Event, shift float64) {
 	switch {
 	case in.predecessorRequests == nil:
 	case e.Request != nil:
--- a/internal/ingress/relay_test.go
+++ b/internal/dataplane/ingress/relay_test.go
@@ -9,34 +9,34 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/kept"
-	"eiderspread/internal/takeover"
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/dataplane/hotrestart"
 	"eiderspread/policy"
 )
 
 // fakeMigratingDecider is a gateway that moves; it writes down what it is asked.
 type fakeMigratingDecider struct {
 	*fakeDecider
-	migrated  []kept.Part
-	resumed   chan []kept.Part
-	ordered   chan kept.Order
+	migrated  []snapshot.Part
+	resumed   chan []snapshot.Part
+	ordered   chan snapshot.Order
 	reclaimed chan struct{}
 }
 
-func newFakeMigratingDecider(r *testIngress, open ...kept.OpenRequest) *fakeMigratingDecider {
-	m := &fakeMigratingDecider{fakeDecider: r.decider, resumed: make(chan []kept.Part, 1), ordered: make(chan kept.Order, 64), reclaimed: make(chan struct{}, 1)}
-	m.migrated = kept.ForwarderState{Incarnation: 7, Requests: open}.Split()
+func newFakeMigratingDecider(r *testIngress, open ...snapshot.OpenRequest) *fakeMigratingDecider {
+	m := &fakeMigratingDecider{fakeDecider: r.decider, resumed: make(chan []snapshot.Part, 1), ordered: make(chan snapshot.Order, 64), reclaimed: make(chan struct{}, 1)}
+	m.migrated = snapshot.ForwarderState{Incarnation: 7, Requests: open}.Split()
 	r.otherDecider = m
 	return m
 }
 
-func (m *fakeMigratingDecider) Migrate(float64) []kept.Part { return m.migrated }
-func (m *fakeMigratingDecider) Resume(_, _ float64, parts []kept.Part) error {
+func (m *fakeMigratingDecider) Migrate(float64) []snapshot.Part { return m.migrated }
+func (m *fakeMigratingDecider) Resume(_, _ float64, parts []snapshot.Part) error {
 	m.resumed <- parts
 	return nil
 }
-func (m *fakeMigratingDecider) RecordOrder(_ float64, o kept.Order) { m.ordered <- o }
-func (m *fakeMigratingDecider) Reclaim(float64)                     { m.reclaimed <- struct{}{} }
+func (m *fakeMigratingDecider) RecordOrder(_ float64, o snapshot.Order) { m.ordered <- o }
+func (m *fakeMigratingDecider) Reclaim(float64)                         { m.reclaimed <- struct{}{} }
 
 // fleetMemberConfig is a configuration of a forwarder with a door.
 func fleetMemberConfig(t *testing.T, backends ...string) Config {
@@ -45,8 +45,8 @@
 	return cfg
 }
 
-func openRequest(id string) kept.OpenRequest {
-	return kept.OpenRequest{Request: policy.Request{ID: id, Class: "look"}}
+func openRequest(id string) snapshot.OpenRequest {
+	return snapshot.OpenRequest{Request: policy.Request{ID: id, Class: "look"}}
 }
 
 const answer = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
@@ -67,13 +67,13 @@
 		receive(t, was.requests)
 	}
 	young := startIngress(t, cfg, func(r *testIngress) { is = newFakeMigratingDecider(r) })
-	if m, ok := kept.Join(receive(t, is.resumed)); !ok || len(m.Requests) != 4 || m.Incarnation != 7 {
+	if m, ok := snapshot.Join(receive(t, is.resumed)); !ok || len(m.Requests) != 4 || m.Incarnation != 7 {
 		t.Fatalf("%+v", m)
 	}
 	young.onLoop(func() { young.ingress.Send("served", "s0", 0) })
 	b := receive(t, conns)
 	b.command()
-	if o := receive(t, was.ordered); o.Kind != kept.OrderSend || o.ID != "served" {
+	if o := receive(t, was.ordered); o.Kind != snapshot.OrderSend || o.ID != "served" {
 		t.Errorf("%+v was not written down", o)
 	}
 	io.WriteString(b, answer)
@@ -136,20 +136,20 @@
 	w := r.client()
 	w.send(lookCommand("open")...)
 	receive(t, m.requests)
-	path, err := takeover.SocketPath(os.TempDir(), cfg.Name)
+	path, err := hotrestart.SocketPath(os.TempDir(), cfg.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := takeover.NewLock(os.TempDir(), cfg.Name)
+	other := hotrestart.NewLock(os.TempDir(), cfg.Name)
 	if other.Take() == nil {
 		t.Fatal("a running forwarder has no lock")
 	}
 	link := dialAsSuccessor(t, path)
-	link.Send(takeover.Ready, nil, testTimeout)
-	if _, err := link.Expect(takeover.Snapshot, 0, testTimeout); err != nil {
+	link.Send(hotrestart.Ready, nil, testTimeout)
+	if _, err := link.Expect(hotrestart.Snapshot, 0, testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := link.Expect(takeover.Proceed, 0, testTimeout); err != nil {
+	if _, err := link.Expect(hotrestart.Proceed, 0, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if err := other.Take(); err != nil { // the new process runs on, though its link breaks
@@ -174,7 +174,7 @@
 // Guards against a second process that would speak for a forwarder whose old process has not let go.
 func TestRelay_NoServiceWithoutLock(t *testing.T) {
 	cfg := fleetMemberConfig(t, "127.0.0.1:1")
-	other := takeover.NewLock(os.TempDir(), cfg.Name)
+	other := hotrestart.NewLock(os.TempDir(), cfg.Name)
 	if err := other.Take(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ingress/reply.go
+++ b/internal/dataplane/ingress/reply.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"eiderspread/internal/settings"
+	"eiderspread/internal/base/settings"
 	"eiderspread/policy"
 )
 
--- a/internal/ingress/requests.go
+++ b/internal/dataplane/ingress/requests.go
@@ -6,7 +6,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"eiderspread/internal/kept"
+	"eiderspread/internal/base/snapshot"
 )
 
 // request is one that a client has sent and that is owed one final answer.
@@ -113,7 +113,7 @@
 	if r := in.requests[id]; r != nil {
 		in.answerRequest(r, in.busyReply(retryInS))
 	} else {
-		in.orderPredecessor(kept.Order{Kind: kept.OrderReject, ID: id, DelayS: retryInS})
+		in.orderPredecessor(snapshot.Order{Kind: snapshot.OrderReject, ID: id, DelayS: retryInS})
 	}
 }
 
@@ -129,7 +129,7 @@
 	if r := in.requests[id]; r != nil {
 		in.failRequest(r)
 	} else {
-		in.orderPredecessor(kept.Order{Kind: kept.OrderFail, ID: id})
+		in.orderPredecessor(snapshot.Order{Kind: snapshot.OrderFail, ID: id})
 	}
 }
 
--- a/internal/ingress/status.go
+++ b/internal/dataplane/ingress/status.go
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
-	"eiderspread/internal/operator"
-	"eiderspread/internal/overload"
-	"eiderspread/internal/roster"
-	"eiderspread/internal/trace"
+	"eiderspread/internal/base/operatorconfig"
+	"eiderspread/internal/decision/loadshed"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/observability/trace"
 )
 
 // OperatorConfig is the operator's file of an ingress, deploy/ingress.toml: what the platform's configuration does not know. All
@@ -20,17 +20,17 @@
 	Status   string          // where the status is served, on loopback; empty: nowhere
 	Trace    string          // folder for traces of decisions; empty: none are written
 	TraceMB  int             `toml:"trace_mb"` // bounds each file; 0: trace.DefaultMostMB
-	Overload overload.Config // how the fleet sheds as one
+	Overload loadshed.Config // how the fleet sheds as one
 }
 
 // ReadOperatorConfig reads and checks the operator's file.
 func ReadOperatorConfig(path string) (OperatorConfig, error) {
 	var o OperatorConfig
-	if err := operator.Decode(path, &o); err != nil {
+	if err := operatorconfig.Decode(path, &o); err != nil {
 		return o, err
 	}
 	if o.Status != "" {
-		if err := operator.CheckLoopback("status", o.Status); err != nil {
+		if err := operatorconfig.CheckLoopback("status", o.Status); err != nil {
 			return o, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -47,7 +47,7 @@
 type Status struct {
 	Kind              string           `json:"kind"`
 	Name              string           `json:"name"`
-	EndpointList      roster.Age       `json:"list"`     // how old the list of backends is
+	EndpointList      discovery.Age    `json:"list"`     // how old the list of backends is
 	EndpointListStale bool             `json:"old"`      // too old to be trusted
 	Backends          int              `json:"backends"` // that are known
 	Clients           int              `json:"clients"`  // connections
@@ -56,7 +56,7 @@
 	Draining          bool             `json:"draining"`           // operators have sent its clients away
 	Counters          CounterStatus    `json:"counts"`             // of what it did, and why
 	Guard             GuardStatus      `json:"guard"`              // of rules, see policy/guard.go
-	Overload          *overload.Status `json:"overload,omitempty"` // nil: off
+	Overload          *loadshed.Status `json:"overload,omitempty"` // nil: off
 }
 
 // serveStatus serves the status until ctx ends.
@@ -75,8 +75,8 @@
 	got := make(chan Status, 1)
 	in.Post(func(float64) {
 		age := in.EndpointListAge()
-		var load *overload.Status
-		if g, ok := in.decider.(interface{ Overload() *overload.Shedder }); ok {
+		var load *loadshed.Status
+		if g, ok := in.decider.(interface{ Overload() *loadshed.Shedder }); ok {
 			load = g.Overload().Status(in.now)
 		}
 		got <- Status{Overload: load, Kind: "ingress", Name: in.cfg.Name, EndpointList: age, EndpointListStale: age.Stale(), Backends: len(in.backends.byID), Clients: in.clients.open(),
--- a/internal/ingress/status_test.go
+++ b/internal/dataplane/ingress/status_test.go
@@ -10,12 +10,12 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
 )
 
 // Guards the operator's file of an ingress: one clear line for each fault; the example is good.
 func TestReadOperatorConfig(t *testing.T) {
-	if o, err := ReadOperatorConfig("../../deploy/ingress.toml"); err != nil || o.Status == "" {
+	if o, err := ReadOperatorConfig("../../../deploy/ingress.toml"); err != nil || o.Status == "" {
 		t.Errorf("the example: %+v, %v", o, err)
 	}
 	for want, text := range map[string]string{
@@ -57,7 +57,7 @@
 	r.onLoop(func() {
 		r.ingress.log = slog.New(slog.NewTextHandler(&log, nil))
 		for _, old := range []bool{true, true, false, false, true} {
-			r.ingress.logListAge(roster.Age{SinceUpdateS: map[bool]float64{true: 11, false: 1}[old]})
+			r.ingress.logListAge(discovery.Age{SinceUpdateS: map[bool]float64{true: 11, false: 1}[old]})
 		}
 		r.ingress.log = slog.New(slog.DiscardHandler)
 	})
--- a/internal/ingress/tracing.go
+++ b/internal/dataplane/ingress/tracing.go
@@ -4,7 +4,7 @@
 	"context"
 	"log/slog"
 
-	"eiderspread/internal/trace"
+	"eiderspread/internal/observability/trace"
 	"eiderspread/policy"
 )
 
--- a/internal/patience/patience.go
+++ b/internal/decision/clienttimeout/patience.go
@@ -1,6 +1,6 @@
 // Package patience keeps how long clients of a class are prepared to wait: a histogram of the share of the deadline that was left
 // when their tries came, in which old tries fade. It decides nothing.
-package patience
+package clienttimeout
 
 const (
 	binCount = 101 // shares of the deadline told apart
--- a/internal/patience/patience_test.go
+++ b/internal/decision/clienttimeout/patience_test.go
@@ -1,4 +1,4 @@
-package patience
+package clienttimeout
 
 import (
 	"math/rand/v2"
--- a/internal/terms/terms.go
+++ b/internal/decision/config/terms.go
@@ -1,11 +1,11 @@
 // Package terms is what a gateway's settings say (classes, plans, limits) and what it is told of requests and servers. Plain values; settings are
 // checked; nothing is decided here.
-package terms
+package config
 
 import (
 	"fmt"
 
-	"eiderspread/internal/overload"
+	"eiderspread/internal/decision/loadshed"
 )
 
 // Idempotency tells whether a class of request may run more than once.
@@ -74,7 +74,7 @@
 
 	ResponseSlackS, SlowStartMinFraction, SlowStartS, CollapseMultiple, CollapseWindowS float64
 
-	LoadShedding overload.Config // off by default
+	LoadShedding loadshed.Config // off by default
 
 	MinBatchIntervalS float64 // the least time between two batches of events
 	CrossZoneCost     float64
