--- a/internal/fade/fade.go
+++ b/internal/decision/decay/fade.go
@@ -1,5 +1,5 @@
 // Package fade keeps sums over a time that moves on.
-package fade
+package decay
 
 import "math"
 
--- a/internal/fade/fade_test.go
+++ b/internal/decision/decay/fade_test.go
@@ -1,4 +1,4 @@
-package fade
+package decay
 
 import "testing"
 
--- a/internal/nodes/nodes.go
+++ b/internal/decision/endpoints/nodes.go
@@ -1,20 +1,20 @@
 // Package nodes is a gateway's table of the servers that it was told of: by their ids in order, and by the short hash by which gateways speak of
 // them. It does no I/O and decides nothing: which server gets a request is package policy's.
-package nodes
+package endpoints
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
-	"eiderspread/internal/peermsg"
-	"eiderspread/internal/subset"
-	"eiderspread/internal/terms"
+	"eiderspread/internal/base/peerprotocol"
+	"eiderspread/internal/decision/config"
+	"eiderspread/internal/decision/subset"
 )
 
 // Endpoint is what the table needs of a server; the caller's own type embeds it.
 type Endpoint struct {
-	terms.Backend
+	config.Backend
 	RingPoint uint64 // a hash of its id
 	ShortHash uint16 // the part of it by which gateways speak of the server
 	Listed    bool   // in the list of the moment, drained or not
@@ -45,7 +45,7 @@
 }
 
 // Update takes in a list, whole or only what changed. It calls fresh for a server never seen, and restarted for each that has started anew.
-func (t *Table[T]) Update(list []terms.Backend, whole bool, fresh func() *T, restarted func(*T)) {
+func (t *Table[T]) Update(list []config.Backend, whole bool, fresh func() *T, restarted func(*T)) {
 	for _, s := range t.Listed {
 		e := t.endpointOf(s)
 		e.Listed = e.Listed && !whole
@@ -55,14 +55,14 @@
 		if s == nil {
 			s = fresh()
 			t.ByID[told.ID] = s
-			t.endpointOf(s).RingPoint = peermsg.HashPoint(told.ID)
-			t.endpointOf(s).ShortHash = min(uint16(t.endpointOf(s).RingPoint), peermsg.MaxBackendHash)
+			t.endpointOf(s).RingPoint = peerprotocol.HashPoint(told.ID)
+			t.endpointOf(s).ShortHash = min(uint16(t.endpointOf(s).RingPoint), peerprotocol.MaxBackendHash)
 			t.indexShortHash(s)
 		} else if told.StartedAt > t.endpointOf(s).StartedAt {
 			restarted(s)
 		}
 		e := t.endpointOf(s)
-		e.Backend, e.Listed = told, told.State != terms.Removed
+		e.Backend, e.Listed = told, told.State != config.Removed
 	}
 	t.Listed = t.Listed[:0]
 	for _, s := range t.ByID {
--- a/internal/nodes/nodes_test.go
+++ b/internal/decision/endpoints/nodes_test.go
@@ -1,12 +1,12 @@
-package nodes
+package endpoints
 
 import (
 	"fmt"
 	"math"
 	"testing"
 
-	"eiderspread/internal/peermsg"
-	"eiderspread/internal/terms"
+	"eiderspread/internal/base/peerprotocol"
+	"eiderspread/internal/decision/config"
 )
 
 type testBackend struct {
@@ -21,12 +21,12 @@
 func TestTable_UpdateFullAndPartial(t *testing.T) {
 	b := newTestTable()
 	fresh, again := func() *testBackend { return &testBackend{} }, func(x *testBackend) { x.restarts++ }
-	b.Update([]terms.Backend{{ID: "b"}, {ID: "a"}, {ID: "c", StartedAt: 5}}, true, fresh, again)
-	b.Update([]terms.Backend{{ID: "b", State: terms.Removed}, {ID: "c", StartedAt: 6}}, false, fresh, again)
+	b.Update([]config.Backend{{ID: "b"}, {ID: "a"}, {ID: "c", StartedAt: 5}}, true, fresh, again)
+	b.Update([]config.Backend{{ID: "b", State: config.Removed}, {ID: "c", StartedAt: 6}}, false, fresh, again)
 	if len(b.Listed) != 2 || b.Listed[0].ID != "a" || b.Listed[1].ID != "c" || b.ByID["c"].restarts != 1 {
 		t.Fatalf("%+v", b.Listed)
 	}
-	b.Update([]terms.Backend{{ID: "c", StartedAt: 6}}, true, fresh, again)
+	b.Update([]config.Backend{{ID: "c", StartedAt: 6}}, true, fresh, again)
 	if len(b.Listed) != 1 || b.ByID["c"].restarts != 1 || b.ByShortHash(b.ByID["c"].ShortHash) != b.ByID["c"] {
 		t.Fatalf("%+v", b.Listed)
 	}
@@ -42,14 +42,14 @@
 	seen := map[uint16]string{}
 	for i := 0; ; i++ {
 		id := fmt.Sprint("s", i)
-		h := uint16(peermsg.HashPoint(id))
+		h := uint16(peerprotocol.HashPoint(id))
 		if other, ok := seen[h]; ok {
 			b := newTestTable()
-			b.Update([]terms.Backend{{ID: id}, {ID: other}}, true, func() *testBackend { return &testBackend{} }, func(*testBackend) {})
+			b.Update([]config.Backend{{ID: id}, {ID: other}}, true, func() *testBackend { return &testBackend{} }, func(*testBackend) {})
 			if b.ByShortHash(h) != nil {
 				t.Errorf("%s and %s are taken for one", id, other)
 			}
-			b.Update([]terms.Backend{{ID: id}}, true, nil, nil)
+			b.Update([]config.Backend{{ID: id}}, true, nil, nil)
 			if b.Prune(func(*testBackend) bool { return false }); b.ByShortHash(h) == nil || b.ByShortHash(h).ID != id {
 				t.Error("the one that is left is not found")
 			}
@@ -61,7 +61,7 @@
 
 func TestEndpoint_WarmFraction(t *testing.T) {
 	for _, tc := range []struct{ since, now, want float64 }{{0, 9, 1}, {10, 10, 0.25}, {10, 14, 0.625}, {10, 18, 1}, {10, 9, 0.25}} {
-		e := Endpoint{Backend: terms.Backend{StartedAt: tc.since}}
+		e := Endpoint{Backend: config.Backend{StartedAt: tc.since}}
 		if got := e.WarmFraction(tc.now, 8, 0.25); math.Abs(got-tc.want) > 1e-9 {
 			t.Errorf("started at %v, at %v: %v, want %v", tc.since, tc.now, got, tc.want)
 		}
--- a/internal/budget/budget.go
+++ b/internal/decision/errorbound/budget.go
@@ -2,7 +2,7 @@
 // of the failure: what may be let in beyond rate and burst, and what of the quota may be refused for the count's sake. It is what the
 // laboratory judges by and what operators are promised; docs/shared-count.md has the reasons. It does no I/O; times are in seconds, units
 // are the plan's.
-package budget
+package errorbound
 
 import (
 	"fmt"
--- a/internal/budget/budget_test.go
+++ b/internal/decision/errorbound/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package errorbound
 
 import (
 	"testing"
--- a/internal/pulse/pulse.go
+++ b/internal/decision/failuredetector/pulse.go
@@ -1,7 +1,7 @@
 // Package pulse tells from unanswered reports which peers are silent. Where hardly any report is lost two in a row are a silence; where many are, so
 // many that chance leaves them unanswered as rarely. A peer that is silent is tried again after a time. It does no I/O and takes time as a value, in
 // seconds; what a silence means is the caller's.
-package pulse
+package failuredetector
 
 import "math"
 
--- a/internal/pulse/pulse_test.go
+++ b/internal/decision/failuredetector/pulse_test.go
@@ -1,4 +1,4 @@
-package pulse
+package failuredetector
 
 import "testing"
 
--- a/internal/ceiling/ceiling.go
+++ b/internal/decision/hardlimit/ceiling.go
@@ -1,11 +1,11 @@
 // Package ceiling is a gateway's book of one account's hard ceiling. Parts of it stand at each of the account's gateways, and one at the first on
 // its ring, from which grants are paid; they add up to the ceiling whoever is silent, lost or started anew, and each begins empty, since a former
 // life may just have spent it. The package does no I/O and takes time as a value (seconds); units are the plan's. Who may send is not decided here.
-package ceiling
+package hardlimit
 
 import (
-	"eiderspread/internal/fade"
-	"eiderspread/internal/tally"
+	"eiderspread/internal/decision/decay"
+	"eiderspread/internal/decision/quota"
 )
 
 // PrefetchS is for how long what is lent ahead may be used.
@@ -41,16 +41,16 @@
 
 // Limiter is what this gateway holds of it.
 type Limiter struct {
-	Local  tally.Bucket // its own part
-	Shared tally.Bucket // the shared part, at the first gateway
+	Local  quota.Bucket // its own part
+	Shared quota.Bucket // the shared part, at the first gateway
 	Unpaid float64      // units let in that no part has paid for yet
 
-	prefetched fade.Window // lent from the shared part for use later
+	prefetched decay.Window // lent from the shared part for use later
 }
 
 // NewLimiter returns parts that are empty at a time.
 func NewLimiter(at float64) Limiter {
-	return Limiter{Local: tally.Bucket{UpdatedAt: at}, Shared: tally.Bucket{UpdatedAt: at}}
+	return Limiter{Local: quota.Bucket{UpdatedAt: at}, Shared: quota.Bucket{UpdatedAt: at}}
 }
 
 // LocalCovers brings the own part up to now and tells whether it holds the units.
--- a/internal/ceiling/ceiling_test.go
+++ b/internal/decision/hardlimit/ceiling_test.go
@@ -1,4 +1,4 @@
-package ceiling
+package hardlimit
 
 import (
 	"cmp"
--- a/internal/ring/ring.go
+++ b/internal/decision/hashring/ring.go
@@ -1,12 +1,12 @@
 // Package ring is a consistent-hashing ring of gateways: each has so many points on a circle of 64 bits, and whoever holds a
 // position is found by going on from it. It decides nothing: who is skipped is the caller's word.
-package ring
+package hashring
 
 import (
 	"cmp"
 	"slices"
 
-	"eiderspread/internal/peermsg"
+	"eiderspread/internal/base/peerprotocol"
 )
 
 type point struct {
@@ -22,7 +22,7 @@
 	r := make(Ring, 0, gateways*points)
 	for gw := range gateways {
 		for i := range points {
-			r = append(r, point{peermsg.Mix64(uint64(gw)<<32 | uint64(i)), gw})
+			r = append(r, point{peerprotocol.Mix64(uint64(gw)<<32 | uint64(i)), gw})
 		}
 	}
 	slices.SortFunc(r, func(a, b point) int {
--- a/internal/ring/ring_test.go
+++ b/internal/decision/hashring/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package hashring
 
 import (
 	"math/rand/v2"
--- a/internal/overload/overload.go
+++ b/internal/decision/loadshed/overload.go
@@ -1,15 +1,15 @@
 // Package overload is what a gateway knows of how much too much is asked of the fleet, and who is turned away for it. All gateways hold one
 // level between them, each by what it sees itself and by what it hears of the others; where a request stands in the order of what can be
 // refused, and which accounts a level half-way through a class falls on, all work out alike. It does no I/O and takes time as a value, in seconds.
-package overload
+package loadshed
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"eiderspread/internal/fade"
-	"eiderspread/internal/peermsg"
+	"eiderspread/internal/base/peerprotocol"
+	"eiderspread/internal/decision/decay"
 )
 
 // Config is what operators say of it. Its zero value is off.
@@ -62,12 +62,12 @@
 	level, updatedAt              float64
 	waitSum, waitCount            float64 // fading sums of waits, and their number
 	waitSampledAt                 float64
-	requested                     []fade.Rate // units a second, by place in the order
-	admitted, withinQuota, served fade.Rate   // units a second that the level let in, that quotas let in of these, and that were served
-	peers                         []peerState // by gateway
-	phase, phaseAt                float64     // where this gateway is in the order of lots, in steps from 0 to 256, and when it was there
-	freshLevels, phaseOffsets     []float64   // scratch
-	reversals                     int         // how often the level turned by a tenth or more
+	requested                     []decay.Rate // units a second, by place in the order
+	admitted, withinQuota, served decay.Rate   // units a second that the level let in, that quotas let in of these, and that were served
+	peers                         []peerState  // by gateway
+	phase, phaseAt                float64      // where this gateway is in the order of lots, in steps from 0 to 256, and when it was there
+	freshLevels, phaseOffsets     []float64    // scratch
+	reversals                     int          // how often the level turned by a tenth or more
 	turnLevel, lastSwing          float64
 	sheddingSince                 float64 // since when it refuses; 0: it does not
 	rejected                      []int   // requests turned away, by place
@@ -300,7 +300,7 @@
 }
 
 // ApplyGossip takes in what another gateway says, and tells whether the item was of that kind.
-func (s *Shedder) ApplyGossip(now float64, from int, n peermsg.GossipEntry) bool {
+func (s *Shedder) ApplyGossip(now float64, from int, n peerprotocol.GossipEntry) bool {
 	level, phase, ok := n.LoadShedState(now)
 	if s != nil && ok {
 		s.ApplyPeerLevel(now, from, level, phase)
@@ -324,14 +324,14 @@
 	if s == nil {
 		return b
 	}
-	return peermsg.AppendLoadShedState(b, s.level, uint8(s.phase))
+	return peerprotocol.AppendLoadShedState(b, s.level, uint8(s.phase))
 }
 
 // accountQuantile is an account's in a slice, from 0 to 1. From slice to slice it goes on by the golden section, so that within any few slices an account's lots
 // lie all over the range: whatever share is let in, each account has about that share of the slices. Accounts' slices begin at different steps, so
 // that not all change places at once.
 func accountQuantile(account uint32, step uint8) float64 {
-	x := peermsg.Mix64(uint64(account))
+	x := peerprotocol.Mix64(uint64(account))
 	slice := (step + uint8(x%stepsPerSlice)) / stepsPerSlice
 	_, part := math.Modf(float64(x>>11)/(1<<53) + goldenSection*float64(slice))
 	return part
@@ -354,7 +354,7 @@
 	}
 	place, places := d.rank()
 	for len(s.requested) < places {
-		s.requested, s.rejected = append(s.requested, fade.Rate{}), append(s.rejected, 0)
+		s.requested, s.rejected = append(s.requested, decay.Rate{}), append(s.rejected, 0)
 	}
 	s.requested[place].Add(now, units, rateMemoryS)
 	if s.level >= minLevel && accountQuantile(d.AccountKey, uint8(s.phase)) >= s.admittedFraction(s.level, place, places) {
--- a/internal/overload/overload_test.go
+++ b/internal/decision/loadshed/overload_test.go
@@ -1,10 +1,10 @@
-package overload
+package loadshed
 
 import (
 	"math"
 	"testing"
 
-	"eiderspread/internal/peermsg"
+	"eiderspread/internal/base/peerprotocol"
 
 	"pgregory.net/rapid"
 )
@@ -81,11 +81,11 @@
 				if int(at*50)%10 != 0 || i == j {
 					continue
 				}
-				b := list[j].AppendGossip(peermsg.AppendHeader(nil, 1, 1))
+				b := list[j].AppendGossip(peerprotocol.AppendHeader(nil, 1, 1))
 				if j == 0 {
 					b[len(b)-2], b[len(b)-1] = liar(at), byte(97*at)
 				}
-				_, _, _, items, ok := peermsg.Parse(b, at)
+				_, _, _, items, ok := peerprotocol.Parse(b, at)
 				if !ok || len(items) != 1 || !s.ApplyGossip(at, j, items[0]) {
 					t.Fatal("not heard")
 				}
--- a/internal/health/health.go
+++ b/internal/decision/outlier/health.go
@@ -1,6 +1,6 @@
 // Package health is what a gateway knows of how well a server answers each class: how sure it is that the server leaves the class unanswered, which
 // fades, when it last answered well, and the share of errors of late. It does no I/O, takes time as a value (seconds) and decides nothing.
-package health
+package outlier
 
 import "math"
 
--- a/internal/health/health_test.go
+++ b/internal/decision/outlier/health_test.go
@@ -1,4 +1,4 @@
-package health
+package outlier
 
 import (
 	"math"
--- a/internal/tally/tally.go
+++ b/internal/decision/quota/tally.go
@@ -1,11 +1,11 @@
 // Package tally keeps an owner's count of one account: the room of its window, what it is asked for, and what each member has told.
 // It does no I/O, takes time as a value (seconds) and decides nothing: who is let in is the module's word.
-package tally
+package quota
 
 import (
 	"math"
 
-	"eiderspread/internal/fade"
+	"eiderspread/internal/decision/decay"
 )
 
 // Ledger is an owner's count: the window opens evenly, and what is unused carries over up to one burst. Units are the plan's.
@@ -13,7 +13,7 @@
 	Available, UpdatedAt, StartedAt float64
 	Demand, DemandAt                float64 // units a second that members are asked for, fading
 	Members                         map[int]*Member
-	Prefetched                      fade.Window // units set aside for what is still to come: they keep their place below the window's brim
+	Prefetched                      decay.Window // units set aside for what is still to come: they keep their place below the window's brim
 }
 
 // Member is what another gateway has told of the account.
--- a/internal/tally/tally_test.go
+++ b/internal/decision/quota/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package quota
 
 import (
 	"math"
--- a/internal/why/why.go
+++ b/internal/decision/reason/why.go
@@ -1,6 +1,6 @@
 // Package why names what the decision module decides and for which reason. The lists are closed: a table over all reasons adds
 // up to all decisions. Records are plain values; the package does no I/O and decides nothing.
-package why
+package reason
 
 // Step is what was decided, or what came of it.
 type Step uint8
--- a/internal/outbox/outbox.go
+++ b/internal/decision/reportqueue/outbox.go
@@ -1,7 +1,7 @@
 // Package outbox paces what a gateway tells its peers of its own accord: reports wait there by peer, those that somebody waits for go first, and all
 // keep to a rate, since every message takes a place of the peer's intake. It does no I/O and takes time as a value, in seconds. What is told, and
 // what is urgent, is the caller's word.
-package outbox
+package reportqueue
 
 import "slices"
 
--- a/internal/outbox/outbox_test.go
+++ b/internal/decision/reportqueue/outbox_test.go
@@ -1,4 +1,4 @@
-package outbox
+package reportqueue
 
 import (
 	"math/rand/v2"
--- a/internal/places/places.go
+++ b/internal/decision/slotlease/places.go
@@ -2,7 +2,7 @@
 // account keeps a Book of what it has lent and a line of members that wait; a member keeps what it was lent. A place comes back by a word, or by
 // itself when its time is over, so that no lost word and no dead member keeps it; who has an attempt out for longer renews it. Lengths of time
 // are told, never times of day: clocks differ. The package does no I/O and takes time as a value, in seconds of the caller's clock.
-package places
+package slotlease
 
 import (
 	"math"
--- a/internal/places/places_test.go
+++ b/internal/decision/slotlease/places_test.go
@@ -1,4 +1,4 @@
-package places
+package slotlease
 
 import (
 	"math"
--- a/internal/subset/subset.go
+++ b/internal/decision/subset/subset.go
@@ -9,14 +9,16 @@
 	"math"
 	"slices"
 
-	"eiderspread/internal/peermsg"
+	"eiderspread/internal/base/peerprotocol"
 )
 
 // Strategy gives the places in ids (hashes of nodes) that gateway me of so many prefers, size of them at most, the most preferred first.
 type Strategy func(ids []uint64, me, gateways, size int) []int
 
 // pairScore is how much a gateway likes a node: a hash of both, and so each pair's own.
-func pairScore(id uint64, me int) uint64 { return peermsg.Mix64(id ^ peermsg.Mix64(uint64(me)+1)) }
+func pairScore(id uint64, me int) uint64 {
+	return peerprotocol.Mix64(id ^ peerprotocol.Mix64(uint64(me)+1))
+}
 
 type ranked struct {
 	index int
@@ -86,7 +88,7 @@
 	round := me / subsets
 	all := make([]ranked, len(ids))
 	for i := range ids {
-		all[i] = ranked{i, peermsg.Mix64(uint64(i)<<32 | uint64(round))}
+		all[i] = ranked{i, peerprotocol.Mix64(uint64(i)<<32 | uint64(round))}
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(a.score, b.score) })
 	list := make([]int, 0, size)
--- a/internal/subset/subset_test.go
+++ b/internal/decision/subset/subset_test.go
@@ -6,12 +6,12 @@
 	"slices"
 	"testing"
 
-	"eiderspread/internal/peermsg"
+	"eiderspread/internal/base/peerprotocol"
 )
 
 func endpointIDs(n, from int) (ids []uint64) {
 	for i := range n {
-		ids = append(ids, peermsg.HashPoint(fmt.Sprint("s-", from+i)))
+		ids = append(ids, peerprotocol.HashPoint(fmt.Sprint("s-", from+i)))
 	}
 	return ids
 }
--- a/internal/agent/agent.go
+++ b/internal/membership/agent/agent.go
@@ -18,12 +18,12 @@
 
 	"net/netip"
 
-	"eiderspread/internal/etcdsource"
-	"eiderspread/internal/link"
-	"eiderspread/internal/member"
-	"eiderspread/internal/mono"
-	"eiderspread/internal/operator"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/base/monotime"
+	"eiderspread/internal/base/operatorconfig"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/membership/etcdsource"
+	"eiderspread/internal/membership/merge"
 )
 
 const (
@@ -61,13 +61,13 @@
 
 	StartTimeoutS float64 // a start waits so long for all sources, before it serves by those that are current
 	Etcd          etcdsource.Config
-	Merge         member.Config
+	Merge         merge.Config
 }
 
 // ReadFile reads and checks the operator's file and all that it names.
 func ReadFile(path string) (Config, error) {
 	f := File{ProgressMS: 500, StaleMS: 2000, RosterStaleMS: 5000, OrphanMS: 10000, TimeoutMS: 2000, MaxRetryMS: 2000, FlapMS: 60000, MaxFlapHoldMS: 30000, StartTimeoutMS: 3000}
-	if err := operator.Decode(path, &f); err != nil {
+	if err := operatorconfig.Decode(path, &f); err != nil {
 		return Config{}, err
 	}
 	c, err := f.check()
@@ -82,7 +82,7 @@
 	c := Config{Listen: f.Listen, Status: f.Status, Roster: f.Roster, State: f.State, StartTimeoutS: f.StartTimeoutMS / 1e3,
 		Etcd: etcdsource.Config{Endpoints: f.Endpoints, Prefix: f.Prefix, User: f.User, ProgressInterval: ms(f.ProgressMS), ReadTimeout: ms(f.TimeoutMS),
 			MaxRetryDelay: ms(f.MaxRetryMS)},
-		Merge: member.Config{StaleAfterS: map[string]float64{etcdName: f.StaleMS / 1e3}, OrphanAfterS: f.OrphanMS / 1e3, FlapWindowS: f.FlapMS / 1e3,
+		Merge: merge.Config{StaleAfterS: map[string]float64{etcdName: f.StaleMS / 1e3}, OrphanAfterS: f.OrphanMS / 1e3, FlapWindowS: f.FlapMS / 1e3,
 			MaxFlapHoldS: f.MaxFlapHoldMS / 1e3}}
 	for name, a := range map[string]string{"listen": f.Listen, "status": f.Status, "roster": f.Roster} {
 		if _, err := netip.ParseAddrPort(a); err != nil && (a != "" || name == "listen") {
@@ -122,7 +122,7 @@
 		}
 	}
 	var err error
-	if c.Etcd.TLS, err = link.Identity(f.TLS).Config(); err != nil {
+	if c.Etcd.TLS, err = transport.Identity(f.TLS).Config(); err != nil {
 		return c, fmt.Errorf("tls: %w", err)
 	}
 	return c, nil
@@ -132,8 +132,8 @@
 type Agent struct {
 	cfg       Config
 	log       *slog.Logger
-	clock     mono.Clock
-	merger    *member.Merger
+	clock     monotime.Clock
+	merger    *merge.Merger
 	publisher *publisher
 	events    chan func(now float64)
 	done      chan struct{}
@@ -147,7 +147,7 @@
 
 // Open makes an agent and its listener.
 func Open(cfg Config, log *slog.Logger) (*Agent, error) {
-	a := &Agent{cfg: cfg, log: log, clock: mono.NewClock(), events: make(chan func(float64), eventQueueSize), done: make(chan struct{})}
+	a := &Agent{cfg: cfg, log: log, clock: monotime.NewClock(), events: make(chan func(float64), eventQueueSize), done: make(chan struct{})}
 	saved, err := savedState{}, error(nil)
 	if cfg.State != "" {
 		if saved, err = loadState(cfg.State); err != nil {
@@ -156,7 +156,7 @@
 		a.writer = &stateWriter{path: cfg.State, next: make(chan savedState, 1), logError: func(err error) { log.Error("what is known is not kept", "error", err) }}
 	}
 	now := a.clock.Now()
-	a.merger = member.NewMerger(cfg.Merge, now, saved.Merged.Entries)
+	a.merger = merge.NewMerger(cfg.Merge, now, saved.Merged.Entries)
 	a.merger.Restore(saved.Merged)
 	a.publisher = newPublisher(max(time.Now().UnixMilli(), saved.Version+1))
 	a.serveDeadline = now + cfg.StartTimeoutS
@@ -187,7 +187,7 @@
 func (a *Agent) EtcdStatus() etcdsource.Status { return a.etcd.Status() }
 
 // EndpointList is the joined list as it is served.
-func (a *Agent) EndpointList() roster.List { return a.publisher.fullList() }
+func (a *Agent) EndpointList() discovery.List { return a.publisher.fullList() }
 
 func (a *Agent) post(do func(now float64)) {
 	select {
@@ -231,7 +231,7 @@
 	}
 	go a.etcd.Run(ctx)
 	if a.cfg.Roster != "" {
-		w := roster.NewWatcher(a.cfg.Roster, -1, func(l roster.List) { a.post(func(now float64) { a.applyRoster(now, l) }) },
+		w := discovery.NewWatcher(a.cfg.Roster, -1, func(l discovery.List) { a.post(func(now float64) { a.applyRoster(now, l) }) },
 			func(what string, args ...any) { a.log.Warn("roster: "+what, args...) })
 		w.OnAlive = func() { a.post(func(now float64) { a.publish(a.merger.MarkResumed(now, rosterName)) }) }
 		go w.Run(ctx, nil)
@@ -266,7 +266,7 @@
 }
 
 // publish tells of changes.
-func (a *Agent) publish(changed []member.Entry) {
+func (a *Agent) publish(changed []merge.Entry) {
 	a.dirty = a.dirty || len(changed) > 0
 	a.publisher.publish(changed)
 	a.serveIfReady()
@@ -300,10 +300,10 @@
 	return s
 }
 
-func (a *Agent) applyRoster(now float64, l roster.List) {
-	var nodes []member.Node
+func (a *Agent) applyRoster(now float64, l discovery.List) {
+	var nodes []merge.Node
 	for _, t := range l.Endpoints {
-		n := member.Node{Identity: member.Identity{ID: t.ID, Addr: t.Addr, StartedMS: t.StartedMS}, Zone: t.Zone, Cell: t.Cell, Weight: t.Weight}
+		n := merge.Node{Identity: merge.Identity{ID: t.ID, Addr: t.Addr, StartedMS: t.StartedMS}, Zone: t.Zone, Cell: t.Cell, Weight: t.Weight}
 		for state, word := range stateNames {
 			if word == t.State {
 				n.State = state
@@ -322,14 +322,14 @@
 // etcdSink hands what etcd's source learns to the loop.
 type etcdSink struct{ agent *Agent }
 
-func (s etcdSink) ReplaceAll(nodes []member.Node, why string) {
+func (s etcdSink) ReplaceAll(nodes []merge.Node, why string) {
 	s.agent.log.Info("etcd read whole", "nodes", len(nodes), "why", why)
 	s.agent.post(func(now float64) {
 		s.agent.dirty = true
 		s.agent.publish(s.agent.merger.ReplaceAll(now, etcdName, nodes))
 	})
 }
-func (s etcdSink) Update(nodes []member.Node) {
+func (s etcdSink) Update(nodes []merge.Node) {
 	s.agent.post(func(now float64) {
 		s.agent.dirty = true
 		s.agent.publish(s.agent.merger.Update(now, etcdName, nodes))
@@ -347,9 +347,9 @@
 
 // Status is what an agent tells people.
 type Status struct {
-	Etcd    etcdsource.Status     `json:"etcd"`
-	Sources []member.SourceStatus `json:"sources"`
-	Nodes   []NodeStatus          `json:"nodes"`
+	Etcd    etcdsource.Status    `json:"etcd"`
+	Sources []merge.SourceStatus `json:"sources"`
+	Nodes   []NodeStatus         `json:"nodes"`
 }
 
 // NodeStatus is one node, and why it stands as it does.
--- a/internal/agent/agent_test.go
+++ b/internal/membership/agent/agent_test.go
@@ -10,13 +10,13 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/member"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/membership/merge"
 )
 
 // Guards the operator's file: one clear line for each fault, before anything is served; the example is good.
 func TestReadFile(t *testing.T) {
-	if _, err := ReadFile("../../deploy/etcd.toml"); err != nil {
+	if _, err := ReadFile("../../../deploy/etcd.toml"); err != nil {
 		t.Error(err)
 	}
 	good := "listen = \"127.0.0.1:1\"\nendpoints = [\"http://127.0.0.1:2\"]\nprefix = \"/t/\"\n"
@@ -44,8 +44,8 @@
 	}
 }
 
-func entry(id string, s member.State) member.Entry {
-	return member.Entry{Node: member.Node{Identity: member.Identity{ID: id, Addr: "127.0.0.1:1"}, State: s}}
+func entry(id string, s merge.State) merge.Entry {
+	return merge.Entry{Node: merge.Node{Identity: merge.Identity{ID: id, Addr: "127.0.0.1:1"}, State: s}}
 }
 
 // Guards the protocol towards ingresses: a watch misses nothing, and one that is too far behind, or from another life of
@@ -62,26 +62,26 @@
 		}
 		return bufio.NewReader(r.Body), func() { r.Body.Close() }
 	}
-	read := func(r *bufio.Reader) roster.List {
+	read := func(r *bufio.Reader) discovery.List {
 		t.Helper()
 		line, err := r.ReadBytes('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := roster.Parse(line)
+		l, err := discovery.Parse(line)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return l
 	}
-	p.publish([]member.Entry{entry("a", member.Up), entry("b", member.Up)})
+	p.publish([]merge.Entry{entry("a", merge.Up), entry("b", merge.Up)})
 	old, done := next(5)
 	defer done()
 	if l := read(old); !l.Full || len(l.Endpoints) != 2 || l.Version != 1001 {
 		t.Errorf("from another life: %+v", l)
 	}
-	p.publish([]member.Entry{entry("a", member.Draining)})
-	p.publish([]member.Entry{entry("b", member.Removed)})
+	p.publish([]merge.Entry{entry("a", merge.Draining)})
+	p.publish([]merge.Entry{entry("b", merge.Removed)})
 	for i, want := range []string{"a terminating", "b terminated"} {
 		if l := read(old); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].ID+" "+l.Endpoints[0].State != want || l.Version != 1002+int64(i) {
 			t.Errorf("change %d: %+v", i, l)
@@ -93,7 +93,7 @@
 		t.Errorf("one behind: %+v", l)
 	}
 	for range maxHistory + 1 {
-		p.publish([]member.Entry{entry("c", member.Up)})
+		p.publish([]merge.Entry{entry("c", merge.Up)})
 	}
 	r, done = next(1003)
 	defer done()
--- a/internal/agent/cutoff_test.go
+++ b/internal/membership/agent/cutoff_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/node"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/node"
 	"eiderspread/policy"
 )
 
@@ -34,7 +34,7 @@
 }
 
 func measureOutage(t *testing.T, by string) {
-	cfg := lab.FleetConfig{Forwarders: 1, Nodes: 6, Classes: lab.LabClasses, Plans: []policy.Plan{{Name: "wide", Rate: 1e5, Burst: 1e5, Weight: 1}},
+	cfg := testbed.FleetConfig{Forwarders: 1, Nodes: 6, Classes: testbed.LabClasses, Plans: []policy.Plan{{Name: "wide", Rate: 1e5, Burst: 1e5, Weight: 1}},
 		Node: node.Config{Cores: 64, Queue: 500, Speed: 1, KeyedS: 4, Work: map[string]float64{"zone-check": 0.005, "slot-hold": 0.005,
 			"courier-send": 0.005}},
 		Seed: 1, Direct: true, Dir: t.TempDir(), MemoryMB: 256, Sockets: 1024,
@@ -46,7 +46,7 @@
 	var e *etcd
 	if by == "etcd" {
 		e = startEtcd(t)
-		cfg.Discovery = func(f *lab.Fleet, _ string) (string, error) {
+		cfg.Discovery = func(f *testbed.Fleet, _ string) (string, error) {
 			for _, n := range f.Nodes() {
 				e.put("nodes/"+n.ID, `{"addr":"`+n.Addr()+`","zone":"a","weight":1}`)
 			}
@@ -55,27 +55,27 @@
 			return a.Addr(), nil
 		}
 	}
-	f, err := lab.StartFleet(cfg)
+	f, err := testbed.StartFleet(cfg)
 	defer f.Stop()
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	var accounts []lab.Account
+	var accounts []testbed.Account
 	for i := range 20 {
-		accounts = append(accounts, lab.Account{Name: "00000000b4d6552" + string("0123456789abcdefghij"[i%16]), Plan: "wide", Rate: *cutoffRate / 20, Spread: 1})
+		accounts = append(accounts, testbed.Account{Name: "00000000b4d6552" + string("0123456789abcdefghij"[i%16]), Plan: "wide", Rate: *cutoffRate / 20, Spread: 1})
 	}
 	go func() {
 		defer close(done)
-		lab.NewClients(lab.Traffic{Accounts: accounts, Classes: cfg.Classes, Shares: map[string]float64{"zone-check": 0.4, "slot-hold": 0.3, "courier-send": 0.3},
+		testbed.NewClients(testbed.Traffic{Accounts: accounts, Classes: cfg.Classes, Shares: map[string]float64{"zone-check": 0.4, "slot-hold": 0.3, "courier-send": 0.3},
 			Units: map[string]int{"zone-check": 1, "slot-hold": 1, "courier-send": 1}, Seed: 1}, f.Hist, f.Front).Run(ctx)
 	}()
 	time.Sleep(2 * time.Second)
-	set := func(n *lab.Node, state string) {
+	set := func(n *testbed.Node, state string) {
 		switch {
 		case e == nil:
-			f.Roster.Set(roster.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: "a", State: state, Weight: 1})
+			f.Roster.Set(discovery.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: "a", State: state, Weight: 1})
 		case state == "in_service":
 			e.del("drain/" + n.ID)
 		default:
--- a/internal/agent/etcd_test.go
+++ b/internal/membership/agent/etcd_test.go
@@ -18,12 +18,12 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 	"go.uber.org/zap"
 
-	"eiderspread/internal/etcdsource"
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/member"
-	"eiderspread/internal/roster"
-	standin "eiderspread/internal/standin/etcd"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/membership/etcdsource"
+	"eiderspread/internal/membership/merge"
+	"eiderspread/internal/testbed"
+	standin "eiderspread/internal/testbed/etcdstandin"
+	"eiderspread/internal/testbed/oracle"
 )
 
 const patience = 60 * time.Second
@@ -126,7 +126,7 @@
 	return strings.Join(list, "\n"), rev
 }
 
-func describe(l roster.List) string {
+func describe(l discovery.List) string {
 	var list []string
 	for _, t := range l.Endpoints {
 		list = append(list, t.ID+" "+t.Addr+" "+t.State)
@@ -145,7 +145,7 @@
 	cfg := Config{Listen: "127.0.0.1:0", Roster: rosterAddr,
 		Etcd: etcdsource.Config{Endpoints: []string{"http://" + endpoint}, Prefix: prefix, ProgressInterval: 150 * time.Millisecond, ReadTimeout: 2 * time.Second,
 			MaxRetryDelay: 300 * time.Millisecond},
-		Merge: member.Config{StaleAfterS: map[string]float64{etcdName: 0.8}, OrphanAfterS: 3600, FlapWindowS: 0.001, MaxFlapHoldS: 0.001}}
+		Merge: merge.Config{StaleAfterS: map[string]float64{etcdName: 0.8}, OrphanAfterS: 3600, FlapWindowS: 0.001, MaxFlapHoldS: 0.001}}
 	if rosterAddr != "" {
 		cfg.Merge.StaleAfterS[rosterName] = 5
 	}
@@ -186,7 +186,7 @@
 // flip: after each recovery the view equals etcd's.
 func TestAgent_FollowsEtcd(t *testing.T) {
 	e := startEtcd(t)
-	link, err := lab.NewLink(e.srv.Addr())
+	link, err := testbed.NewLink(e.srv.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,20 +279,20 @@
 // Guards the join of sources: roster and etcd, each alone, stale and against each other.
 func TestAgent_EtcdBesideRoster(t *testing.T) {
 	e := startEtcd(t)
-	link, err := lab.NewLink(e.srv.Addr())
+	link, err := testbed.NewLink(e.srv.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer link.Close()
-	hist := audit.New()
-	ros := lab.NewRoster(hist)
+	hist := oracle.New()
+	ros := testbed.NewRoster(hist)
 	defer ros.Close()
 	addr, err := ros.For("a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	set := func(id, state string) {
-		ros.Set(roster.Endpoint{ID: id, Addr: "127.0.0.1:1" + strings.TrimPrefix(id, "n"), State: state, Weight: 1})
+		ros.Set(discovery.Endpoint{ID: id, Addr: "127.0.0.1:1" + strings.TrimPrefix(id, "n"), State: state, Weight: 1})
 	}
 	set("n01", "in_service")
 	set("n02", "in_service")
@@ -344,7 +344,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := roster.Parse(line)
+	l, err := discovery.Parse(line)
 	if err != nil || !l.Full || len(l.Endpoints) != 4 {
 		t.Errorf("%+v, %v", l, err)
 	}
--- a/internal/agent/fuzz_test.go
+++ b/internal/membership/agent/fuzz_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/member"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/membership/merge"
 )
 
 // Whatever is asked of an agent's HTTP side, it answers in the roster's protocol or refuses, and does not panic; a watch that
@@ -24,9 +24,9 @@
 	f.Fuzz(func(t *testing.T, method, path, query, id string, changes uint8) {
 		p := newPublisher(1000)
 		p.markReady()
-		states := []member.State{member.Up, member.Draining, member.Removed}
+		states := []merge.State{merge.Up, merge.Draining, merge.Removed}
 		for i := range int(changes % 16) {
-			p.publish([]member.Entry{entry(id, states[i%3]), entry("b", member.Up)})
+			p.publish([]merge.Entry{entry(id, states[i%3]), entry("b", merge.Up)})
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Millisecond)
 		defer cancel()
@@ -44,7 +44,7 @@
 			if len(line) == 0 {
 				continue
 			}
-			l, err := roster.Parse(line)
+			l, err := discovery.Parse(line)
 			if err != nil && id != "" {
 				t.Fatalf("%q: %v", line, err)
 			}
--- a/internal/agent/golden_test.go
+++ b/internal/membership/agent/golden_test.go
@@ -5,8 +5,8 @@
 	"net/http/httptest"
 	"testing"
 
-	"eiderspread/internal/lab/golden"
-	"eiderspread/internal/member"
+	"eiderspread/internal/membership/merge"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the file that an agent keeps across restarts, the operator's file and the status.
@@ -29,8 +29,8 @@
 	get("early.txt", "/api/targets")
 	p.markReady()
 	p.setSourceAge(1.5)
-	for _, state := range []member.State{member.Up, member.Draining, member.Removed, member.Up} {
-		p.publish([]member.Entry{{Node: member.Node{Identity: member.Identity{ID: "a", Addr: "127.0.0.1:1", StartedMS: 2}, State: state, Zone: "z", Cell: 3,
+	for _, state := range []merge.State{merge.Up, merge.Draining, merge.Removed, merge.Up} {
+		p.publish([]merge.Entry{{Node: merge.Node{Identity: merge.Identity{ID: "a", Addr: "127.0.0.1:1", StartedMS: 2}, State: state, Zone: "z", Cell: 3,
 			Weight: 4.5}, Reason: "not served"}})
 	}
 	get("whole.json", "/api/targets")
--- a/internal/agent/keep.go
+++ b/internal/membership/agent/keep.go
@@ -8,14 +8,14 @@
 	"sync/atomic"
 	"time"
 
-	"eiderspread/internal/member"
+	"eiderspread/internal/membership/merge"
 )
 
 // savedState is what an agent keeps in its file across restarts: without it a drain that etcd told is forgotten by an agent that
 // comes back while etcd is out of reach.
 type savedState struct {
-	Version int64           `json:"version"`
-	Merged  member.Snapshot `json:"known"`
+	Version int64          `json:"version"`
+	Merged  merge.Snapshot `json:"known"`
 }
 
 // loadState reads the file; one that is not there is none.
--- a/internal/agent/moves_test.go
+++ b/internal/membership/agent/moves_test.go
@@ -13,15 +13,15 @@
 
 	pb "go.etcd.io/etcd/api/v3/etcdserverpb"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/certs"
-	"eiderspread/internal/roster"
-	standin "eiderspread/internal/standin/etcd"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/certs"
+	standin "eiderspread/internal/testbed/etcdstandin"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // waitFor waits for what an agent serves to be so.
-func waitFor(t *testing.T, a *Agent, what string, ok func(l roster.List) bool) {
+func waitFor(t *testing.T, a *Agent, what string, ok func(l discovery.List) bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok(a.EndpointList()) {
@@ -31,7 +31,7 @@
 	t.Fatalf("%s: %v, %+v", what, describe(a.EndpointList()), a.EtcdStatus())
 }
 
-func state(l roster.List, id string) string {
+func state(l discovery.List, id string) string {
 	for _, s := range l.Endpoints {
 		if s.ID == id {
 			return s.State
@@ -83,14 +83,14 @@
 	c.Set("/t/nodes/b", nodeValue(2))
 	addrs := c.Addrs()
 	a, _ := startWith(t, write(addrs[0]))
-	waitFor(t, a, "start", func(l roster.List) bool { return len(l.Endpoints) == 2 })
+	waitFor(t, a, "start", func(l discovery.List) bool { return len(l.Endpoints) == 2 })
 	version := a.EndpointList().Version
 	if a.Reload(write(addrs[1], addrs[2])) {
 		t.Error("more than endpoints and certificates is said to differ")
 	}
 	c.Set("/t/drain/a", "{}") // in the same moment
 	c.StopMember(0)           // where it was is gone
-	waitFor(t, a, "after the move", func(l roster.List) bool { return state(l, "a") == "terminating" && len(l.Endpoints) == 2 })
+	waitFor(t, a, "after the move", func(l discovery.List) bool { return state(l, "a") == "terminating" && len(l.Endpoints) == 2 })
 	if st := a.EtcdStatus(); a.EndpointList().Version < version || st.FullReads != 1 {
 		t.Errorf("version %d after %d, %+v", a.EndpointList().Version, version, st)
 	}
@@ -103,7 +103,7 @@
 	version = a.EndpointList().Version
 	a.Reload(write(addrs[1]))
 	a.Reload(write(other.Addr())) // the last word counts
-	waitFor(t, a, "at another cluster", func(l roster.List) bool { return len(l.Endpoints) == 1 && state(l, "b") == "in_service" })
+	waitFor(t, a, "at another cluster", func(l discovery.List) bool { return len(l.Endpoints) == 1 && state(l, "b") == "in_service" })
 	if st := a.EtcdStatus(); a.EndpointList().Version <= version || st.Replaced != 1 {
 		t.Errorf("version %d after %d, %+v", a.EndpointList().Version, version, st)
 	}
@@ -122,7 +122,7 @@
 	}
 	defer c.Close()
 	c.Set("/t/nodes/a", nodeValue(1))
-	link, err := lab.NewLink(c.Addr())
+	link, err := testbed.NewLink(c.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 	cfg := config(link.Addr(), "")
 	cfg.Etcd.User, cfg.Etcd.Password = "u", "x"
 	a, _ := startWith(t, cfg)
-	waitFor(t, a, "start", func(l roster.List) bool { return len(l.Endpoints) == 1 })
+	waitFor(t, a, "start", func(l discovery.List) bool { return len(l.Endpoints) == 1 })
 	forgotten := 0
 	c.SetScript(standin.Script{AfterRead: func() {
 		if forgotten++; forgotten < 4 {
@@ -143,11 +143,11 @@
 	c.CompactAll()
 	c.Forget()
 	link.Heal()
-	waitFor(t, a, "after the compaction", func(l roster.List) bool { return state(l, "a") == "terminating" && state(l, "b") == "in_service" })
+	waitFor(t, a, "after the compaction", func(l discovery.List) bool { return state(l, "a") == "terminating" && state(l, "b") == "in_service" })
 	c.Jump(time.Hour) // and the clock says that all have run out
 	link.Break()
 	c.Delete("/t/drain/a")
-	waitFor(t, a, "after the hour", func(l roster.List) bool { return state(l, "a") == "in_service" })
+	waitFor(t, a, "after the hour", func(l discovery.List) bool { return state(l, "a") == "in_service" })
 	if a.EtcdStatus().Compacted == 0 || forgotten == 0 {
 		t.Errorf("%+v, forgotten %d times: the run shows nothing", a.EtcdStatus(), forgotten)
 	}
@@ -158,19 +158,19 @@
 func TestAgent_RestartsDuringDrain(t *testing.T) {
 	for _, kept := range []bool{true, false} {
 		e := startEtcd(t)
-		link, err := lab.NewLink(e.srv.Addr())
+		link, err := testbed.NewLink(e.srv.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer link.Close()
-		ros := lab.NewRoster(audit.New())
+		ros := testbed.NewRoster(oracle.New())
 		defer ros.Close()
 		addr, err := ros.For("a")
 		if err != nil {
 			t.Fatal(err)
 		}
-		ros.Set(roster.Endpoint{ID: "n", Addr: "127.0.0.1:1", State: "in_service", Weight: 1})
-		ros.Set(roster.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
+		ros.Set(discovery.Endpoint{ID: "n", Addr: "127.0.0.1:1", State: "in_service", Weight: 1})
+		ros.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
 		cfg := config(link.Addr(), addr)
 		cfg.StartTimeoutS = 0.3
 		if kept {
@@ -178,7 +178,7 @@
 		}
 		a, stop := startWith(t, cfg)
 		e.put("drain/n", "{}")
-		waitFor(t, a, "the drain", func(l roster.List) bool { return state(l, "n") == "terminating" && state(l, "m") == "in_service" })
+		waitFor(t, a, "the drain", func(l discovery.List) bool { return state(l, "n") == "terminating" && state(l, "m") == "in_service" })
 		link.Cut()
 		stop()
 		version := a.EndpointList().Version
@@ -193,8 +193,8 @@
 			os.WriteFile(cfg.State, text, 0o600)
 		}
 		b, _ := startWith(t, cfg)
-		ros.Set(roster.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "terminating", Weight: 1})
-		waitFor(t, b, "back", func(l roster.List) bool { return state(l, "m") == "terminating" })
+		ros.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "terminating", Weight: 1})
+		waitFor(t, b, "back", func(l discovery.List) bool { return state(l, "m") == "terminating" })
 		if got := state(b.EndpointList(), "n"); kept != (got == "terminating") {
 			t.Errorf("kept %v: the marked node is %q", kept, got) // without a file it can't be known
 		}
@@ -202,9 +202,9 @@
 			t.Errorf("version %d after %d", b.EndpointList().Version, version)
 		}
 		link.Heal()
-		waitFor(t, b, "etcd again", func(l roster.List) bool { return state(l, "n") == "terminating" })
+		waitFor(t, b, "etcd again", func(l discovery.List) bool { return state(l, "n") == "terminating" })
 		e.del("drain/n")
-		waitFor(t, b, "taken back", func(l roster.List) bool { return state(l, "n") == "in_service" })
+		waitFor(t, b, "taken back", func(l discovery.List) bool { return state(l, "n") == "in_service" })
 	}
 }
 
@@ -213,33 +213,33 @@
 func TestAgent_ServesNothingBeforeSync(t *testing.T) {
 	e := startEtcd(t)
 	e.put("nodes/a", nodeValue(1))
-	link, err := lab.NewLink(e.srv.Addr())
+	link, err := testbed.NewLink(e.srv.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer link.Close()
 	link.Cut()
-	ros := lab.NewRoster(audit.New())
+	ros := testbed.NewRoster(oracle.New())
 	defer ros.Close()
 	addr, err := ros.For("a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ros.Set(roster.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
-	get := func(a *Agent) (int, roster.List) {
+	ros.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
+	get := func(a *Agent) (int, discovery.List) {
 		r, err := http.Get("http://" + a.Addr() + "/api/targets")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer r.Body.Close()
-		var l roster.List
+		var l discovery.List
 		json.NewDecoder(r.Body).Decode(&l)
 		return r.StatusCode, l
 	}
 	cfg := config(link.Addr(), addr)
 	cfg.StartTimeoutS = 3600
 	a, _ := startWith(t, cfg)
-	waitFor(t, a, "the roster", func(l roster.List) bool { return state(l, "m") == "in_service" })
+	waitFor(t, a, "the roster", func(l discovery.List) bool { return state(l, "m") == "in_service" })
 	if code, _ := get(a); code != http.StatusServiceUnavailable {
 		t.Errorf("%d while etcd has said nothing", code)
 	}
@@ -265,17 +265,17 @@
 func TestAgent_ReportsSourceAge(t *testing.T) {
 	e := startEtcd(t)
 	e.put("nodes/a", nodeValue(1))
-	link, err := lab.NewLink(e.srv.Addr())
+	link, err := testbed.NewLink(e.srv.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer link.Close()
 	a := startAgent(t, link.Addr(), "")
-	waitFor(t, a, "start", func(l roster.List) bool { return len(l.Endpoints) == 1 })
+	waitFor(t, a, "start", func(l discovery.List) bool { return len(l.Endpoints) == 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	lists := make(chan roster.List, 100)
-	w := roster.NewWatcher(a.Addr(), -1, func(l roster.List) { lists <- l }, func(string, ...any) {})
+	lists := make(chan discovery.List, 100)
+	w := discovery.NewWatcher(a.Addr(), -1, func(l discovery.List) { lists <- l }, func(string, ...any) {})
 	go w.Run(ctx, nil)
 	<-lists
 	link.Cut()
@@ -284,7 +284,7 @@
 			t.Fatalf("%+v", w.Age())
 		}
 	}
-	if !(roster.Age{SinceUpdateS: 2, ReportedAgeS: 9}).Stale() || (roster.Age{SinceUpdateS: 2, ReportedAgeS: 2}).Stale() {
+	if !(discovery.Age{SinceUpdateS: 2, ReportedAgeS: 9}).Stale() || (discovery.Age{SinceUpdateS: 2, ReportedAgeS: 2}).Stale() {
 		t.Error("what is old is not said to be")
 	}
 	if len(lists) > 1 { // the watch's first line is the whole list
@@ -298,7 +298,7 @@
 	in := bufio.NewReader(r.Body)
 	for range 2 {
 		line, err := in.ReadBytes('\n')
-		if l, perr := roster.Parse(line); err != nil || perr != nil || l.SourceAgeS < 1 {
+		if l, perr := discovery.Parse(line); err != nil || perr != nil || l.SourceAgeS < 1 {
 			t.Errorf("%s, %v, %v", line, err, perr)
 		}
 	}
--- a/internal/agent/publish.go
+++ b/internal/membership/agent/publish.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/member"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/membership/merge"
 )
 
 const (
@@ -16,17 +16,17 @@
 	keepAliveInterval = 2 * time.Second // a line without nodes comes so often while nothing changes
 )
 
-var stateNames = map[member.State]string{member.Up: "in_service", member.Draining: "terminating", member.Removed: "terminated"}
+var stateNames = map[merge.State]string{merge.Up: "in_service", merge.Draining: "terminating", merge.Removed: "terminated"}
 
 // publisher serves the joined list in the roster's protocol (PROTOCOL, "Discovery"). It is safe for concurrent use.
 type publisher struct {
 	mu         sync.Mutex
 	version    int64 // begins with the time, so that it goes on across restarts
-	endpoints  map[string]roster.Endpoint
-	history    []roster.List // the last kept
-	changed    chan struct{} // closed and replaced with each change
-	sourceAgeS float64       // of the source that has been silent the longest
-	ready      bool          // the list is good to be served
+	endpoints  map[string]discovery.Endpoint
+	history    []discovery.List // the last kept
+	changed    chan struct{}    // closed and replaced with each change
+	sourceAgeS float64          // of the source that has been silent the longest
+	ready      bool             // the list is good to be served
 }
 
 // markReady has the list served from now on.
@@ -57,33 +57,33 @@
 }
 
 // keepAlive is what a watch is told while nothing changes: that the agent is there, and how old its word is.
-func (p *publisher) keepAlive(version int64) roster.List {
+func (p *publisher) keepAlive(version int64) discovery.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return roster.List{Version: version, Endpoints: []roster.Endpoint{}, SourceAgeS: p.sourceAgeS}
+	return discovery.List{Version: version, Endpoints: []discovery.Endpoint{}, SourceAgeS: p.sourceAgeS}
 }
 
 func newPublisher(start int64) *publisher {
-	return &publisher{version: start, endpoints: map[string]roster.Endpoint{}, changed: make(chan struct{})}
+	return &publisher{version: start, endpoints: map[string]discovery.Endpoint{}, changed: make(chan struct{})}
 }
 
-func toEndpoint(e member.Entry) roster.Endpoint {
-	return roster.Endpoint{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Cell: e.Cell, State: stateNames[e.State], Weight: e.Weight, StartedMS: e.StartedMS}
+func toEndpoint(e merge.Entry) discovery.Endpoint {
+	return discovery.Endpoint{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Cell: e.Cell, State: stateNames[e.State], Weight: e.Weight, StartedMS: e.StartedMS}
 }
 
 // publish tells of changes, all in one line.
-func (p *publisher) publish(entries []member.Entry) {
+func (p *publisher) publish(entries []merge.Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
-	l := roster.List{Version: p.version, SourceAgeS: p.sourceAgeS}
+	l := discovery.List{Version: p.version, SourceAgeS: p.sourceAgeS}
 	for _, e := range entries {
 		t := toEndpoint(e)
 		l.Endpoints = append(l.Endpoints, t)
-		if e.State == member.Removed {
+		if e.State == merge.Removed {
 			delete(p.endpoints, e.ID)
 		} else {
 			p.endpoints[e.ID] = t
@@ -96,14 +96,14 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *publisher) fullList() roster.List {
+func (p *publisher) fullList() discovery.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fullListLocked()
 }
 
-func (p *publisher) fullListLocked() roster.List {
-	l := roster.List{Version: p.version, Full: true, Endpoints: []roster.Endpoint{}, SourceAgeS: p.sourceAgeS}
+func (p *publisher) fullListLocked() discovery.List {
+	l := discovery.List{Version: p.version, Full: true, Endpoints: []discovery.Endpoint{}, SourceAgeS: p.sourceAgeS}
 	for _, t := range p.endpoints {
 		l.Endpoints = append(l.Endpoints, t)
 	}
@@ -111,16 +111,16 @@
 }
 
 // changesAfter returns what changed after a version, or the whole where that is not kept, and what tells of the next change.
-func (p *publisher) changesAfter(after int64) ([]roster.List, <-chan struct{}) {
+func (p *publisher) changesAfter(after int64) ([]discovery.List, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case after == p.version:
 		return nil, p.changed
 	case after > p.version || len(p.history) == 0 || after < p.history[0].Version-1:
-		return []roster.List{p.fullListLocked()}, p.changed
+		return []discovery.List{p.fullListLocked()}, p.changed
 	}
-	return append([]roster.List(nil), p.history[after+1-p.history[0].Version:]...), p.changed
+	return append([]discovery.List(nil), p.history[after+1-p.history[0].Version:]...), p.changed
 }
 
 // ServeHTTP answers /api/targets.
--- a/internal/roster/golden_test.go
+++ b/internal/membership/discovery/golden_test.go
@@ -1,9 +1,9 @@
-package roster
+package discovery
 
 import (
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the list of backends as discovery, configurations and agents word it, and how old it is as statuses do.
--- a/internal/roster/roster.go
+++ b/internal/membership/discovery/roster.go
@@ -1,6 +1,6 @@
 // Package roster follows the list of backends that discovery tells (PROTOCOL, "Discovery"). It decides nothing
 // about them: a Watcher hands on what it reads, whole or as a change, to whoever owns the list.
-package roster
+package discovery
 
 import (
 	"bufio"
--- a/internal/roster/split.go
+++ b/internal/membership/discovery/split.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import "bytes"
 
--- a/internal/etcdsource/cluster_test.go
+++ b/internal/membership/etcdsource/cluster_test.go
@@ -11,20 +11,20 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"eiderspread/internal/standin/etcd"
+	"eiderspread/internal/testbed/etcdstandin"
 )
 
 // Guards a message in parts against a leader that changes in its middle, when the stream breaks too: the source sees the whole
 // transaction once, and nothing of it twice or by halves.
 func TestSource_LeaderChangesWithinFragments(t *testing.T) {
-	s, err := etcd.Open(etcd.Config{Members: 3, FragmentBytes: 300, Election: 20 * time.Millisecond})
+	s, err := etcdstandin.Open(etcdstandin.Config{Members: 3, FragmentBytes: 300, Election: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	s.Set("/p/nodes/a", a1)
 	var parts, breaks atomic.Int32
-	s.SetScript(etcd.Script{OnSend: func(r *etcdserverpb.WatchResponse) error {
+	s.SetScript(etcdstandin.Script{OnSend: func(r *etcdserverpb.WatchResponse) error {
 		if r.Fragment && parts.Add(1) == 3 {
 			breaks.Add(1)
 			s.ChangeLeader()
@@ -54,7 +54,7 @@
 // Guards against a member in a minority: it goes on saying that all is well, and answers serializable reads. The source ends
 // its watch there for want of a leader, says so, and is up to date again by the others.
 func TestSource_MemberInMinority(t *testing.T) {
-	s, err := etcd.Open(etcd.Config{Members: 3, Election: 50 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
+	s, err := etcdstandin.Open(etcdstandin.Config{Members: 3, Election: 50 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 
 // Guards a thousand nodes that are flipped in one transaction, after a compaction and with the watch down as well.
 func TestSource_ThousandChangesAtOnce(t *testing.T) {
-	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 10, Term: 1})
+	s := startStandIn(t, etcdstandin.Head{Cluster: 1, Revision: 10, Term: 1})
 	nodes, marks, none := map[string]string{}, map[string]string{}, map[string]string{}
 	for i := range 1000 {
 		nodes[fmt.Sprintf("/p/nodes/n%d", i)] = a1
@@ -133,7 +133,7 @@
 // Guards against a member that lags: it goes on telling progress, as far as it is. The cluster's own word shows that it is behind,
 // and the source goes to another.
 func TestSource_LaggingMember(t *testing.T) {
-	s, err := etcd.Open(etcd.Config{Members: 3, Election: 20 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
+	s, err := etcdstandin.Open(etcdstandin.Config{Members: 3, Election: 20 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/etcdsource/follow.go
+++ b/internal/membership/etcdsource/follow.go
@@ -13,7 +13,7 @@
 	"slices"
 	"strings"
 
-	"eiderspread/internal/member"
+	"eiderspread/internal/membership/merge"
 )
 
 const (
@@ -167,20 +167,20 @@
 }
 
 // node is what the view says of a node. A mark on a node that etcd does not list is a word on its id alone.
-func (f *follower) node(id string) member.Node {
-	n := member.Node{Identity: member.Identity{ID: id}}
+func (f *follower) node(id string) merge.Node {
+	n := merge.Node{Identity: merge.Identity{ID: id}}
 	v, listed := f.nodes[id]
 	if listed {
 		n.Addr, n.StartedMS, n.Zone, n.Cell, n.Weight = v.Addr, v.StartedMS, v.Zone, v.Cell, v.Weight
 	}
 	if f.drains[id] {
-		n.State = member.Draining
+		n.State = merge.Draining
 	}
 	return n
 }
 
 // allNodes is the view.
-func (f *follower) allNodes() (list []member.Node) {
+func (f *follower) allNodes() (list []merge.Node) {
 	ids := map[string]bool{}
 	for id := range f.nodes {
 		ids[id] = true
@@ -201,7 +201,7 @@
 // which the node was up. An answer of another cluster or of an older term ends the watch. The header's revision is the store's
 // when the answer was made: more events up to it may be on their way in further answers, so that only events and progress
 // move the view on.
-func (f *follower) applyEvents(h Header, kvs []KV) (words []member.Node, err error) {
+func (f *follower) applyEvents(h Header, kvs []KV) (words []merge.Node, err error) {
 	if h.Cluster != f.header.Cluster || h.Term < f.header.Term {
 		return nil, errStaleState
 	}
@@ -226,7 +226,7 @@
 		}
 		w := f.node(id)
 		if gone[id] {
-			w.State = member.Removed
+			w.State = merge.Removed
 		}
 		if i, twice := seen[id]; twice {
 			words[i] = w
--- a/internal/etcdsource/follow_test.go
+++ b/internal/membership/etcdsource/follow_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/member"
+	"eiderspread/internal/membership/merge"
 )
 
 func header(cluster uint64, rev int64, term uint64) Header {
@@ -20,7 +20,7 @@
 
 func deleted(rev int64, key string) KV { return KV{Key: key, Revision: rev, Deleted: true} }
 
-func describe(list []member.Node) string {
+func describe(list []merge.Node) string {
 	var s []string
 	for _, n := range list {
 		s = append(s, fmt.Sprintf("%s %s %s", n.ID, n.Addr, n.State))
--- a/internal/etcdsource/golden_test.go
+++ b/internal/membership/etcdsource/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"eiderspread/internal/lab/golden"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the value of a node's key in etcd, its keys' folders and the status of the source.
--- a/internal/etcdsource/source.go
+++ b/internal/membership/etcdsource/source.go
@@ -16,7 +16,7 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 	"go.uber.org/zap"
 
-	"eiderspread/internal/member"
+	"eiderspread/internal/membership/merge"
 )
 
 // Config says where etcd is and how it is followed.
@@ -33,11 +33,11 @@
 
 // Sink takes what the source learns, in order. It is called by one goroutine.
 type Sink interface {
-	ReplaceAll(nodes []member.Node, why string) // all, at one revision; why it was read anew
-	Update(nodes []member.Node)                 // what one answer changed: one revision or several, of which the last word on each node is told
-	Resumed()                                   // up to date, with nothing new
-	Interrupted(why error)                      // there may be gaps until the next Whole
-	InvalidValue(key, why string)               // a value that can't be read; its node keeps its last good one
+	ReplaceAll(nodes []merge.Node, why string) // all, at one revision; why it was read anew
+	Update(nodes []merge.Node)                 // what one answer changed: one revision or several, of which the last word on each node is told
+	Resumed()                                  // up to date, with nothing new
+	Interrupted(why error)                     // there may be gaps until the next Whole
+	InvalidValue(key, why string)              // a value that can't be read; its node keeps its last good one
 }
 
 // Status is how a source stands.
--- a/internal/etcdsource/standin_test.go
+++ b/internal/membership/etcdsource/standin_test.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 	"go.etcd.io/etcd/api/v3/mvccpb"
 
-	"eiderspread/internal/member"
-	"eiderspread/internal/standin/etcd"
+	"eiderspread/internal/membership/merge"
+	"eiderspread/internal/testbed/etcdstandin"
 )
 
 const patience = 20 * time.Second
@@ -19,8 +19,8 @@
 	return &mvccpb.KeyValue{Key: []byte("/p/" + key), Value: []byte(value), ModRevision: rev, CreateRevision: rev, Version: 1}
 }
 
-func at(rev int64, key, value string) etcd.KV {
-	return etcd.KV{Key: "/p/" + key, Value: value, Revision: rev}
+func at(rev int64, key, value string) etcdstandin.KV {
+	return etcdstandin.KV{Key: "/p/" + key, Value: value, Revision: rev}
 }
 
 // recorder takes what a source says.
@@ -29,10 +29,10 @@
 	alive                      chan struct{}
 }
 
-func (r *recorder) ReplaceAll(nodes []member.Node, why string) { r.whole <- describe(nodes) }
-func (r *recorder) Update(nodes []member.Node)                 { r.change <- describe(nodes) }
-func (r *recorder) Interrupted(why error)                      { r.broken <- why.Error() }
-func (r *recorder) InvalidValue(key, why string)               { r.bad <- key }
+func (r *recorder) ReplaceAll(nodes []merge.Node, why string) { r.whole <- describe(nodes) }
+func (r *recorder) Update(nodes []merge.Node)                 { r.change <- describe(nodes) }
+func (r *recorder) Interrupted(why error)                     { r.broken <- why.Error() }
+func (r *recorder) InvalidValue(key, why string)              { r.bad <- key }
 func (r *recorder) Resumed() {
 	select {
 	case r.alive <- struct{}{}:
@@ -52,9 +52,9 @@
 }
 
 // startStandIn starts a cluster in a state.
-func startStandIn(t *testing.T, h etcd.Head, kvs ...etcd.KV) *etcd.Cluster {
+func startStandIn(t *testing.T, h etcdstandin.Head, kvs ...etcdstandin.KV) *etcdstandin.Cluster {
 	t.Helper()
-	s, err := etcd.New()
+	s, err := etcdstandin.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	return list
 }
 
-func follow(t *testing.T, s *etcd.Cluster) (*Source, *recorder) {
+func follow(t *testing.T, s *etcdstandin.Cluster) (*Source, *recorder) {
 	t.Helper()
 	return followOf(t, s.Addrs())
 }
@@ -93,7 +93,7 @@
 // Guards against a watch that is open and silent: it ends within a stated time and goes on where it was, without a new
 // read.
 func TestSource_SilentStall(t *testing.T) {
-	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1))
+	s := startStandIn(t, etcdstandin.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1))
 	watches := make(chan int64, 100)
 	from := func(_ etcdserverpb.Watch_WatchServer, from int64) {
 		select {
@@ -101,13 +101,13 @@
 		default:
 		}
 	}
-	s.SetScript(etcd.Script{OnWatch: from})
+	s.SetScript(etcdstandin.Script{OnWatch: from})
 	_, r := follow(t, s)
 	get(t, r.whole)
 	get(t, r.alive)
-	s.SetScript(etcd.Script{OnWatch: from, Silent: true})
+	s.SetScript(etcdstandin.Script{OnWatch: from, Silent: true})
 	get(t, r.broken)
-	s.SetScript(etcd.Script{OnWatch: from})
+	s.SetScript(etcdstandin.Script{OnWatch: from})
 	for from := range watches {
 		if from != 11 {
 			t.Fatalf("watched from %d", from)
@@ -125,13 +125,13 @@
 
 // Guards against a gap: what was compacted away between read and watch is read whole again, and what vanished goes.
 func TestSource_CompactedBetweenReadAndWatch(t *testing.T) {
-	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1), at(6, "nodes/b", a1))
+	s := startStandIn(t, etcdstandin.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1), at(6, "nodes/b", a1))
 	once := sync.OnceFunc(func() {
 		s.Set("/p/drain/a", "{}")
 		s.Delete("/p/nodes/b")
 		s.CompactAll()
 	})
-	s.SetScript(etcd.Script{OnWatch: func(etcdserverpb.Watch_WatchServer, int64) { once() }})
+	s.SetScript(etcdstandin.Script{OnWatch: func(etcdserverpb.Watch_WatchServer, int64) { once() }})
 	src, r := follow(t, s)
 	if got := get(t, r.whole); got != "a 127.0.0.1:1 up, b 127.0.0.1:1 up" {
 		t.Errorf("first %q", got)
@@ -147,16 +147,16 @@
 // Guards the view against a member that answers from an older state: it is not taken back by it.
 func TestSource_LyingStaleMember(t *testing.T) {
 	a, mark := at(50, "nodes/a", a1), at(60, "drain/a", "{}")
-	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 100, Term: 5}, a, mark)
+	s := startStandIn(t, etcdstandin.Head{Cluster: 1, Revision: 100, Term: 5}, a, mark)
 	left := confirmReads - 1 // so often it lies, then a member that is up to date answers
 	lie := func() {
 		if left--; left == 0 {
-			s.Restore(etcd.Head{Cluster: 1, Revision: 101, Term: 5}, a, mark)
+			s.Restore(etcdstandin.Head{Cluster: 1, Revision: 101, Term: 5}, a, mark)
 		}
 	}
-	s.SetScript(etcd.Script{OnWatch: func(w etcdserverpb.Watch_WatchServer, _ int64) { // the connection breaks, and the next member is behind
-		s.Restore(etcd.Head{Cluster: 1, Revision: 55, Term: 4}, a)
-		s.SetScript(etcd.Script{AfterRead: lie})
+	s.SetScript(etcdstandin.Script{OnWatch: func(w etcdserverpb.Watch_WatchServer, _ int64) { // the connection breaks, and the next member is behind
+		s.Restore(etcdstandin.Head{Cluster: 1, Revision: 55, Term: 4}, a)
+		s.SetScript(etcdstandin.Script{AfterRead: lie})
 		w.Send(&etcdserverpb.WatchResponse{Header: &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 55, RaftTerm: 4}, Canceled: true,
 			CancelReason: "gone"})
 	}})
@@ -176,14 +176,14 @@
 
 // Guards against a cluster that was put back in the middle of a stream, and against events that come twice.
 func TestSource_ResetAndDuplicateRevisions(t *testing.T) {
-	s := startStandIn(t, etcd.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1))
-	s.SetScript(etcd.Script{OnWatch: func(w etcdserverpb.Watch_WatchServer, _ int64) {
-		s.SetScript(etcd.Script{})
+	s := startStandIn(t, etcdstandin.Head{Cluster: 1, Revision: 10, Term: 1}, at(5, "nodes/a", a1))
+	s.SetScript(etcdstandin.Script{OnWatch: func(w etcdserverpb.Watch_WatchServer, _ int64) {
+		s.SetScript(etcdstandin.Script{})
 		put := &mvccpb.Event{Kv: pbKV(11, "drain/a", "{}")}
 		head := &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 11, RaftTerm: 1}
 		w.Send(&etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{put}})
 		w.Send(&etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{put}})
-		s.Restore(etcd.Head{Cluster: 1, Revision: 3, Term: 1}, at(2, "nodes/b", a1))
+		s.Restore(etcdstandin.Head{Cluster: 1, Revision: 3, Term: 1}, at(2, "nodes/b", a1))
 		w.Send(&etcdserverpb.WatchResponse{Header: &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 3, RaftTerm: 1}, WatchId: -1})
 	}})
 	src, r := follow(t, s)
--- a/internal/member/bench_test.go
+++ b/internal/membership/merge/bench_test.go
@@ -1,4 +1,4 @@
-package member
+package merge
 
 import (
 	"fmt"
--- a/internal/member/core.go
+++ b/internal/membership/merge/core.go
@@ -1,6 +1,6 @@
 // Package member joins what several sources say of zone nodes into one list, and knows how far each can be trusted.
 // It does no I/O and takes time as a value; docs/membership.md states the rules.
-package member
+package merge
 
 import (
 	"cmp"
--- a/internal/trace/analyse/analyse_test.go
+++ b/internal/observability/trace/analyse/analyse_test.go
@@ -5,31 +5,31 @@
 	"strings"
 	"testing"
 
-	"eiderspread/internal/trace"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/observability/trace"
 	"eiderspread/policy"
 )
 
 var header = trace.Header{Plans: []policy.Plan{{Name: "p", Rate: 2, Burst: 4, Weight: 1.5, HardLimitRate: 4, HardLimitBurst: 8}},
 	Classes: []policy.Class{{Name: "c", PriorityWeight: 3}}}
 
-func file(name string, me int, list ...why.Decision) *trace.File {
+func file(name string, me int, list ...reason.Decision) *trace.File {
 	h := header
 	h.Name, h.Me = name, me
 	return &trace.File{Header: h, Decisions: list}
 }
 
-func at(t float64, step why.Step, reason why.Reason, id string, units float64) why.Decision {
-	return why.Decision{At: t, Step: step, Reason: reason, ID: id, Account: 7, Plan: "p", Class: "c", Units: units}
+func at(t float64, step reason.Step, because reason.Reason, id string, units float64) reason.Decision {
+	return reason.Decision{At: t, Step: step, Reason: because, ID: id, Account: 7, Plan: "p", Class: "c", Units: units}
 }
 
 // The true room is of all gateways' first sends; further attempts and refusals take nothing.
 func TestTrueRoomIsOfAllGateways(t *testing.T) {
-	again := at(0.2, why.StepSent, why.None, "a", 3)
+	again := at(0.2, reason.StepSent, reason.None, "a", 3)
 	again.Attempt = 1
 	run := Join([]*trace.File{
-		file("n0", 0, at(0, why.StepSent, why.None, "a", 3), again, at(0.5, why.StepRejected, why.HardLimitLocal, "x", 2), at(1, why.StepRejected, why.WindowExhausted, "y", 2)),
-		file("n1", 1, at(0.25, why.StepRejected, why.Denied, "z", 1), at(0.4, why.StepSent, why.None, "b", 1)),
+		file("n0", 0, at(0, reason.StepSent, reason.None, "a", 3), again, at(0.5, reason.StepRejected, reason.HardLimitLocal, "x", 2), at(1, reason.StepRejected, reason.WindowExhausted, "y", 2)),
+		file("n1", 1, at(0.25, reason.StepRejected, reason.Denied, "z", 1), at(0.4, reason.StepSent, reason.None, "b", 1)),
 	})
 	want := map[string]struct {
 		free float64
@@ -60,8 +60,8 @@
 
 // A first send beyond the quota takes nothing from it, but from the ceiling.
 func TestBeyondTheQuota(t *testing.T) {
-	run := Join([]*trace.File{file("n0", 0, at(0, why.StepSent, why.None, "a", 4), at(0, why.StepSent, why.None, "b", 4), at(0.5, why.StepRejected, why.WindowExhausted, "x", 1),
-		at(1, why.StepRejected, why.WindowExhausted, "y", 2), at(1, why.StepSent, why.None, "d", 4), at(1.0, why.StepRejected, why.HardLimitExhausted, "v", 1))})
+	run := Join([]*trace.File{file("n0", 0, at(0, reason.StepSent, reason.None, "a", 4), at(0, reason.StepSent, reason.None, "b", 4), at(0.5, reason.StepRejected, reason.WindowExhausted, "x", 1),
+		at(1, reason.StepRejected, reason.WindowExhausted, "y", 2), at(1, reason.StepSent, reason.None, "d", 4), at(1.0, reason.StepRejected, reason.HardLimitExhausted, "v", 1))})
 	for _, r := range run.Records {
 		switch r.ID {
 		case "x":
--- a/internal/trace/analyse/run.go
+++ b/internal/observability/trace/analyse/run.go
@@ -8,15 +8,15 @@
 	"os"
 	"slices"
 
-	"eiderspread/internal/trace"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/observability/trace"
 	"eiderspread/policy"
 )
 
 // Record is a decision with whose it was, and the account's true rooms just before it: what a gateway would have known that saw
 // every first send of every gateway at once. Units; they mean nothing where Counted is false.
 type Record struct {
-	why.Decision
+	reason.Decision
 	Gateway int
 	Name    string
 	Counted bool    // the account has a plan with a rate
@@ -113,7 +113,7 @@
 		if p.HardLimitRate > 0 {
 			r.CeilOK = r.Units <= a.ceiling.now(r.At, p.HardLimitRate, p.HardLimitBurst)
 		}
-		if r.Step == why.StepSent && r.Attempt == 0 {
+		if r.Step == reason.StepSent && r.Attempt == 0 {
 			if r.Units <= r.Free { // beyond the quota nothing is taken from it
 				a.quota.room -= r.Units
 			}
--- a/internal/trace/analyse/table.go
+++ b/internal/observability/trace/analyse/table.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"text/tabwriter"
 
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
 )
 
 // Row sums decisions that have something in common. Worth is by the settings; Fit counts those whose units the account's true
@@ -24,7 +24,7 @@
 }
 
 // Refused tells that the record is a final answer in the gateway's own words.
-func Refused(r Record) bool { return r.Step == why.StepRejected || r.Step == why.StepFailed }
+func Refused(r Record) bool { return r.Step == reason.StepRejected || r.Step == reason.StepFailed }
 
 // By sums those records that are wanted by a key, the dearest first.
 func (run *Run) By(want func(Record) bool, key func(Record) string) []Row {
@@ -122,8 +122,8 @@
 }
 
 // Seconds sums refusals by reason in steps of so many seconds from the start.
-func (run *Run) Seconds(step float64, want func(Record) bool) (bins int, by map[why.Reason][]int) {
-	by = map[why.Reason][]int{}
+func (run *Run) Seconds(step float64, want func(Record) bool) (bins int, by map[reason.Reason][]int) {
+	by = map[reason.Reason][]int{}
 	for _, r := range run.Records {
 		bins = max(bins, int((r.At-run.Start)/step)+1)
 	}
--- a/internal/trace/bench_test.go
+++ b/internal/observability/trace/bench_test.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"testing"
 
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
 	"eiderspread/policy"
 )
 
@@ -39,7 +39,7 @@
 			}
 			g.UpdateBackends(now, []policy.Backend{{ID: "s1"}, {ID: "s2"}, {ID: "s3"}}, true)
 			r := NewRing(ringSize)
-			var list []why.Decision
+			var list []reason.Decision
 			if traced {
 				g.SetTracer(r.Put)
 			}
@@ -66,7 +66,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	list := make([]why.Decision, 1000)
+	list := make([]reason.Decision, 1000)
 	for i := range list {
 		list[i] = record(i)
 		list[i].RemainingS, list[i].ObjectiveRemainingS, list[i].MeanLatencyS, list[i].HardLimitLocal, list[i].HardLimitShared, list[i].LocalDemand, list[i].OtherDemand = 1, 0.5, 0.1, 3, 4, 20, 30
--- a/internal/trace/file.go
+++ b/internal/observability/trace/file.go
@@ -8,8 +8,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"eiderspread/internal/terms"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/config"
+	"eiderspread/internal/decision/reason"
 )
 
 // Version is of the files that are written. Readers take no other.
@@ -17,22 +17,22 @@
 
 // Header is the first item of a file.
 type Header struct {
-	Magic    string        `cbor:"1,keyasint"`
-	Version  int           `cbor:"2,keyasint"`
-	Name     string        `cbor:"3,keyasint"` // of the gateway
-	Me       int           `cbor:"4,keyasint"`
-	Gateways int           `cbor:"5,keyasint"`
-	Started  float64       `cbor:"6,keyasint"` // Unix seconds, by the gateway's clock
-	Plans    []terms.Plan  `cbor:"7,keyasint"`
-	Classes  []terms.Class `cbor:"8,keyasint"`
+	Magic    string         `cbor:"1,keyasint"`
+	Version  int            `cbor:"2,keyasint"`
+	Name     string         `cbor:"3,keyasint"` // of the gateway
+	Me       int            `cbor:"4,keyasint"`
+	Gateways int            `cbor:"5,keyasint"`
+	Started  float64        `cbor:"6,keyasint"` // Unix seconds, by the gateway's clock
+	Plans    []config.Plan  `cbor:"7,keyasint"`
+	Classes  []config.Class `cbor:"8,keyasint"`
 }
 
 const magic = "eiderspread.trace"
 
 // item is one item behind the header: a record, or how many were lost before the next.
 type item struct {
-	Decision *why.Decision `cbor:"1,keyasint,omitempty"`
-	Lost     uint64        `cbor:"2,keyasint,omitempty"`
+	Decision *reason.Decision `cbor:"1,keyasint,omitempty"`
+	Lost     uint64           `cbor:"2,keyasint,omitempty"`
 }
 
 // Writer writes a file: a CBOR sequence (RFC 8742). It is of one goroutine.
@@ -67,7 +67,7 @@
 }
 
 // Write appends records, behind a note of those that were lost before them, and hands all of it on.
-func (w *Writer) Write(list []why.Decision, lost uint64) error {
+func (w *Writer) Write(list []reason.Decision, lost uint64) error {
 	if lost > 0 {
 		if err := w.enc.Encode(item{Lost: lost}); err != nil {
 			return fmt.Errorf("trace: %w", err)
@@ -90,7 +90,7 @@
 // File is what a file holds.
 type File struct {
 	Header
-	Decisions []why.Decision
+	Decisions []reason.Decision
 	Lost      uint64 // records that the ring had no room for
 	Cut       bool   // the file ends in the middle of a record, or in something that is none
 }
--- a/internal/trace/golden_test.go
+++ b/internal/observability/trace/golden_test.go
@@ -4,9 +4,9 @@
 	"bytes"
 	"testing"
 
-	"eiderspread/internal/lab/golden"
-	"eiderspread/internal/terms"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/config"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/testbed/golden"
 )
 
 // Guards the file of a trace, and the names of steps and reasons.
@@ -29,15 +29,15 @@
 	}
 	golden.Same(t, "trace", got, &want)
 	var names bytes.Buffer
-	for step := why.StepArrived; step.String() != "?"; step++ {
+	for step := reason.StepArrived; step.String() != "?"; step++ {
 		names.WriteString(step.String() + "\n")
 	}
-	for _, r := range why.Reasons() {
+	for _, r := range reason.Reasons() {
 		names.WriteString(r.String() + "\n")
 	}
 	golden.Check(t, "names.txt", names.Bytes())
-	golden.Same(t, "numbers of statuses", []terms.Status{terms.OK, terms.Error, terms.Rejected, terms.Timeout, terms.ConnectFailed, terms.Reset,
-		terms.Cancelled, terms.NotSent}, []terms.Status{0, 1, 2, 3, 4, 5, 6, 7})
-	golden.Same(t, "numbers of effects", []terms.Idempotency{terms.Idempotent, terms.KeyedIdempotent, terms.NonIdempotent}, []terms.Idempotency{0, 1, 2})
-	golden.Same(t, "numbers of scopes", []terms.KeyScope{terms.ScopeAll, terms.ScopeZone, terms.ScopeCell}, []terms.KeyScope{0, 1, 2})
+	golden.Same(t, "numbers of statuses", []config.Status{config.OK, config.Error, config.Rejected, config.Timeout, config.ConnectFailed, config.Reset,
+		config.Cancelled, config.NotSent}, []config.Status{0, 1, 2, 3, 4, 5, 6, 7})
+	golden.Same(t, "numbers of effects", []config.Idempotency{config.Idempotent, config.KeyedIdempotent, config.NonIdempotent}, []config.Idempotency{0, 1, 2})
+	golden.Same(t, "numbers of scopes", []config.KeyScope{config.ScopeAll, config.ScopeZone, config.ScopeCell}, []config.KeyScope{0, 1, 2})
 }
--- a/internal/trace/plots/overload.go
+++ b/internal/observability/trace/plots/overload.go
@@ -11,20 +11,20 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"eiderspread/internal/lab/audit"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // Overload draws a run under overload: above worth asked for, sent to nodes and served in time, by second of asking; below the level that each
 // ingress, or cell, held.
-func Overload(l *audit.Load, title, path string) error {
+func Overload(l *oracle.Load, title, path string) error {
 	worth := plot.New()
 	worth.Title.Text, worth.Y.Label.Text, worth.Legend.Top = title, "worth a second", true
 	var lines []any
 	for _, x := range []struct {
 		name string
-		of   func(audit.Second) float64
-	}{{"asked for", func(s audit.Second) float64 { return s.Asked }}, {"sent to nodes", func(s audit.Second) float64 { return s.Let }},
-		{"served in time", func(s audit.Second) float64 { return s.Served }}} {
+		of   func(oracle.Second) float64
+	}{{"asked for", func(s oracle.Second) float64 { return s.Asked }}, {"sent to nodes", func(s oracle.Second) float64 { return s.Let }},
+		{"served in time", func(s oracle.Second) float64 { return s.Served }}} {
 		points := make(plotter.XYs, len(l.Second))
 		for i, s := range l.Second {
 			points[i] = plotter.XY{X: float64(i), Y: x.of(s)}
--- a/internal/trace/plots/plots.go
+++ b/internal/observability/trace/plots/plots.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"eiderspread/internal/trace/analyse"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/observability/trace/analyse"
 )
 
 const (
@@ -33,13 +33,13 @@
 		}
 		return n
 	}
-	var order []why.Reason
-	for _, r := range why.Reasons() {
+	var order []reason.Reason
+	for _, r := range reason.Reasons() {
 		if by[r] != nil {
 			order = append(order, r)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b why.Reason) int { return sum(by[b]) - sum(by[a]) })
+	slices.SortStableFunc(order, func(a, b reason.Reason) int { return sum(by[b]) - sum(by[a]) })
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Refusals and failures by reason", "seconds", fmt.Sprintf("in %g s", step)
 	p.Legend.Top = true
--- a/internal/trace/plots/plots_test.go
+++ b/internal/observability/trace/plots/plots_test.go
@@ -6,21 +6,21 @@
 	"path/filepath"
 	"testing"
 
-	"eiderspread/internal/terms"
-	"eiderspread/internal/trace"
-	"eiderspread/internal/trace/analyse"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/config"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/observability/trace"
+	"eiderspread/internal/observability/trace/analyse"
 )
 
 // Both pictures are drawn, also with more reasons than are drawn one by one; without anything to draw there is an error and no file.
 func TestPictures(t *testing.T) {
-	var list []why.Decision
-	for i, r := range why.Reasons() {
+	var list []reason.Decision
+	for i, r := range reason.Reasons() {
 		for k := range 3 {
-			list = append(list, why.Decision{At: 100 + float64(i%7) + float64(k), Step: why.StepRejected, Reason: r, ID: "q", Account: 7, Plan: "p", Units: 1, WindowAvailable: float32(k)})
+			list = append(list, reason.Decision{At: 100 + float64(i%7) + float64(k), Step: reason.StepRejected, Reason: r, ID: "q", Account: 7, Plan: "p", Units: 1, WindowAvailable: float32(k)})
 		}
 	}
-	run := analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0", Plans: []terms.Plan{{Name: "p", Rate: 1, Burst: 5}}}, Decisions: list}})
+	run := analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0", Plans: []config.Plan{{Name: "p", Rate: 1, Burst: 5}}}, Decisions: list}})
 	all := func(analyse.Record) bool { return true }
 	dir := t.TempDir()
 	for name, draw := range map[string]func(string) error{
--- a/internal/trace/recorder.go
+++ b/internal/observability/trace/recorder.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
 )
 
 const (
@@ -96,7 +96,7 @@
 }
 
 // Put takes a record; it is what the module is given. Of the loop.
-func (r *Recorder) Put(d why.Decision) { r.ring.Put(d) }
+func (r *Recorder) Put(d reason.Decision) { r.ring.Put(d) }
 
 // Done is closed when the file is.
 func (r *Recorder) Done() <-chan struct{} { return r.done }
@@ -119,7 +119,7 @@
 	defer r.file.Close()
 	tick := time.NewTicker(flushEvery)
 	defer tick.Stop()
-	var list []why.Decision
+	var list []reason.Decision
 	var over error // why nothing is written any more
 	write := func() error {
 		var lost uint64
--- a/internal/trace/spans/spans.go
+++ b/internal/observability/trace/spans/spans.go
@@ -11,8 +11,8 @@
 	"math"
 	"strconv"
 
-	"eiderspread/internal/trace/analyse"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/observability/trace/analyse"
 	"eiderspread/policy"
 )
 
@@ -124,13 +124,13 @@
 	list = []span{root}
 	for _, r := range story {
 		switch r.Step {
-		case why.StepSent:
+		case reason.StepSent:
 			s := span{TraceID: root.TraceID, Parent: root.SpanID, Name: "attempt", Kind: 3, Start: nano(r.At), End: nano(last.At),
 				Attributes: []attribute{text("server.id", r.Backend), number("attempt", float64(r.Attempt))}}
 			_, s.SpanID = ids(k.gateway, k.id, strconv.Itoa(r.Attempt))
 			open[r.Attempt] = len(list)
 			list = append(list, s)
-		case why.StepEnded:
+		case reason.StepEnded:
 			i, ok := open[r.Attempt]
 			if !ok {
 				continue
--- a/internal/trace/spans/spans_test.go
+++ b/internal/observability/trace/spans/spans_test.go
@@ -5,24 +5,24 @@
 	"encoding/json"
 	"testing"
 
-	"eiderspread/internal/trace"
-	"eiderspread/internal/trace/analyse"
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
+	"eiderspread/internal/observability/trace"
+	"eiderspread/internal/observability/trace/analyse"
 	"eiderspread/policy"
 )
 
 // A request with two attempts and one that is refused: field names as OTLP's JSON form has them, ids of its lengths, attempts below
 // their request, statuses by what came of it.
 func TestSpansOfARequest(t *testing.T) {
-	send := func(at float64, n int) why.Decision {
-		return why.Decision{At: at, Step: why.StepSent, ID: "a", Attempt: n, Backend: "z1", Class: "look"}
+	send := func(at float64, n int) reason.Decision {
+		return reason.Decision{At: at, Step: reason.StepSent, ID: "a", Attempt: n, Backend: "z1", Class: "look"}
 	}
-	back := func(at float64, n int, s policy.Status) why.Decision {
-		return why.Decision{At: at, Step: why.StepEnded, ID: "a", Attempt: n, Status: int(s), Class: "look"}
+	back := func(at float64, n int, s policy.Status) reason.Decision {
+		return reason.Decision{At: at, Step: reason.StepEnded, ID: "a", Attempt: n, Status: int(s), Class: "look"}
 	}
-	run := analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0"}, Decisions: []why.Decision{
-		{At: 10, Step: why.StepArrived, Reason: why.OwnerCount, ID: "a", Class: "look", Plan: "p"}, send(10.25, 0), back(10.5, 0, policy.Reset), send(10.5, 1), back(11, 1, policy.OK),
-		{At: 12, Step: why.StepArrived, ID: "b", Class: "look", Plan: "p"}, {At: 12, Step: why.StepRejected, Reason: why.ConcurrencyLimit, ID: "b", Class: "look"}}}})
+	run := analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0"}, Decisions: []reason.Decision{
+		{At: 10, Step: reason.StepArrived, Reason: reason.OwnerCount, ID: "a", Class: "look", Plan: "p"}, send(10.25, 0), back(10.5, 0, policy.Reset), send(10.5, 1), back(11, 1, policy.OK),
+		{At: 12, Step: reason.StepArrived, ID: "b", Class: "look", Plan: "p"}, {At: 12, Step: reason.StepRejected, Reason: reason.ConcurrencyLimit, ID: "b", Class: "look"}}}})
 	for _, refused := range []bool{false, true} {
 		var b bytes.Buffer
 		if err := Write(&b, run, func(analyse.Record) bool { return true }, refused); err != nil {
--- a/internal/trace/trace.go
+++ b/internal/observability/trace/trace.go
@@ -5,13 +5,13 @@
 import (
 	"sync"
 
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
 )
 
 // Ring is a bounded queue of records between one loop and one writer. It is of both goroutines.
 type Ring struct {
 	mu   sync.Mutex
-	buf  []why.Decision
+	buf  []reason.Decision
 	from int // the oldest
 	n    int
 	lost uint64 // since the last Take
@@ -20,11 +20,11 @@
 
 // NewRing makes a ring for so many records, one at least.
 func NewRing(most int) *Ring {
-	return &Ring{buf: make([]why.Decision, max(most, 1)), half: make(chan struct{}, 1)}
+	return &Ring{buf: make([]reason.Decision, max(most, 1)), half: make(chan struct{}, 1)}
 }
 
 // Put adds a record, unless the ring is full. It never blocks for longer than a Take copies.
-func (r *Ring) Put(d why.Decision) {
+func (r *Ring) Put(d reason.Decision) {
 	r.mu.Lock()
 	if r.n == len(r.buf) {
 		r.lost++
@@ -47,12 +47,12 @@
 func (r *Ring) Half() <-chan struct{} { return r.half }
 
 // Take moves what is there behind into and returns it with the number of records lost since the last Take.
-func (r *Ring) Take(into []why.Decision) ([]why.Decision, uint64) {
+func (r *Ring) Take(into []reason.Decision) ([]reason.Decision, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range r.n {
 		into = append(into, r.buf[r.from])
-		r.buf[r.from] = why.Decision{} // lets go of its strings
+		r.buf[r.from] = reason.Decision{} // lets go of its strings
 		r.from = (r.from + 1) % len(r.buf)
 	}
 	r.n = 0
--- a/internal/trace/trace_test.go
+++ b/internal/observability/trace/trace_test.go
@@ -11,12 +11,12 @@
 	"path/filepath"
 	"testing"
 
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
 	"eiderspread/policy"
 )
 
-func record(i int) why.Decision {
-	return why.Decision{At: 1e9 + float64(i), Step: why.StepRejected, Reason: why.HardLimitLocal, ID: fmt.Sprint("r", i), Account: uint32(i + 1), Plan: "chaine",
+func record(i int) reason.Decision {
+	return reason.Decision{At: 1e9 + float64(i), Step: reason.StepRejected, Reason: reason.HardLimitLocal, ID: fmt.Sprint("r", i), Account: uint32(i + 1), Plan: "chaine",
 		Class: "slot-hold", Units: 2, WindowAvailable: 3.5}
 }
 
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []why.Decision
+	var list []reason.Decision
 	for i := range n {
 		list = append(list, record(i))
 	}
--- a/internal/lab/clients.go
+++ b/internal/testbed/clients.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"eiderspread/internal/lab/audit"
+	"eiderspread/internal/testbed/oracle"
 	"eiderspread/policy"
 )
 
@@ -52,7 +52,7 @@
 // of its own for as long as it lasts, with as many tries as are allowed. Nothing waits for answers.
 type Clients struct {
 	cfg   Traffic
-	hist  *audit.History
+	hist  *oracle.History
 	front *Front
 
 	mu     sync.Mutex
@@ -60,7 +60,7 @@
 	open   map[*clientConn]bool  // all that are
 	rng    *rand.Rand
 	next   uint64
-	last   *audit.Try
+	last   *oracle.Try
 	floods map[string]float64 // factor by account
 	wg     sync.WaitGroup     // bounded by the run's length and rates
 }
@@ -145,7 +145,7 @@
 }
 
 // NewClients makes clients; Run starts them.
-func NewClients(cfg Traffic, hist *audit.History, front *Front) *Clients {
+func NewClients(cfg Traffic, hist *oracle.History, front *Front) *Clients {
 	return &Clients{cfg: cfg, hist: hist, front: front, next: uint64(os.Getpid()) << idBits, idle: map[int][]*clientConn{}, open: map[*clientConn]bool{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)),
 		floods: map[string]float64{}}
 }
@@ -263,7 +263,7 @@
 			first = id
 		}
 		r, hint := c.try(a, class, c.front.Pick(a), id, first, key, left)
-		if r == audit.Served || r == audit.Alien || r == audit.Left || (r == audit.Failed || r == audit.Broken) && class.Idempotency == policy.NonIdempotent {
+		if r == oracle.Served || r == oracle.Alien || r == oracle.Left || (r == oracle.Failed || r == oracle.Broken) && class.Idempotency == policy.NonIdempotent {
 			return
 		}
 		if a.Once {
@@ -346,7 +346,7 @@
 }
 
 // sent records a try as sent now.
-func (c *Clients) sent(t *audit.Try, left time.Duration) {
+func (c *Clients) sent(t *oracle.Try, left time.Duration) {
 	t.Sent = c.hist.Now()
 	t.Deadline = t.Sent + left
 	c.hist.Sent(t)
@@ -356,24 +356,24 @@
 }
 
 // result tells what an answer to a request means, and when to come back.
-func result(answer, id string) (audit.Result, time.Duration) {
+func result(answer, id string) (oracle.Result, time.Duration) {
 	switch {
 	case answer == "v:"+id:
-		return audit.Served, 0
+		return oracle.Served, 0
 	case strings.HasPrefix(answer, "-BUSY"):
 		hint, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(answer, "-BUSY")))
-		return audit.Refused, time.Duration(hint) * time.Millisecond
+		return oracle.Refused, time.Duration(hint) * time.Millisecond
 	case strings.HasPrefix(answer, "-"):
-		return audit.Failed, 0
+		return oracle.Failed, 0
 	}
-	return audit.Alien, 0
+	return oracle.Alien, 0
 }
 
 // try sends one request and reads its answer. On a connection that the forwarder closed between requests, while the same
 // program still runs, it is sent once more on a new one.
-func (c *Clients) try(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (audit.Result, time.Duration) {
+func (c *Clients) try(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (oracle.Result, time.Duration) {
 	command := c.command(a, class, id, key, left)
-	t := &audit.Try{ID: id, First: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
+	t := &oracle.Try{ID: id, First: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
 		Units: float64(c.cfg.Units[class.Name])}
 	c.sent(t, left)
 	hangUp := time.Duration(0)
@@ -402,8 +402,8 @@
 		}
 		k.Close()
 		if left.Load() {
-			c.hist.Answer(t, audit.Left)
-			return audit.Left, 0
+			c.hist.Answer(t, oracle.Left)
+			return oracle.Left, 0
 		}
 		if c.front.Unreached(k.LocalAddr().String()) {
 			t.Untaken = true
@@ -413,8 +413,8 @@
 			break
 		}
 	}
-	c.hist.Answer(t, audit.Broken)
-	return audit.Broken, 0
+	c.hist.Answer(t, oracle.Broken)
+	return oracle.Broken, 0
 }
 
 // batch sends one request of each class at once on one connection and reads the answers, which must come in order.
@@ -426,13 +426,13 @@
 	}
 	defer k.Close()
 	var commands strings.Builder
-	var tries []*audit.Try
+	var tries []*oracle.Try
 	most := time.Duration(0)
 	for i, class := range c.cfg.Classes {
 		id, left := c.newID(), seconds(class.DeadlineS)
 		most = max(most, left)
 		commands.WriteString(c.command(a, class, id, key, left))
-		t := &audit.Try{ID: id, First: id, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f, Units: float64(c.cfg.Units[class.Name]),
+		t := &oracle.Try{ID: id, First: id, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f, Units: float64(c.cfg.Units[class.Name]),
 			Batch: i + 1}
 		tries = append(tries, t)
 		c.sent(t, left)
@@ -447,7 +447,7 @@
 		}
 		if err != nil {
 			t.Untaken = c.front.Unreached(k.LocalAddr().String())
-			c.hist.Answer(t, audit.Broken)
+			c.hist.Answer(t, oracle.Broken)
 			continue
 		}
 		r, _ := result(answer, t.ID)
--- a/internal/lab/etcdfleet/etcdfleet_test.go
+++ b/internal/testbed/etcdfleet/etcdfleet_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/agent"
-	"eiderspread/internal/ingress"
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/node"
+	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/membership/agent"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/node"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // The programs under test are this one, started again.
@@ -80,20 +80,20 @@
 	}
 	defer rig.Close()
 	Play(rig)
-	cfg := lab.FleetConfig{Forwarders: 2, Nodes: 4, Classes: lab.LabClasses, Plans: lab.LabPlans, Seed: 1, Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1,
+	cfg := testbed.FleetConfig{Forwarders: 2, Nodes: 4, Classes: testbed.LabClasses, Plans: testbed.LabPlans, Seed: 1, Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1,
 		Node: node.Config{Cores: 8, Queue: 100, Speed: 1, KeyedS: 4, Work: map[string]float64{"zone-check": 0.005, "slot-hold": 0.005, "courier-send": 0.005}}}
 	rig.Use(&cfg)
-	sc := lab.Scenario{FleetConfig: cfg, Length: 16 * time.Second, Accounts: lab.Accounts(4, 3, 1, 2, 2, 1), Floors: map[string]int{audit.Drains: 1, audit.Stale: 4}}
+	sc := testbed.Scenario{FleetConfig: cfg, Length: 16 * time.Second, Accounts: testbed.Accounts(4, 3, 1, 2, 2, 1), Floors: map[string]int{oracle.Drains: 1, oracle.Stale: 4}}
 	// The troubles come one after the other as the one before is over; marks beside them.
 	for i := range 400 {
 		kind := "mark"
 		if i%8 == 0 {
 			kind = "next trouble"
 		}
-		sc.Faults = append(sc.Faults, lab.Fault{At: time.Duration(i) * 40 * time.Millisecond, For: 300 * time.Millisecond, Kind: kind, A: i, B: i + 1})
+		sc.Faults = append(sc.Faults, testbed.Fault{At: time.Duration(i) * 40 * time.Millisecond, For: 300 * time.Millisecond, Kind: kind, A: i, B: i + 1})
 	}
 	played := 0
-	lab.AddKind("next trouble", "the troubles in their order", "etcd", func(f *lab.Fleet, x lab.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("next trouble", "the troubles in their order", "etcd", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		if played == len(inOrder) {
 			return
 		}
@@ -101,7 +101,7 @@
 		played++
 		rig.round(x, wait)
 	})
-	f, rep, err := lab.RunWith(sc, io.Discard, func() { rig.Print(io.Discard) })
+	f, rep, err := testbed.RunWith(sc, io.Discard, func() { rig.Print(io.Discard) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/etcdfleet/faults.go
+++ b/internal/testbed/etcdfleet/faults.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/standin/etcd"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/etcdstandin"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // Kinds are the faults of a run: those of etcd, those of agents, and a few of programs, nodes and the roster beside them.
@@ -17,7 +17,7 @@
 	"late roster", "silent roster", "broken roster", "forwarder", "kill", "sick"}
 
 // trouble is one way in which etcd breaks; it returns what mends it.
-type trouble func(r *Rig, x lab.Fault) (mend func())
+type trouble func(r *Rig, x testbed.Fault) (mend func())
 
 type namedTrouble struct {
 	name string
@@ -34,59 +34,59 @@
 
 // inOrder are all troubles; a round picks two.
 var inOrder = []namedTrouble{
-	{"cut and compacted", func(r *Rig, x lab.Fault) func() {
+	{"cut and compacted", func(r *Rig, x testbed.Fault) func() {
 		mend := r.cut(x.A%2, false)
 		return func() { r.Etcd.CompactAll(); mend() }
 	}},
-	{"cut", func(r *Rig, x lab.Fault) func() { return r.cut(x.A%2, false) }},
-	{"cut from all", func(r *Rig, x lab.Fault) func() { return r.cut(0, true) }},
-	{"compacted", func(r *Rig, _ lab.Fault) func() { r.Etcd.CompactAll(); return func() {} }},
-	{"leader changed", func(r *Rig, _ lab.Fault) func() { r.Etcd.ChangeLeader(); return func() {} }},
-	{"member in a minority", func(r *Rig, x lab.Fault) func() {
+	{"cut", func(r *Rig, x testbed.Fault) func() { return r.cut(x.A%2, false) }},
+	{"cut from all", func(r *Rig, x testbed.Fault) func() { return r.cut(0, true) }},
+	{"compacted", func(r *Rig, _ testbed.Fault) func() { r.Etcd.CompactAll(); return func() {} }},
+	{"leader changed", func(r *Rig, _ testbed.Fault) func() { r.Etcd.ChangeLeader(); return func() {} }},
+	{"member in a minority", func(r *Rig, x testbed.Fault) func() {
 		i := x.B % len(r.Etcd.Addrs())
 		r.Etcd.Cut(i, true)
 		return func() { r.Etcd.Cut(i, false) }
 	}},
-	{"member lags", func(r *Rig, x lab.Fault) func() {
+	{"member lags", func(r *Rig, x testbed.Fault) func() {
 		i := x.B % len(r.Etcd.Addrs())
 		r.Etcd.Lag(i, true)
 		return func() { r.Etcd.Lag(i, false) }
 	}},
-	{"member restarted", func(r *Rig, x lab.Fault) func() {
+	{"member restarted", func(r *Rig, x testbed.Fault) func() {
 		i := x.B % len(r.Etcd.Addrs())
 		r.Etcd.StopMember(i)
 		return func() { r.Etcd.StartMember(i) }
 	}},
-	{"all restarted", func(r *Rig, x lab.Fault) func() {
+	{"all restarted", func(r *Rig, x testbed.Fault) func() {
 		seeing := r.blind(func(*beside) bool { return true })
 		r.Etcd.Stop()
 		return func() { r.Etcd.Start(); seeing() }
 	}},
-	{"replaced by another cluster", func(r *Rig, x lab.Fault) func() {
+	{"replaced by another cluster", func(r *Rig, x testbed.Fault) func() {
 		seeing := r.blind(func(*beside) bool { return true })
 		r.Etcd.Stop()
 		return func() {
 			r.mu.Lock()
 			h := r.Etcd.Head()
-			r.Etcd.Restore(etcd.Head{Cluster: h.Cluster + 1, Revision: 2, Term: 2}, r.refill()...)
+			r.Etcd.Restore(etcdstandin.Head{Cluster: h.Cluster + 1, Revision: 2, Term: 2}, r.refill()...)
 			r.mu.Unlock()
 			r.Etcd.Start()
 			seeing()
 		}
 	}},
-	{"put back", func(r *Rig, x lab.Fault) func() {
+	{"put back", func(r *Rig, x testbed.Fault) func() {
 		seeing := r.blind(func(*beside) bool { return true })
 		r.Etcd.Stop()
 		return func() {
 			r.mu.Lock()
 			h := r.Etcd.Head()
-			r.Etcd.Restore(etcd.Head{Cluster: h.Cluster, Revision: max(2, h.Revision-100), Term: max(2, h.Term-1)}, r.refill()...)
+			r.Etcd.Restore(etcdstandin.Head{Cluster: h.Cluster, Revision: max(2, h.Revision-100), Term: max(2, h.Term-1)}, r.refill()...)
 			r.mu.Unlock()
 			r.Etcd.Start()
 			seeing()
 		}
 	}},
-	{"a liar", func(r *Rig, x lab.Fault) func() { // and its streams break, so that it is asked
+	{"a liar", func(r *Rig, x testbed.Fault) func() { // and its streams break, so that it is asked
 		i, h := x.B%len(r.Etcd.Addrs()), r.Etcd.Head()
 		r.Etcd.Lie(i, max(r.Etcd.Compacted(), 1+h.Revision-int64(20+x.A%40)), h.Term)
 		r.Etcd.StopMember(i)
@@ -94,13 +94,13 @@
 		r.breakAll()
 		return func() { r.Etcd.Lie(i, 0, 0) }
 	}},
-	{"tokens forgotten", func(r *Rig, x lab.Fault) func() { r.Etcd.Forget(); r.breakAll(); return func() {} }},
-	{"clock ahead by an hour", func(r *Rig, x lab.Fault) func() { r.Etcd.Jump(time.Hour); return func() {} }},
-	{"clock back by an hour", func(r *Rig, x lab.Fault) func() { r.Etcd.Jump(-time.Hour); return func() {} }},
-	{"slow", func(r *Rig, x lab.Fault) func() {
+	{"tokens forgotten", func(r *Rig, x testbed.Fault) func() { r.Etcd.Forget(); r.breakAll(); return func() {} }},
+	{"clock ahead by an hour", func(r *Rig, x testbed.Fault) func() { r.Etcd.Jump(time.Hour); return func() {} }},
+	{"clock back by an hour", func(r *Rig, x testbed.Fault) func() { r.Etcd.Jump(-time.Hour); return func() {} }},
+	{"slow", func(r *Rig, x testbed.Fault) func() {
 		for _, side := range r.links {
 			for _, k := range side {
-				k.Set(lab.Way{Delay: time.Duration(20+100*x.X) * time.Millisecond})
+				k.Set(testbed.Way{Delay: time.Duration(20+100*x.X) * time.Millisecond})
 			}
 		}
 		return func() {
@@ -111,7 +111,7 @@
 			}
 		}
 	}},
-	{"sessions broken", func(r *Rig, x lab.Fault) func() { r.breakAll(); return func() {} }},
+	{"sessions broken", func(r *Rig, x testbed.Fault) func() { r.breakAll(); return func() {} }},
 }
 
 // breakAll ends all connections between agents and etcd, in the middle of whatever is under way.
@@ -133,7 +133,7 @@
 			parties = append(parties, a.party)
 		}
 	}
-	return r.hist.Blinded(audit.EtcdSource, parties)
+	return r.hist.Blinded(oracle.EtcdSource, parties)
 }
 
 // cut takes agents of one side, or all, from etcd without a word.
@@ -165,7 +165,7 @@
 func Play(r *Rig) { rig = r }
 
 // round has etcd break in two ways at once, mends it, and waits until all views equal the truth.
-func (r *Rig) round(x lab.Fault, wait func(time.Duration) bool) {
+func (r *Rig) round(x testbed.Fault, wait func(time.Duration) bool) {
 	list := inOrder
 	if len(r.Only) > 0 {
 		list = slices.DeleteFunc(slices.Clone(list), func(t namedTrouble) bool { return !slices.Contains(r.Only, strings.ReplaceAll(t.name, " ", "-")) })
@@ -202,10 +202,10 @@
 }
 
 func init() {
-	lab.AddKind("etcd trouble", "etcd breaks in two ways at once, and is mended", "etcd", func(f *lab.Fleet, x lab.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("etcd trouble", "etcd breaks in two ways at once, and is mended", "etcd", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		rig.round(x, wait)
 	})
-	lab.AddKind("mark", "a node is marked in etcd, the mark is taken back and set again at once, and taken back", "", func(f *lab.Fleet, x lab.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("mark", "a node is marked in etcd, the mark is taken back and set again at once, and taken back", "", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		nodes := f.Nodes()
 		if len(nodes) < 4 {
 			return
@@ -223,7 +223,7 @@
 			})
 		})
 	})
-	lab.AddKind("unlisted", "etcd lists a node no more, its roster does, and then again", "unlisted", func(f *lab.Fleet, x lab.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("unlisted", "etcd lists a node no more, its roster does, and then again", "unlisted", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		nodes := f.Nodes()
 		if len(nodes) < 4 {
 			return
@@ -233,7 +233,7 @@
 		wait(x.For + time.Second)
 		rig.unlist(n.ID, false)
 	})
-	lab.AddKind("thousand", "a thousand nodes that nobody lists are marked in one transaction, and the marks taken back", "thousand", func(f *lab.Fleet, x lab.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("thousand", "a thousand nodes that nobody lists are marked in one transaction, and the marks taken back", "thousand", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		var ids []string
 		for i := range 1000 {
 			ids = append(ids, fmt.Sprint("ghost", i))
@@ -242,13 +242,13 @@
 		wait(x.For)
 		rig.mark(false, ids...)
 	})
-	lab.AddKind("agent", "an agent is killed and comes back", "agent", func(f *lab.Fleet, x lab.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("agent", "an agent is killed and comes back", "agent", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		a := rig.agents[x.A%len(rig.agents)]
 		a.proc.Kill()
 		wait(x.For / 2)
 		a.proc.Start()
 	})
-	lab.AddKind("agent hup", "an agent gets other certificates and its endpoints in another order", "agent", func(f *lab.Fleet, x lab.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("agent hup", "an agent gets other certificates and its endpoints in another order", "agent", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		a := rig.agents[x.A%len(rig.agents)]
 		if rig.write(a) == nil {
 			a.proc.HUP()
--- a/internal/lab/etcdfleet/rig.go
+++ b/internal/testbed/etcdfleet/rig.go
@@ -20,11 +20,11 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/certs"
-	"eiderspread/internal/roster"
-	"eiderspread/internal/standin/etcd"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/certs"
+	"eiderspread/internal/testbed/etcdstandin"
+	"eiderspread/internal/testbed/oracle"
 )
 
 const (
@@ -37,11 +37,11 @@
 
 // Rig is the membership of one fleet. Its methods may be called by any goroutine.
 type Rig struct {
-	Etcd *etcd.Cluster
+	Etcd *etcdstandin.Cluster
 	Only []string // troubles to choose from, of Troubles; none: all. Set before a run
 
-	hist   *audit.History
-	links  [2][]*lab.Link // to each member, for agents of even and of odd numbers
+	hist   *oracle.History
+	links  [2][]*testbed.Link // to each member, for agents of even and of odd numbers
 	ca     *certs.Authority
 	dir    string
 	mu     sync.Mutex
@@ -61,7 +61,7 @@
 	listen string // of the agent itself
 	status string
 	file   string
-	proc   *lab.Proc
+	proc   *testbed.Proc
 	turn   int // endpoints are given out in another order each time the file is written
 }
 
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Etcd, err = etcd.Open(etcd.Config{Members: members, TLS: tls, Users: map[string]string{user: secret}, TokenTTL: 20 * time.Second,
+	r.Etcd, err = etcdstandin.Open(etcdstandin.Config{Members: members, TLS: tls, Users: map[string]string{user: secret}, TokenTTL: 20 * time.Second,
 		Election: time.Duration(etcdStar * float64(time.Second)), RequestTimeout: time.Second, FragmentBytes: 400, BatchRevs: 3})
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 	}
 	for side := range r.links {
 		for _, addr := range r.Etcd.Addrs() {
-			k, err := lab.NewLink(addr)
+			k, err := testbed.NewLink(addr)
 			if err != nil {
 				return nil, err
 			}
@@ -101,7 +101,7 @@
 }
 
 // Use has a fleet's membership come from the rig.
-func (r *Rig) Use(cfg *lab.FleetConfig) {
+func (r *Rig) Use(cfg *testbed.FleetConfig) {
 	cfg.OneAddr, cfg.Discovery, cfg.Source, cfg.StaleS = true, r.discovery, r.source, 2.5
 }
 
@@ -155,14 +155,14 @@
 	if now := r.state(id); now != r.held[id] {
 		r.held[id] = now
 		if r.hist != nil {
-			r.hist.Holds(audit.EtcdSource, id, now, r.starts[id])
+			r.hist.Holds(oracle.EtcdSource, id, now, r.starts[id])
 		}
 	}
 }
 
 // source takes a change of a node: one in three goes to etcd alone, one to the roster alone, one to both, by the node's id; a
 // node that goes is known to both to have gone.
-func (r *Rig) source(f *lab.Fleet, t roster.Endpoint) (toRoster bool) {
+func (r *Rig) source(f *testbed.Fleet, t discovery.Endpoint) (toRoster bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.hist == nil {
@@ -242,12 +242,12 @@
 }
 
 // refill puts all that should be there into a cluster that has been emptied or put back.
-func (r *Rig) refill() (kvs []etcd.KV) {
+func (r *Rig) refill() (kvs []etcdstandin.KV) {
 	for id, v := range r.nodes {
-		kvs = append(kvs, etcd.KV{Key: prefix + "nodes/" + id, Value: v, Revision: 2})
+		kvs = append(kvs, etcdstandin.KV{Key: prefix + "nodes/" + id, Value: v, Revision: 2})
 	}
 	for id := range r.marks {
-		kvs = append(kvs, etcd.KV{Key: prefix + "drain/" + id, Value: "{}", Revision: 2})
+		kvs = append(kvs, etcdstandin.KV{Key: prefix + "drain/" + id, Value: "{}", Revision: 2})
 	}
 	return kvs
 }
@@ -275,18 +275,18 @@
 }
 
 // discovery starts the agent of a party, and the relay that it asks.
-func (r *Rig) discovery(f *lab.Fleet, party string) (string, error) {
-	ros, err := f.Roster.For(audit.RosterSource(party))
+func (r *Rig) discovery(f *testbed.Fleet, party string) (string, error) {
+	ros, err := f.Roster.For(oracle.RosterSource(party))
 	if err != nil {
 		return "", err
 	}
 	a := &beside{party: party, file: filepath.Join(r.dir, "agent-"+party+".toml")}
 	n, _ := strconv.Atoi(party[1:])
 	a.side = n % 2
-	if a.listen, err = lab.FreeAddr(); err != nil {
+	if a.listen, err = testbed.FreeAddr(); err != nil {
 		return "", err
 	}
-	if a.status, err = lab.FreeAddr(); err != nil {
+	if a.status, err = testbed.FreeAddr(); err != nil {
 		return "", err
 	}
 	head := fmt.Sprintf("listen = %q\nstatus = %q\nroster = %q\nstate = %q\nprefix = %q\nuser = %q\npassword_file = %q\n"+
@@ -322,7 +322,7 @@
 }
 
 // list asks the agent itself.
-func (a *beside) list() (l roster.List, err error) {
+func (a *beside) list() (l discovery.List, err error) {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + a.listen + "/api/targets")
 	if err != nil {
@@ -337,7 +337,7 @@
 
 // relay passes on what an agent says to the program beside it and notes it: what a machine was told, and when.
 type relay struct {
-	hist  *audit.History
+	hist  *oracle.History
 	party string
 	to    string
 }
@@ -364,16 +364,16 @@
 		if err != nil {
 			return
 		}
-		var l roster.List
+		var l discovery.List
 		known := json.Unmarshal(line, &l) == nil
 		if known {
-			lab.TellUp(y.hist, y.party, l)
+			testbed.TellUp(y.hist, y.party, l)
 		}
 		if _, err := w.Write(line); err != nil || flush.Flush() != nil {
 			return
 		}
 		if known && (l.Full || len(l.Endpoints) > 0) {
-			lab.TellRest(y.hist, y.party, l)
+			testbed.TellRest(y.hist, y.party, l)
 		}
 	}
 }
@@ -439,18 +439,18 @@
 				}
 			}
 			sort.Strings(up)
-			want := r.want(a.party, told[audit.RosterSource(a.party)])
+			want := r.want(a.party, told[oracle.RosterSource(a.party)])
 			why = fmt.Sprintf("%s sees %v, the truth is %s", a.party, up, want)
 			return strings.Join(up, " ") == want
 		})
 		if len(left) == 0 {
-			r.hist.Compared(audit.View{After: after, At: r.hist.Now(), Took: time.Since(began)})
+			r.hist.Compared(oracle.View{After: after, At: r.hist.Now(), Took: time.Since(began)})
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if ctx.Err() == nil {
-		r.hist.Compared(audit.View{After: after, At: r.hist.Now(), Took: time.Since(began), Wrong: why})
+		r.hist.Compared(oracle.View{After: after, At: r.hist.Now(), Took: time.Since(began), Wrong: why})
 	}
 }
 
--- a/internal/lab/etcdfleet/sizes.go
+++ b/internal/testbed/etcdfleet/sizes.go
@@ -11,13 +11,13 @@
 	"runtime"
 	"time"
 
-	"eiderspread/internal/lab"
-	"eiderspread/internal/standin/etcd"
+	"eiderspread/internal/testbed"
+	"eiderspread/internal/testbed/etcdstandin"
 )
 
 // Sizes measures what an agent and the ingress beside it cost by the number of nodes: the agent's start until it serves all of
 // them, its memory then, and with one node in a hundred changed a second CPU and memory of both, without traffic.
-func Sizes(sizes []int, length time.Duration, seed uint64, dir string, spawn lab.Spawn, w io.Writer) error {
+func Sizes(sizes []int, length time.Duration, seed uint64, dir string, spawn testbed.Spawn, w io.Writer) error {
 	fmt.Fprintf(w, "%d cores, one member, %v a size, 1%% of the nodes changed a second in ten transactions, seed %d\n", runtime.NumCPU(), length, seed)
 	fmt.Fprintln(w, "| nodes | served after | agent idle | agent, CPU of a core | agent, memory | ingress, CPU of a core | ingress, memory | told |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -29,11 +29,11 @@
 	return nil
 }
 
-func size(n int, length time.Duration, seed uint64, dir string, spawn lab.Spawn, w io.Writer) error {
+func size(n int, length time.Duration, seed uint64, dir string, spawn testbed.Spawn, w io.Writer) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	c, err := etcd.New()
+	c, err := etcdstandin.New()
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 		all[fmt.Sprintf("%snodes/n%05d", prefix, i)] = fmt.Sprintf(`{"addr":"127.0.0.%d:%d","zone":"a","weight":1}`, 2+i/30000, 1000+i%30000)
 	}
 	c.Do(all)
-	listen, err := lab.FreeAddr()
+	listen, err := testbed.FreeAddr()
 	if err != nil {
 		return err
 	}
@@ -52,11 +52,11 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	var agent *lab.Proc
+	var agent *testbed.Proc
 	served := time.Duration(0)
-	cfg := lab.FleetConfig{Forwarders: 1, Nodes: 1, Classes: lab.LabClasses, Plans: lab.LabPlans, Node: lab.LabNode, Seed: seed, Dir: dir, Spawn: spawn,
+	cfg := testbed.FleetConfig{Forwarders: 1, Nodes: 1, Classes: testbed.LabClasses, Plans: testbed.LabPlans, Node: testbed.LabNode, Seed: seed, Dir: dir, Spawn: spawn,
 		MemoryMB: 512, Sockets: 256, Direct: true}
-	cfg.Discovery = func(f *lab.Fleet, _ string) (string, error) {
+	cfg.Discovery = func(f *testbed.Fleet, _ string) (string, error) {
 		agent = f.NewProc("agent", "agent", file)
 		began := time.Now()
 		if err := agent.Start(); err != nil {
@@ -71,7 +71,7 @@
 		served = time.Since(began)
 		return listen, nil
 	}
-	f, err := lab.StartFleet(cfg)
+	f, err := testbed.StartFleet(cfg)
 	defer func() {
 		f.Stop()
 		if agent != nil {
--- a/internal/standin/etcd/cluster_test.go
+++ b/internal/testbed/etcdstandin/cluster_test.go
@@ -1,4 +1,4 @@
-package etcd
+package etcdstandin
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"eiderspread/internal/lab/certs"
+	"eiderspread/internal/testbed/certs"
 )
 
 func three(t *testing.T) (*at, []*clientv3.Client) {
--- a/internal/standin/etcd/etcd.go
+++ b/internal/testbed/etcdstandin/etcd.go
@@ -3,7 +3,7 @@
 // cluster promises it does on command what breaks those promises or tries a client's patience: leaders change, members lag,
 // are cut off in a minority or lie, history is compacted, the state is put back or wiped, tokens run out.
 // docs/etcd-standin.md is its design note.
-package etcd
+package etcdstandin
 
 import (
 	"bufio"
@@ -22,7 +22,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials"
 
-	"eiderspread/internal/standin/etcd/store"
+	"eiderspread/internal/testbed/etcdstandin/store"
 )
 
 // Config says what cluster to make. Zero values stand for the defaults.
--- a/internal/standin/etcd/services.go
+++ b/internal/testbed/etcdstandin/services.go
@@ -1,4 +1,4 @@
-package etcd
+package etcdstandin
 
 import (
 	"context"
--- a/internal/standin/etcd/watch.go
+++ b/internal/testbed/etcdstandin/watch.go
@@ -1,4 +1,4 @@
-package etcd
+package etcdstandin
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 	"google.golang.org/protobuf/proto"
 
-	"eiderspread/internal/standin/etcd/store"
+	"eiderspread/internal/testbed/etcdstandin/store"
 )
 
 // watch is one watch of a stream.
--- a/internal/lab/faults.go
+++ b/internal/testbed/faults.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"cmp"
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/lab/node"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/testbed/node"
 )
 
 // Fault is one thing that goes wrong, and is mended. A and B pick its targets, X says how bad it is; what they mean hangs on
@@ -438,7 +438,7 @@
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
 		}
-		var before struct{ Known roster.List }
+		var before struct{ Known discovery.List }
 		if err := json.Unmarshal(text, &before); err != nil {
 			return err
 		}
@@ -448,7 +448,7 @@
 			}
 		}
 		known := f.Roster.All(f.Party(i))
-		known.Endpoints = slices.DeleteFunc(known.Endpoints, func(t roster.Endpoint) bool { return told[t.ID] == "" || told[t.ID] == "terminated" })
+		known.Endpoints = slices.DeleteFunc(known.Endpoints, func(t discovery.Endpoint) bool { return told[t.ID] == "" || told[t.ID] == "terminated" })
 		for n := range known.Endpoints {
 			known.Endpoints[n].State = told[known.Endpoints[n].ID]
 		}
--- a/internal/lab/fleet.go
+++ b/internal/testbed/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bufio"
@@ -22,10 +22,10 @@
 	"syscall"
 	"time"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/node"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/testbed/node"
+	"eiderspread/internal/testbed/oracle"
 	"eiderspread/policy"
 )
 
@@ -36,7 +36,7 @@
 type FleetConfig struct {
 	Forwarders, Planners int // with Planners 0 the forwarders are one-program ingresses that talk to each other
 	Nodes                int
-	Params               fleet.Params // times; the rest is filled in
+	Params               topology.Params // times; the rest is filled in
 	Classes              []policy.Class
 	Plans                []policy.Plan
 	Node                 node.Config
@@ -54,14 +54,14 @@
 	PeerLoss             float64 // of messages between ingresses in virtual time; 0 stands for 3%
 	Operator             string  // more of the operator's file of ingresses of one level, or of planners
 	Rush                 bool    // more is asked for than nodes can do: the auditor works out what that came to
-	Peak                 audit.Peak
-	Stated               audit.Stated // of a fleet that sheds as one, in such a run
-	Zones                int          // of nodes, in turn, each of which remembers keys for itself; 0: one, and all remember alike
-	Direct               bool         // no links between clients, ingresses and nodes: for measurements of cost
+	Peak                 oracle.Peak
+	Stated               oracle.Stated // of a fleet that sheds as one, in such a run
+	Zones                int           // of nodes, in turn, each of which remembers keys for itself; 0: one, and all remember alike
+	Direct               bool          // no links between clients, ingresses and nodes: for measurements of cost
 	// Discovery, if set, gives the address at which a party asks, in place of the stand-in roster.
 	Discovery func(f *Fleet, party string) (string, error)
 	// Source, if set, is told of each change of a node before the stand-in roster is, and says whether the roster is to be told too.
-	Source  func(f *Fleet, t roster.Endpoint) bool
+	Source  func(f *Fleet, t discovery.Endpoint) bool
 	OneAddr bool    // all parties see a node at one address
 	StaleS  float64 // of the rule on stale words; 0: not judged
 }
@@ -69,7 +69,7 @@
 // Fleet is a running fleet with its stand-ins.
 type Fleet struct {
 	cfg        FleetConfig
-	Hist       *audit.History
+	Hist       *oracle.History
 	Roster     *Roster
 	Forwarders []*Proc
 	Planners   []*Proc
@@ -152,7 +152,7 @@
 
 // StartFleet starts stand-ins and programs and waits until every forwarder takes requests.
 func StartFleet(cfg FleetConfig) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, Hist: audit.New(), nodeLinks: map[string][]*Link{}, taken: map[string]bool{}}
+	f := &Fleet{cfg: cfg, Hist: oracle.New(), nodeLinks: map[string][]*Link{}, taken: map[string]bool{}}
 	f.net = NewNodeNet(f.Hist)
 	f.Roster = NewRoster(f.Hist)
 	f.Roster.AddrFor = f.addrFor
@@ -257,7 +257,7 @@
 }
 
 // Party is the roster's name of a forwarder.
-func (f *Fleet) Party(i int) string { return audit.Party(i) }
+func (f *Fleet) Party(i int) string { return oracle.Party(i) }
 
 // NewProc makes a program of the fleet that Stop does not know; what it says goes to a log in the fleet's folder.
 func (f *Fleet) NewProc(kind, name, file string) *Proc { return f.proc(kind, name, file, "", "") }
@@ -386,7 +386,7 @@
 }
 
 // addrFor is where a party sees a node: behind a link.
-func (f *Fleet) addrFor(party string, t roster.Endpoint) string {
+func (f *Fleet) addrFor(party string, t discovery.Endpoint) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	links := f.nodeLinks[t.ID]
@@ -459,14 +459,14 @@
 	if n.born() {
 		started = n.started.UnixMilli()
 	}
-	t := roster.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: ZoneOf(n.ID, f.cfg.Zones), State: state, Weight: 1, StartedMS: started}
+	t := discovery.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: ZoneOf(n.ID, f.cfg.Zones), State: state, Weight: 1, StartedMS: started}
 	if f.cfg.Source == nil || f.cfg.Source(f, t) {
 		f.Roster.Set(t)
 	}
 }
 
 // AddrFor is the address at which a party sees a node.
-func (f *Fleet) AddrFor(party string, t roster.Endpoint) string { return f.addrFor(party, t) }
+func (f *Fleet) AddrFor(party string, t discovery.Endpoint) string { return f.addrFor(party, t) }
 
 // without takes a node out of those that run, and tells whether it was among them.
 func (f *Fleet) without(n *Node) bool {
@@ -533,21 +533,21 @@
 }
 
 // Rules are those that the fleet's history is judged by.
-func (f *Fleet) Rules() audit.Rules {
+func (f *Fleet) Rules() oracle.Rules {
 	quota, caps := 0.0, 0.0
 	if len(f.Planners) > 0 {
 		quota, caps = QuotaSlack, 2
 	}
 	quota, caps = cmp.Or(f.cfg.Quota, quota), cmp.Or(f.cfg.CapX, caps)
-	var homes map[string]audit.Home
+	var homes map[string]oracle.Home
 	if len(f.Planners) == 0 && f.cfg.Quota >= 0 {
 		homes = Homes(f.accounts)
 	}
-	var stated *audit.Stated
+	var stated *oracle.Stated
 	if f.cfg.Rush && f.cfg.Operator != "" {
 		stated = &f.cfg.Stated
 	}
-	return audit.Rules{Shed: stated, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.Rush, Peak: f.cfg.Peak, Quota: quota, QuotaS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainS: 0.25 + f.cfg.SlowS, AnswerS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
+	return oracle.Rules{Shed: stated, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.Rush, Peak: f.cfg.Peak, Quota: quota, QuotaS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainS: 0.25 + f.cfg.SlowS, AnswerS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
 		HeldS: 0.03 + f.cfg.SlowS + f.cfg.StallS, OverlapS: 0.1 + f.cfg.SlowS + f.cfg.StallS, CeilingS: 0.15, SlackUnit: 6, CapX: caps, Attempts: MaxAttempts, FallMultiple: f.cfg.Node.FallMultiple, FallS: f.cfg.Node.FallS,
 		ColdSlack: ColdSlack, ColdChance: f.cfg.StallS > 0, StaleS: f.cfg.StaleS, LateMost: 90*time.Millisecond + seconds(f.cfg.SlowS)}
 }
--- a/internal/lab/front.go
+++ b/internal/testbed/front.go
@@ -1,17 +1,17 @@
-package lab
+package testbed
 
 import (
 	"math/rand/v2"
 	"sync"
 	"time"
 
-	"eiderspread/internal/lab/audit"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // Front deals out accounts' requests among the ingresses of their sets as the operators' front does: unevenly, with a
 // busiest one that changes, and to a dead one for some seconds more.
 type Front struct {
-	hist   *audit.History
+	hist   *oracle.History
 	addrs  []string
 	life   func(f int) int                   // of a forwarder's program: changes with each start; below 0 while it is down
 	leaves func(f int) bool                  // whether it was told to end so long ago that no new connection goes there; nil: never
@@ -28,7 +28,7 @@
 }
 
 // NewFront makes a front of ingresses at addrs.
-func NewFront(hist *audit.History, addrs []string, life func(int) int, seed uint64) *Front {
+func NewFront(hist *oracle.History, addrs []string, life func(int) int, seed uint64) *Front {
 	return &Front{hist: hist, addrs: addrs, life: life, rng: rand.New(rand.NewPCG(seed, 17)), weights: map[string][]float64{},
 		until: map[string]time.Time{}, down: map[int]time.Time{}, notice: map[int]time.Duration{}, unreached: map[string]bool{}, drained: map[int]time.Time{}}
 }
--- a/internal/lab/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -18,7 +18,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"eiderspread/internal/operator"
+	"eiderspread/internal/base/operatorconfig"
 )
 
 var update = flag.Bool("update", false, "rewrite the files under testdata/golden")
@@ -109,7 +109,7 @@
 		Check(t, name, key.ReplaceAllFunc(b.Bytes(), bytes.ToLower))
 	}
 	back := reflect.New(reflect.TypeOf(v).Elem()).Interface()
-	if err := operator.Decode(Path(name), back); err != nil {
+	if err := operatorconfig.Decode(Path(name), back); err != nil {
 		t.Fatal(err)
 	}
 	Same(t, name, back, v)
--- a/internal/lab/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bufio"
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/fleet"
-	"eiderspread/internal/forward"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/planner"
-	"eiderspread/internal/program"
+	"eiderspread/internal/controlplane/forwarder"
+	"eiderspread/internal/controlplane/planner"
+	"eiderspread/internal/controlplane/process"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/testbed/oracle"
 	"eiderspread/policy"
 )
 
@@ -40,7 +40,7 @@
 		os.Exit(0)
 	}
 	if kind := os.Getenv("LAB_KIND"); kind != "" {
-		if err := program.Run(kind, os.Getenv("LAB_FILE")); err != nil {
+		if err := process.Run(kind, os.Getenv("LAB_FILE")); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -59,7 +59,7 @@
 func testFleet(t *testing.T, forwarders int) FleetConfig {
 	return FleetConfig{Forwarders: forwarders, Planners: 3, Nodes: 4, Classes: LabClasses, Plans: LabPlans, Node: LabNode, Seed: 1,
 		Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1,
-		Params: fleet.Params{LeaseS: 1.2, HeartbeatS: 0.15, LinkTimeoutS: 0.9, LeaderWaitS: 2, FailsafeDelayS: 0.2}}
+		Params: topology.Params{LeaseS: 1.2, HeartbeatS: 0.15, LinkTimeoutS: 0.9, LeaderWaitS: 2, FailsafeDelayS: 0.2}}
 }
 
 // Guards against programs that are left behind: they end with the laboratory that started them, also when it is killed.
@@ -90,7 +90,7 @@
 }
 
 // holds fails the test with the whole report where a rule was broken or not seen.
-func holds(t *testing.T, rep *audit.Report, log *strings.Builder) {
+func holds(t *testing.T, rep *oracle.Report, log *strings.Builder) {
 	t.Helper()
 	if err := rep.Verdict(); err != nil {
 		var b strings.Builder
@@ -112,7 +112,7 @@
 	sc.Faults = []Fault{{At: 900 * ms, For: 3 * time.Second, Kind: "held", A: 1}, {At: 1500 * ms, Kind: "replaced", A: 0}, {At: 2000 * ms, Kind: "replaced", A: 1},
 		{At: 2200 * ms, For: 300 * ms, Kind: "forwarder", A: 2}, {At: 2500 * ms, Kind: "broken roster"}, {At: 4500 * ms, Kind: "replaced", A: 0},
 		{At: 5000 * ms, For: 2 * time.Second, Kind: "held", A: 2}, {At: 5500 * ms, Kind: "replaced", A: 2}}
-	sc.Floors = map[string]int{audit.Held: 1, audit.Replaced: 3, audit.Lost: 5}
+	sc.Floors = map[string]int{oracle.Held: 1, oracle.Replaced: 3, oracle.Lost: 5}
 	var log strings.Builder
 	f, rep, err := Run(sc, &log)
 	if err != nil {
@@ -127,7 +127,7 @@
 // Operators at work on a fleet of two levels, the short form: nodes held by one planner's yes, while that planner is sent away, killed or
 // cut off, and called back at another.
 func TestOperatorsOfTwoLevels(t *testing.T) {
-	if !fleet.Fenced {
+	if !topology.Fenced {
 		t.Skip("a build without fencing")
 	}
 	cfg := testFleet(t, 3)
@@ -140,7 +140,7 @@
 	sc.Faults = []Fault{{At: 900 * ms, For: 2500 * ms, Kind: "fleet held", A: 1, B: 0}, {At: 2000 * ms, For: time.Second, Kind: "kill", A: 0},
 		{At: 2300 * ms, For: 400 * ms, Kind: "away", A: 1}, {At: 4600 * ms, For: 2 * time.Second, Kind: "fleet held", A: 2, B: 1},
 		{At: 5600 * ms, For: 400 * ms, Kind: "forwarder", A: 2}, {At: 6000 * ms, For: 500 * ms, Kind: "away", A: 2}}
-	sc.Floors = map[string]int{audit.Held: 1}
+	sc.Floors = map[string]int{oracle.Held: 1}
 	var log strings.Builder
 	_, rep, err := Run(sc, &log)
 	if err != nil {
@@ -151,21 +151,21 @@
 
 // The whole fleet as processes, with planners killed, paused, ended and cut off: the short form of the long run.
 func TestFleetOfProcesses(t *testing.T) {
-	if !fleet.Fenced {
+	if !topology.Fenced {
 		t.Skip("a build without fencing")
 	}
 	sc := Scenario{FleetConfig: testFleet(t, 5), Accounts: Accounts(6, 4, 2, 5, 3, 1), Length: 14 * time.Second}
 	if err := Make("storm", &sc, []string{"kill", "cut", "term", "drain", "sick", "node half cut", "flood"}, 800*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	sc.Floors = map[string]int{audit.Lost: 10, audit.Out: 3, audit.Twice: 2, audit.Ceilings: 3, audit.Quotas: 10} // a slow machine sees a part of what a quick one does
+	sc.Floors = map[string]int{oracle.Lost: 10, oracle.Out: 3, oracle.Twice: 2, oracle.Ceilings: 3, oracle.Quotas: 10} // a slow machine sees a part of what a quick one does
 	var log strings.Builder
 	f, rep, err := Run(sc, &log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	holds(t, rep, &log)
-	if rep.Results[audit.Served] < 100 || len(f.Hist.Faults) < 3 {
+	if rep.Results[oracle.Served] < 100 || len(f.Hist.Faults) < 3 {
 		t.Errorf("%+v served under %d faults: the run shows nothing", rep.Results, len(f.Hist.Faults))
 	}
 	for _, o := range rep.Overshoots {
@@ -200,7 +200,7 @@
 // Guards the operator's promises: a planner that ends hands over, nothing is refused for it; without planners a
 // request is refused with a hint; and a forwarder that is no member is turned away.
 func TestFleetOperations(t *testing.T) {
-	if !fleet.Fenced {
+	if !topology.Fenced {
 		t.Skip("a build without fencing")
 	}
 	cfg := testFleet(t, 3)
@@ -235,7 +235,7 @@
 	if !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("without planners: %q", got)
 	}
-	var fs forward.Status
+	var fs forwarder.Status
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // the link's end may be met before the fail-safe
 		if err := f.Forwarders[1].ReadStatus(context.Background(), &fs); err == nil && fs.Cells[0].Failsafe {
 			break
--- a/internal/lab/links.go
+++ b/internal/testbed/links.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"io"
--- a/internal/lab/measure.go
+++ b/internal/testbed/measure.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"eiderspread/internal/forward"
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/planner"
+	"eiderspread/internal/controlplane/forwarder"
+	"eiderspread/internal/controlplane/planner"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // Cost is what a run used, for a request of a client.
@@ -37,7 +37,7 @@
 	s.at = time.Now()
 	for _, p := range f.Forwarders {
 		s.fwd += p.CPU()
-		var st forward.Status
+		var st forwarder.Status
 		if p.ReadStatus(context.Background(), &st) == nil {
 			s.bytes += st.BytesIn + st.BytesOut
 		}
@@ -52,7 +52,7 @@
 }
 
 // MeasureCost runs a fleet without faults, first idle and then under load.
-func MeasureCost(sc Scenario, idle time.Duration) (Cost, *audit.Report, error) {
+func MeasureCost(sc Scenario, idle time.Duration) (Cost, *oracle.Report, error) {
 	sc.Direct = true
 	f, err := StartFleet(sc.FleetConfig)
 	defer f.Stop()
@@ -71,7 +71,7 @@
 	NewClients(Traffic{Accounts: sc.Accounts, Classes: sc.Classes, Shares: LabShares, Units: LabUnits, Retries: 2, Seed: sc.Seed},
 		f.Hist, f.Front).Run(ctx)
 	c := f.snapshot()
-	rep := audit.Audit(f.Hist, f.Rules())
+	rep := oracle.Audit(f.Hist, f.Rules())
 	n := float64(max(rep.Tries, 1))
 	span, rest := c.at.Sub(b.at).Seconds(), b.at.Sub(a.at).Seconds()
 	share := func(d time.Duration, programs int, of float64) float64 {
@@ -86,18 +86,18 @@
 	return cost, rep, nil
 }
 
-func overheads(h *audit.History) (p50, p99 time.Duration) {
+func overheads(h *oracle.History) (p50, p99 time.Duration) {
 	defer h.Lock()()
-	one := map[string]*audit.Attempt{}
+	one := map[string]*oracle.Attempt{}
 	for _, a := range h.Attempts {
 		if one[a.ID] != nil {
-			a = &audit.Attempt{}
+			a = &oracle.Attempt{}
 		}
 		one[a.ID] = a
 	}
 	var list []time.Duration
 	for _, t := range h.Tries {
-		if a := one[t.ID]; t.Result == audit.Served && a != nil && a.How == "served" {
+		if a := one[t.ID]; t.Result == oracle.Served && a != nil && a.How == "served" {
 			list = append(list, t.Answered-t.Sent-(a.End-a.At))
 		}
 	}
@@ -170,7 +170,7 @@
 	}
 	failsafe := func() bool {
 		for _, p := range f.Forwarders {
-			var st forward.Status
+			var st forwarder.Status
 			if p.ReadStatus(context.Background(), &st) != nil {
 				return false
 			}
--- a/internal/lab/mutants/list.go
+++ b/internal/testbed/mutation/list.go
@@ -1,4 +1,4 @@
-package mutants
+package mutation
 
 // Runs of which mutants name those that bring their occasions. Virtual time first: it is quick.
 const (
@@ -14,18 +14,18 @@
 	simShed     = "sim -overload -shrink=false -schedules 8 -for 25s -planners 0 -forwarders 8 -scenario "
 	simShedTwo  = "sim -overload -shrink=false -schedules 8 -for 25s -planners 3 -forwarders 5 -scenario "
 	module      = "policy/policy.go"
-	shedder     = "internal/overload/overload.go"
-	wordsFile   = "internal/planner/words.go"
-	counts      = "internal/tally/tally.go"
-	ceilings    = "internal/ceiling/ceiling.go"
-	lender      = "internal/places/places.go"
+	shedder     = "internal/decision/loadshed/overload.go"
+	wordsFile   = "internal/controlplane/planner/words.go"
+	counts      = "internal/decision/quota/tally.go"
+	ceilings    = "internal/decision/hardlimit/ceiling.go"
+	lender      = "internal/decision/slotlease/places.go"
 	state       = "policy/state.go"
-	core        = "internal/forward/core.go"
-	mover       = "internal/forward/move.go"
-	host        = "internal/planner/host.go"
-	windows     = "internal/planner/windows.go"
-	leases      = "internal/planner/leases.go"
-	in          = "internal/ingress/"
+	core        = "internal/controlplane/forwarder/core.go"
+	mover       = "internal/controlplane/forwarder/move.go"
+	host        = "internal/controlplane/planner/host.go"
+	windows     = "internal/controlplane/planner/windows.go"
+	leases      = "internal/controlplane/planner/leases.go"
+	in          = "internal/dataplane/ingress/"
 )
 
 func edit(file, old, new string) []Edit { return []Edit{{file, old, new}} }
@@ -33,25 +33,25 @@
 // List is every guard that the laboratory is asked to miss.
 var List = []Mutant{
 	// ---- Overload shed as one ----
-	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/overload",
+	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
-	{Name: "the level comes to what is served", Rule: "overload shed as one", Unit: "./internal/overload",
+	{Name: "the level comes to what is served", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: []Edit{{shedder, "if to := s.levelFor(now, done*beyond*(1-drainMargin*much)); to > s.level {", "if to := s.levelFor(now, 0*(1-drainMargin*much)); to > s.level {"},
 			{shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs: []string{simShed + "overload-low", simShed + "overload"}},
-	{Name: "and falls again", Rule: "overload shed as one", Unit: "./internal/overload",
+	{Name: "and falls again", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: []Edit{{shedder, "s.level -= down * (1 - wait/targetWait) * dt", "s.level -= 0.01 * down * (1 - wait/targetWait) * dt"}, {shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs:  []string{simShed + "overload", simShed + "overload-low"}},
-	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/overload",
+	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedder, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
-	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/planner",
-		Edits: edit("internal/forward/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
+	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/controlplane/planner",
+		Edits: edit("internal/controlplane/forwarder/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
 		Edits: edit(module, "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(q)", "req.plan.Weight, g.accountFor(q)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
-	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/overload",
+	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedder, "return d.ClassRank + 1, d.ClassCount + 1", "return d.ClassCount - d.ClassRank, d.ClassCount + 1"), Runs: []string{simShed + "overload"}},
-	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/overload",
+	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
 		Why: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
@@ -81,7 +81,7 @@
 		Runs:  []string{simOne + "keys", simTwo + "keys"}},
 	{Name: "a request has so many attempts", Rule: "attempts limited", Unit: "./policy",
 		Edits: edit(module, "case len(req.attempts) >= max(1, g.settings.MaxAttempts):", "case len(req.attempts) >= 99:"), Runs: []string{simOne + "errors"}},
-	{Name: "and over a change of leaders too", Rule: "attempts limited", Unit: "./internal/forward",
+	{Name: "and over a change of leaders too", Rule: "attempts limited", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "len(request.attemptDone) >= c.cfg.MaxAttempts", "len(request.attemptDone) >= 99"), Runs: []string{simTwo + "errors"}},
 	{Name: "a key goes where it is remembered", Rule: "no effect twice", Unit: "./policy",
 		Edits: edit(module, "!req.class.KeyScope.Same(req.firstRan.Backend, backend.Backend) {", "!ScopeAll.Same(req.firstRan.Backend, backend.Backend) {"), Runs: []string{simOne + "zones"}},
@@ -109,7 +109,7 @@
 `, `	return units
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "a ceiling starts empty", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(module, "ceiling.NewLimiter(g.startedAt)}", "ceiling.Limiter{Local: tally.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}, Shared: tally.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}}}"),
+		Edits: edit(module, "hardlimit.NewLimiter(g.startedAt)}", "hardlimit.Limiter{Local: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}, Shared: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}}}"),
 		Runs:  []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "ceilings are split among gateways", Rule: "ceilings kept", Unit: "./policy",
 		Edits: edit(ceilings, "return (1 - t.SharedFraction()) / float64(max(t.Gateways, 1))", "return 1 - t.SharedFraction()"), Runs: []string{simOne + "ceilings"}},
@@ -127,7 +127,7 @@
 		Edits: edit(module, `		ledger.Available -= grant
 `, `		ledger.Available -= 2 * grant
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
-	{Name: "a report is counted once", Rule: "quotas can be used", Unit: "./internal/tally",
+	{Name: "a report is counted once", Rule: "quotas can be used", Unit: "./internal/decision/quota",
 		Edits: edit(counts, `Demand: rate, ReportedAt: now}
 `, `Demand: rate, ReportedAt: now}
 	delta += max(delta, 0)
@@ -142,7 +142,7 @@
 		Edits: edit(module, `0, 0, g.now+report.BackoffS
 `, `0, 0, g.now+report.BackoffS*100
 `), Runs: []string{simOne + "calm", simCrowd + "crowd"}},
-	{Name: "a member that lets in more than its split is counted", Rule: "quotas kept", Unit: "./internal/tally",
+	{Name: "a member that lets in more than its split is counted", Rule: "quotas kept", Unit: "./internal/decision/quota",
 		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -most))", "l.Available = max(l.Available-units/2, min(l.Available, -most))"), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "the local window is a part of the whole", Rule: "quotas kept",
 		Why:   "what a member last heard of the room bounds it as well, and what it lets in is owed once it is told",
@@ -154,14 +154,14 @@
 	{Name: "a young count believes what members heard", Rule: "quotas kept",
 		Why:   "a window more is what the budget has for an owner that comes back empty; it is what is to be tightened next",
 		Edits: edit(module, "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
-	{Name: "lost reports are no silence", Rule: "quotas can be used", Unit: "./internal/pulse",
+	{Name: "lost reports are no silence", Rule: "quotas can be used", Unit: "./internal/decision/failuredetector",
 		Why:   "owners passed over for a second each cost 1% of service at 80 ingresses, which no rule is made of",
-		Edits: edit("internal/pulse/pulse.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
+		Edits: edit("internal/decision/failuredetector/pulse.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
 	// ---- The module: places lent by time, units ahead ----
-	{Name: "a place comes back by itself", Rule: "caps kept", Unit: "./internal/places",
+	{Name: "a place comes back by itself", Rule: "caps kept", Unit: "./internal/decision/slotlease",
 		Why:   "without it places stand idle, which no rule is made of: resto falls to 0.85 of its share at 300 ingresses",
 		Edits: edit(lender, "now, now + min(span, MaxLeaseS) + GraceS,", "now, now + 10*min(span, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
-	{Name: "a place is lent once", Rule: "caps kept", Unit: "./internal/places",
+	{Name: "a place is lent once", Rule: "caps kept", Unit: "./internal/decision/slotlease",
 		Edits: edit(lender, `if l.member != but {
 			n += l.slots
 `, `if l.member != but {
@@ -169,23 +169,23 @@
 `), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a place in use is renewed", Rule: "caps kept", Unit: "./policy",
 		Why:   "an attempt that outlives its place is one beyond the cap for as long as it lasts, which the budget of a cap of two has room for",
-		Edits: edit(module, "account.ownerLeases && req.inFlight > 0 && account.leasedSlots.Count(g.now+places.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simPlaces + "places-slow"}},
+		Edits: edit(module, "account.ownerLeases && req.inFlight > 0 && account.leasedSlots.Count(g.now+slotlease.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a new life lends nothing at first", Rule: "caps kept", Unit: "./policy",
-		Why:   "what its former life lent is over within half a second: twice the cap is stated for that long",
-		Edits: edit(module, `	g.leaseFrom = now + places.ReportLeaseS
+		Why: "what its former life lent is over within half a second: twice the cap is stated for that long",
+		Edits: edit(module, `	g.leaseFrom = now + slotlease.ReportLeaseS
 `, ""), Runs: []string{simPlaces + "places-storm"}},
-	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/ceiling",
+	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/decision/hardlimit",
 		Why:   "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
 		Edits: edit(ceilings, "-c.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
 	// ---- Nodes held by hand in two levels ----
-	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/withhold",
-		Edits: edit("internal/withhold/withhold.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
-	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/withhold",
-		Edits: edit("internal/withhold/withhold.go", "op.effectiveAt = now + c.leaseS", "op.effectiveAt = now + 1e-9"), Runs: []string{simTwo + "hands"}},
+	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
+		Edits: edit("internal/controlplane/cordon/withhold.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
+	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
+		Edits: edit("internal/controlplane/cordon/withhold.go", "op.effectiveAt = now + c.leaseS", "op.effectiveAt = now + 1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/forward/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/forwarder/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/planner/holds.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/planner/holds.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
 	// ---- The module: servers ----
 	{Name: "cold servers get their part", Rule: "cold nodes stand", Unit: "./policy",
 		Edits: edit(module, "\treturn backend.inFlight < 2 && (sum+work <=", "\treturn true || backend.inFlight < 2 && (sum+work <="),
@@ -199,34 +199,34 @@
 			{in + "pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
 		Runs: []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "a node that drains is told from one that is up", Rule: "drains kept",
-		Edits: edit("internal/roster/roster.go", `"terminating": policy.Draining`, `"terminating": policy.Up`),
+		Edits: edit("internal/membership/discovery/roster.go", `"terminating": policy.Draining`, `"terminating": policy.Up`),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
-	{Name: "what changed is passed on whole", Rule: "drains kept", Unit: "./internal/ingress",
-		Edits: edit("internal/roster/roster.go", "if list.Full || len(list.Endpoints) > 0 {", "if list.Full || len(list.Endpoints) > 0 && list.Version%2 == 0 {"),
+	{Name: "what changed is passed on whole", Rule: "drains kept", Unit: "./internal/dataplane/ingress",
+		Edits: edit("internal/membership/discovery/roster.go", "if list.Full || len(list.Endpoints) > 0 {", "if list.Full || len(list.Endpoints) > 0 && list.Version%2 == 0 {"),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	// ---- The ingress: what an attempt's end means ----
-	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/ingress",
+	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"backends.go", "in.finishAttempt(a, attemptResult{status: policy.Timeout}, in.now)", "in.finishAttempt(a, attemptResult{status: policy.NotSent}, in.now)"),
 		Runs:  []string{labOne + "answers", labTwo + "answers"}},
-	{Name: "a connection lost after the last byte may have run", Rule: "no effect twice", Unit: "./internal/ingress",
+	{Name: "a connection lost after the last byte may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"pool.go", "status := policy.Reset\n", "status := policy.ConnectFailed\n"),
 		Runs:  []string{labOne + "answers"}},
-	{Name: "a spoilt answer may have run", Rule: "no effect twice", Unit: "./internal/ingress",
+	{Name: "a spoilt answer may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"reply.go", "return attemptResult{status: policy.Error, malformed: why}", "return attemptResult{status: policy.Rejected, malformed: why}"),
 		Runs:  []string{labOne + "answers"}},
-	{Name: "an error answer may have run", Rule: "no effect twice", Unit: "./internal/ingress",
+	{Name: "an error answer may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"reply.go", `res := attemptResult{status: policy.Error}
 `, `res := attemptResult{status: policy.Rejected}
 `),
-		Runs:  []string{labOne + "answers"}},
-	{Name: "an attempt that is given up ends", Rule: "one attempt out", Unit: "./internal/ingress",
+		Runs: []string{labOne + "answers"}},
+	{Name: "an attempt that is given up ends", Rule: "one attempt out", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"backends.go", `		in.closeBackendConn(a.conn)
 		a.conn = nil
 `, `		a.conn.attempt = nil
 		a.conn = nil
 `),
-		Runs:  []string{labOne + "answers", labOne + "snow"}},
-	{Name: "a copy of an answer is no answer", Rule: "one answer", Unit: "./internal/ingress", // its bytes, what waits on a connection, and the rest before use each tell it
+		Runs: []string{labOne + "answers", labOne + "snow"}},
+	{Name: "a copy of an answer is no answer", Rule: "one answer", Unit: "./internal/dataplane/ingress", // its bytes, what waits on a connection, and the rest before use each tell it
 		Edits: []Edit{{in + "pool.go", "if res.status == policy.OK && recent.seen(buf.data[:size], at, in.backends.duplicateWindowS) {", "if false {"},
 			{in + "pool.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
 			{in + "pool.go", `stray := len(buf.data) > size
@@ -235,10 +235,10 @@
 			{in + "pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !openAndSilent(c.rawConn) {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
 		Runs: []string{labOne + "answers", labTwo + "answers"}},
 	// ---- The ingress: clients ----
-	{Name: "an id that is open is not taken again", Rule: "no request lost", Unit: "./internal/ingress",
+	{Name: "an id that is open is not taken again", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"requests.go", "case in.requests[q.ID] != nil, in.predecessorRequests[q.ID] != nil:", "case false:"),
 		Runs:  []string{labOne + "rude", labTwo + "rude"}},
-	{Name: "answers keep the order of their commands", Rule: "answers in order", Unit: "./internal/ingress",
+	{Name: "answers keep the order of their commands", Rule: "answers in order", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"clients.go", `	n, bytes := 0, len(c.pendingOutput)
 `, `	n, bytes := 0, len(c.pendingOutput)
 	for i, s := range c.answerSlots {
@@ -247,12 +247,12 @@
 		}
 	}
 `),
-		Runs:  []string{labOne + "rude"}},
-	{Name: "a planned restart answers what was taken", Rule: "no request lost", Unit: "./internal/ingress",
+		Runs: []string{labOne + "rude"}},
+	{Name: "a planned restart answers what was taken", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"clients.go", `		if c.fullyAnswered() && !c.transferring && !c.recentlyOpened(in) {
 			in.closeGracefully(c, closeShutdown)`, `		if true {
 			in.closeClient(c, closeShutdown)`),
-		Runs:  []string{"lab -forwarders 4 -planners 0 -nodes 6 -for 30s -scenario playoff -kinds roll,snow,snow -every 600ms"}}, // requests that last longer than the time in which new connections are taken
+		Runs: []string{"lab -forwarders 4 -planners 0 -nodes 6 -for 30s -scenario playoff -kinds roll,snow,snow -every 600ms"}}, // requests that last longer than the time in which new connections are taken
 	{Name: "a client's hang-up ends its own requests alone", Rule: "no request lost",
 		Edits: edit(in+"clients.go", `		if s.request != nil && !s.request.completed {
 			in.completeRequest(s.request)
@@ -267,7 +267,7 @@
 			}
 		}
 `),
-		Runs:  []string{labOne + "rude"}},
+		Runs: []string{labOne + "rude"}},
 	{Name: "a bad command ends no other's request", Rule: "no request lost",
 		Edits: edit(in+"clients.go", `	answer := errorReply(cause)
 	c.input.release()
@@ -279,42 +279,42 @@
 		}
 	})
 `),
-		Runs:  []string{labOne + "rude"}},
+		Runs: []string{labOne + "rude"}},
 	{Name: "requests are refused late in a drain", Rule: "a drained ingress lets go of its clients", Unit: "./policy",
 		Edits: edit("policy/drain.go", "if d.active && now-d.startedAt >= drainRejectS {", "if d.active && now-d.startedAt >= 1e9 {"),
 		Runs:  []string{drainOne}},
 	{Name: "a drained connection ends when all on it is answered", Rule: "no request lost",
 		Edits: edit(in+"clients.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
 		Runs:  []string{drainOne}},
-	{Name: "what may be written is asked directly before the write", Rule: "no effect twice", Unit: "./internal/ingress",
+	{Name: "what may be written is asked directly before the write", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Why:   "connections that come up late are the soak's alone, which counts it by the ingresses' own check; the unit test makes one",
 		Edits: edit(in+"guard.go", "case now > a.latestStart:", "case false:"),
 		Runs:  []string{labOne + "keys"}},
 	// ---- Forwarders ----
-	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/forward", // by epoch and promise, and by the handle of the telling
-		Edits: []Edit{{core, "ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !fleet.Fenced)", "ok := true"},
+	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // by epoch and promise, and by the handle of the telling
+		Edits: []Edit{{core, "ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !topology.Fenced)", "ok := true"},
 			{core, `	delete(c.submitted, request.handle)
 	if request.handle != 0`, "\tif request.handle != 0"},
 			{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"}},
 		Runs: []string{simTwo + "storm", simTwo + "programs"}},
-	{Name: "never two attempts out, whoever asks", Rule: "one attempt out", Unit: "./internal/forward", // a request waits for the end of its attempt, and a second one is not made
+	{Name: "never two attempts out, whoever asks", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // a request waits for the end of its attempt, and a second one is not made
 		Edits: []Edit{{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"},
 			{core, `		c.withdraw(request)
 		if !request.completed && request.inFlight == 0 {`, `		c.withdraw(request)
 		if !request.completed {`},
 			{core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return !request.mayHaveRun ||"}},
 		Runs: []string{simTwo + "programs"}},
-	{Name: "a successor runs no unsafe request again", Rule: "no effect twice", Unit: "./internal/forward",
+	{Name: "a successor runs no unsafe request again", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "case !request.mayHaveRun || class.Idempotency == policy.Idempotent:", "case !request.mayHaveRun || class.Idempotency != policy.KeyedIdempotent:"), Runs: []string{simTwo + "programs"}},
-	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/forward",
+	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return true || !request.mayHaveRun && request.inFlight == 0 ||"), Runs: []string{simTwo + "programs"}},
-	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/forward",
+	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, `	c.endOverdue()
 `, ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
-	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/forward",
+	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation):", "case msg.Epoch > cell.epoch:"),
 		Runs:  []string{simTwo + "programs"}},
-	{Name: "a forwarder promises nothing right after its start", Rule: "one leader", Unit: "./internal/forward",
+	{Name: "a forwarder promises nothing right after its start", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "\t\tcell.promisedUntil = now + cfg.LeaseS // this", "\t\tcell.promisedUntil = now // this"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
 	{Name: "at a forwarder a reset may have run", Rule: "no effect twice",
 		Edits: edit(core, "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.ConnectFailed ||", "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.Reset || outcome.Status == policy.ConnectFailed ||"),
@@ -322,104 +322,104 @@
 	{Name: "a forwarder knows how long keys are remembered", Rule: "no effect twice",
 		Edits: edit(core, "return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS", "return class.KeyScope == policy.ScopeAll"),
 		Runs:  []string{simTwo + "keys"}},
-	{Name: "a forwarder remembers what was passed on", Rule: "quotas kept", Unit: "./internal/forward",
+	{Name: "a forwarder remembers what was passed on", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, `			c.usage.record(request.Account, windowUsage{request.plan, msg.Epoch, msg.Round, msg.Units, c.now})
 `, ""), Runs: []string{simTwo + "ceilings"}},
-	{Name: "a forwarder tells of what it has out", Rule: "caps kept", Unit: "./internal/forward",
-		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+	{Name: "a forwarder tells of what it has out", Rule: "caps kept", Unit: "./internal/controlplane/forwarder",
+		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
 		Edits: edit(core, `		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
 `, `		c.orphans[request.Account] = orphanCount{request.plan, 0}
 `),
-		Runs:  []string{simTwo + "capped"}},
-	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/forward",
-		Edits: edit("internal/forward/usage.go", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt}", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt - 1e6}"),
+		Runs: []string{simTwo + "capped"}},
+	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
+		Edits: edit("internal/controlplane/forwarder/usage.go", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt}", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
 	// ---- Planners ----
 	{Name: "a lead ends before the promises that it rests on", Rule: "one leader",
-		Edits: edit("internal/fleet/fleet.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
-	{Name: "a lead runs out", Rule: "one leader", Unit: "./internal/planner",
-		Edits: []Edit{{leases, "return lease.leading && lease.epoch == epoch && (now < lease.expiresAt || !fleet.Fenced)", "return lease.leading && lease.epoch == epoch"},
-			{leases, "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt && fleet.Fenced {", "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt+1e9 && fleet.Fenced {"}},
+		Edits: edit("internal/controlplane/topology/fleet.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
+	{Name: "a lead runs out", Rule: "one leader", Unit: "./internal/controlplane/planner",
+		Edits: []Edit{{leases, "return lease.leading && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)", "return lease.leading && lease.epoch == epoch"},
+			{leases, "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt && topology.Fenced {", "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt+1e9 && topology.Fenced {"}},
 		Runs: []string{simTwo + "programs"}},
-	{Name: "a majority has to promise", Rule: "one leader", Unit: "./internal/planner",
-		Edits: edit("internal/fleet/fleet.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
-	{Name: "a successor takes windows for empty until all have told", Rule: "quotas kept", Unit: "./internal/planner",
+	{Name: "a majority has to promise", Rule: "one leader", Unit: "./internal/controlplane/planner",
+		Edits: edit("internal/controlplane/topology/fleet.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
+	{Name: "a successor takes windows for empty until all have told", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(windows, `		if t.missingReports > 0 {
 			window.available = min(`, `		if false {
 			window.available = min(`), Runs: []string{simTwo + "ceilings"}},
-	{Name: "a successor believes what was told of windows", Rule: "quotas kept", Unit: "./internal/planner",
+	{Name: "a successor believes what was told of windows", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(windows, "return min(p.Burst, p.Burst-window.debt+p.Rate*max(now-window.reportedAt, 0))", "return p.Burst"), Runs: []string{simTwo + "ceilings"}},
-	{Name: "of several tales the latest pass holds", Rule: "quotas kept", Unit: "./internal/planner",
+	{Name: "of several tales the latest pass holds", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(windows, "if !window.reported || msg.Handle > window.epoch || msg.Handle == window.epoch && msg.Round > window.reportedSeq {", "if !window.reported || msg.Handle < window.epoch || msg.Handle == window.epoch && msg.Round < window.reportedSeq {"),
 		Runs:  []string{simTwo + "ceilings"}},
-	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/planner",
+	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(windows, `	window.available -= units
 	t.admissions++`, "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
-	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/planner",
-		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/controlplane/planner",
+		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
 		Edits: edit(host, `			c.reportCounts(request.cellID, cell.windows.setOrphans(now, forwarder, request.account, request.plan, inFlight[request.account]))
 `, ""), Runs: []string{simTwo + "lonely"}},
-	{Name: "a planner tells its module of earlier passes", Rule: "quotas kept", Unit: "./internal/planner",
+	{Name: "a planner tells its module of earlier passes", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(host, `	c.reportCounts(int(msg.Cell), cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan)))
 `, `	cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan))
 `), Runs: []string{simTwo + "ceilings"}},
 	// ---- Membership from etcd ----
-	{Name: "a stale source takes nothing back", Rule: "none on a stale word", Unit: "./internal/member",
-		Edits: edit("internal/member/core.go", "if !s.current && s.relaxes(n) {", "if false {"), Runs: []string{labEtcd}},
-	{Name: "what was compacted away is read anew", Rule: "views equal the truth", Unit: "./internal/etcdsource",
-		Edits: edit("internal/etcdsource/source.go", `		*why = fmt.Sprintf("revision %d was compacted away", s.follower.header.Revision+1)
+	{Name: "a stale source takes nothing back", Rule: "none on a stale word", Unit: "./internal/membership/merge",
+		Edits: edit("internal/membership/merge/core.go", "if !s.current && s.relaxes(n) {", "if false {"), Runs: []string{labEtcd}},
+	{Name: "what was compacted away is read anew", Rule: "views equal the truth", Unit: "./internal/membership/etcdsource",
+		Edits: edit("internal/membership/etcdsource/source.go", `		*why = fmt.Sprintf("revision %d was compacted away", s.follower.header.Revision+1)
 `, ""), Runs: []string{labEtcd + " -troubles cut-and-compacted"}},
-	{Name: "an older state is told three times", Rule: "none on a stale word", Unit: "./internal/etcdsource",
-		Edits: edit("internal/etcdsource/follow.go", "if f.regressions++; f.regressions < confirmReads || len(f.regressedMembers) < f.requiredMembers {", "if false {"), Runs: []string{labEtcd + " -troubles a-liar"}},
-	{Name: "what a read does not list is gone", Rule: "views equal the truth", Unit: "./internal/member",
-		Edits: edit("internal/member/core.go", `		if !listed[id] {
+	{Name: "an older state is told three times", Rule: "none on a stale word", Unit: "./internal/membership/etcdsource",
+		Edits: edit("internal/membership/etcdsource/follow.go", "if f.regressions++; f.regressions < confirmReads || len(f.regressedMembers) < f.requiredMembers {", "if false {"), Runs: []string{labEtcd + " -troubles a-liar"}},
+	{Name: "what a read does not list is gone", Rule: "views equal the truth", Unit: "./internal/membership/merge",
+		Edits: edit("internal/membership/merge/core.go", `		if !listed[id] {
 			n.State = Removed`, `		if false {
 			n.State = Removed`), Runs: []string{labEtcd}},
-	{Name: "the last word of an answer holds", Rule: "none on a stale word", Unit: "./internal/etcdsource",
-		Edits: edit("internal/etcdsource/follow.go", "\t\t\twords[i] = w\n", "\t\t\t_ = i\n"), Runs: []string{labEtcdLong + " -troubles cut"}},
-	{Name: "an agent remembers what etcd told", Rule: "none on a stale word", Unit: "./internal/agent",
-		Edits: edit("internal/agent/agent.go", `	a.merger.Restore(saved.Merged)
+	{Name: "the last word of an answer holds", Rule: "none on a stale word", Unit: "./internal/membership/etcdsource",
+		Edits: edit("internal/membership/etcdsource/follow.go", "\t\t\twords[i] = w\n", "\t\t\t_ = i\n"), Runs: []string{labEtcdLong + " -troubles cut"}},
+	{Name: "an agent remembers what etcd told", Rule: "none on a stale word", Unit: "./internal/membership/agent",
+		Edits: edit("internal/membership/agent/agent.go", `	a.merger.Restore(saved.Merged)
 `, ""), Runs: []string{labEtcd}},
 	// ---- Operators ----
-	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/held",
-		Edits: edit("internal/held/held.go", `		if entry.State == stateInService {
+	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordontable",
+		Edits: edit("internal/controlplane/cordontable/held.go", `		if entry.State == stateInService {
 `, `		if false {
 `), Runs: []string{labOne + "operators"}},
-	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/ingress",
-		Edits: edit(in+"door.go", "store.ReadIfChanged(func(h held.Cordons) { in.cordons.Replace(h) })", "store.ReadIfChanged(func(h held.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
-	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/ingress",
+	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/dataplane/ingress",
+		Edits: edit(in+"door.go", "store.ReadIfChanged(func(h cordontable.Cordons) { in.cordons.Replace(h) })", "store.ReadIfChanged(func(h cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
+	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Why:   "a client whose idle connection ends asks on another; it costs a dial and, at times, a request that crosses the end and is sent again",
 		Edits: edit(in+"handover.go", "if in.successor.stage != handoverActive || c.closing", "if true || c.closing"), Runs: []string{labOne + "operators -kinds replaced"}},
-	{Name: "what was read of a command goes with its connection", Rule: "no request lost", Unit: "./internal/ingress",
+	{Name: "what was read of a command goes with its connection", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Why:   "the laboratory's clients write a command in one piece, so that a part of one is hardly ever read at that moment; the unit test sends halves",
 		Edits: edit(in+"handover.go", "body: bytes.Clone(c.input.data)}", "body: bytes.Clone(c.input.data[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
 	// ---- A forwarder replaced while it serves ----
-	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/forward",
+	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "c.cells[i] = cellState{holder: -1, requester: -1, promisedUntil: now + c.cfg.LeaseS, leaderlessSince: now}", "c.cells[i].requester, c.cells[i].leaderlessSince = -1, now"), Runs: []string{simTwo + "handed-torn"}},
-	{Name: "promises go over", Rule: "one leader", Unit: "./internal/forward",
+	{Name: "promises go over", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Incarnation, promise.PromisedUntil", "cell.epoch, cell.holder, cell.promisedUntil = promise.Epoch, -1, now"), Runs: []string{simTwo + "upgrades"}},
-	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/forward",
+	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "for _, report := range transferred.UsageReports {", "for _, report := range transferred.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
-	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/forward",
+	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Why:   "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
 		Edits: edit(mover, "mayHaveRun: saved.MayHaveRun, firstRunAt: saved.FirstRunAt", "mayHaveRun: false, firstRunAt: saved.FirstRunAt"), Runs: []string{simTwo + "handed-keys"}},
-	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/forward",
+	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "request.inFlight += b2i(!done)", "request.inFlight += 0 * b2i(!done)"), Runs: []string{simTwo + "upgrades"}},
-	{Name: "what a successor sent is written down", Rule: "one attempt out", Unit: "./internal/forward",
+	{Name: "what a successor sent is written down", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, `		if !request.completed {
 			request.sentAt, request.attemptDone`, `		if false {
 			request.sentAt, request.attemptDone`), Runs: []string{simTwo + "handed-queue"}},
-	{Name: "tales are not complete after taking back", Rule: "quotas kept", Unit: "./internal/forward",
+	{Name: "tales are not complete after taking back", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, `	}
 	c.usage.incompleteAt = now
 	clear(c.planners)`, `	}
 	clear(c.planners)`), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
-	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/link",
-		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
-		Edits: edit("internal/link/conn.go", `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
+	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
+		Why: "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
+		Edits: edit("internal/controlplane/transport/conn.go", `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
 `, `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
 	idleTimeout = time.Hour
 `),
-		Runs:  []string{labTwo + "programs"}},
+		Runs: []string{labTwo + "programs"}},
 }
--- a/internal/lab/mutants/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -1,6 +1,6 @@
 // Package mutants takes guards out of the program, one at a time, to see whether the laboratory finds out: a run that
 // could not lose its verdict shows nothing. Sources stay as they are: a mutant is built from an overlay of theirs.
-package mutants
+package mutation
 
 import (
 	"context"
--- a/internal/lab/mutants/mutants_test.go
+++ b/internal/testbed/mutation/mutants_test.go
@@ -1,4 +1,4 @@
-package mutants
+package mutation
 
 import (
 	"context"
--- a/internal/lab/net_test.go
+++ b/internal/testbed/net_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/testbed/oracle"
 )
 
 const patience = 20 * time.Second
@@ -159,7 +159,7 @@
 
 // Guards the roster's ways: late, broken and whole lists, and that what a party is told is known no later than it can act.
 func TestRosterWays(t *testing.T) {
-	hist := audit.New()
+	hist := oracle.New()
 	r := NewRoster(hist)
 	defer r.Close()
 	addr, err := r.For("f0")
@@ -171,7 +171,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		roster.NewWatcher(addr, 1, func(l roster.List) {
+		discovery.NewWatcher(addr, 1, func(l discovery.List) {
 			for _, s := range l.Endpoints {
 				got <- s.ID + " " + s.State
 			}
@@ -192,7 +192,7 @@
 			t.Fatalf("never told %q", text)
 		}
 	}
-	set := func(id, state string) { r.Set(roster.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state}) }
+	set := func(id, state string) { r.Set(discovery.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state}) }
 	set("a", "in_service")
 	want("a in_service")
 	r.Late(50 * time.Millisecond)
--- a/internal/lab/node.go
+++ b/internal/testbed/node.go
@@ -3,7 +3,7 @@
 // of a node, package audit the judge, package sim fleets in virtual time, package mutants the guards that are taken out on
 // purpose. All of it is on loopback addresses. One process holds the stand-ins, so that one clock times everything; the
 // programs under test are processes of their own.
-package lab
+package testbed
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/lab/node"
+	"eiderspread/internal/testbed/node"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // Node is one stand-in zone node on a socket: a node.Model, and the connections to it. Each attempt is recorded when its last
@@ -26,7 +26,7 @@
 type Node struct {
 	ID      string
 	cfg     node.Config
-	hist    *audit.History
+	hist    *oracle.History
 	life    int
 	started time.Time
 	cold    bool
@@ -48,7 +48,7 @@
 // nodeAttempt is what the node keeps of an attempt that has not ended.
 type nodeAttempt struct {
 	node.Attempt
-	rec   *audit.Attempt
+	rec   *oracle.Attempt
 	reply chan node.Fate // of one place, for what its connection is to write; closed with nothing to write
 	load  float64
 	left  bool
@@ -56,14 +56,14 @@
 
 // NodeNet is what all nodes of a laboratory share.
 type NodeNet struct {
-	hist *audit.History
+	hist *oracle.History
 	zero time.Time
 	mu   sync.Mutex
 	keys *node.Keys
 }
 
 // NewNodeNet makes what nodes share.
-func NewNodeNet(hist *audit.History) *NodeNet {
+func NewNodeNet(hist *oracle.History) *NodeNet {
 	return &NodeNet{hist: hist, zero: time.Now(), keys: node.NewKeys()}
 }
 
@@ -91,7 +91,7 @@
 		born -= 1e6
 		started = -1e6 * time.Second
 	}
-	n.life = w.hist.Life(audit.Life{Node: id, Started: started, Capacity: float64(cfg.Cores) * cfg.Speed, ColdFrom: cfg.ColdFrom, ColdS: cfg.ColdS})
+	n.life = w.hist.Life(oracle.Life{Node: id, Started: started, Capacity: float64(cfg.Cores) * cfg.Speed, ColdFrom: cfg.ColdFrom, ColdS: cfg.ColdS})
 	n.model = node.New(cfg, w.keys, seed, born, n)
 	n.timer = time.AfterFunc(time.Hour, n.ring)
 	go n.accept(l)
@@ -339,7 +339,7 @@
 	}
 	f := fieldsOf(args[3])
 	units, _ := strconv.ParseFloat(f["units"], 64)
-	x := &nodeAttempt{reply: make(chan node.Fate, 1), rec: &audit.Attempt{ID: args[2], Node: n.ID, Account: args[1], Class: f["c"], Plan: f["t"],
+	x := &nodeAttempt{reply: make(chan node.Fate, 1), rec: &oracle.Attempt{ID: args[2], Node: n.ID, Account: args[1], Class: f["c"], Plan: f["t"],
 		Units: units, Life: n.life, Conn: c.RemoteAddr().String()},
 		Attempt: node.Attempt{Request: args[2], Account: args[1], Class: f["c"], Key: f["k"]}}
 	n.do(func(m *node.Model, now float64) {
--- a/internal/lab/oneingress.go
+++ b/internal/testbed/oneingress.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"eiderspread/internal/ingress"
+	"eiderspread/internal/dataplane/ingress"
 )
 
 // Environment of an ingress that the laboratory runs.
--- a/internal/lab/operators.go
+++ b/internal/testbed/operators.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/lab/audit"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // What operators do by hand to one-program ingresses: replace a program beside itself, take nodes out and call them back.
@@ -278,5 +278,5 @@
 	scenarios["operators"] = scenario{what: "programs replaced beside themselves, nodes held and restarted, while nodes err, drain and crash and programs die",
 		kinds: []string{"replaced", "replaced", "replaced", "held", "held", "held", "drain", "crash", "sick", "forwarder", "broken roster", "silent roster", "late roster"},
 		every: 400 * time.Millisecond, weather: 0.05, hangUps: 0.03, batches: 0.2, rude: 1,
-		floors: map[string]int{audit.Held: 20, audit.Replaced: 20, audit.Lost: 50}}
+		floors: map[string]int{oracle.Held: 20, oracle.Replaced: 20, oracle.Lost: 50}}
 }
--- a/internal/lab/audit/audit.go
+++ b/internal/testbed/oracle/audit.go
@@ -1,4 +1,4 @@
-package audit
+package oracle
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"sort"
 	"time"
 
-	"eiderspread/internal/budget"
-	"eiderspread/internal/ring"
+	"eiderspread/internal/decision/errorbound"
+	"eiderspread/internal/decision/hashring"
 	"eiderspread/policy"
 )
 
@@ -438,9 +438,9 @@
 		}
 	}
 	one := len(rules.Homes) > 0 // of one level: by the error budget
-	asks, around := map[string][]pass{}, ring.Ring{}
+	asks, around := map[string][]pass{}, hashring.Ring{}
 	if one {
-		around = ring.New(rules.Gateways, ring.PointsPerGateway(rules.Gateways))
+		around = hashring.New(rules.Gateways, hashring.PointsPerGateway(rules.Gateways))
 		for _, t := range h.Tries {
 			asks[t.Account] = append(asks[t.Account], pass{t.Sent.Seconds(), 1})
 		}
@@ -451,9 +451,9 @@
 		})
 		out, most, at, broken := 0, 0, time.Duration(0), false
 		cap, before := plan[account].MaxConcurrency, time.Duration(0)
-		a, troubles := budget.Account{}, []budget.Fault(nil)
+		a, troubles := errorbound.Account{}, []errorbound.Fault(nil)
 		if one {
-			a = budget.Account{Gateways: rules.Homes[account].Entries, MaxConcurrent: cap, RequestRate: most1(asks[account])}
+			a = errorbound.Account{Gateways: rules.Homes[account].Entries, MaxConcurrent: cap, RequestRate: most1(asks[account])}
 			troubles = troublesOf(h, rules, around, account)
 		}
 		for _, e := range list {
@@ -464,7 +464,7 @@
 				most, at = out, e.at
 			}
 			if one && out > cap && e.by > 0 {
-				allowed, met := budget.SlotExcessWithin(a, troubles, e.at.Seconds())
+				allowed, met := errorbound.SlotExcessWithin(a, troubles, e.at.Seconds())
 				rep.near("budget of places", float64(out-cap)/max(allowed, 1))
 				if float64(out-cap) > max(allowed, 1) && !broken {
 					broken = true
--- a/internal/lab/audit/counts.go
+++ b/internal/testbed/oracle/counts.go
@@ -1,4 +1,4 @@
-package audit
+package oracle
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"eiderspread/internal/budget"
-	"eiderspread/internal/peermsg"
-	"eiderspread/internal/ring"
-	"eiderspread/internal/why"
+	"eiderspread/internal/base/peerprotocol"
+	"eiderspread/internal/decision/errorbound"
+	"eiderspread/internal/decision/hashring"
+	"eiderspread/internal/decision/reason"
 )
 
 // Home is where an account comes in: so many gateways from the first on.
@@ -64,7 +64,7 @@
 		largest[t.Account] = max(largest[t.Account], t.Units)
 		plans[t.Account] = t.Plan
 	}
-	around := ring.New(rules.Gateways, ring.PointsPerGateway(rules.Gateways))
+	around := hashring.New(rules.Gateways, hashring.PointsPerGateway(rules.Gateways))
 	for _, p := range rules.Plans {
 		if p.Rate <= 0 || p.MaxConcurrency > 0 { // a cap may hold back what the quota lets in
 			continue
@@ -75,7 +75,7 @@
 				continue
 			}
 			home := rules.Homes[name]
-			a := budget.Account{Gateways: home.Entries, Rate: p.Rate * drift, Burst: p.Burst, LargestRequest: largest[name], Demand: most1(asked[name])}
+			a := errorbound.Account{Gateways: home.Entries, Rate: p.Rate * drift, Burst: p.Burst, LargestRequest: largest[name], Demand: most1(asked[name])}
 			list := troublesOf(h, rules, around, name)
 			rep.over(rules, name, a, passed[name], list)
 			if told := len(rep.Reasons) > 0; told && (p.HardLimitRate <= 0 || p.HardLimitRate >= 1.5*p.Rate && p.HardLimitBurst >= 1.5*p.Burst) { // else a ceiling may hold back what the quota lets in
@@ -99,9 +99,9 @@
 }
 
 // troublesOf are the failures that an account's count had: lives of its gateways, by their place on its ring, and messages between them.
-func troublesOf(h *History, rules Rules, around ring.Ring, name string) (list []budget.Fault) {
+func troublesOf(h *History, rules Rules, around hashring.Ring, name string) (list []errorbound.Fault) {
 	home := rules.Homes[name]
-	order := around.Successors(peermsg.HashPoint(name), func(gw int) bool { return (gw-home.First+rules.Gateways)%rules.Gateways < home.Entries })
+	order := around.Successors(peerprotocol.HashPoint(name), func(gw int) bool { return (gw-home.First+rules.Gateways)%rules.Gateways < home.Entries })
 	down := func(gw int, at time.Duration) bool {
 		return slices.ContainsFunc(h.Outages, func(o Outage) bool { return o.Forwarder == gw && o.From <= at && at < o.To })
 	}
@@ -112,9 +112,9 @@
 		}
 		from, to := o.From.Seconds(), o.To.Seconds()
 		if first := !slices.ContainsFunc(order[:i], func(gw int) bool { return !down(gw, o.From) || !down(gw, o.To) }); first {
-			list = append(list, budget.Fault{Kind: budget.OwnerLost, From: from, To: to}, budget.Fault{Kind: budget.OwnerRestarted, From: to, To: to})
+			list = append(list, errorbound.Fault{Kind: errorbound.OwnerLost, From: from, To: to}, errorbound.Fault{Kind: errorbound.OwnerRestarted, From: to, To: to})
 		} else {
-			list = append(list, budget.Fault{Kind: budget.MemberLost, From: from, To: to})
+			list = append(list, errorbound.Fault{Kind: errorbound.MemberLost, From: from, To: to})
 		}
 	}
 	for _, x := range h.Peers {
@@ -122,9 +122,9 @@
 		if to == 0 {
 			to = h.Now()
 		}
-		t := budget.Fault{Kind: budget.MessageLoss, From: x.From.Seconds(), To: to.Seconds(), LossRate: x.Loss, Sides: x.Sides}
+		t := errorbound.Fault{Kind: errorbound.MessageLoss, From: x.From.Seconds(), To: to.Seconds(), LossRate: x.Loss, Sides: x.Sides}
 		if x.Sides > 0 {
-			t.Kind = budget.Partition
+			t.Kind = errorbound.Partition
 		}
 		list = append(list, t)
 	}
@@ -132,7 +132,7 @@
 }
 
 // over holds what came to nodes against the budget. What the module has let in waits for a server for QuotaS at most.
-func (rep *Report) over(rules Rules, name string, a budget.Account, list []pass, troubles []budget.Fault) {
+func (rep *Report) over(rules Rules, name string, a errorbound.Account, list []pass, troubles []errorbound.Fault) {
 	for _, length := range countWindows {
 		sum, from, broken := 0.0, 0, false
 		for _, x := range list {
@@ -143,7 +143,7 @@
 			if beyond <= 0 {
 				continue
 			}
-			allowed, met := budget.ExcessWithin(a, troubles, x.at-length, x.at)
+			allowed, met := errorbound.ExcessWithin(a, troubles, x.at-length, x.at)
 			allowed += a.Rate * rules.QuotaS
 			if x := rep.Counted[int(length)]; beyond > x.Units {
 				rep.Counted[int(length)] = Margin{beyond, allowed}
@@ -166,11 +166,11 @@
 }
 
 // forCount are the reasons that a request is refused for when the count, not a node or a ceiling, has no place for it.
-var forCount = map[why.Reason]bool{why.WindowExhausted: true, why.PriorityReserve: true, why.OwnerBackoff: true, why.ReplyExhausted: true, why.Denied: true, why.LocalWindowExhausted: true, why.OwnerSilent: true}
+var forCount = map[reason.Reason]bool{reason.WindowExhausted: true, reason.PriorityReserve: true, reason.OwnerBackoff: true, reason.ReplyExhausted: true, reason.Denied: true, reason.LocalWindowExhausted: true, reason.OwnerSilent: true}
 
 // under plays the account's window as a count without fault would have it: each thing asked for is let in once, when a try for it comes and the
 // window holds it. It compares what that lets in with what was let in. Tries that were turned away for other reasons are no part of it.
-func (rep *Report) under(rules Rules, name string, a budget.Account, tries []*Try, passed []pass, troubles []budget.Fault) {
+func (rep *Report) under(rules Rules, name string, a errorbound.Account, tries []*Try, passed []pass, troubles []errorbound.Fault) {
 	rate := a.Rate / math.Pow(max(rules.Drift, 1), 2) // by the slowest clock
 	room, at := a.Burst, 0.0
 	let := map[string]bool{}
@@ -181,7 +181,7 @@
 		}
 	}
 	for _, t := range tries {
-		if t.Result == Refused && !forCount[why.Reason(t.Why)] {
+		if t.Result == Refused && !forCount[reason.Reason(t.Why)] {
 			continue
 		}
 		if let[t.First] {
@@ -208,7 +208,7 @@
 			if short <= 0 {
 				continue
 			}
-			allowed := budget.RejectionsWithin(a, troubles, x.at-length, x.at) + budget.RejectedFraction*inside + helds.until(x.at) - helds.until(x.at-length)
+			allowed := errorbound.RejectionsWithin(a, troubles, x.at-length, x.at) + errorbound.RejectedFraction*inside + helds.until(x.at) - helds.until(x.at-length)
 			if x := rep.Short[int(length)]; short > x.Units {
 				rep.Short[int(length)] = Margin{short, allowed}
 			}
--- a/internal/lab/audit/counts_test.go
+++ b/internal/testbed/oracle/counts_test.go
@@ -1,11 +1,11 @@
-package audit
+package oracle
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"eiderspread/internal/why"
+	"eiderspread/internal/decision/reason"
 	"eiderspread/policy"
 )
 
@@ -21,7 +21,7 @@
 			h.Attempts = append(h.Attempts, &Attempt{ID: id, Account: "a", Plan: "p", Class: "c", Units: 1, At: at, End: at, Answered: at, How: "served"})
 			continue
 		}
-		t.Result, t.Why = Refused, int(why.Denied)
+		t.Result, t.Why = Refused, int(reason.Denied)
 	}
 	h.Ended = 31 * time.Second
 	h.clock = nil
@@ -68,7 +68,7 @@
 		{"a half refused for nodes' sake", "", func() *History {
 			h := counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 })
 			for _, x := range h.Tries {
-				x.Why = int(why.AdaptiveLimit)
+				x.Why = int(reason.AdaptiveLimit)
 			}
 			return h
 		}},
--- a/internal/lab/audit/history.go
+++ b/internal/testbed/oracle/history.go
@@ -1,6 +1,6 @@
 // Package audit is the laboratory's judge: a History of what nodes, clients and the roster saw, and an Audit that holds the
 // rules against it. It knows nothing of how forwarders, planners and ingresses work, nor whether time was real.
-package audit
+package oracle
 
 import (
 	"encoding/json"
--- a/internal/lab/audit/levels.go
+++ b/internal/testbed/oracle/levels.go
@@ -1,4 +1,4 @@
-package audit
+package oracle
 
 import (
 	"math"
--- a/internal/lab/overload_test.go
+++ b/internal/testbed/overload_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/ingress"
-	"eiderspread/internal/lab/audit"
+	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // Four ingresses that are asked for nearly three times what their nodes can do, split in halves in the middle of it: what is turned away is
@@ -21,9 +21,9 @@
 		t.Fatal(err)
 	}
 	sc.Faults = []Fault{{At: 5 * time.Second, For: 2 * time.Second, Kind: "peers"}}
-	sc.Floors = map[string]int{audit.Lost: 1}
+	sc.Floors = map[string]int{oracle.Lost: 1}
 	// A peak of five seconds and a handful of large accounts: lots alone move the worst plan by a third. The full figures are testbed overload's.
-	sc.Stated = audit.Stated{Share: 0.5, Even: 0.4, Back: 60, Spread: 1, Swing: 1, Starved: 0.6, Gone: 0.5}
+	sc.Stated = oracle.Stated{Share: 0.5, Even: 0.4, Back: 60, Spread: 1, Swing: 1, Starved: 0.6, Gone: 0.5}
 	var log strings.Builder
 	doors := 0
 	_, rep, err := RunSeen(sc, &log, sc.Peak.To-500*time.Millisecond, func(f *Fleet) {
@@ -75,8 +75,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := rep.Counts[audit.Quotas] > 0; got != lost {
-			t.Errorf("%q: %d breaches of quotas (%v)", kind, rep.Counts[audit.Quotas], rep.Breaches)
+		if got := rep.Counts[oracle.Quotas] > 0; got != lost {
+			t.Errorf("%q: %d breaches of quotas (%v)", kind, rep.Counts[oracle.Quotas], rep.Breaches)
 		}
 	}
 }
--- a/internal/lab/peernet.go
+++ b/internal/testbed/peernet.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/peermsg"
+	"eiderspread/internal/base/peerprotocol"
 )
 
 // PeerNet carries the datagrams between ingresses, each pair through addresses of its own, so that they can be cut,
@@ -127,7 +127,7 @@
 // Lie is what one that lies says of overload in a message at a time in seconds: for a second that all is well, for the next that all is lost, in a
 // phase that runs ten times too fast.
 func Lie(b []byte, at float64) {
-	peermsg.OverwriteLoadShedState(b, float64(int(at)%2), uint8(int(at*20)))
+	peerprotocol.OverwriteLoadShedState(b, float64(int(at)%2), uint8(int(at*20)))
 }
 
 // carry takes what i sends for j, and sends it from where j hears i.
--- a/internal/lab/roster.go
+++ b/internal/testbed/roster.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"encoding/json"
@@ -8,20 +8,20 @@
 	"sync"
 	"time"
 
-	"eiderspread/internal/lab/audit"
-	"eiderspread/internal/roster"
+	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // Roster is a stand-in discovery. Each party asks at an address of its own, so that it is known who was told what
 // and when, and so that parties can be told late, or of addresses of their own.
 type Roster struct {
-	hist *audit.History
+	hist *oracle.History
 	// AddrFor, if set before the first party asks, gives the address under which a party sees a node.
-	AddrFor func(party string, t roster.Endpoint) string
+	AddrFor func(party string, t discovery.Endpoint) string
 
 	mu      sync.Mutex
 	version int64
-	list    map[string]roster.Endpoint
+	list    map[string]discovery.Endpoint
 	changes []change
 	changed chan struct{} // closed and replaced with each change
 	late    time.Duration
@@ -31,17 +31,17 @@
 }
 
 type change struct {
-	roster.List
+	discovery.List
 	due time.Time // told no earlier
 }
 
 // NewRoster returns a roster without nodes.
-func NewRoster(hist *audit.History) *Roster {
-	return &Roster{hist: hist, version: 1, list: map[string]roster.Endpoint{}, changed: make(chan struct{}), breaks: make(chan struct{})}
+func NewRoster(hist *oracle.History) *Roster {
+	return &Roster{hist: hist, version: 1, list: map[string]discovery.Endpoint{}, changed: make(chan struct{}), breaks: make(chan struct{})}
 }
 
 // Set says how a node stands from now on.
-func (r *Roster) Set(t roster.Endpoint) {
+func (r *Roster) Set(t discovery.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -50,7 +50,7 @@
 	} else {
 		r.list[t.ID] = t
 	}
-	r.changes = append(r.changes, change{roster.List{Version: r.version, Endpoints: []roster.Endpoint{t}}, time.Now().Add(r.late)})
+	r.changes = append(r.changes, change{discovery.List{Version: r.version, Endpoints: []discovery.Endpoint{t}}, time.Now().Add(r.late)})
 	r.wake()
 }
 
@@ -84,17 +84,17 @@
 }
 
 // All is the whole list as a party sees it.
-func (r *Roster) All(party string) roster.List {
+func (r *Roster) All(party string) discovery.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := roster.List{Version: r.version, Full: true}
+	l := discovery.List{Version: r.version, Full: true}
 	for _, t := range r.list {
 		l.Endpoints = append(l.Endpoints, r.seen(party, t))
 	}
 	return l
 }
 
-func (r *Roster) seen(party string, t roster.Endpoint) roster.Endpoint {
+func (r *Roster) seen(party string, t discovery.Endpoint) discovery.Endpoint {
 	if r.AddrFor != nil {
 		t.Addr = r.AddrFor(party, t)
 	}
@@ -126,7 +126,7 @@
 
 // due is what a watch that has heard all up to after is to be told now, and how long until there may be more. The first of
 // a watch for which changes are missing is the whole list.
-func (r *Roster) due(party string, after int64) (list []roster.List, wait time.Duration, changed, breaks <-chan struct{}, silent bool) {
+func (r *Roster) due(party string, after int64) (list []discovery.List, wait time.Duration, changed, breaks <-chan struct{}, silent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wait, changed, breaks, silent = 2*time.Second, r.changed, r.breaks, r.silent
@@ -138,11 +138,11 @@
 		known = r.changes[0].Version - 1
 	}
 	if after < known {
-		l := roster.List{Version: r.version, Full: true}
+		l := discovery.List{Version: r.version, Full: true}
 		for _, t := range r.list {
 			l.Endpoints = append(l.Endpoints, r.seen(party, t))
 		}
-		return []roster.List{l}, wait, changed, breaks, silent
+		return []discovery.List{l}, wait, changed, breaks, silent
 	}
 	for _, c := range r.changes {
 		if c.Version <= after {
@@ -153,7 +153,7 @@
 			break
 		}
 		l := c.List
-		l.Endpoints = []roster.Endpoint{r.seen(party, l.Endpoints[0])}
+		l.Endpoints = []discovery.Endpoint{r.seen(party, l.Endpoints[0])}
 		list = append(list, l)
 	}
 	return
@@ -204,7 +204,7 @@
 }
 
 // TellUp records what is about to be written of nodes that are up: a party may send as soon as it can have read it.
-func TellUp(hist *audit.History, party string, l roster.List) {
+func TellUp(hist *oracle.History, party string, l discovery.List) {
 	for _, t := range l.Endpoints {
 		if t.State == "in_service" {
 			hist.TellOf(party, t.ID, t.State, t.StartedMS)
@@ -213,7 +213,7 @@
 }
 
 // TellRest records what was written of nodes that are not. Of a whole list, what it does not hold is gone.
-func TellRest(hist *audit.History, party string, l roster.List) {
+func TellRest(hist *oracle.History, party string, l discovery.List) {
 	listed := map[string]bool{}
 	for _, t := range l.Endpoints {
 		listed[t.ID] = true
--- a/internal/lab/rude.go
+++ b/internal/testbed/rude.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"eiderspread/internal/lab/audit"
+	"eiderspread/internal/testbed/oracle"
 )
 
 // rudeAccount is the one that rude clients' whole requests name.
@@ -58,7 +58,7 @@
 			c.mu.Lock()
 			last := c.last
 			c.mu.Unlock()
-			if last != nil && last.Account != rudeAccount && c.hist.Is(last, audit.Open) {
+			if last != nil && last.Account != rudeAccount && c.hist.Is(last, oracle.Open) {
 				a := Account{Name: rudeAccount, Plan: last.Plan, First: last.Forwarder, Spread: 1}
 				c.wg.Add(1)
 				go func() {
