--- a/internal/controlplane/transport/link_test.go
+++ b/internal/controlplane/transport/conn_test.go
@@ -14,7 +14,7 @@
 
 const testTimeout = 20 * time.Second
 
-// randomMessage makes a record whose fields all survive the link.
+// randomMessage returns a message all of whose fields survive the wire.
 func randomMessage(rng *rand.Rand) Message {
 	msg := Message{Kind: Kind(1 + rng.IntN(int(kindCount)-1))}
 	for _, f := range layout[msg.Kind] {
@@ -54,7 +54,7 @@
 	return msg
 }
 
-// Guards against a field that is written and not read, or the reverse.
+// Each kind is read as it was written.
 func TestMessage_RoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	seen := map[Kind]bool{}
@@ -75,7 +75,7 @@
 	}
 }
 
-// Guards against what is no number: it would reach the module.
+// Values out of their range are errors.
 func TestParseFrame_InvalidValues(t *testing.T) {
 	for _, b := range [][]byte{
 		{0}, {byte(kindCount)}, {byte(KindClaim)}, {byte(KindClaim), 0x80},
@@ -90,7 +90,7 @@
 	}
 }
 
-// FuzzParseFrame looks for frames that crash the reader, or that are read as something they can't be written as.
+// FuzzParseFrame looks for frames that crash the reader, or that can't be written as they were read.
 func FuzzParseFrame(f *testing.F) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 50 {
@@ -113,6 +113,13 @@
 	})
 }
 
+func write(t *testing.T, conn net.Conn, b []byte) {
+	t.Helper()
+	if _, err := conn.Write(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func connPair(t *testing.T) (net.Conn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -132,8 +139,7 @@
 	return a, b
 }
 
-// Guards against harm by a peer that speaks nonsense: the link ends with one error, and what was whole before it
-// has been handed on.
+// A malformed frame ends the link with an error, and the complete frames before it are handled.
 func TestConn_MalformedFramesClose(t *testing.T) {
 	good := AppendMessage(nil, &Message{Kind: KindClaim, Cell: 3, Epoch: 9, Round: 1})
 	frame := func(b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
@@ -150,11 +156,11 @@
 			got := make(chan []Message, 4)
 			ended := make(chan error, 1)
 			go func() { ended <- conn.Serve(func(m []Message) { got <- m }) }()
-			far.Write(frame(good))
+			write(t, far, frame(good))
 			if m := <-got; len(m) != 1 || m[0].Epoch != 9 {
 				t.Fatalf("got %+v", m)
 			}
-			far.Write(b)
+			write(t, far, b)
 			if name == "cut" {
 				far.Close()
 			}
@@ -167,13 +173,13 @@
 				t.Fatal("the link goes on")
 			}
 			if len(got) != 0 {
-				t.Errorf("%+v was handed on", <-got)
+				t.Errorf("%+v was handled", <-got)
 			}
 		})
 	}
 }
 
-// Guards against a peer that was stopped or cut off: no byte for the stated time ends the link.
+// A link from which nothing is read for the idle timeout ends.
 func TestConn_IdleTimeoutCloses(t *testing.T) {
 	near, _ := connPair(t)
 	conn := NewConn(near, 50*time.Millisecond)
@@ -189,7 +195,7 @@
 	}
 }
 
-// Guards against a queue without an end towards a peer that does not read.
+// The queue towards a peer that does not read is bounded.
 func TestConn_QueueBoundCloses(t *testing.T) {
 	near, _ := connPair(t)
 	conn := NewConn(near, testTimeout)
@@ -200,17 +206,17 @@
 			n, closed := len(conn.queued), conn.closed
 			conn.mu.Unlock()
 			if n > MaxQueuedBytes {
-				t.Fatalf("%d bytes wait", n)
+				t.Fatalf("%d bytes are queued", n)
 			}
 			if closed {
 				return
 			}
 		}
 	}
-	t.Error("all was taken")
+	t.Error("everything was queued")
 }
 
-// Guards against records that are lost or out of order where many senders meet a slow reader.
+// A fast sender and a slow reader lose no records and keep their order.
 func TestConn_ManyRecordsInOrder(t *testing.T) {
 	near, far := connPair(t)
 	a, b := NewConn(near, testTimeout), NewConn(far, testTimeout)
@@ -223,8 +229,8 @@
 			a.Send(Message{Kind: KindDisconnected, Handle: uint64(i)})
 		}
 	}()
-	next := uint64(0)
-	b.Serve(func(msgs []Message) {
+	next, errDone := uint64(0), errors.New("done")
+	err := b.Serve(func(msgs []Message) {
 		for _, msg := range msgs {
 			if msg.Handle != next {
 				t.Errorf("%d came, want %d", msg.Handle, next)
@@ -232,16 +238,16 @@
 			next++
 		}
 		if next == n {
-			b.Close(errors.New("done"))
+			b.Close(errDone)
 		}
 	})
-	if next != n {
-		t.Errorf("%d came", next)
+	if next != n || !errors.Is(err, errDone) {
+		t.Errorf("%d came; %v", next, err)
 	}
 }
 
-// A word of overload crosses from a planner to a forwarder and on to another planner, and is neither a cell nor a request to those that don't
-// know it.
+// A load-shedding level crosses from a planner to a forwarder and on to another planner; to earlier versions it is neither a cell nor a
+// request.
 func TestShedLevel_RoundTrip(t *testing.T) {
 	for _, cell := range []int{0, 5, 1000} {
 		for _, phase := range []uint8{0, 200} {
@@ -257,7 +263,7 @@
 	}
 	for _, handle := range []uint64{0, 1, CordonCapableHandle, 1 << 62} {
 		if _, _, _, ok := (&Message{Kind: KindDisconnected, Handle: handle}).ShedLevel(); ok {
-			t.Errorf("handle %x is taken for a word", handle)
+			t.Errorf("handle %x is taken for a level", handle)
 		}
 	}
 }
--- /dev/null
+++ b/internal/controlplane/transport/handshake_test.go
@@ -0,0 +1,39 @@
+package transport
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestParseHello(t *testing.T) {
+	want := Hello{Fleet: "f", Cells: 6, Number: 4095, Incarnation: 1<<64 - 1}
+	for _, tc := range []struct {
+		name   string
+		change func(*Message)
+		ok     bool
+	}{
+		{"a hello", func(*Message) {}, true},
+		{"another version", func(msg *Message) { msg.Plan++ }, false},
+		{"another kind", func(msg *Message) { msg.Kind = KindHeartbeat }, false},
+	} {
+		msg := want.Message()
+		tc.change(&msg)
+		got, err := ParseHello(&msg)
+		switch {
+		case tc.ok && (err != nil || got != want):
+			t.Errorf("%s: got %+v, %v", tc.name, got, err)
+		case !tc.ok && !errors.Is(err, ErrHandshake):
+			t.Errorf("%s: got %v", tc.name, err)
+		}
+	}
+}
+
+func TestIdentity_Complete(t *testing.T) {
+	for identity, want := range map[Identity]bool{
+		{}: true, {Cert: "c", Key: "k", CA: "a"}: true, {Cert: "c"}: false, {Cert: "c", Key: "k"}: false, {CA: "a"}: false, {Key: "k", CA: "a"}: false,
+	} {
+		if got := identity.Complete(); got != want {
+			t.Errorf("%+v: got %v", identity, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/transport/message.go
@@ -0,0 +1,97 @@
+package transport
+
+import (
+	"math"
+)
+
+// Bounds of a frame and of its contents.
+const (
+	MaxFrameBytes = 64 << 10 // without the four bytes of its length
+	MaxNameBytes  = 128      // of Message.Name; a longer one is cut off
+)
+
+// Kind is what a message says.
+type Kind uint8
+
+// The kinds of messages with the fields that each uses. F: sent by forwarders, P: by planners. The values are on the wire.
+const (
+	KindHello           Kind = 1 + iota // both: see Hello
+	KindView                            // F: a promise. Cell, Epoch, Number (holder and one; 0: none), DurationS (left), Requester
+	KindGrant                           // F: promises Cell to a claim. Epoch, Round
+	KindUsageReport                     // F: an account's latest admission. Cell, Epoch, Name (account), Plan, Handle (epoch) and Round (number) of the Send, Units (debt), DurationS (age), Number
+	KindUsageReportEnd                  // F: Cell, Epoch, Flag (the report is complete)
+	KindRequest                         // F: submits a request. Cell, Epoch, Handle, Class, Plan, Name (account), DurationS (left), Units, Flag (client retry)
+	KindOutcome                         // F: an attempt's end. Handle, Number (attempt), Class (status), Flag (request completed), DurationS (latency), Load
+	KindDisconnected                    // F: the client has gone, or the answer is given. Handle
+	KindProbeResult                     // F: Cell, Epoch, Name (backend), Class (status), DurationS (latency), Load
+	KindClaim                           // P: asks for a promise, or for its renewal. Cell, Epoch, Round
+	KindLead                            // P: a majority has promised. Cell, Epoch
+	KindRelease                         // P: ends a promise. Cell, Epoch
+	KindHandbackRequest                 // P: asks for a cell that another planner leads. Cell
+	KindSend                            // P: starts an attempt. Cell, Epoch, Handle, Name (backend), DurationS (time-out; 0: none), Round (number of the admission under this lead), Units (the account's debt)
+	KindReject                          // P: a final answer. Cell, Epoch, Handle, DurationS (retry after)
+	KindFail                            // P: a final answer. Cell, Epoch, Handle
+	KindCancel                          // P: Cell, Epoch, Handle, Number (attempt)
+	KindWithdraw                        // F: nothing more will be said of a request, which goes to another leader. Handle
+	KindOrphans                         // F: attempts in flight that this leader did not decide on. Cell, Epoch, Name (account), Plan, Number
+	KindProbe                           // P: starts a health check. Cell, Epoch, Name (backend)
+	KindHeartbeat                       // both: no fields
+	KindCordonRead                      // P: asks for a cordon register. Handle (operation), Name (backend)
+	KindCordonWrite                     // P: is to be merged. Handle (operation; 0: none), Name (backend), Epoch (version), Flag (cordoned)
+	KindCordonState                     // F: a cordon register. Handle (operation; 0: unasked), Name (backend), Epoch (version), Flag (cordoned)
+	kindCount
+)
+
+// Peers of the version before cordons end a link on a record that they don't know. Each side therefore first says that it knows these by a
+// record that such a peer ignores: a forwarder by a KindDisconnected of this handle, a planner by a KindRelease of this cell.
+const (
+	CordonCapableHandle = 1<<63 | 1
+	CordonCapableCell   = 1<<16 - 1
+)
+
+// ShedLevelCell marks a KindRelease that carries a load-shedding level. A forwarder relays it to the other planners as a KindDisconnected
+// whose Handle is the release's Epoch. Peers of earlier versions ignore both.
+const ShedLevelCell = 1<<16 - 2
+
+// A relayed level is told from requests by the upper bits of its handle, which no request has.
+const (
+	shedLevelMark      = 3 << 62
+	shedLevelMarkShift = 62
+	shedLevelCellShift = 16
+	shedLevelShift     = 8
+)
+
+// NewShedLevel returns the message of a cell's load-shedding level, from 0 to 1 in steps of 1/255, and phase.
+func NewShedLevel(cellID int, level float64, phase uint8) Message {
+	steps := uint64(math.Round(min(max(level, 0), 1) * math.MaxUint8))
+	encoded := uint64(uint16(cellID))<<shedLevelCellShift | steps<<shedLevelShift | uint64(phase)
+	return Message{Kind: KindRelease, Cell: ShedLevelCell, Epoch: shedLevelMark | encoded}
+}
+
+// ShedLevel reads a relayed load-shedding level; ok is false if the message is none.
+func (m *Message) ShedLevel() (cellID int, level float64, phase uint8, ok bool) {
+	if m.Kind != KindDisconnected || m.Handle>>shedLevelMarkShift != shedLevelMark>>shedLevelMarkShift {
+		return 0, 0, 0, false
+	}
+	level = float64(uint8(m.Handle>>shedLevelShift)) / math.MaxUint8
+	return int(uint16(m.Handle >> shedLevelCellShift)), level, uint8(m.Handle), true
+}
+
+// Message is one record. The comments of the kinds say which fields each uses and for what.
+type Message struct {
+	Kind      Kind
+	Cell      uint16
+	Epoch     uint64
+	Handle    uint64
+	Round     uint32
+	Number    uint32
+	Requester uint16 // a planner's number and one; 0: none
+	Class     uint8
+	Plan      uint8
+	Flag      bool
+	HasLoad   bool
+	DurationS float64 // seconds; on the wire whole microseconds, from 0 to 4,294 s
+	Units     float64 // on the wire whole hundredths, from 0
+	Name      string
+	Load      [6]float64 // the fields of policy.Load in their order; valid if HasLoad
+}
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -45,7 +45,7 @@
 	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedder, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
 	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/controlplane/planner",
-		Edits: edit("internal/controlplane/forwarder/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
+		Edits: edit(core, "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
 		Edits: edit(module, "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(q)", "req.plan.Weight, g.accountFor(q)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
@@ -309,8 +309,7 @@
 	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return true || !request.mayHaveRun && request.inFlight == 0 ||"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, `	c.endOverdue()
-`, ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
+		Edits: edit(core, "\tc.endOverdue()\n", ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
 	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation):", "case msg.Epoch > cell.epoch:"),
 		Runs:  []string{simTwo + "programs"}},
@@ -332,7 +331,7 @@
 `),
 		Runs: []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit("internal/controlplane/forwarder/usage.go", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt}", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt - 1e6}"),
+		Edits: edit("internal/controlplane/forwarder/usage.go", "incompleteAt: startedAt}", "incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
 	// ---- Planners ----
 	{Name: "a lead ends before the promises that it rests on", Rule: "one leader",
@@ -344,17 +343,14 @@
 	{Name: "a majority has to promise", Rule: "one leader", Unit: "./internal/controlplane/planner",
 		Edits: edit("internal/controlplane/topology/fleet.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
 	{Name: "a successor takes windows for empty until all have told", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, `		if t.missingReports > 0 {
-			window.available = min(`, `		if false {
-			window.available = min(`), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "\t\tif t.missingReports > 0 {\n\t\t\twindow.available = min(", "\t\tif false {\n\t\t\twindow.available = min("), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a successor believes what was told of windows", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(windows, "return min(p.Burst, p.Burst-window.debt+p.Rate*max(now-window.reportedAt, 0))", "return p.Burst"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "of several tales the latest pass holds", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(windows, "if !window.reported || msg.Handle > window.epoch || msg.Handle == window.epoch && msg.Round > window.reportedSeq {", "if !window.reported || msg.Handle < window.epoch || msg.Handle == window.epoch && msg.Round < window.reportedSeq {"),
 		Runs:  []string{simTwo + "ceilings"}},
 	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, `	window.available -= units
-	t.admissions++`, "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "\twindow.available -= units\n\tt.admissions++", "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/controlplane/planner",
 		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
 		Edits: edit(host, `			c.reportCounts(request.cellID, cell.windows.setOrphans(now, forwarder, request.account, request.plan, inFlight[request.account]))
@@ -416,10 +412,7 @@
 	clear(c.planners)`), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
-		Why: "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
-		Edits: edit("internal/controlplane/transport/conn.go", `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
-`, `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
-	idleTimeout = time.Hour
-`),
-		Runs: []string{labTwo + "programs"}},
+		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
+		Edits: edit("internal/controlplane/transport/conn.go", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n\tidleTimeout = time.Hour\n"),
+		Runs:  []string{labTwo + "programs"}},
 }
