--- a/internal/controlplane/cordon/withhold_test.go
+++ b/internal/controlplane/cordon/coordinator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testNetwork is planners and forwarders with links in order that are cut at times.
+// testNetwork joins planners and forwarders by ordered links, which tests cut.
 type testNetwork struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -31,7 +31,7 @@
 func (e plannerEnd) WriteRegister(forwarder int, operationID uint64, id string, state State) {
 	e.network.post(e.planner, forwarder, func() {
 		if newer, _ := e.network.registers[forwarder].Merge(id, state); newer {
-			for planner := range e.network.coordinators { // news goes to every planner that is linked, before anything else that is said to it
+			for planner := range e.network.coordinators { // a change goes to every linked planner, before anything else that is sent to it
 				if e.network.links[planner][forwarder] {
 					e.network.answer(planner, forwarder, 0, id)
 				}
@@ -41,7 +41,7 @@
 	})
 }
 func (e plannerEnd) RegisterChanged(id string, state State) {
-	e.network.cordoned[e.planner][id] = state.Held
+	e.network.cordoned[e.planner][id] = state.Cordoned
 }
 
 func (n *testNetwork) answer(planner, forwarder int, operationID uint64, id string) {
@@ -81,7 +81,7 @@
 	n.coordinators[planner].LinkDown(forwarder)
 }
 
-// step delivers something, and time goes on.
+// step delivers one message of a link drawn at random, and lets time pass.
 func (n *testNetwork) step() {
 	n.now += 0.001
 	planner, forwarder := n.rng.IntN(len(n.coordinators)), n.rng.IntN(len(n.registers))
@@ -107,12 +107,12 @@
 		}
 		n.step()
 	}
-	n.t.Fatal("never quiet")
+	n.t.Fatal("messages never end")
 }
 
-// Whatever is cut, once a call has said yes a majority of forwarders has its word or a later one; calls that follow each other have
-// versions that follow each other, whichever planners they were made at; and once all is linked, all agree.
-func TestYesMeansAMajority(t *testing.T) {
+// Whatever links are cut: once a call has succeeded, a majority of forwarders has its state or a later one; successive calls have
+// ascending versions, whichever planners they were made at; and once everything is linked, all agree.
+func TestCoordinator_SuccessMeansAMajority(t *testing.T) {
 	yes, no := 0, 0
 	for seed := range uint64(300) {
 		n := newTestNetwork(t, seed, 3, 5)
@@ -126,7 +126,7 @@
 					n.link(planner, forwarder)
 				}
 			}
-			var got error = errors.New("under way")
+			got := errors.New("under way")
 			over := false
 			planner, cordoned := n.rng.IntN(3), round%2 == 0
 			if err := n.coordinators[planner].SetCordoned(n.now, 0.9, "z1", cordoned, func(err error) { got, over = err, true }); err != nil {
@@ -166,17 +166,17 @@
 			}
 		}
 		for planner, c := range n.coordinators {
-			if c.Registers().Get("z1") != want || n.cordoned[planner]["z1"] != want.Held {
+			if c.Registers().Get("z1") != want || n.cordoned[planner]["z1"] != want.Cordoned {
 				t.Fatalf("seed %d: planner %d has %+v, want %+v", seed, planner, c.Registers().Get("z1"), want)
 			}
 		}
 	}
 	if yes < 500 || no < 100 {
-		t.Fatalf("no occasions: %d yes, %d no", yes, no)
+		t.Fatalf("too few occasions: %d calls succeeded, %d failed", yes, no)
 	}
 }
 
-// A minority is told so, in time, and not left waiting.
+// A call that reaches no majority fails in time.
 func TestCoordinator_NoMajority(t *testing.T) {
 	n := newTestNetwork(t, 1, 1, 5)
 	for forwarder := range 3 {
@@ -194,7 +194,7 @@
 	}
 }
 
-// The settling time is part of the yes: a lead that began before may go on for that long.
+// A call succeeds only after a lease: a lead that began before may last so long.
 func TestCoordinator_WaitsForOlderLeadsToEnd(t *testing.T) {
 	n := newTestNetwork(t, 2, 1, 3)
 	n.deliverAll()
@@ -206,17 +206,17 @@
 		n.step()
 	}
 	if n.now < began+0.4 {
-		t.Fatalf("yes after %.3f s", n.now-began)
+		t.Fatalf("success after %.3f s", n.now-began)
 	}
 }
 
 func TestCoordinator_Bounds(t *testing.T) {
 	var w Registers
 	for i := range MaxRegisters + 10 {
-		w.Merge(fmt.Sprint(i), State{Version: 1, Held: true})
+		w.Merge(fmt.Sprint(i), State{Version: 1, Cordoned: true})
 	}
 	if len(w.Cordoned()) != MaxRegisters {
-		t.Errorf("%d words kept", len(w.Cordoned()))
+		t.Errorf("%d registers are kept", len(w.Cordoned()))
 	}
 	if newer, changed := w.Merge("3", State{Version: 2}); !newer || !changed {
 		t.Error("a known id was not taken at the bound")
--- a/internal/controlplane/forwarder/holds.go
+++ b/internal/controlplane/forwarder/holds.go
@@ -12,10 +12,10 @@
 // is said to it from now on: the next promise above all.
 func (c *Core) handleCordon(planner int, msg *transport.Message) {
 	if msg.Kind == transport.KindCordonWrite {
-		state := cordon.State{Version: msg.Epoch, Held: msg.Flag}
+		state := cordon.State{Version: msg.Epoch, Cordoned: msg.Flag}
 		newer, changed := c.cordons.Merge(msg.Name, state)
 		if changed {
-			c.out.SetCordoned(msg.Name, state.Held)
+			c.out.SetCordoned(msg.Name, state.Cordoned)
 		}
 		for i := range c.planners {
 			if newer && c.planners[i].cordonCapable {
@@ -29,5 +29,5 @@
 }
 
 func cordonStateMessage(call uint64, id string, state cordon.State) transport.Message {
-	return transport.Message{Kind: transport.KindCordonState, Handle: call, Name: id, Epoch: state.Version, Flag: state.Held}
+	return transport.Message{Kind: transport.KindCordonState, Handle: call, Name: id, Epoch: state.Version, Flag: state.Cordoned}
 }
--- a/internal/controlplane/forwarder/move.go
+++ b/internal/controlplane/forwarder/move.go
@@ -27,7 +27,9 @@
 		transferred.Cells = append(transferred.Cells, snapshot.CellPromise{Epoch: cell.epoch, Holder: cell.holder, Incarnation: cell.incarnation, PromisedUntil: cell.promisedUntil})
 		cell.waiting = nil
 	}
-	c.cordons.Each(func(id string, state cordon.State) { transferred.Cordons[id] = snapshot.Cordon(state) })
+	c.cordons.Each(func(id string, state cordon.State) {
+		transferred.Cordons[id] = snapshot.Cordon{Version: state.Version, Held: state.Cordoned}
+	})
 	c.usage.each(now, func(account string, usage windowUsage) {
 		transferred.UsageReports = append(transferred.UsageReports, snapshot.UsageReport{Account: account, Plan: usage.plan, Epoch: usage.epoch, Sequence: usage.seq, Debt: usage.debt, ReportedAt: usage.at})
 	})
@@ -60,7 +62,7 @@
 		c.usage.record(report.Account, windowUsage{report.Plan, report.Epoch, report.Sequence, report.Debt, report.ReportedAt})
 	}
 	for _, id := range slices.Sorted(maps.Keys(transferred.Cordons)) {
-		if _, changed := c.cordons.Merge(id, cordon.State(transferred.Cordons[id])); changed {
+		if _, changed := c.cordons.Merge(id, cordon.State{Version: transferred.Cordons[id].Version, Cordoned: transferred.Cordons[id].Held}); changed {
 			c.out.SetCordoned(id, transferred.Cordons[id].Held)
 		}
 	}
--- a/internal/controlplane/planner/holds.go
+++ b/internal/controlplane/planner/holds.go
@@ -49,7 +49,7 @@
 	if len(id) > transport.MaxNameBytes {
 		return errIDTooLong
 	}
-	if !listed && !c.cordons.coordinator.Registers().Get(id).Held {
+	if !listed && !c.cordons.coordinator.Registers().Get(id).Cordoned {
 		return cordon.ErrUnknownBackend
 	}
 	return c.cordons.coordinator.SetCordoned(now, within, id, cordoned, done)
@@ -68,14 +68,14 @@
 
 // WriteRegister implements withhold.Out.
 func (o cordonOutput) WriteRegister(forwarder int, call uint64, id string, state cordon.State) {
-	o.core.out.SendToForwarder(forwarder, transport.Message{Kind: transport.KindCordonWrite, Handle: call, Name: id, Epoch: state.Version, Flag: state.Held})
+	o.core.out.SendToForwarder(forwarder, transport.Message{Kind: transport.KindCordonWrite, Handle: call, Name: id, Epoch: state.Version, Flag: state.Cordoned})
 }
 
 // RegisterChanged implements withhold.Out: the modules learn of it at once.
 func (o cordonOutput) RegisterChanged(id string, state cordon.State) {
 	core, s := o.core, &o.core.cordons
 	switch _, cordoned := s.cordonedAt[id]; {
-	case state.Held:
+	case state.Cordoned:
 		if _, uncordoned := s.uncordonedAt[id]; uncordoned || !cordoned {
 			s.cordonedAt[id] = core.now
 			delete(s.uncordonedAt, id)
@@ -83,7 +83,7 @@
 	case cordoned:
 		s.uncordonedAt[id] = core.now
 	}
-	core.out.Log("hold", "server", id, "held", state.Held, "version", state.Version)
+	core.out.Log("hold", "server", id, "held", state.Cordoned, "version", state.Version)
 	if backend, listed := core.backends[id]; listed {
 		core.updateModules([]policy.Backend{s.apply(backend)}, false)
 	}
--- a/internal/controlplane/planner/host.go
+++ b/internal/controlplane/planner/host.go
@@ -263,7 +263,7 @@
 	case transport.KindOutcome:
 		c.handleOutcome(forwarder, msg)
 	case transport.KindCordonState:
-		c.cordons.coordinator.HandleState(now, forwarder, msg.Handle, msg.Name, cordon.State{Version: msg.Epoch, Held: msg.Flag})
+		c.cordons.coordinator.HandleState(now, forwarder, msg.Handle, msg.Name, cordon.State{Version: msg.Epoch, Cordoned: msg.Flag})
 	case transport.KindDisconnected, transport.KindWithdraw:
 		if msg.Kind == transport.KindDisconnected && msg.Handle == transport.CordonCapableHandle {
 			c.cordons.coordinator.LinkUp(forwarder)
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -179,9 +179,9 @@
 		Edits: edit(ceilings, "-c.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
 	// ---- Nodes held by hand in two levels ----
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/withhold.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/withhold.go", "op.effectiveAt = now + c.leaseS", "op.effectiveAt = now + 1e-9"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "op.phase, op.effectiveAt = awaiting, now+c.leaseS", "op.phase, op.effectiveAt = awaiting, now+1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
 		Edits: edit("internal/controlplane/forwarder/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
