--- /dev/null
+++ b/internal/base/operatorconfig/operatorconfig_test.go
@@ -0,0 +1,43 @@
+package operatorconfig
+
+import (
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+func TestDecode(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "f.toml")
+	var got struct {
+		Number int `toml:"number"`
+	}
+	if err := Decode(path, &got); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("without a file: %v", err)
+	}
+	if err := os.WriteFile(path, []byte("number = 3\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := Decode(path, &got); err != nil || got.Number != 3 {
+		t.Errorf("got %+v, %v", got, err)
+	}
+	if err := os.WriteFile(path, []byte("number = 3\nnumbers = 4\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err, ok := errors.AsType[*UnknownKeyError](Decode(path, &got)); !ok || *err != (UnknownKeyError{path, "numbers"}) {
+		t.Errorf("an unknown key: %v", err)
+	}
+}
+
+func TestCheckLoopback(t *testing.T) {
+	for addr, want := range map[string]bool{"127.0.0.1:80": true, "[::1]:80": true, "192.0.2.1:80": false, "0.0.0.0:80": false} {
+		err := CheckLoopback("status", addr)
+		if _, other := errors.AsType[*NotLoopbackError](err); other == want || (err == nil) != want {
+			t.Errorf("%s: %v", addr, err)
+		}
+	}
+	if err := CheckLoopback("status", "nowhere"); err == nil {
+		t.Error("an address without a port is taken")
+	}
+}
--- /dev/null
+++ b/internal/controlplane/forwarder/config.go
@@ -0,0 +1,74 @@
+package forwarder
+
+import (
+	"fmt"
+	"net/netip"
+
+	"eiderspread/internal/base/operatorconfig"
+	"eiderspread/internal/controlplane/topology"
+	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/dataplane/ingress"
+)
+
+// FileConfig is a forwarder's operators' file, checked.
+type FileConfig struct {
+	topology.Params
+	Number       int      // this forwarder's, from 0
+	PlannerAddrs []string // by planner
+	PlannerNames []string // with TLS: the name in each planner's certificate
+	StatusAddr   string   // of the status page; empty: none
+	TLS          transport.Identity
+	Ingress      ingress.Config
+	IngressPath  string // where Ingress was read from
+}
+
+// operatorFile is deploy/forwarder.toml.
+type operatorFile struct {
+	topology.File
+	PlannerAddrs []string `toml:"planners_at"`
+	PlannerNames []string `toml:"names"`
+}
+
+// ReadFile reads deploy/forwarder.toml and the configuration that it names. An error is one line that begins with a path.
+func ReadFile(path string) (FileConfig, error) {
+	var f operatorFile
+	if err := operatorconfig.Decode(path, &f); err != nil {
+		return FileConfig{}, err
+	}
+	cfg, err := f.check()
+	if err != nil {
+		return cfg, fmt.Errorf("%s: %w", path, err)
+	}
+	return cfg, nil
+}
+
+func (f *operatorFile) check() (cfg FileConfig, err error) {
+	cfg = FileConfig{Number: f.Number, PlannerAddrs: f.PlannerAddrs, PlannerNames: f.PlannerNames, StatusAddr: f.StatusAddr, TLS: f.TLS,
+		IngressPath: f.IngressPath}
+	if cfg.Params, err = f.Params(); err != nil {
+		return cfg, err
+	}
+	if f.Number < 0 || f.Number >= f.Forwarders {
+		return cfg, &topology.ParamError{Key: "number", Problem: fmt.Sprintf("is %d, want 0 to %d", f.Number, f.Forwarders-1)}
+	}
+	if len(f.PlannerAddrs) != f.Planners {
+		return cfg, fmt.Errorf("planners_at: %d addresses given for %d planners", len(f.PlannerAddrs), f.Planners)
+	}
+	for planner, addr := range f.PlannerAddrs {
+		if _, err := netip.ParseAddrPort(addr); err != nil {
+			return cfg, fmt.Errorf("planners_at: number %d: %w", planner, err)
+		}
+	}
+	if f.TLS != (transport.Identity{}) && len(f.PlannerNames) != f.Planners {
+		return cfg, fmt.Errorf("names: %d given for %d planners", len(f.PlannerNames), f.Planners)
+	}
+	if _, err := f.TLS.Config(); err != nil {
+		return cfg, fmt.Errorf("tls: %w", err)
+	}
+	if cfg.Ingress, err = ingress.ReadConfig(f.IngressPath); err != nil {
+		return cfg, err
+	}
+	cfg.Ingress.FleetMember = true
+	cfg.Ingress.Settings.PeerMessages = false // forwarders have no messages for each other
+	return cfg, nil
+}
--- /dev/null
+++ b/internal/controlplane/topology/cells.go
@@ -0,0 +1,41 @@
+package topology
+
+import (
+	"hash/fnv"
+	"time"
+)
+
+// Majority returns how many forwarders make a quorum: any two quorums share one.
+func (p Params) Majority() int {
+	if !Fenced {
+		return 1
+	}
+	return p.Forwarders/2 + 1
+}
+
+// CellOf returns the cell of an account, from 0.
+func (p Params) CellOf(account string) int {
+	hasher := fnv.New64a()
+	hasher.Write([]byte(account))
+	hash := hasher.Sum64() // mixed below: FNV's low bits are poor for names that differ in their last letter
+	hash ^= hash >> 32
+	hash *= 0x9fb21c651e98df25
+	hash ^= hash >> 28
+	return int(hash % uint64(p.Cells))
+}
+
+// Rank returns a planner's rank, from 0, in the order in which planners claim a cell. The order differs between the cells of one planner,
+// so that several others share the cells of one that fails.
+func (p Params) Rank(cellID, planner int) int {
+	rank := (planner - cellID%p.Planners + p.Planners) % p.Planners
+	if rank > 0 && p.Planners > 2 {
+		rotation := cellID / p.Planners
+		rank = 1 + (rank-1+rotation)%(p.Planners-1)
+	}
+	return rank
+}
+
+// LinkTimeout returns LinkTimeoutS as a duration.
+func (p Params) LinkTimeout() time.Duration {
+	return time.Duration(p.LinkTimeoutS * float64(time.Second))
+}
--- a/internal/controlplane/topology/fenced.go
+++ b/internal/controlplane/topology/fenced.go
@@ -2,6 +2,6 @@
 
 package topology
 
-// Fenced tells that a planner leads by a majority's promises and no longer than they hold. Only test builds
-// (tag unfenced) go without, to show that a run would notice.
+// Fenced is true in all builds but those of the tag unfenced: a planner leads only by a majority's promises and only while they last. Test
+// builds go without, to show that the checks notice.
 const Fenced = true
--- a/internal/controlplane/topology/golden_test.go
+++ b/internal/controlplane/topology/golden_test.go
@@ -6,5 +6,5 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the keys that the operator's files of forwarders and planners have in common.
+// The operators' files of forwarders and planners keep the keys that they have in common.
 func TestGoldenFile(t *testing.T) { golden.TOML(t, "fleet.toml", &File{}) }
--- a/internal/controlplane/topology/unfenced.go
+++ b/internal/controlplane/topology/unfenced.go
@@ -2,5 +2,5 @@
 
 package topology
 
-// Fenced is off in this test build: one promise is enough, and a lead does not end by time.
+// Fenced is false in this test build: one promise makes a lead, and a lead does not end by time.
 const Fenced = false
