--- a/internal/controlplane/forwarder/core_test.go
+++ b/internal/controlplane/forwarder/core_test.go
@@ -17,8 +17,8 @@
 	{Name: "zone", LatencyObjectiveS: 1, DeadlineS: 4, Idempotency: policy.KeyedIdempotent, KeyScope: policy.ScopeZone, KeyTTLS: 4},
 }
 
-// testCore is a core whose outputs are written down: "p1 claim ..." to planners, "send a z1" and the like to the ingress.
-type testCore struct {
+// fixture is a core whose calls of Output are recorded: "p1 grant" and the like to planners, "send a z1" and the like to the ingress.
+type fixture struct {
 	t           *testing.T
 	core        *Core
 	now         float64
@@ -27,447 +27,447 @@
 	writable    bool
 }
 
-func newTestCore(t *testing.T) *testCore {
-	core := &testCore{t: t, now: 1000, writable: true}
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t, now: 1000, writable: true}
 	p := topology.Params{Name: "t", Forwarders: 3, Planners: 3, Cells: 2}
 	if err := p.Check(); err != nil {
 		t.Fatal(err)
 	}
-	core.core = NewCore(Config{Params: p, Classes: classes, Plans: []policy.Plan{{Name: "basic", Rate: 5, Burst: 10}}, MaxRetryAfterS: 1}, core.now, core)
-	core.now++ // past what an earlier life may have promised
-	return core
+	f.core = NewCore(Config{Params: p, Classes: classes, Plans: []policy.Plan{{Name: "basic", Rate: 5, Burst: 10}}, MaxRetryAfterS: 1}, f.now, f)
+	f.now++ // past what an earlier process may have promised
+	return f
 }
 
-func (t *testCore) record(format string, args ...any) {
-	t.calls = append(t.calls, fmt.Sprintf(format, args...))
+func (f *fixture) record(format string, args ...any) {
+	f.calls = append(f.calls, fmt.Sprintf(format, args...))
 }
 
-func (t *testCore) SendToPlanner(planner int, msgs ...transport.Message) {
+func (f *fixture) SendToPlanner(planner int, msgs ...transport.Message) {
 	for _, msg := range msgs {
 		if msg.Kind == transport.KindView || msg.Handle == transport.CordonCapableHandle {
-			continue // said all the time
+			continue // sent all the time
 		}
-		names := map[transport.Kind]string{transport.KindGrant: "grant", transport.KindUsageReport: "tale", transport.KindUsageReportEnd: "end", transport.KindRequest: "request",
-			transport.KindOutcome: "outcome", transport.KindDisconnected: "gone", transport.KindWithdraw: "untold", transport.KindOrphans: "outs", transport.KindCordonState: "holdis"}
-		t.record("p%d %s", planner, names[msg.Kind])
-		t.lastMessage = msg
+		names := map[transport.Kind]string{transport.KindGrant: "grant", transport.KindUsageReport: "usage", transport.KindUsageReportEnd: "usage-end", transport.KindRequest: "request",
+			transport.KindOutcome: "outcome", transport.KindDisconnected: "disconnected", transport.KindWithdraw: "withdraw", transport.KindOrphans: "orphans", transport.KindCordonState: "cordon"}
+		f.record("p%d %s", planner, names[msg.Kind])
+		f.lastMessage = msg
 	}
 }
-func (t *testCore) SetCordoned(id string, cordoned bool)    { t.record("hold %s %v", id, cordoned) }
-func (t *testCore) PlannerWritable(int) bool                { return t.writable }
-func (t *testCore) Send(id, server string, float64 float64) { t.record("send %s %s", id, server) }
-func (t *testCore) Reject(id string, hint float64) {
+func (f *fixture) SetCordoned(id string, cordoned bool)    { f.record("cordon %s %v", id, cordoned) }
+func (f *fixture) PlannerWritable(int) bool                { return f.writable }
+func (f *fixture) Send(id, server string, float64 float64) { f.record("send %s %s", id, server) }
+func (f *fixture) Reject(id string, hint float64) {
 	if hint < 0.5 || hint > 1 {
-		t.t.Errorf("hint of %v", hint)
+		f.t.Errorf("hint of %v", hint)
 	}
-	t.record("refuse %s", id)
+	f.record("reject %s", id)
 }
-func (t *testCore) Fail(id string)              { t.record("fail %s", id) }
-func (t *testCore) Cancel(id string, n int)     { t.record("cancel %s %d", id, n) }
-func (t *testCore) SetTimer(uint64, float64)    {}
-func (t *testCore) Probe(s string)              { t.record("probe %s", s) }
-func (t *testCore) SendPeerMessage(int, []byte) {}
-func (t *testCore) Log(string)                  {}
+func (f *fixture) Fail(id string)              { f.record("fail %s", id) }
+func (f *fixture) Cancel(id string, n int)     { f.record("cancel %s %d", id, n) }
+func (f *fixture) SetTimer(uint64, float64)    {}
+func (f *fixture) Probe(s string)              { f.record("probe %s", s) }
+func (f *fixture) SendPeerMessage(int, []byte) {}
+func (f *fixture) Log(string)                  {}
 
-// expect compares what was said since the last time.
-func (t *testCore) expect(list ...string) {
-	t.t.Helper()
-	if got, want := strings.Join(t.calls, "; "), strings.Join(list, "; "); got != want {
-		t.t.Errorf("got %q, want %q", got, want)
+// expect compares the calls since the last time.
+func (f *fixture) expect(list ...string) {
+	f.t.Helper()
+	if got, want := strings.Join(f.calls, "; "), strings.Join(list, "; "); got != want {
+		f.t.Errorf("got %q, want %q", got, want)
 	}
-	t.calls = nil
+	f.calls = nil
 }
 
-func (t *testCore) receive(planner int, msg transport.Message) {
-	t.core.HandleMessage(t.now, planner, &msg)
+func (f *fixture) receive(planner int, msg transport.Message) {
+	f.core.HandleMessage(f.now, planner, &msg)
 }
 
-// cell of the one customer that the tests ask for.
+// testAccount is the account of all requests.
 const testAccount = "00000000b4d65521"
 
-func (t *testCore) cellID() uint16 { return uint16(t.core.cfg.CellOf(testAccount)) }
+func (f *fixture) cellID() uint16 { return uint16(f.core.cfg.CellOf(testAccount)) }
 
-// elect has planner p lead the cell by an epoch.
-func (t *testCore) elect(planner int, epoch uint64) {
-	t.t.Helper()
-	if !t.core.planners[planner].linked {
-		t.core.LinkUp(t.now, planner, uint64(planner)+7)
+// elect has a planner lead the account's cell under an epoch.
+func (f *fixture) elect(planner int, epoch uint64) {
+	f.t.Helper()
+	if !f.core.planners[planner].linked {
+		f.core.LinkUp(f.now, planner, uint64(planner)+7)
 	}
-	t.receive(planner, transport.Message{Kind: transport.KindClaim, Cell: t.cellID(), Epoch: epoch, Round: 1})
-	t.receive(planner, transport.Message{Kind: transport.KindLead, Cell: t.cellID(), Epoch: epoch})
-	if cell := t.core.cells[t.cellID()]; !cell.hasLeader || cell.holder != planner || cell.epoch != epoch {
-		t.t.Fatalf("planner %d does not lead: %+v", planner, cell)
+	f.receive(planner, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: epoch, Round: 1})
+	f.receive(planner, transport.Message{Kind: transport.KindLead, Cell: f.cellID(), Epoch: epoch})
+	if cell := f.core.cells[f.cellID()]; !cell.hasLeader || cell.holder != planner || cell.epoch != epoch {
+		f.t.Fatalf("planner %d does not lead: %+v", planner, cell)
 	}
 }
 
-func (t *testCore) request(id, class string) {
-	t.core.HandleRequest(t.now, policy.Request{ID: id, Class: class, Plan: "basic", Account: testAccount, DeadlineAt: t.now + 4, Units: 2})
+func (f *fixture) request(id, class string) {
+	f.core.HandleRequest(f.now, policy.Request{ID: id, Class: class, Plan: "basic", Account: testAccount, DeadlineAt: f.now + 4, Units: 2})
 }
 
-// decideSend has planner p send the request that was told last.
-func (t *testCore) decideSend(planner int, epoch uint64, server string, seq uint32) {
-	t.receive(planner, transport.Message{Kind: transport.KindSend, Cell: t.cellID(), Epoch: epoch, Handle: t.core.lastHandle, Name: server, DurationS: 1, Round: seq, Units: 2})
+// decideSend has a planner send the request that was submitted last.
+func (f *fixture) decideSend(planner int, epoch uint64, server string, seq uint32) {
+	f.receive(planner, transport.Message{Kind: transport.KindSend, Cell: f.cellID(), Epoch: epoch, Handle: f.core.lastHandle, Name: server, DurationS: 1, Round: seq, Units: 2})
 }
 
-func (t *testCore) attemptEnds(id string, n int, status policy.Status) {
-	t.core.HandleOutcome(t.now, policy.Outcome{ID: id, Attempt: n, Status: status, Completed: status == policy.OK})
+func (f *fixture) attemptEnds(id string, n int, status policy.Status) {
+	f.core.HandleOutcome(f.now, policy.Outcome{ID: id, Attempt: n, Status: status, Completed: status == policy.OK})
 }
 
-// Guards fencing: promises that are given away while they run, and old news that is followed.
+// A promise is given to no other planner while it lasts, and former leaders are not followed.
 func TestPromise_OnePlannerAtATime(t *testing.T) {
-	core := newTestCore(t)
-	core.elect(0, 5)
-	core.expect("p0 grant", "p0 end")
-	core.core.LinkUp(core.now, 1, 8)
+	f := newFixture(t)
+	f.elect(0, 5)
+	f.expect("p0 grant", "p0 usage-end")
+	f.core.LinkUp(f.now, 1, 8)
 	claim := func(planner int, epoch uint64) {
-		core.receive(planner, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: epoch, Round: 2})
+		f.receive(planner, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: epoch, Round: 2})
 	}
 	claim(1, 6)
-	core.expect() // the promise to 0 runs
-	core.now += 0.3
+	f.expect() // the promise to 0 lasts
+	f.now += 0.3
 	claim(0, 5)
-	core.expect("p0 grant")
-	core.now += 0.3
+	f.expect("p0 grant")
+	f.now += 0.3
 	claim(1, 6)
-	core.expect() // it was renewed
-	core.now += 0.2
+	f.expect() // it was renewed
+	f.now += 0.2
 	claim(1, 5)
-	core.expect() // it ran out, but no epoch comes twice
+	f.expect() // it has run out, but no epoch comes twice
 	claim(1, 6)
-	core.expect("p1 grant", "p1 end")
+	f.expect("p1 grant", "p1 usage-end")
 	claim(0, 5)
 	claim(0, 7)
-	core.expect()
-	core.receive(0, transport.Message{Kind: transport.KindLead, Cell: core.cellID(), Epoch: 5})
-	if core.core.cells[core.cellID()].hasLeader {
-		t.Error("an old leader's word is taken")
+	f.expect()
+	f.receive(0, transport.Message{Kind: transport.KindLead, Cell: f.cellID(), Epoch: 5})
+	if f.core.cells[f.cellID()].hasLeader {
+		t.Error("a former leader is followed")
 	}
-	core.receive(1, transport.Message{Kind: transport.KindLead, Cell: core.cellID(), Epoch: 6})
-	core.receive(0, transport.Message{Kind: transport.KindRelease, Cell: core.cellID(), Epoch: 6}) // not its to give up
+	f.receive(1, transport.Message{Kind: transport.KindLead, Cell: f.cellID(), Epoch: 6})
+	f.receive(0, transport.Message{Kind: transport.KindRelease, Cell: f.cellID(), Epoch: 6}) // not its own to release
 	claim(0, 7)
-	core.expect()
-	core.receive(1, transport.Message{Kind: transport.KindRelease, Cell: core.cellID(), Epoch: 6})
+	f.expect()
+	f.receive(1, transport.Message{Kind: transport.KindRelease, Cell: f.cellID(), Epoch: 6})
 	claim(0, 7)
-	core.expect("p0 grant", "p0 end")
-	core.core.LinkDown(core.now, 0)
-	core.core.LinkUp(core.now, 0, 99) // another life: it knows nothing of the promise
+	f.expect("p0 grant", "p0 usage-end")
+	f.core.LinkDown(f.now, 0)
+	f.core.LinkUp(f.now, 0, 99) // another incarnation: it knows nothing of the promise
 	claim(0, 7)
 	claim(0, 8)
-	core.expect()
-	core.now += 0.5
+	f.expect()
+	f.now += 0.5
 	claim(0, 8)
-	core.expect("p0 grant", "p0 end")
+	f.expect("p0 grant", "p0 usage-end")
 }
 
-// Guards against a forwarder that forgets by a restart what it promised: it promises nothing for as long as an earlier
-// promise may hold.
+// A forwarder that has forgotten by a restart what it promised gives no promise while an earlier one may last.
 func TestPromise_NoneForALeaseAfterStart(t *testing.T) {
-	core := newTestCore(t)
-	core.now--
-	core.core.LinkUp(core.now, 0, 7)
-	for ; core.now < 1000+core.core.cfg.LeaseS; core.now += 0.05 {
-		core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 70})
-		core.expect()
+	f := newFixture(t)
+	f.now--
+	f.core.LinkUp(f.now, 0, 7)
+	for ; f.now < 1000+f.core.cfg.LeaseS; f.now += 0.05 {
+		f.receive(0, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 70})
+		f.expect()
 	}
-	core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 70})
-	core.expect("p0 grant", "p0 end")
+	f.receive(0, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 70})
+	f.expect("p0 grant", "p0 usage-end")
 }
 
-// Guards against a late action of an old leader: it changes nothing, whatever it says.
+// A decision of a former leader changes nothing.
 func TestExecute_IgnoresFormerLeaders(t *testing.T) {
-	core := newTestCore(t)
-	core.elect(0, 1)
-	core.request("a", "bill")
-	old := core.core.lastHandle
+	f := newFixture(t)
+	f.elect(0, 1)
+	f.request("a", "bill")
+	old := f.core.lastHandle
 	late := func() {
 		for _, kind := range []transport.Kind{transport.KindSend, transport.KindReject, transport.KindFail, transport.KindCancel, transport.KindProbe} {
-			core.receive(0, transport.Message{Kind: kind, Cell: core.cellID(), Epoch: 1, Handle: old, Name: "z1"})
-			core.receive(0, transport.Message{Kind: kind, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, Name: "z1"})
+			f.receive(0, transport.Message{Kind: kind, Cell: f.cellID(), Epoch: 1, Handle: old, Name: "z1"})
+			f.receive(0, transport.Message{Kind: kind, Cell: f.cellID(), Epoch: 1, Handle: f.core.lastHandle, Name: "z1"})
 		}
 	}
-	core.calls = nil
-	core.now += 0.45 // the promise has run out, though nobody has looked yet
+	f.calls = nil
+	f.now += 0.45 // the promise has run out, and no tick has come since
 	late()
-	core.expect()
-	core.core.Tick(core.now)
-	core.expect("p0 untold")
+	f.expect()
+	f.core.Tick(f.now)
+	f.expect("p0 withdraw")
 	late()
-	core.elect(1, 2)
-	core.expect("p1 grant", "p1 end", "p1 request")
+	f.elect(1, 2)
+	f.expect("p1 grant", "p1 usage-end", "p1 request")
 	late()
-	core.expect()
-	core.decideSend(1, 2, "z2", 1)
-	core.expect("send a z2")
+	f.expect()
+	f.decideSend(1, 2, "z2", 1)
+	f.expect("send a z2")
 	late()
-	core.attemptEnds("a", 0, policy.OK)
-	core.expect("p1 outcome")
+	f.attemptEnds("a", 0, policy.OK)
+	f.expect("p1 outcome")
 	late()
-	core.decideSend(1, 2, "z2", 1) // over: its own leader is late, too
-	core.expect()
-	if core.core.Stats.StaleActions == 0 || len(core.core.requests) != 0 || len(core.core.submitted) != 0 {
-		t.Errorf("stale %d, open %d, told %d", core.core.Stats.StaleActions, len(core.core.requests), len(core.core.submitted))
+	f.decideSend(1, 2, "z2", 1) // completed: its own leader is late, too
+	f.expect()
+	if f.core.Stats.StaleActions == 0 || len(f.core.requests) != 0 || len(f.core.submitted) != 0 {
+		t.Errorf("stale %d, open %d, submitted %d", f.core.Stats.StaleActions, len(f.core.requests), len(f.core.submitted))
 	}
 }
 
-// Guards requests under way when their leader dies: how each goes on, by class and by what became of its attempt.
+// Requests whose leader dies go on by their class and by the end of their attempt.
 func TestLeaderChange_InFlightRequests(t *testing.T) {
 	for _, tc := range []struct {
 		class  string
 		status policy.Status
 		after  float64 // between the attempt and its end
-		want   string  // said when the attempt ends with a new leader
+		want   string  // calls when the attempt ends under a new leader
 	}{
-		{"bill", policy.OK, 0, "p1 outs"},
-		{"bill", policy.ConnectFailed, 0, "p1 outs; p1 request"},
-		{"bill", policy.Rejected, 0, "p1 outs; p1 request"},
-		{"bill", policy.NotSent, 0, "p1 outs; p1 request"},
-		{"bill", policy.Reset, 0, "p1 outs; fail a"},
-		{"bill", policy.Timeout, 0, "p1 outs; fail a"},
-		{"bill", policy.Error, 0, "p1 outs; fail a"},
-		{"look", policy.Reset, 0, "p1 outs; p1 request"},
-		{"look", policy.Timeout, 1, "p1 outs; p1 request"},
-		{"hold", policy.Reset, 0.5, "p1 outs; p1 request"},
-		{"hold", policy.Reset, 3.5, "p1 outs; refuse a"}, // the key is not remembered for long enough
-		{"zone", policy.Reset, 0, "p1 outs; fail a"},     // the successor does not know the group
+		{"bill", policy.OK, 0, "p1 orphans"},
+		{"bill", policy.ConnectFailed, 0, "p1 orphans; p1 request"},
+		{"bill", policy.Rejected, 0, "p1 orphans; p1 request"},
+		{"bill", policy.NotSent, 0, "p1 orphans; p1 request"},
+		{"bill", policy.Reset, 0, "p1 orphans; fail a"},
+		{"bill", policy.Timeout, 0, "p1 orphans; fail a"},
+		{"bill", policy.Error, 0, "p1 orphans; fail a"},
+		{"look", policy.Reset, 0, "p1 orphans; p1 request"},
+		{"look", policy.Timeout, 1, "p1 orphans; p1 request"},
+		{"hold", policy.Reset, 0.5, "p1 orphans; p1 request"},
+		{"hold", policy.Reset, 3.5, "p1 orphans; reject a"}, // the key is not remembered for long enough
+		{"zone", policy.Reset, 0, "p1 orphans; fail a"},     // the successor does not know the zone
 	} {
 		t.Run(fmt.Sprint(tc.class, tc.status, tc.after), func(t *testing.T) {
-			core := newTestCore(t)
-			core.elect(0, 1)
-			core.request("a", tc.class)
-			core.decideSend(0, 1, "z1", 1)
-			core.expect("p0 grant", "p0 end", "p0 request", "send a z1")
-			core.core.LinkDown(core.now, 0)
-			core.expect()
-			core.now += 0.5
-			core.elect(1, 2)
-			core.expect("p1 grant", "p1 tale", "p1 outs", "p1 end", "p1 outs") // it is out: nobody else may send it
+			f := newFixture(t)
+			f.elect(0, 1)
+			f.request("a", tc.class)
+			f.decideSend(0, 1, "z1", 1)
+			f.expect("p0 grant", "p0 usage-end", "p0 request", "send a z1")
+			f.core.LinkDown(f.now, 0)
+			f.expect()
+			f.now += 0.5
+			f.elect(1, 2)
+			f.expect("p1 grant", "p1 usage", "p1 orphans", "p1 usage-end", "p1 orphans") // it is in flight: nobody else may send it
+			if f.lastMessage.Number != 1 {
+				t.Errorf("%d orphaned attempts are reported, want 1", f.lastMessage.Number)
+			}
 			for left := tc.after; left > 0; left -= 0.25 {
-				core.now += 0.25
-				core.receive(1, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 2, Round: 3})
+				f.now += 0.25
+				f.receive(1, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 2, Round: 3})
 			}
-			core.calls = nil
-			core.attemptEnds("a", 0, tc.status)
-			core.expect(strings.Split(tc.want, "; ")...)
-			if strings.HasSuffix(tc.want, "request") && core.lastMessage.Units != 0 {
-				t.Errorf("its %v units are counted twice", core.lastMessage.Units)
+			f.calls = nil
+			f.attemptEnds("a", 0, tc.status)
+			f.expect(strings.Split(tc.want, "; ")...)
+			if strings.HasSuffix(tc.want, "request") && f.lastMessage.Units != 0 {
+				t.Errorf("its %v units are counted twice", f.lastMessage.Units)
 			}
 		})
 	}
 }
 
-// Guards what was never sent: it waits for the successor, with all of its units, and not for ever.
+// What was never sent waits for the successor, with all of its units, and not forever.
 func TestLeaderChange_UnsentRequestsWait(t *testing.T) {
-	core := newTestCore(t)
-	core.core.LinkUp(core.now, 1, 8)
-	core.elect(0, 1)
-	core.request("a", "bill")
-	core.core.LinkDown(core.now, 0)
-	core.request("b", "look")
-	core.calls = nil
-	core.now += 0.5
-	core.core.Tick(core.now)
-	core.expect()
-	core.elect(1, 2)
-	core.expect("p1 grant", "p1 end", "p1 request", "p1 request")
-	if core.lastMessage.Units != 2 {
-		t.Errorf("units %v", core.lastMessage.Units)
+	f := newFixture(t)
+	f.core.LinkUp(f.now, 1, 8)
+	f.elect(0, 1)
+	f.request("a", "bill")
+	f.core.LinkDown(f.now, 0)
+	f.request("b", "look")
+	f.calls = nil
+	f.now += 0.5
+	f.core.Tick(f.now)
+	f.expect()
+	f.elect(1, 2)
+	f.expect("p1 grant", "p1 usage-end", "p1 request", "p1 request")
+	if f.lastMessage.Units != 2 {
+		t.Errorf("units %v", f.lastMessage.Units)
 	}
-	core.core.LinkDown(core.now, 1)
-	core.core.LinkUp(core.now, 2, 9)
-	core.now += core.core.cfg.LeaderWaitS + 0.01
-	core.core.Tick(core.now)
-	if got := strings.Join(core.calls, "; "); got != "refuse a; refuse b" && got != "refuse b; refuse a" {
+	f.core.LinkDown(f.now, 1)
+	f.core.LinkUp(f.now, 2, 9)
+	f.now += f.core.cfg.LeaderWaitS + 0.01
+	f.core.Tick(f.now)
+	if got := strings.Join(f.calls, "; "); got != "reject a; reject b" && got != "reject b; reject a" {
 		t.Errorf("got %q", got)
 	}
-	core.calls = nil
-	core.request("c", "look")
-	core.expect("refuse c") // the cell has been without a leader for as long as one waits
+	f.calls = nil
+	f.request("c", "look")
+	f.expect("reject c") // the cell has been leaderless for as long as a request waits
 }
 
-// Guards the stated time of the fail-safe: without any planner what waits and what comes is refused, what is out goes
-// on.
+// Without any planner for the stated time, waiting and new requests are rejected, and attempts in flight go on.
 func TestFailsafe_RejectsWithoutPlanners(t *testing.T) {
-	core := newTestCore(t)
-	core.elect(0, 1)
-	core.request("out", "bill")
-	core.decideSend(0, 1, "z1", 1)
-	core.request("told", "bill")
-	core.core.LinkDown(core.now, 0)
-	core.request("new", "look")
-	core.calls = nil
-	core.now += core.core.cfg.FailsafeDelayS - 0.001
-	core.core.Tick(core.now)
-	core.expect()
-	core.now += 0.002
-	core.core.Tick(core.now)
-	if n := len(core.calls); n != 2 {
-		t.Errorf("%q", core.calls)
+	f := newFixture(t)
+	f.elect(0, 1)
+	f.request("out", "bill")
+	f.decideSend(0, 1, "z1", 1)
+	f.request("told", "bill")
+	f.core.LinkDown(f.now, 0)
+	f.request("new", "look")
+	f.calls = nil
+	f.now += f.core.cfg.FailsafeDelayS - 0.001
+	f.core.Tick(f.now)
+	f.expect()
+	f.now += 0.002
+	f.core.Tick(f.now)
+	if n := len(f.calls); n != 2 {
+		t.Errorf("%q", f.calls)
 	}
-	core.calls = nil
-	core.request("late", "look")
-	core.expect("refuse late")
-	core.attemptEnds("out", 0, policy.Reset)
-	core.expect("fail out")
-	if _, failsafe := core.core.CountLed(); failsafe != 2 {
-		t.Errorf("%d cells in the fail-safe", failsafe)
+	f.calls = nil
+	f.request("late", "look")
+	f.expect("reject late")
+	f.attemptEnds("out", 0, policy.Reset)
+	f.expect("fail out")
+	if _, failsafe := f.core.CountLed(); failsafe != 2 {
+		t.Errorf("%d cells in fail-safe", failsafe)
 	}
-	core.now += 0.5
-	core.elect(1, 2)
-	core.calls = nil
-	core.request("again", "look")
-	core.expect("p1 request")
+	f.now += 0.5
+	f.elect(1, 2)
+	f.calls = nil
+	f.request("again", "look")
+	f.expect("p1 request")
 }
 
-// Guards against two attempts at once, and a refusal that is not true, whatever a planner says.
+// Whatever a planner decides, no two attempts are in flight, and nothing that may have run is rejected.
 func TestExecute_MisbehavingPlanner(t *testing.T) {
-	core := newTestCore(t)
-	core.elect(0, 1)
-	core.request("a", "bill")
-	core.decideSend(0, 1, "z1", 1)
-	core.calls = nil
-	core.decideSend(0, 1, "z2", 1)
-	core.expect("p0 outcome")
-	if core.lastMessage.Number != 1 || policy.Status(core.lastMessage.Class) != policy.NotSent {
-		t.Errorf("told %+v", core.lastMessage)
+	f := newFixture(t)
+	f.elect(0, 1)
+	f.request("a", "bill")
+	f.decideSend(0, 1, "z1", 1)
+	f.calls = nil
+	f.decideSend(0, 1, "z2", 1)
+	f.expect("p0 outcome")
+	if f.lastMessage.Number != 1 || policy.Status(f.lastMessage.Class) != policy.NotSent {
+		t.Errorf("sent %+v", f.lastMessage)
 	}
-	core.attemptEnds("a", 0, policy.Reset)
-	core.receive(0, transport.Message{Kind: transport.KindReject, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, DurationS: 1})
-	core.expect("p0 outcome", "fail a")
-	core.receive(0, transport.Message{Kind: transport.KindCancel, Cell: core.cellID(), Epoch: 1, Handle: core.core.lastHandle, Number: 1 << 31})
-	core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: 60000, Epoch: 1})
-	core.receive(0, transport.Message{Kind: transport.KindSend, Cell: 60000, Epoch: 1})
-	core.expect()
+	f.attemptEnds("a", 0, policy.Reset)
+	f.receive(0, transport.Message{Kind: transport.KindReject, Cell: f.cellID(), Epoch: 1, Handle: f.core.lastHandle, DurationS: 1})
+	f.expect("p0 outcome", "fail a")
+	f.receive(0, transport.Message{Kind: transport.KindCancel, Cell: f.cellID(), Epoch: 1, Handle: f.core.lastHandle, Number: 1 << 31})
+	f.receive(0, transport.Message{Kind: transport.KindClaim, Cell: 60000, Epoch: 1})
+	f.receive(0, transport.Message{Kind: transport.KindSend, Cell: 60000, Epoch: 1})
+	f.expect()
 }
 
-// Guards against a queue in place of a refusal, where a planner does not keep up.
+// Requests for a planner that does not keep up are rejected, not queued.
 func TestRequest_RejectedWhenLinkNotWritable(t *testing.T) {
-	core := newTestCore(t)
-	core.elect(0, 1)
-	core.calls, core.writable = nil, false
-	core.request("a", "bill")
-	core.expect("refuse a")
+	f := newFixture(t)
+	f.elect(0, 1)
+	f.calls, f.writable = nil, false
+	f.request("a", "bill")
+	f.expect("reject a")
 }
 
-// Guards against tales that tell less than was passed on: the latest pass, and never a gap that is not said.
+// A usage report has the latest admission of each account, and says if something is missing.
 func TestUsageReport_LatestAdmissionAndCompleteness(t *testing.T) {
-	core := newTestCore(t)
-	core.elect(0, 1)
-	if core.lastMessage.Kind != transport.KindUsageReportEnd || core.lastMessage.Flag {
-		t.Errorf("a forwarder that has just started tells all: %+v", core.lastMessage)
+	f := newFixture(t)
+	f.elect(0, 1)
+	if f.lastMessage.Kind != transport.KindUsageReportEnd || f.lastMessage.Flag {
+		t.Errorf("the report of a forwarder that has just started is complete: %+v", f.lastMessage)
 	}
-	core.now += 10
-	core.elect(0, 2)
-	if !core.lastMessage.Flag {
-		t.Error("the tale is not complete")
+	f.now += 10
+	f.elect(0, 2)
+	if !f.lastMessage.Flag {
+		t.Error("the report is not complete")
 	}
-	for i, seq := range []uint32{3, 1} { // the later pass comes first
+	for i, seq := range []uint32{3, 1} { // the later admission comes first
 		id := fmt.Sprint("a", i)
-		core.request(id, "look")
-		core.receive(0, transport.Message{Kind: transport.KindSend, Cell: core.cellID(), Epoch: 2, Handle: core.core.lastHandle, Name: "z", DurationS: 1, Round: seq, Units: float64(seq)})
-		core.attemptEnds(id, 0, policy.OK)
+		f.request(id, "look")
+		f.receive(0, transport.Message{Kind: transport.KindSend, Cell: f.cellID(), Epoch: 2, Handle: f.core.lastHandle, Name: "z", DurationS: 1, Round: seq, Units: float64(seq)})
+		f.attemptEnds(id, 0, policy.OK)
 	}
-	core.now += 0.5
-	core.core.LinkUp(core.now, 1, 8)
-	core.calls = nil
+	f.now += 0.5
+	f.core.LinkUp(f.now, 1, 8)
+	f.calls = nil
 	var report transport.Message
-	core.receive(1, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 3})
-	core.expect("p1 grant", "p1 tale", "p1 end")
-	core.core.reportUsage(int(core.cellID()))
-	core.core.usage.each(core.now, func(_ string, usage windowUsage) {
+	f.receive(1, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 3})
+	f.expect("p1 grant", "p1 usage", "p1 usage-end")
+	f.core.reportUsage(int(f.cellID()))
+	f.core.usage.each(f.now, func(_ string, usage windowUsage) {
 		report.Round, report.Units, report.Handle = usage.seq, usage.debt, usage.epoch
 	})
 	if report.Round != 3 || report.Units != 3 || report.Handle != 2 {
-		t.Errorf("the tale is of %+v", report)
+		t.Errorf("the report is of %+v", report)
 	}
-	core.core.usage.maxAccounts = 0
-	core.core.usage.record("other", windowUsage{at: core.now})
-	if core.core.usage.complete(core.now) || !core.core.usage.complete(core.now+core.core.usage.spanS) {
-		t.Error("what was left out is not told, or for too long")
+	f.core.usage.maxAccounts = 0
+	f.core.usage.record("other", windowUsage{at: f.now})
+	if f.core.usage.complete(f.now) || !f.core.usage.complete(f.now+f.core.usage.spanS) {
+		t.Error("a gap is not reported, or for too long")
 	}
 }
 
-// Guards against an attempt that outlives its leader in silence: its request is ended while its client still listens.
+// The request of an attempt that outlives its leader and does not end is answered while its client still listens.
 func TestOverdue_SilentOrphanedAttempt(t *testing.T) {
-	core := newTestCore(t)
-	core.elect(0, 64)
-	core.request("b", "bill")
-	core.decideSend(0, 64, "z1", 1)
-	core.core.LinkDown(core.now, 0)
-	core.calls = nil
-	core.now += 4 - TickIntervalS/2
-	core.core.Tick(core.now)
-	core.expect("fail b")
-	core.now += 5
-	core.core.Tick(core.now)
-	core.attemptEnds("b", 0, policy.Timeout)
-	core.expect()
+	f := newFixture(t)
+	f.elect(0, 64)
+	f.request("b", "bill")
+	f.decideSend(0, 64, "z1", 1)
+	f.core.LinkDown(f.now, 0)
+	f.calls = nil
+	f.now += 4 - TickIntervalS/2
+	f.core.Tick(f.now)
+	f.expect("fail b")
+	f.now += 5
+	f.core.Tick(f.now)
+	f.attemptEnds("b", 0, policy.Timeout)
+	f.expect()
 }
 
-// Guards against a leader that says nothing more, as one whose lead has run out: what it was told is ended while its client
-// still listens, once, and nothing that comes later changes that.
+// A request that its leader never decides on is answered once, while its client still listens.
 func TestOverdue_SubmittedAndNeverAnswered(t *testing.T) {
-	core := newTestCore(t)
-	core.elect(0, 64)
-	core.request("a", "look")
-	core.request("b", "bill")
-	core.decideSend(0, 64, "z1", 2)
-	core.calls = nil
-	for ; core.now < 1000+1+2-2*TickIntervalS; core.now += TickIntervalS { // the leader's promise is renewed all the time
-		core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 64, Round: 1})
-		core.core.Tick(core.now)
+	f := newFixture(t)
+	f.elect(0, 64)
+	f.request("a", "look")
+	f.request("b", "bill")
+	f.decideSend(0, 64, "z1", 2)
+	f.calls = nil
+	for ; f.now < 1000+1+2-2*TickIntervalS; f.now += TickIntervalS { // the leader's promise is renewed all the time
+		f.receive(0, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 64, Round: 1})
+		f.core.Tick(f.now)
 	}
-	for _, x := range core.calls {
-		if strings.HasPrefix(x, "refuse") || strings.HasPrefix(x, "fail") {
-			t.Fatalf("ended too early: %v", core.calls)
+	for _, x := range f.calls {
+		if strings.HasPrefix(x, "reject") || strings.HasPrefix(x, "fail") {
+			t.Fatalf("ended too early: %v", f.calls)
 		}
 	}
-	for ; core.now < 1000+1+5; core.now += TickIntervalS {
-		core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 64, Round: 1})
-		core.core.Tick(core.now)
+	for ; f.now < 1000+1+5; f.now += TickIntervalS {
+		f.receive(0, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 64, Round: 1})
+		f.core.Tick(f.now)
 	}
 	answers := 0
-	for _, x := range core.calls {
-		if strings.HasPrefix(x, "refuse a") || strings.HasPrefix(x, "fail b") {
+	for _, x := range f.calls {
+		if strings.HasPrefix(x, "reject a") || strings.HasPrefix(x, "fail b") {
 			answers++
-		} else if strings.HasPrefix(x, "refuse") || strings.HasPrefix(x, "fail") {
+		} else if strings.HasPrefix(x, "reject") || strings.HasPrefix(x, "fail") {
 			t.Errorf("%s", x)
 		}
 	}
 	if answers != 2 {
-		t.Errorf("%d answers: %v", answers, core.calls)
+		t.Errorf("%d answers: %v", answers, f.calls)
 	}
 }
 
-// Guards the limit of attempts over a change of leaders, each of which counts its own alone.
+// The limit of attempts holds across leaders, each of which counts only its own.
 func TestAttemptLimit_AcrossLeaders(t *testing.T) {
-	core := newTestCore(t)
-	core.core.cfg.MaxAttempts = 3
-	core.elect(0, 1)
-	core.request("a", "look")
-	core.request("b", "look")
+	f := newFixture(t)
+	f.core.cfg.MaxAttempts = 3
+	f.elect(0, 1)
+	f.request("a", "look")
+	f.request("b", "look")
 	for _, id := range []string{"a", "a", "b", "b"} {
-		core.core.lastHandle = core.core.requests[id].handle
-		core.decideSend(0, 1, "z1", 1)
-		core.attemptEnds(id, len(core.core.requests[id].attemptDone)-1, policy.Reset)
+		f.core.lastHandle = f.core.requests[id].handle
+		f.decideSend(0, 1, "z1", 1)
+		f.attemptEnds(id, len(f.core.requests[id].attempts)-1, policy.Reset)
 	}
-	core.core.lastHandle = 2
-	core.core.LinkDown(core.now, 0)
-	core.now += core.core.cfg.LeaseS + 0.01
-	core.calls = nil
-	core.elect(1, 2)
-	core.expect("p1 grant", "p1 tale", "p1 end", "p1 request", "p1 request")
+	f.core.lastHandle = 2
+	f.core.LinkDown(f.now, 0)
+	f.now += f.core.cfg.LeaseS + 0.01
+	f.calls = nil
+	f.elect(1, 2)
+	f.expect("p1 grant", "p1 usage", "p1 usage-end", "p1 request", "p1 request")
 	for h := range 2 {
-		core.core.lastHandle = uint64(3 + h)
-		core.decideSend(1, 2, "z2", 1)
+		f.core.lastHandle = uint64(3 + h)
+		f.decideSend(1, 2, "z2", 1)
 	}
-	core.expect("send a z2", "send b z2")
-	core.attemptEnds("a", 2, policy.Rejected)
-	core.expect("p1 outcome")
-	core.core.lastHandle = 3
-	core.decideSend(1, 2, "z3", 2) // the third of this leader's, the fourth in all
-	core.expect("p1 gone", "refuse a")
-	core.core.LinkDown(core.now, 1)
-	core.calls = nil
-	core.attemptEnds("b", 2, policy.Reset)
-	core.expect("refuse b") // no leader is asked any more
+	f.expect("send a z2", "send b z2")
+	f.attemptEnds("a", 2, policy.Rejected)
+	f.expect("p1 outcome")
+	f.core.lastHandle = 3
+	f.decideSend(1, 2, "z3", 2) // the second of this leader's, the fourth in all
+	f.expect("p1 disconnected", "reject a")
+	f.core.LinkDown(f.now, 1)
+	f.calls = nil
+	f.attemptEnds("b", 2, policy.Reset)
+	f.expect("reject b") // it is not submitted again
 }
--- /dev/null
+++ b/internal/controlplane/forwarder/migrate.go
@@ -0,0 +1,160 @@
+package forwarder
+
+import (
+	"maps"
+	"slices"
+
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/controlplane/cordon"
+)
+
+// When a new process replaces this one, everything that decides goes over to it, and the requests' sockets stay until the requests have
+// ended. To requests a replacement is a change of leaders; promises go on unchanged, and one that was handed over is never taken back. The
+// rules are in docs/forwarder-replacement.md.
+
+// Migrate stops following every leader and returns the state for the new process. From then on this core promises and decides nothing; it
+// records what becomes of its requests, for Reclaim.
+func (c *Core) Migrate(now float64) snapshot.ForwarderState {
+	c.now = now
+	clear(c.planners) // their links end; to the planners, attempts in flight count until the new process reports them
+	for i := range c.cells {
+		c.becomeLeaderless(i)
+	}
+	c.migrated = true
+	state := snapshot.ForwarderState{LastHandle: c.lastHandle, LossyAt: c.usage.incompleteAt, Cordons: map[string]snapshot.Cordon{}}
+	for i := range c.cells {
+		cell := &c.cells[i]
+		cell.waiting = nil
+		state.Cells = append(state.Cells, snapshot.CellPromise{Epoch: cell.epoch, Holder: cell.holder, Incarnation: cell.incarnation,
+			PromisedUntil: cell.until})
+	}
+	c.cordons.Each(func(id string, register cordon.State) {
+		state.Cordons[id] = snapshot.Cordon{Version: register.Version, Held: register.Cordoned}
+	})
+	c.usage.each(now, func(account string, usage windowUsage) {
+		state.UsageReports = append(state.UsageReports, snapshot.UsageReport{Account: account, Plan: usage.plan, Epoch: usage.epoch,
+			Sequence: usage.seq, Debt: usage.debt, ReportedAt: usage.at})
+	})
+	for _, request := range c.requestsByID() {
+		state.Requests = append(state.Requests, request.snapshot())
+	}
+	return state
+}
+
+func (r *openRequest) snapshot() snapshot.OpenRequest {
+	saved := snapshot.OpenRequest{Request: r.Request, ReceivedAt: r.receivedAt, UnitsCounted: r.unitsCounted, MayHaveRun: r.mayHaveRun,
+		FirstRunAt: r.firstRunAt, Completed: r.completed}
+	for _, attempt := range r.attempts {
+		saved.SentAt = append(saved.SentAt, attempt.sentAt)
+		saved.AttemptDone = append(saved.AttemptDone, attempt.ended)
+	}
+	return saved
+}
+
+// Resume goes on with the state of the process before. It has to come before the first link. It reports whether the promises were taken
+// over: those of a fleet with another number of cells are not, and nothing is promised for a lease then.
+func (c *Core) Resume(now float64, state snapshot.ForwarderState) bool {
+	c.now, c.disconnectedAt, c.lastHandle = now, now, state.LastHandle
+	sameCells := len(state.Cells) == len(c.cells)
+	for i := range c.cells {
+		cell := &c.cells[i]
+		cell.leaderlessSince = now
+		if sameCells {
+			saved := state.Cells[i]
+			cell.promise = promise{epoch: saved.Epoch, holder: saved.Holder, incarnation: saved.Incarnation, until: saved.PromisedUntil}
+		} else {
+			cell.until = now + c.cfg.LeaseS
+		}
+	}
+	c.usage.incompleteAt = state.LossyAt
+	if !sameCells {
+		c.usage.incompleteAt = now
+	}
+	for _, report := range state.UsageReports {
+		c.usage.record(report.Account, windowUsage{plan: report.Plan, epoch: report.Epoch, seq: report.Sequence, debt: report.Debt,
+			at: report.ReportedAt})
+	}
+	for _, id := range slices.Sorted(maps.Keys(state.Cordons)) {
+		saved := state.Cordons[id]
+		if _, changed := c.cordons.Merge(id, cordon.State{Version: saved.Version, Cordoned: saved.Held}); changed {
+			c.out.SetCordoned(id, saved.Held)
+		}
+	}
+	for _, saved := range state.Requests {
+		c.restoreRequest(saved)
+	}
+	return sameCells
+}
+
+// restoreRequest takes a request over. One that does not fit the present settings fails.
+func (c *Core) restoreRequest(saved snapshot.OpenRequest) {
+	class, knownClass := c.classIndex[saved.Class]
+	plan, knownPlan := c.planIndex[saved.Plan]
+	if !knownClass || !knownPlan || len(saved.SentAt) != len(saved.AttemptDone) || c.requests[saved.ID] != nil || len(c.requests) >= maxOpenRequests {
+		c.out.Fail(saved.ID)
+		return
+	}
+	request := &openRequest{
+		Request:      saved.Request,
+		class:        class,
+		plan:         plan,
+		cellID:       c.cfg.CellOf(saved.Account),
+		receivedAt:   saved.ReceivedAt,
+		waitingSince: c.now,
+		unitsCounted: saved.UnitsCounted,
+		mayHaveRun:   saved.MayHaveRun,
+		firstRunAt:   saved.FirstRunAt,
+		completed:    saved.Completed,
+	}
+	for i, ended := range saved.AttemptDone {
+		request.attempts = append(request.attempts, attempt{saved.SentAt[i], ended})
+		if !ended {
+			request.inFlight++
+		}
+	}
+	c.requests[request.ID] = request
+	c.continueRequest(request)
+}
+
+// continueRequest goes on with a request that no leader knows: what is in flight counts as orphaned, and what has nothing in flight is
+// decided on anew.
+func (c *Core) continueRequest(request *openRequest) {
+	c.addOrphans(request)
+	if !request.completed && request.inFlight == 0 {
+		c.dispatch(request)
+	}
+	c.releaseIfDone(request)
+}
+
+// RecordOrder notes what the new process has decided for a request of this one.
+func (c *Core) RecordOrder(now float64, order snapshot.Order) {
+	c.now = now
+	request := c.requests[order.ID]
+	if !c.migrated || request == nil {
+		return
+	}
+	switch order.Kind {
+	case snapshot.OrderSend:
+		if !request.completed {
+			request.startAttempt(now)
+			c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + 1}
+		}
+	case snapshot.OrderReject, snapshot.OrderFail:
+		request.completed = true
+		c.releaseIfDone(request)
+	}
+}
+
+// Reclaim goes on with the requests after the new process has died. The promises are not taken back: that process may have given others
+// since, so nothing is promised for a lease, as after a start, and usage reports are incomplete.
+func (c *Core) Reclaim(now float64) {
+	c.now, c.disconnectedAt = now, now
+	c.migrated = false
+	c.resetPromises()
+	c.usage.incompleteAt = now
+	clear(c.planners)
+	clear(c.orphans)
+	for _, request := range c.requestsByID() {
+		c.continueRequest(request)
+	}
+}
--- a/internal/controlplane/forwarder/move_test.go
+++ b/internal/controlplane/forwarder/migrate_test.go
@@ -11,7 +11,7 @@
 	"eiderspread/policy"
 )
 
-// encodeAndDecode is what a forwarder knows after its way to another process.
+// encodeAndDecode returns a state as it arrives in another process.
 func encodeAndDecode(t *testing.T, transferred snapshot.ForwarderState) snapshot.ForwarderState {
 	t.Helper()
 	var parts []snapshot.Part
@@ -33,24 +33,24 @@
 	return got
 }
 
-// migrate is the core of a new process that takes over what r's knows.
-func (t *testCore) migrate() *testCore {
-	t.t.Helper()
-	successor := newTestCore(t.t)
-	successor.now = t.now
-	transferred := encodeAndDecode(t.t, t.core.Migrate(t.now))
-	if !successor.core.Resume(t.now, transferred) {
-		t.t.Error("promises did not go over")
+// migrate returns the core of a new process that goes on with f's state.
+func (f *fixture) migrate() *fixture {
+	f.t.Helper()
+	successor := newFixture(f.t)
+	successor.now = f.now
+	transferred := encodeAndDecode(f.t, f.core.Migrate(f.now))
+	if !successor.core.Resume(f.now, transferred) {
+		f.t.Error("promises were not taken over")
 	}
 	return successor
 }
 
-// Guards fencing across a replacement: a promise goes on, neither longer nor shorter, and the old process gives none.
+// A promise goes on in the new process neither longer nor shorter, and the old process gives none.
 func TestMigrate_Promises(t *testing.T) {
 	if !topology.Fenced {
 		t.Skip("a build without fencing")
 	}
-	predecessor := newTestCore(t)
+	predecessor := newFixture(t)
 	predecessor.elect(0, 5)
 	predecessor.now += 0.2
 	successor := predecessor.migrate()
@@ -75,19 +75,19 @@
 	successor.expect()
 	successor.now += 0.02
 	claim(1, 6)
-	successor.expect("p1 grant", "p1 end")
+	successor.expect("p1 grant", "p1 usage-end")
 }
 
-// Guards requests under way at a replacement, each by its class and by what has become of its attempts.
+// Requests go on in the new process by their class and by what has become of their attempts.
 func TestMigrate_Requests(t *testing.T) {
-	predecessor := newTestCore(t)
+	predecessor := newFixture(t)
 	predecessor.elect(0, 5)
 	predecessor.request("out", "look")
 	predecessor.decideSend(0, 5, "z1", 1)
 	predecessor.request("waits", "bill")
 	predecessor.request("key", "hold")
 	predecessor.decideSend(0, 5, "z1", 2)
-	predecessor.attemptEnds("key", 0, policy.Error) // it ran, and its leader tries again
+	predecessor.attemptEnds("key", 0, policy.Error) // it ran, and its leader retries
 	predecessor.receive(0, transport.Message{Kind: transport.KindSend, Cell: predecessor.cellID(), Epoch: 5, Handle: predecessor.core.lastHandle, Name: "z2", DurationS: 1, Round: 3, Units: 2})
 	predecessor.now += 3.2
 	transferred := encodeAndDecode(t, predecessor.core.Migrate(predecessor.now))
@@ -95,12 +95,12 @@
 		t.Fatalf("%+v", transferred)
 	}
 	const shift = 50.0 // of the clocks
-	successor := newTestCore(t)
+	successor := newFixture(t)
 	successor.now = predecessor.now + shift
 	transferred.Shift(shift)
 	successor.core.Resume(successor.now, transferred)
 	successor.elect(0, 5)
-	successor.expect("p0 grant", "p0 outs", "p0 request") // what is out is not told anew
+	successor.expect("p0 grant", "p0 orphans", "p0 request") // what is in flight is not submitted anew
 	if request := successor.core.requests["waits"]; request.DeadlineAt != 1001+4+shift {
 		t.Errorf("a deadline of %v", request.DeadlineAt)
 	}
@@ -109,17 +109,17 @@
 	successor.attemptEnds("waits", 0, policy.Reset)
 	successor.expect("p0 outcome")
 	successor.attemptEnds("key", 1, policy.Rejected)
-	successor.expect("p0 outs", "refuse key") // it ran 3.2 s ago: too late for its key
+	successor.expect("p0 orphans", "reject key") // it ran 3.2 s ago: too late for its key
 	successor.attemptEnds("out", 0, policy.OK)
-	successor.expect("p0 outs")
+	successor.expect("p0 orphans")
 	if len(successor.core.requests) != 1 || len(successor.core.orphans) != 0 {
 		t.Errorf("%d open, %d orphans", len(successor.core.requests), len(successor.core.orphans))
 	}
 }
 
-// Guards tales: a successor's are the old process's, and complete if those were.
+// The new process reports the usage that the old one knew, and completely if that one could.
 func TestMigrate_UsageReports(t *testing.T) {
-	predecessor := newTestCore(t)
+	predecessor := newFixture(t)
 	predecessor.now += 10
 	predecessor.elect(0, 5)
 	predecessor.request("a", "look")
@@ -128,15 +128,15 @@
 	successor.now += 0.6
 	successor.core.LinkUp(successor.now, 1, 8)
 	successor.receive(1, transport.Message{Kind: transport.KindClaim, Cell: successor.cellID(), Epoch: 6, Round: 1})
-	successor.expect("p1 grant", "p1 tale", "p1 outs", "p1 end")
+	successor.expect("p1 grant", "p1 usage", "p1 orphans", "p1 usage-end")
 	if !successor.lastMessage.Flag {
-		t.Error("the tale is not complete")
+		t.Error("the report is not complete")
 	}
 }
 
-// Guards the way back from a successor that died: what it had sent is known, and its promises are feared.
+// After the new process has died, the old one knows what that sent, and gives no promise while that one's may last.
 func TestReclaim_AfterSuccessorDied(t *testing.T) {
-	predecessor := newTestCore(t)
+	predecessor := newFixture(t)
 	predecessor.now += 10
 	predecessor.elect(0, 5)
 	predecessor.request("waits", "bill")
@@ -157,11 +157,11 @@
 		predecessor.now += predecessor.core.cfg.LeaseS + 0.01
 		predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 10})
 		if predecessor.lastMessage.Kind != transport.KindUsageReportEnd || predecessor.lastMessage.Flag {
-			t.Errorf("not told as incomplete: %+v", predecessor.lastMessage)
+			t.Errorf("not reported as incomplete: %+v", predecessor.lastMessage)
 		}
 		predecessor.calls = nil
 		predecessor.receive(0, transport.Message{Kind: transport.KindLead, Cell: predecessor.cellID(), Epoch: 5})
-		predecessor.expect("p0 outs", "p0 request", "p0 request") // late and waits
+		predecessor.expect("p0 orphans", "p0 request", "p0 request") // late and waits
 	}
 	predecessor.attemptEnds("sent", 0, policy.Timeout)
 	if !slices.Contains(predecessor.calls, "fail sent") {
@@ -169,26 +169,26 @@
 	}
 }
 
-// Guards a successor of other settings: what it can't go on with ends, the rest goes on.
+// A new process with other settings ends what it can't go on with, and goes on with the rest.
 func TestResume_OtherSettings(t *testing.T) {
-	predecessor := newTestCore(t)
+	predecessor := newFixture(t)
 	predecessor.elect(0, 5)
 	predecessor.request("a", "bill")
 	predecessor.request("b", "look")
 	transferred := encodeAndDecode(t, predecessor.core.Migrate(predecessor.now))
-	successor := newTestCore(t)
+	successor := newFixture(t)
 	delete(successor.core.classIndex, "bill")
 	transferred.Cells = transferred.Cells[:1]
 	if successor.core.Resume(successor.now, transferred) {
 		t.Error("promises of other cells were taken")
 	}
 	successor.expect("fail a")
-	if cell := successor.core.cells[0]; cell.holder != -1 || cell.promisedUntil < successor.now+successor.core.cfg.LeaseS {
+	if cell := successor.core.cells[0]; cell.holder != -1 || cell.until < successor.now+successor.core.cfg.LeaseS {
 		t.Errorf("%+v", cell)
 	}
 }
 
-// Guards the parts against a message's bound, and against each other's order.
+// Each part fits into a message, and together they are the state.
 func TestTransferredState_PartSize(t *testing.T) {
 	transferred := snapshot.ForwarderState{Incarnation: 1 << 63, LastHandle: 1<<64 - 1, Cordons: map[string]snapshot.Cordon{}}
 	for i := range 5000 {
@@ -206,18 +206,17 @@
 	}
 }
 
-// Guards fencing against a process before whose knowledge can't be read: what it may have promised stands for a lease from then on, not
-// from this one's start.
+// If the state can't be read, what the process before has promised counts for a lease from then on, not from this process's start.
 func TestResume_UnreadableParts(t *testing.T) {
-	core := newTestCore(t) // whose own lease is over by now
-	gateway := &RemoteGateway{core: core.core}
-	if gateway.Resume(core.now, 0, []snapshot.Part{{}}) == nil {
+	f := newFixture(t) // whose own lease is over by now
+	gateway := &RemoteGateway{core: f.core}
+	if gateway.Resume(f.now, 0, []snapshot.Part{{}}) == nil {
 		t.Error("parts of something else were taken")
 	}
-	core.core.LinkUp(core.now, 0, 7)
-	core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 5, Round: 1})
-	core.expect()
-	core.now += core.core.cfg.LeaseS + 0.01
-	core.receive(0, transport.Message{Kind: transport.KindClaim, Cell: core.cellID(), Epoch: 5, Round: 2})
-	core.expect("p0 grant", "p0 end")
+	f.core.LinkUp(f.now, 0, 7)
+	f.receive(0, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 5, Round: 1})
+	f.expect()
+	f.now += f.core.cfg.LeaseS + 0.01
+	f.receive(0, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 5, Round: 2})
+	f.expect("p0 grant", "p0 usage-end")
 }
--- /dev/null
+++ b/internal/controlplane/forwarder/orphans.go
@@ -0,0 +1,48 @@
+package forwarder
+
+import (
+	"maps"
+	"slices"
+
+	"eiderspread/internal/controlplane/transport"
+)
+
+// orphanCount is how many attempts of one account are in flight here whose request no leader knows. Leaders are told, for the account's
+// cap on concurrency.
+type orphanCount struct{ plan, attempts int }
+
+// addOrphans counts a request's attempts in flight as orphaned.
+func (c *Core) addOrphans(request *openRequest) {
+	if request.inFlight > 0 {
+		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
+	}
+}
+
+// removeOrphan takes the end of one of a request's orphaned attempts, and tells the leader.
+func (c *Core) removeOrphan(request *openRequest) {
+	count := c.orphans[request.Account]
+	count.attempts--
+	if count.attempts > 0 {
+		c.orphans[request.Account] = count
+	} else {
+		delete(c.orphans, request.Account)
+	}
+	if c.cells[request.cellID].hasLeader {
+		c.sendOrphans(request.cellID, request.Account, count)
+	}
+}
+
+// reportOrphans tells a cell's holder of all orphaned attempts in the cell.
+func (c *Core) reportOrphans(cellID int) {
+	for _, account := range slices.Sorted(maps.Keys(c.orphans)) {
+		if c.cfg.CellOf(account) == cellID {
+			c.sendOrphans(cellID, account, c.orphans[account])
+		}
+	}
+}
+
+func (c *Core) sendOrphans(cellID int, account string, count orphanCount) {
+	cell := &c.cells[cellID]
+	c.out.SendToPlanner(cell.holder, transport.Message{Kind: transport.KindOrphans, Cell: uint16(cellID), Epoch: cell.epoch, Name: account,
+		Plan: uint8(count.plan), Number: uint32(count.attempts)})
+}
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -20,7 +20,7 @@
 	lender      = "internal/decision/slotlease/places.go"
 	state       = "policy/state.go"
 	core        = "internal/controlplane/forwarder/core.go"
-	mover       = "internal/controlplane/forwarder/move.go"
+	mover       = "internal/controlplane/forwarder/migrate.go"
 	windows     = "internal/controlplane/planner/windows.go"
 	leases      = "internal/controlplane/planner/leases.go"
 	in          = "internal/dataplane/ingress/"
@@ -80,7 +80,7 @@
 	{Name: "a request has so many attempts", Rule: "attempts limited", Unit: "./policy",
 		Edits: edit(module, "case len(req.attempts) >= max(1, g.settings.MaxAttempts):", "case len(req.attempts) >= 99:"), Runs: []string{simOne + "errors"}},
 	{Name: "and over a change of leaders too", Rule: "attempts limited", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "len(request.attemptDone) >= c.cfg.MaxAttempts", "len(request.attemptDone) >= 99"), Runs: []string{simTwo + "errors"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "len(request.attempts) >= c.cfg.MaxAttempts", "len(request.attempts) >= 99"), Runs: []string{simTwo + "errors"}},
 	{Name: "a key goes where it is remembered", Rule: "no effect twice", Unit: "./policy",
 		Edits: edit(module, "!req.class.KeyScope.Same(req.firstRan.Backend, backend.Backend) {", "!ScopeAll.Same(req.firstRan.Backend, backend.Backend) {"), Runs: []string{simOne + "zones"}},
 	// ---- The module: quotas, caps and ceilings ----
@@ -181,7 +181,7 @@
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
 		Edits: edit("internal/controlplane/cordon/coordinator.go", "op.phase, op.effectiveAt = awaiting, now+c.leaseS", "op.phase, op.effectiveAt = awaiting, now+1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/controlplane/forwarder/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/forwarder/cordons.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
 		Edits: edit("internal/controlplane/planner/cordons.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
 	// ---- The module: servers ----
@@ -290,44 +290,38 @@
 		Runs:  []string{labOne + "keys"}},
 	// ---- Forwarders ----
 	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // by epoch and promise, and by the handle of the telling
-		Edits: []Edit{{core, "ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !topology.Fenced)", "ok := true"},
-			{core, `	delete(c.submitted, request.handle)
-	if request.handle != 0`, "\tif request.handle != 0"},
-			{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"}},
+		Edits: []Edit{{"internal/controlplane/forwarder/promises.go", "return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.Fenced)", "return cell != nil"},
+			{"internal/controlplane/forwarder/requests.go", "\tdelete(c.submitted, request.handle)\n\tif request.handle != 0", "\tif request.handle != 0"},
+			{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"}},
 		Runs: []string{simTwo + "storm", simTwo + "programs"}},
 	{Name: "never two attempts out, whoever asks", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // a request waits for the end of its attempt, and a second one is not made
-		Edits: []Edit{{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"},
-			{core, `		c.withdraw(request)
-		if !request.completed && request.inFlight == 0 {`, `		c.withdraw(request)
-		if !request.completed {`},
-			{core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return !request.mayHaveRun ||"}},
+		Edits: []Edit{{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"},
+			{"internal/controlplane/forwarder/promises.go", "\t\tc.withdraw(request)\n\t\tif !request.completed && request.inFlight == 0 {", "\t\tc.withdraw(request)\n\t\tif !request.completed {"},
+			{"internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun && request.inFlight == 0, class", "case !request.mayHaveRun, class"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a successor runs no unsafe request again", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "case !request.mayHaveRun || class.Idempotency == policy.Idempotent:", "case !request.mayHaveRun || class.Idempotency != policy.KeyedIdempotent:"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun, class.Idempotency == policy.Idempotent:", "case !request.mayHaveRun, class.Idempotency != policy.KeyedIdempotent:"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return true || !request.mayHaveRun && request.inFlight == 0 ||"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun && request.inFlight == 0, class", "case true, !request.mayHaveRun && request.inFlight == 0, class"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "\tc.endOverdue()\n", ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
 	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation):", "case msg.Epoch > cell.epoch:"),
+		Edits: edit("internal/controlplane/forwarder/promises.go", "case msg.Epoch > cell.epoch && (cell.expired(c.now) || ownClaim):", "case msg.Epoch > cell.epoch:"),
 		Runs:  []string{simTwo + "programs"}},
 	{Name: "a forwarder promises nothing right after its start", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "\t\tcell.promisedUntil = now + cfg.LeaseS // this", "\t\tcell.promisedUntil = now // this"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
+		Edits: edit(core, "\tc.resetPromises()\n\treturn c\n", "\tc.resetPromises()\n\tfor i := range c.cells {\n\t\tc.cells[i].until = now\n\t}\n\treturn c\n"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
 	{Name: "at a forwarder a reset may have run", Rule: "no effect twice",
-		Edits: edit(core, "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.ConnectFailed ||", "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.Reset || outcome.Status == policy.ConnectFailed ||"),
+		Edits: edit("internal/controlplane/forwarder/requests.go", "if notRun := status == policy.Rejected ||", "if notRun := status == policy.Rejected || status == policy.Reset ||"),
 		Runs:  []string{simTwo + "programs"}},
 	{Name: "a forwarder knows how long keys are remembered", Rule: "no effect twice",
-		Edits: edit(core, "return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS", "return class.KeyScope == policy.ScopeAll"),
+		Edits: edit("internal/controlplane/forwarder/actions.go", "return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS", "return class.KeyScope == policy.ScopeAll"),
 		Runs:  []string{simTwo + "keys"}},
 	{Name: "a forwarder remembers what was passed on", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, `			c.usage.record(request.Account, windowUsage{request.plan, msg.Epoch, msg.Round, msg.Units, c.now})
-`, ""), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "\t\t\tc.usage.record(request.Account, windowUsage{plan: request.plan, epoch: msg.Epoch, seq: msg.Round, debt: msg.Units, at: c.now})\n", ""), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a forwarder tells of what it has out", Rule: "caps kept", Unit: "./internal/controlplane/forwarder",
-		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit(core, `		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
-`, `		c.orphans[request.Account] = orphanCount{request.plan, 0}
-`),
-		Runs: []string{simTwo + "capped"}},
+		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Edits: edit("internal/controlplane/forwarder/orphans.go", "\t\tc.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}\n", "\t\tc.orphans[request.Account] = orphanCount{request.plan, 0}\n"),
+		Runs:  []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit("internal/controlplane/forwarder/usage.go", "incompleteAt: startedAt}", "incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
@@ -386,25 +380,20 @@
 		Edits: edit(in+"handover.go", "body: bytes.Clone(c.input.data)}", "body: bytes.Clone(c.input.data[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
 	// ---- A forwarder replaced while it serves ----
 	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "c.cells[i] = cellState{holder: -1, requester: -1, promisedUntil: now + c.cfg.LeaseS, leaderlessSince: now}", "c.cells[i].requester, c.cells[i].leaderlessSince = -1, now"), Runs: []string{simTwo + "handed-torn"}},
+		Edits: edit(mover, "\tc.resetPromises()\n", "\tfor i := range c.cells {\n\t\tc.cells[i].requester, c.cells[i].leaderlessSince = noPlanner, now\n\t}\n"), Runs: []string{simTwo + "handed-torn"}},
 	{Name: "promises go over", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Incarnation, promise.PromisedUntil", "cell.epoch, cell.holder, cell.promisedUntil = promise.Epoch, -1, now"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "cell.promise = promise{epoch: saved.Epoch, holder: saved.Holder, incarnation: saved.Incarnation, until: saved.PromisedUntil}", "cell.promise = promise{epoch: saved.Epoch, holder: noPlanner, incarnation: cell.incarnation, until: now}"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "for _, report := range transferred.UsageReports {", "for _, report := range transferred.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, "for _, report := range state.UsageReports {", "for _, report := range state.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
 	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Why:   "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
-		Edits: edit(mover, "mayHaveRun: saved.MayHaveRun, firstRunAt: saved.FirstRunAt", "mayHaveRun: false, firstRunAt: saved.FirstRunAt"), Runs: []string{simTwo + "handed-keys"}},
+		Edits: edit(mover, "mayHaveRun:   saved.MayHaveRun,", "mayHaveRun:   false,"), Runs: []string{simTwo + "handed-keys"}},
 	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "request.inFlight += b2i(!done)", "request.inFlight += 0 * b2i(!done)"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "\t\tif !ended {\n\t\t\trequest.inFlight++", "\t\tif false {\n\t\t\trequest.inFlight++"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "what a successor sent is written down", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, `		if !request.completed {
-			request.sentAt, request.attemptDone`, `		if false {
-			request.sentAt, request.attemptDone`), Runs: []string{simTwo + "handed-queue"}},
+		Edits: edit(mover, "\t\tif !request.completed {\n\t\t\trequest.startAttempt(now)", "\t\tif false {\n\t\t\trequest.startAttempt(now)"), Runs: []string{simTwo + "handed-queue"}},
 	{Name: "tales are not complete after taking back", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, `	}
-	c.usage.incompleteAt = now
-	clear(c.planners)`, `	}
-	clear(c.planners)`), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, "\tc.usage.incompleteAt = now\n\tclear(c.planners)", "\tclear(c.planners)"), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
 		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
