--- /dev/null
+++ b/internal/controlplane/process/process.go
@@ -0,0 +1,133 @@
+// Package process runs forwarders and planners as programs: their files, signals, limits and logs. The testbed runs the same code in
+// processes of its own.
+package process
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"eiderspread/internal/controlplane/forwarder"
+	"eiderspread/internal/controlplane/planner"
+	"eiderspread/internal/dataplane/ingress"
+)
+
+const (
+	// maxProcs is the number of cores that a program uses: its work is one loop's.
+	maxProcs = 1
+	// memoryLimitFraction is the part of the configured memory from which on the garbage collector works as hard as it must.
+	memoryLimitFraction = 0.6
+)
+
+// The kinds of programs, as in command lines and logs.
+const (
+	kindForwarder = "forwarder"
+	kindPlanner   = "planner"
+)
+
+// UnknownKindError is a kind of program that is neither forwarder nor planner.
+type UnknownKindError string
+
+// Error implements error.
+func (e UnknownKindError) Error() string { return fmt.Sprintf("unknown kind %q", string(e)) }
+
+// CheckConfig reads the operators' file at path of a "forwarder" or "planner" and all that it names. Another kind is an UnknownKindError.
+func CheckConfig(kind, path string) (err error) {
+	switch kind {
+	case kindForwarder:
+		_, err = forwarder.ReadFile(path)
+	case kindPlanner:
+		_, err = planner.ReadFile(path)
+	default:
+		err = UnknownKindError(kind)
+	}
+	return err
+}
+
+// Run runs a "forwarder" or "planner" by the operators' file at path until SIGTERM or SIGINT. Another kind is an UnknownKindError.
+func Run(kind, path string) error {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	switch kind {
+	case kindForwarder:
+		return runForwarder(ctx, path)
+	case kindPlanner:
+		return runPlanner(ctx, path)
+	}
+	return UnknownKindError(kind)
+}
+
+func runPlanner(ctx context.Context, path string) error {
+	cfg, err := planner.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	applyLimits(cfg.Ingress.MemoryMB)
+	log := newLogger(kindPlanner, cfg.Number)
+	onSIGHUP(ctx, func() {
+		if err := CheckConfig(kindPlanner, path); err != nil {
+			log.Error("configuration is invalid", "error", err)
+		} else {
+			log.Info("configuration is valid and takes effect at a restart, during which others lead the cells")
+		}
+	})
+	return planner.Run(ctx, cfg, log)
+}
+
+func runForwarder(ctx context.Context, path string) error {
+	cfg, err := forwarder.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	applyLimits(cfg.Ingress.MemoryMB)
+	log := newLogger(kindForwarder, cfg.Number)
+	reread := make(chan ingress.Config)
+	onSIGHUP(ctx, func() {
+		next, err := forwarder.ReadFile(path)
+		if err != nil {
+			log.Error("configuration is invalid", "error", err)
+			return
+		}
+		if next.Ingress.NeedsRestart(cfg.Ingress) {
+			log.Warn("of the new configuration, only the address of discovery takes effect before a restart")
+		}
+		select {
+		case reread <- next.Ingress:
+		case <-ctx.Done():
+		}
+	})
+	return ingress.RunWithDecider(ctx, cfg.Ingress, reread, log, forwarder.NewGatewayFunc(cfg))
+}
+
+func applyLimits(memoryMB int) {
+	runtime.GOMAXPROCS(maxProcs)
+	if memoryMB > 0 {
+		debug.SetMemoryLimit(int64(float64(memoryMB<<20) * memoryLimitFraction))
+	}
+}
+
+func newLogger(kind string, number int) *slog.Logger {
+	return slog.New(slog.NewTextHandler(os.Stderr, nil)).With(kind, number)
+}
+
+// onSIGHUP calls do at each SIGHUP until ctx ends.
+func onSIGHUP(ctx context.Context, do func()) {
+	hup := make(chan os.Signal, 1)
+	signal.Notify(hup, syscall.SIGHUP)
+	go func() {
+		defer signal.Stop(hup)
+		for {
+			select {
+			case <-hup:
+				do()
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+}
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// testFleet is a fleet that does as it is told, but for what a test breaks.
+// testFleet carries out what a rollout asks for, but for what a test breaks.
 type testFleet struct {
 	t         *testing.T
 	now       float64
@@ -17,11 +17,11 @@
 	busy      []bool
 	restarts  []int
 	order     []string
-	maxAway   int // most programs that were away together
+	maxAway   int // the most programs that were away together
 	scheduled []func()
-	dead      map[string]bool // do not come up
+	dead      map[string]bool // by name: does not start
 	drainErr  map[string]error
-	flaps     map[string]bool // ready for half a second, then no more
+	flaps     map[string]bool // by name: ready for half a second, then no longer
 }
 
 func (w *testFleet) after(d float64, do func()) {
@@ -52,7 +52,7 @@
 func (w *testFleet) Restart(i int) {
 	name := w.r.programs[i].Name
 	w.restarts[i]++
-	w.ready[i] = false // one that is replaced: the old process no longer says yes, the new one not yet
+	w.ready[i] = false // with a hot restart, the old process is ready no longer and the new one not yet
 	w.order = append(w.order, name)
 	w.after(0.2, func() { w.r.Restarted(w.now, i, nil) })
 	if !w.dead[name] {
@@ -115,8 +115,8 @@
 	}
 }
 
-// It stops at the first program that does not come up, can't be sent away, or does not stay up; touches nothing after it, and the next
-// run goes on from there.
+// The rollout aborts at the first program that does not start, can't be drained, or does not stay ready. It touches no later program, and
+// the next run goes on from there.
 func TestRollout_StopsAtFirstFailure(t *testing.T) {
 	for name, broken := range map[string]func(w *testFleet){
 		"not ready 20 s": func(w *testFleet) { w.dead["p1"] = true },
@@ -140,7 +140,7 @@
 	}
 }
 
-// With another program away nothing is touched; it waits, and says which one it waited for.
+// While another program is not ready nothing is touched, and the error names the one that was waited for.
 func TestRollout_WaitsForOthers(t *testing.T) {
 	w, err := runRollout(t, testPrograms(), "", func(w *testFleet) {
 		for i, p := range w.r.programs {
@@ -154,7 +154,7 @@
 	}
 }
 
-// Whatever dies and comes back meanwhile, no program is touched while another is known to be away, and none is restarted twice.
+// Whatever fails and recovers meanwhile, no program is touched while another is known to be away, and none is restarted twice.
 func TestRollout_NeverTwoAwayWhileFlapping(t *testing.T) {
 	finished := 0
 	for seed := range uint64(60) {
@@ -182,11 +182,11 @@
 		}
 	}
 	if finished < 30 {
-		t.Errorf("%d of 60 rollouts came to their end beside blinks", finished)
+		t.Errorf("%d of 60 rollouts ended beside flapping programs", finished)
 	}
 }
 
-// Those that are replaced beside themselves are not sent away, and one whose new process does not come up stops the rollout.
+// Programs with a hot restart are not drained, and one whose new process does not start aborts the rollout.
 func TestRollout_HotRestart(t *testing.T) {
 	programs := testPrograms()
 	for i := range programs {
