--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -83,7 +83,9 @@
 		}
 		out := json.NewEncoder(w)
 		out.SetIndent("", " ")
-		out.Encode(v)
+		if err := out.Encode(v); err != nil {
+			return err
+		}
 	}
 	return last
 }
--- a/cmd/fleet/main_test.go
+++ b/cmd/fleet/main_test.go
@@ -30,9 +30,13 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	os.WriteFile(dir+"/door.json", []byte(strings.Replace(string(base), "{", `{"console":"127.0.0.1:1",`, 1)), 0o600)
+	if err := os.WriteFile(dir+"/door.json", []byte(strings.Replace(string(base), "{", `{"console":"127.0.0.1:1",`, 1)), 0o600); err != nil {
+		t.Error(err)
+	}
 	file, _ := os.ReadFile("deploy/forwarder.toml")
-	os.WriteFile(dir+"/door.toml", []byte(strings.Replace(string(file), "deploy/example/forwarder.json", dir+"/door.json", 1)), 0o600)
+	if err := os.WriteFile(dir+"/door.toml", []byte(strings.Replace(string(file), "deploy/example/forwarder.json", dir+"/door.json", 1)), 0o600); err != nil {
+		t.Error(err)
+	}
 	if err := run([]string{"forwarder", "-check", dir + "/door.toml"}); err != nil {
 		t.Errorf("a forwarder with a door: %v", err)
 	}
@@ -45,7 +49,7 @@
 
 // Guards the status command: what answers is printed, what does not is an error.
 func TestStatus(t *testing.T) {
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(`{"kind":"planner"}`)) }))
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"kind":"planner"}`)) }))
 	defer srv.Close()
 	var out strings.Builder
 	if err := status([]string{"127.0.0.1:1", strings.TrimPrefix(srv.URL, "http://")}, &out); err == nil || !strings.Contains(out.String(), "planner") {
--- a/cmd/fleet/upgrade_test.go
+++ b/cmd/fleet/upgrade_test.go
@@ -58,7 +58,9 @@
 	for want, text := range map[string]string{"replace goes with two doors": "[[program]]\nname = \"a\"\nkind = \"forwarder\"\ndoors = [\"x\"]\nreplace = [\"y\"]\n",
 		"is not replaced beside itself": "[[program]]\nname = \"a\"\nkind = \"planner\"\ndoors = [\"x\", \"z\"]\nreplace = [\"y\"]\n", "door and restart": "[[program]]\nname = \"a\"\nkind = \"planner\"\n", "no programs": "", "unknown key": "x = 1\n"} {
 		path := filepath.Join(t.TempDir(), "upgrade.toml")
-		os.WriteFile(path, []byte(text), 0o600)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Error(err)
+		}
 		if err := run([]string{"upgrade", path}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
@@ -78,7 +80,7 @@
 				switch {
 				case r.Method != http.MethodGet:
 					t.Errorf("%s %s", r.Method, r.URL)
-				case i == 0 && started && rises, i == 1 && !(started && rises): // the old process goes on if the new one does not come up
+				case i == 0 && started && rises, i == 1 && (!started || !rises): // the old process goes on if the new one does not come up
 					http.Error(w, "no", http.StatusServiceUnavailable)
 				}
 			}))
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -77,9 +78,9 @@
 	inBatch := false
 	for {
 		err := h.in.Next(&h.line)
-		if err == io.EOF && !inBatch {
+		if errors.Is(err, io.EOF) && !inBatch {
 			return nil
-		} else if err == io.EOF {
+		} else if errors.Is(err, io.EOF) {
 			return fmt.Errorf("input ended within a batch")
 		} else if err != nil {
 			return err
@@ -146,7 +147,7 @@
 	}
 	var list []policy.Backend
 	for range n {
-		if err := h.in.Next(&h.line); err == io.EOF {
+		if err := h.in.Next(&h.line); errors.Is(err, io.EOF) {
 			return fmt.Errorf("ITEM: the list ends early")
 		} else if err != nil {
 			return err
--- a/internal/dataplane/ingress/status.go
+++ b/internal/dataplane/ingress/status.go
@@ -71,13 +71,18 @@
 	return nil
 }
 
+// SheddingDecider is a Decider that sheds load by itself, and can tell how much.
+type SheddingDecider interface {
+	Shedder() *loadshed.Shedder // nil where load is not shed
+}
+
 func (in *Ingress) handleStatus(w http.ResponseWriter, r *http.Request) {
 	got := make(chan Status, 1)
 	in.Post(func(float64) {
 		age := in.EndpointListAge()
 		var load *loadshed.Status
-		if g, ok := in.decider.(interface{ Overload() *loadshed.Shedder }); ok {
-			load = g.Overload().Status(in.now)
+		if g, ok := in.decider.(SheddingDecider); ok {
+			load = g.Shedder().Status(in.now)
 		}
 		got <- Status{Overload: load, Kind: "ingress", Name: in.cfg.Name, EndpointList: age, EndpointListStale: age.Stale(), Backends: len(in.backends.byID), Clients: in.clients.open(),
 			Requests: len(in.requests), ClosingClients: in.closingClients, Draining: in.drain.Active(), Counters: in.counters.status(), Guard: in.guardCounts.status()}
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -110,8 +110,8 @@
 	return ended || err != nil
 }
 
-// Held are the connections to a forwarder that break what operators are promised of a drain: idle, or with a request that is younger than recent.
-func (c *Clients) Held(forwarder int, recent time.Duration) map[*clientConn]string {
+// heldConns returns the connections to a forwarder that break what operators are promised of a drain: idle, or with a request that is younger than recent.
+func (c *Clients) heldConns(forwarder int, recent time.Duration) map[*clientConn]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := map[*clientConn]string{}
@@ -138,10 +138,10 @@
 	if time.Since(k.idleAt) > idleMost {
 		return false
 	}
-	k.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
+	_ = k.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
 	_, err := k.r.Peek(1)
-	ne, ok := err.(net.Error)
-	return ok && ne.Timeout()
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
 // NewClients makes clients; Run starts them.
@@ -386,7 +386,7 @@
 			t.Untaken = true
 			break
 		}
-		k.SetDeadline(time.Now().Add(left + 2*time.Second))
+		_ = k.SetDeadline(time.Now().Add(left + 2*time.Second))
 		var left atomic.Bool
 		if hangUp > 0 {
 			timer := time.AfterFunc(hangUp, func() { left.Store(true); k.Close() })
@@ -437,7 +437,7 @@
 		tries = append(tries, t)
 		c.sent(t, left)
 	}
-	k.SetDeadline(time.Now().Add(most + 2*time.Second))
+	_ = k.SetDeadline(time.Now().Add(most + 2*time.Second))
 	k.waits(true)
 	_, err = io.WriteString(k, commands.String())
 	for _, t := range tries {
--- a/internal/testbed/etcdfleet/faults.go
+++ b/internal/testbed/etcdfleet/faults.go
@@ -55,12 +55,12 @@
 	{"member restarted", func(r *Rig, x testbed.Fault) func() {
 		i := x.B % len(r.Etcd.Addrs())
 		r.Etcd.StopMember(i)
-		return func() { r.Etcd.StartMember(i) }
+		return func() { _ = r.Etcd.StartMember(i) }
 	}},
 	{"all restarted", func(r *Rig, x testbed.Fault) func() {
 		seeing := r.blind(func(*beside) bool { return true })
 		r.Etcd.Stop()
-		return func() { r.Etcd.Start(); seeing() }
+		return func() { _ = r.Etcd.Start(); seeing() }
 	}},
 	{"replaced by another cluster", func(r *Rig, x testbed.Fault) func() {
 		seeing := r.blind(func(*beside) bool { return true })
@@ -70,7 +70,7 @@
 			h := r.Etcd.Head()
 			r.Etcd.Restore(etcdstandin.Head{Cluster: h.Cluster + 1, Revision: 2, Term: 2}, r.refill()...)
 			r.mu.Unlock()
-			r.Etcd.Start()
+			_ = r.Etcd.Start()
 			seeing()
 		}
 	}},
@@ -82,7 +82,7 @@
 			h := r.Etcd.Head()
 			r.Etcd.Restore(etcdstandin.Head{Cluster: h.Cluster, Revision: max(2, h.Revision-100), Term: max(2, h.Term-1)}, r.refill()...)
 			r.mu.Unlock()
-			r.Etcd.Start()
+			_ = r.Etcd.Start()
 			seeing()
 		}
 	}},
@@ -90,7 +90,7 @@
 		i, h := x.B%len(r.Etcd.Addrs()), r.Etcd.Head()
 		r.Etcd.Lie(i, max(r.Etcd.Compacted(), 1+h.Revision-int64(20+x.A%40)), h.Term)
 		r.Etcd.StopMember(i)
-		r.Etcd.StartMember(i)
+		_ = r.Etcd.StartMember(i)
 		r.breakAll()
 		return func() { r.Etcd.Lie(i, 0, 0) }
 	}},
@@ -180,7 +180,7 @@
 	heavy := func(name string) bool {
 		return slices.Contains([]string{"all restarted", "replaced by another cluster", "put back", "cut", "cut and compacted", "cut from all", "slow", "a liar"}, name)
 	}
-	if one.name != two.name && !(heavy(one.name) && heavy(two.name)) {
+	if one.name != two.name && (!heavy(one.name) || !heavy(two.name)) {
 		what += " and " + two.name
 		mends = append(mends, two.do(r, x))
 		r.mu.Lock()
@@ -246,7 +246,7 @@
 		a := rig.agents[x.A%len(rig.agents)]
 		a.proc.Kill()
 		wait(x.For / 2)
-		a.proc.Start()
+		_ = a.proc.Start()
 	})
 	testbed.AddKind("agent hup", "an agent gets other certificates and its endpoints in another order", "agent", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		a := rig.agents[x.A%len(rig.agents)]
--- a/internal/testbed/etcdfleet/rig.go
+++ b/internal/testbed/etcdfleet/rig.go
@@ -317,7 +317,7 @@
 	if err != nil {
 		return "", err
 	}
-	go http.Serve(l, &relay{f.Hist, party, a.listen})
+	go func() { _ = http.Serve(l, &relay{f.Hist, party, a.listen}) }()
 	return l.Addr().String(), nil
 }
 
@@ -471,7 +471,7 @@
 			continue
 		}
 		var st sourceStatus
-		json.NewDecoder(resp.Body).Decode(&st)
+		_ = json.NewDecoder(resp.Body).Decode(&st)
 		resp.Body.Close()
 		sum.Etcd.Reads += st.Etcd.Reads
 		sum.Etcd.Compacted += st.Etcd.Compacted
--- a/internal/testbed/etcdfleet/sizes.go
+++ b/internal/testbed/etcdfleet/sizes.go
@@ -120,6 +120,6 @@
 	}
 	defer r.Body.Close()
 	var l struct{ Servers []json.RawMessage }
-	json.NewDecoder(r.Body).Decode(&l)
+	_ = json.NewDecoder(r.Body).Decode(&l)
 	return len(l.Servers)
 }
--- a/internal/testbed/etcdstandin/etcd.go
+++ b/internal/testbed/etcdstandin/etcd.go
@@ -1,4 +1,4 @@
-// Package etcd is the project's own stand-in for an etcd cluster, written from the published API: one state (package store)
+// Package etcdstandin is the project's own stand-in for an etcd cluster, written from the published API: one state (package store)
 // behind several members on loopback addresses, each with its own point in the history that it has applied. Beside what a
 // cluster promises it does on command what breaks those promises or tries a client's patience: leaders change, members lag,
 // are cut off in a minority or lie, history is compacted, the state is put back or wiped, tokens run out.
@@ -317,7 +317,7 @@
 	pb.RegisterMaintenanceServer(m.srv, m)
 	pb.RegisterClusterServer(m.srv, m)
 	m.lostAt = time.Now()
-	go m.srv.Serve(l)
+	go func() { _ = m.srv.Serve(l) }()
 	return nil
 }
 
@@ -574,7 +574,7 @@
 func (c *Cluster) Set(key, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.st.Put(&pb.PutRequest{Key: []byte(key), Value: []byte(value)})
+	_, _ = c.st.Put(&pb.PutRequest{Key: []byte(key), Value: []byte(value)})
 	c.advance()
 }
 
@@ -582,7 +582,7 @@
 func (c *Cluster) Delete(key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.st.Delete(&pb.DeleteRangeRequest{Key: []byte(key)})
+	_, _ = c.st.Delete(&pb.DeleteRangeRequest{Key: []byte(key)})
 	c.advance()
 }
 
@@ -605,7 +605,7 @@
 			outer = append(outer, &pb.RequestOp{Request: &pb.RequestOp_RequestTxn{RequestTxn: &pb.TxnRequest{Success: ops[:n]}}})
 			ops = ops[n:]
 		}
-		c.st.Txn(&pb.TxnRequest{Success: outer})
+		_, _ = c.st.Txn(&pb.TxnRequest{Success: outer})
 	}
 	c.advance()
 }
@@ -614,7 +614,7 @@
 func (c *Cluster) CompactAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.st.Compact(c.st.View().Revision)
+	_ = c.st.Compact(c.st.View().Revision)
 	c.advance()
 }
 
--- a/internal/testbed/etcdstandin/services.go
+++ b/internal/testbed/etcdstandin/services.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -101,7 +102,7 @@
 		}
 	}()
 	err := next(srv, &ledStream{s, ctx})
-	if cause := context.Cause(ctx); cause == rpctypes.ErrGRPCNoLeader {
+	if cause := context.Cause(ctx); errors.Is(cause, rpctypes.ErrGRPCNoLeader) {
 		return cause
 	}
 	return err
--- a/internal/testbed/etcdstandin/store/store.go
+++ b/internal/testbed/etcdstandin/store/store.go
@@ -684,7 +684,7 @@
 func (s *Store) Expire(now time.Duration) (next time.Duration, ok bool) {
 	for _, id := range s.Leases() {
 		if l := s.leases[id]; l.ends <= now {
-			s.Revoke(id)
+			_ = s.Revoke(id)
 		} else if !ok || l.ends < next {
 			next, ok = l.ends, true
 		}
@@ -700,7 +700,7 @@
 	s.log = func(Record) {}
 	defer func() { s.log = log }()
 	if r.Grant != 0 {
-		s.Grant(now, r.Grant, r.TTL)
+		_, _ = s.Grant(now, r.Grant, r.TTL)
 	}
 	if r.Revoke != 0 {
 		delete(s.leases, r.Revoke)
@@ -712,7 +712,7 @@
 		}
 	}
 	if r.Compact > 0 {
-		s.Compact(r.Compact)
+		_ = s.Compact(r.Compact)
 	}
 	s.commit()
 }
--- a/internal/testbed/etcdstandin/watch.go
+++ b/internal/testbed/etcdstandin/watch.go
@@ -129,7 +129,7 @@
 	created := &pb.WatchResponse{Header: m.header(), WatchId: k.id, Created: true}
 	if script := c.script.OnWatch; script != nil { // the sender has nothing to send for it yet
 		c.mu.Unlock()
-		w.raw.Send(created)
+		_ = w.raw.Send(created)
 		script(w.raw, k.next)
 		c.mu.Lock()
 	} else {
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -64,13 +64,13 @@
 		p := f.Planners[x.A%len(f.Planners)]
 		p.Kill()
 		wait(x.For)
-		p.Start()
+		_ = p.Start()
 	}},
 	"term": {"a planner is ended and comes back", 1, 2, onPlanner, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		p := f.Planners[x.A%len(f.Planners)]
 		p.Term()
 		wait(x.For)
-		p.Start()
+		_ = p.Start()
 	}},
 	"pause": {"a planner stands still", 1, 2, onPlanner, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		p := f.Planners[x.A%len(f.Planners)]
@@ -85,7 +85,7 @@
 		wait(x.For / 2)
 		for _, p := range f.Planners {
 			if p.Life() < 0 {
-				p.Start()
+				_ = p.Start()
 			}
 		}
 	}},
@@ -184,7 +184,7 @@
 	}},
 	"drain": {"the roster tells that a node drains; another comes", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
-			f.AddNode(true)
+			_, _ = f.AddNode(true)
 			f.Drain(n, 2*time.Second)
 		}
 	}},
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -594,7 +594,7 @@
 	}
 	p.mu.Unlock()
 	go func() {
-		c.Wait()
+		_ = c.Wait()
 		p.mu.Lock()
 		p.cpu += c.ProcessState.UserTime() + c.ProcessState.SystemTime()
 		p.mu.Unlock()
@@ -655,7 +655,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.run != nil {
-		p.run.Process.Signal(s)
+		_ = p.run.Process.Signal(s)
 	}
 }
 
@@ -743,8 +743,8 @@
 	end := time.Now().Add(most)
 	for time.Now().Before(end) {
 		if c, err := net.DialTimeout("tcp", p.Listen, time.Second); err == nil {
-			c.SetDeadline(time.Now().Add(time.Second))
-			io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
+			_ = c.SetDeadline(time.Now().Add(time.Second))
+			_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
 			line, _ := bufio.NewReader(c).ReadString('\n')
 			c.Close()
 			if strings.HasPrefix(line, "+PONG") {
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -76,8 +77,10 @@
 	if _, err := fmt.Fscan(out, &pid); err != nil || pid == 0 {
 		t.Fatal(pid, err)
 	}
-	holder.Process.Kill()
-	holder.Wait()
+	if err := holder.Process.Kill(); err != nil {
+		t.Fatal(err)
+	}
+	_ = holder.Wait() // it was killed
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		if err != nil || strings.Contains(string(stat), ") Z ") {
@@ -183,7 +186,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(30 * time.Second))
+	if err := c.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
+		t.Error(err)
+	}
 	list := fmt.Sprintf("c=courier-send,t=free,d=4000,units=1,spread=%d,first=0", len(f.Forwarders))
 	args := []string{"CALL.POST", "00000000b4d65521", id, list, "body"}
 	fmt.Fprintf(c, "*%d\r\n", len(args))
@@ -191,7 +196,7 @@
 		fmt.Fprintf(c, "$%d\r\n%s\r\n", len(a), a)
 	}
 	line, err := bufio.NewReader(c).ReadString('\n')
-	if err != nil && err != io.EOF {
+	if err != nil && !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 	return strings.TrimSpace(line)
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"io"
 	"net"
 	"sync"
 	"time"
@@ -177,7 +176,7 @@
 				return
 			}
 		}
-		if err == io.EOF || err != nil {
+		if err != nil {
 			return
 		}
 	}
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -1,4 +1,4 @@
-// Package mutants takes guards out of the program, one at a time, to see whether the laboratory finds out: a run that
+// Package mutation takes guards out of the program, one at a time, to see whether the testbed finds out: a run that
 // could not lose its verdict shows nothing. Sources stay as they are: a mutant is built from an overlay of theirs.
 package mutation
 
--- a/internal/testbed/net_test.go
+++ b/internal/testbed/net_test.go
@@ -44,20 +44,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+			t.Error(err)
+		}
 		return c
 	}
 	a := dial()
 	defer a.Close()
-	io.WriteString(a, "one")
+	if _, err := io.WriteString(a, "one"); err != nil {
+		t.Error(err)
+	}
 	b := <-far
-	b.SetDeadline(time.Now().Add(patience))
+	if err := b.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Error(err)
+	}
 	buf := make([]byte, 3)
 	if _, err := io.ReadFull(b, buf); err != nil || string(buf) != "one" {
 		t.Fatalf("%q, %v", buf, err)
 	}
 	k.Cut()
-	io.WriteString(a, "two")
+	_, _ = io.WriteString(a, "two") // it may meet the cut
 	dial().Close()
 	k.Heal() // what the cut met is reset, and what was in it never comes
 	if n, err := b.Read(buf); err == nil {
@@ -68,10 +74,14 @@
 	}
 	c := dial()
 	defer c.Close()
-	io.WriteString(c, "new")
+	if _, err := io.WriteString(c, "new"); err != nil {
+		t.Error(err)
+	}
 	for {
 		b = <-far
-		b.SetDeadline(time.Now().Add(patience))
+		if err := b.SetDeadline(time.Now().Add(patience)); err != nil {
+			t.Error(err)
+		}
 		n, err := io.ReadFull(b, buf)
 		if n == 0 && err == io.EOF {
 			continue // the one that was dialled in the cut, and closed
@@ -110,19 +120,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+			t.Error(err)
+		}
 		return c
 	}
 	k.Set(Way{Cut: true, Back: true})
 	a := dial()
-	io.WriteString(a, "one")
+	if _, err := io.WriteString(a, "one"); err != nil {
+		t.Error(err)
+	}
 	b := <-far
-	b.SetDeadline(time.Now().Add(patience))
+	if err := b.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Error(err)
+	}
 	buf := make([]byte, 3)
 	if _, err := io.ReadFull(b, buf); err != nil || string(buf) != "one" {
 		t.Errorf("forth: %q, %v", buf, err)
 	}
-	io.WriteString(b, "two")
+	if _, err := io.WriteString(b, "two"); err != nil {
+		t.Error(err)
+	}
 	a.Close() // the far end does not see that, but the laboratory does
 	if got := <-ended; got != b.RemoteAddr().String() {
 		t.Errorf("%s has ended, want %s", got, b.RemoteAddr())
@@ -146,7 +164,9 @@
 			}
 			<-unreached
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+			t.Error(err)
+		}
 		if n, err := c.Read(buf); err == nil {
 			t.Errorf("%q from nobody", buf[:n])
 		}
@@ -229,7 +249,9 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+			t.Error(err)
+		}
 		own = append(own, c)
 		to = append(to, c.LocalAddr().String())
 	}
@@ -240,7 +262,9 @@
 	defer p.Close()
 	send := func(i, j int, text string) {
 		addr, _ := net.ResolveUDPAddr("udp", p.Peers(i)[j])
-		own[i].WriteToUDP([]byte(text), addr)
+		if _, err := own[i].WriteToUDP([]byte(text), addr); err != nil {
+			t.Error(err)
+		}
 	}
 	got := func(j int, want string) {
 		t.Helper()
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -1,6 +1,6 @@
-// Package lab is the laboratory in which fleets are tried: stand-ins for zone nodes, the roster, the front and clients, links
+// Package testbed tries fleets on loopback sockets: stand-ins for backends, discovery, the front and clients, links
 // that can be cut, processes that can be killed and paused, and faults of all of them by schedule. Package node has the model
-// of a node, package audit the judge, package sim fleets in virtual time, package mutants the guards that are taken out on
+// of a backend, package oracle the invariant checker, package simulation fleets in virtual time, package mutation the guards that are taken out on
 // purpose. All of it is on loopback addresses. One process holds the stand-ins, so that one clock times everything; the
 // programs under test are processes of their own.
 package testbed
@@ -51,7 +51,6 @@
 	rec   *oracle.Attempt
 	reply chan node.Fate // of one place, for what its connection is to write; closed with nothing to write
 	load  float64
-	left  bool
 }
 
 // NodeNet is what all nodes of a laboratory share.
@@ -184,7 +183,7 @@
 // reset ends a connection as a dying process does.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0)
 	}
 	c.Close()
 }
@@ -289,7 +288,7 @@
 				n.do(func(m *node.Model, _ float64) { b = m.Breaks() })
 				return b
 			})
-			if err == errBreaks {
+			if errors.Is(err, errBreaks) {
 				reset(c)
 			}
 			if err != nil {
--- a/internal/testbed/node/model.go
+++ b/internal/testbed/node/model.go
@@ -136,9 +136,8 @@
 	working []*Attempt // Cores at most
 	silent  []*Attempt // answered late or never
 	sent    []sent     // while cold
-	busyS   float64
-	now     float64 // of the last event
-	told    float64 // load, and when it was looked at
+	now     float64    // of the last event
+	told    float64    // load, and when it was looked at
 	toldAt  float64
 }
 
--- a/internal/testbed/operators.go
+++ b/internal/testbed/operators.go
@@ -101,7 +101,7 @@
 	case <-exited:
 		return nil
 	case <-time.After(replaceMost):
-		old.Process.Kill()
+		_ = old.Process.Kill()
 		<-exited
 		return fmt.Errorf("%s: the old program did not end", p.Name)
 	}
@@ -239,9 +239,9 @@
 	kinds["away"] = kind{"operators send a planner away and have it back", 1, 2, onPlanner,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			p := f.Planners[x.A%len(f.Planners)]
-			p.Call(context.Background(), http.MethodPost, "/v1/ingress/drain")
+			_, _ = p.Call(context.Background(), http.MethodPost, "/v1/ingress/drain")
 			wait(x.For)
-			p.Call(context.Background(), http.MethodPost, "/v1/ingress/activate")
+			_, _ = p.Call(context.Background(), http.MethodPost, "/v1/ingress/activate")
 		}}
 	kinds["replaced"] = kind{"operators replace an ingress's program beside itself", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, _ func(time.Duration) bool) {
--- a/internal/testbed/oracle/audit.go
+++ b/internal/testbed/oracle/audit.go
@@ -117,42 +117,42 @@
 }
 
 // Verdict is nil for a run that shows that the rules hold: no breach, and occasions enough.
-func (r *Report) Verdict() error {
-	if r.Void != "" {
-		return fmt.Errorf("void: %s", r.Void)
+func (rep *Report) Verdict() error {
+	if rep.Void != "" {
+		return fmt.Errorf("void: %s", rep.Void)
 	}
-	if len(r.Breaches) > 0 {
-		return fmt.Errorf("%d breaches, first of %q: %s", r.total(), r.Breaches[0].Rule, r.Breaches[0].What)
+	if len(rep.Breaches) > 0 {
+		return fmt.Errorf("%d breaches, first of %q: %s", rep.total(), rep.Breaches[0].Rule, rep.Breaches[0].What)
 	}
 	for _, rule := range RuleNames {
-		if r.Seen[rule] < r.floors[rule] {
-			return fmt.Errorf("%q was not seen: %d occasions, %d wanted", rule, r.Seen[rule], r.floors[rule])
+		if rep.Seen[rule] < rep.floors[rule] {
+			return fmt.Errorf("%q was not seen: %d occasions, %d wanted", rule, rep.Seen[rule], rep.floors[rule])
 		}
 	}
 	return nil
 }
 
-func (r *Report) total() (n int) {
-	for _, c := range r.Counts {
+func (rep *Report) total() (n int) {
+	for _, c := range rep.Counts {
 		n += c
 	}
 	return n
 }
 
 // saw counts an occasion to break a rule.
-func (r *Report) saw(rule, what string) {
-	r.Seen[rule]++
-	r.Occasions[rule+": "+what]++
+func (rep *Report) saw(rule, what string) {
+	rep.Seen[rule]++
+	rep.Occasions[rule+": "+what]++
 }
 
-func (r *Report) near(what string, x float64) { r.Nearest[what] = max(r.Nearest[what], x) }
+func (rep *Report) near(what string, x float64) { rep.Nearest[what] = max(rep.Nearest[what], x) }
 
 const breachesKept = 50
 
-func (r *Report) breach(rule string, at time.Duration, format string, args ...any) {
-	r.Counts[rule]++
-	if len(r.Breaches) < breachesKept {
-		r.Breaches = append(r.Breaches, Breach{rule, fmt.Sprintf(format, args...), at})
+func (rep *Report) breach(rule string, at time.Duration, format string, args ...any) {
+	rep.Counts[rule]++
+	if len(rep.Breaches) < breachesKept {
+		rep.Breaches = append(rep.Breaches, Breach{rule, fmt.Sprintf(format, args...), at})
 	}
 }
 
--- a/internal/testbed/oracle/history.go
+++ b/internal/testbed/oracle/history.go
@@ -1,5 +1,5 @@
-// Package audit is the laboratory's judge: a History of what nodes, clients and the roster saw, and an Audit that holds the
-// rules against it. It knows nothing of how forwarders, planners and ingresses work, nor whether time was real.
+// Package oracle is the testbed's invariant checker: a History of what backends, clients and discovery saw, and an Audit that
+// holds the rules against it. It knows nothing of how forwarders, planners and ingresses work, nor whether time was real.
 package oracle
 
 import (
--- a/internal/testbed/peernet.go
+++ b/internal/testbed/peernet.go
@@ -147,11 +147,11 @@
 		}
 		for _, d := range fate {
 			if d == 0 {
-				p.socks[j][i].WriteToUDP(buf[:n], p.to[j])
+				_, _ = p.socks[j][i].WriteToUDP(buf[:n], p.to[j])
 				continue
 			}
 			data := append([]byte(nil), buf[:n]...)
-			time.AfterFunc(d, func() { p.socks[j][i].WriteToUDP(data, p.to[j]) })
+			time.AfterFunc(d, func() { _, _ = p.socks[j][i].WriteToUDP(data, p.to[j]) })
 		}
 	}
 }
--- a/internal/testbed/roster.go
+++ b/internal/testbed/roster.go
@@ -111,7 +111,7 @@
 	r.mu.Lock()
 	r.servers = append(r.servers, srv)
 	r.mu.Unlock()
-	go srv.Serve(l)
+	go func() { _ = srv.Serve(l) }()
 	return l.Addr().String(), nil
 }
 
@@ -170,12 +170,12 @@
 		}
 		l := r.All(party)
 		TellUp(r.hist, party, l)
-		json.NewEncoder(w).Encode(l)
+		_ = json.NewEncoder(w).Encode(l)
 		TellRest(r.hist, party, l)
 		return
 	}
 	var after int64
-	fmt.Sscan(q.URL.Query().Get("after"), &after)
+	_, _ = fmt.Sscan(q.URL.Query().Get("after"), &after)
 	out := json.NewEncoder(w)
 	for {
 		due, wait, changed, breaks, silent := r.due(party, after)
--- a/internal/testbed/rude.go
+++ b/internal/testbed/rude.go
@@ -29,16 +29,16 @@
 			if err != nil {
 				return nil
 			}
-			conn.SetDeadline(time.Now().Add(3 * time.Second))
+			_ = conn.SetDeadline(time.Now().Add(3 * time.Second))
 			return conn
 		}
 		say := func(text string) {
 			if conn := open(); conn != nil {
-				io.WriteString(conn, text)
+				_, _ = io.WriteString(conn, text)
 				c.wg.Add(1)
 				go func() {
 					defer c.wg.Done()
-					io.Copy(io.Discard, conn)
+					_, _ = io.Copy(io.Discard, conn)
 					conn.Close()
 				}()
 			}
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -1,5 +1,5 @@
-// Package sim runs whole fleets in virtual time: the decision parts as they are (the module, forwarders' cores, planners'
-// hosts) with clocks that differ and drift, the laboratory's own nodes, faults and auditor, and a seeded schedule. One seed
+// Package simulation runs whole fleets in virtual time: the decision parts as they are (the module, forwarders' cores, planners'
+// hosts) with clocks that differ and drift, the testbed's own backends, faults and oracle, and a seeded schedule. One seed
 // is one run, to the letter, and a run takes a fraction of its time. What sockets do to a fleet it does not show.
 package simulation
 
@@ -101,8 +101,7 @@
 	asks       map[string]*asked // by first try; as many as the run has
 	breach     map[string]int
 	first      string
-	Leads      int // moments at which a cell was found led: that fencing was looked at
-	leadsAt    []*simPlanner
+	Leads      int             // moments at which a cell was found led: that fencing was looked at
 	byHand     map[string]bool // nodes on which operators are at work
 	Messages   int             // between ingresses that came, and of these, beyond what one takes in
 	Drowned    int
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -55,8 +55,8 @@
 		}
 		return text
 	}
-	if draw(7) != draw(7) || draw(7) == draw(8) {
-		t.Errorf("7: %s\n8: %s", draw(7), draw(8))
+	if first, again, other := draw(7), draw(7), draw(8); first != again || first == other {
+		t.Errorf("7: %s\n7 again: %s\n8: %s", first, again, other)
 	}
 	for number := range uint64(50) {
 		sc, err := Soak(number, 10*time.Second, FleetConfig{})
--- a/internal/testbed/soakfaults.go
+++ b/internal/testbed/soakfaults.go
@@ -42,9 +42,9 @@
 	f.Front.Drained(i, !deaf)
 	defer f.Front.Drained(i, false)
 	if wait(drainTime) {
-		held := f.clients.Held(i, drainRecent)
+		held := f.clients.heldConns(i, drainRecent)
 		wait(drainSlack)
-		still := f.clients.Held(i, drainRecent+drainSlack)
+		still := f.clients.heldConns(i, drainRecent+drainSlack)
 		e := oracle.Emptied{Forwarder: i}
 		for k, how := range held {
 			if still[k] != "" {
@@ -90,7 +90,8 @@
 	}
 	put := func(text []byte) {
 		next := path + ".next"
-		if err := os.WriteFile(next, text, 0o600); err == nil {
+		err := os.WriteFile(next, text, 0o600)
+		if err == nil {
 			err = os.Rename(next, path)
 		}
 		if err != nil {
