--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -14,7 +14,9 @@
 	simShed     = "sim -overload -shrink=false -schedules 8 -for 25s -planners 0 -forwarders 8 -scenario "
 	simShedTwo  = "sim -overload -shrink=false -schedules 8 -for 25s -planners 3 -forwarders 5 -scenario "
 	module      = "policy/policy.go"
-	shedder     = "internal/decision/loadshed/overload.go"
+	shedLevel   = "internal/decision/loadshed/level.go"
+	shedOrder   = "internal/decision/loadshed/admission.go"
+	shedGossip  = "internal/decision/loadshed/gossip.go"
 	wordsFile   = "internal/controlplane/planner/words.go"
 	counts      = "internal/decision/quota/tally.go"
 	ceilings    = "internal/decision/hardlimit/ceiling.go"
@@ -34,25 +36,25 @@
 var List = []Mutant{
 	// ---- Overload shed as one ----
 	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
+		Edits: edit(shedOrder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
 	{Name: "the level comes to what is served", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: []Edit{{shedder, "if to := s.levelFor(now, done*beyond*(1-drainMargin*much)); to > s.level {", "if to := s.levelFor(now, 0*(1-drainMargin*much)); to > s.level {"},
-			{shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
+		Edits: []Edit{{shedLevel, "s.levelFor(now, capacity*(1-drainMargin*excess))", "s.levelFor(now, 0*(1-drainMargin*excess))"},
+			{shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs: []string{simShed + "overload-low", simShed + "overload"}},
 	{Name: "and falls again", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: []Edit{{shedder, "s.level -= down * (1 - wait/targetWait) * dt", "s.level -= 0.01 * down * (1 - wait/targetWait) * dt"}, {shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
+		Edits: []Edit{{shedLevel, "s.level -= fall * (1 - wait/targetWait) * dt", "s.level -= 0.01 * fall * (1 - wait/targetWait) * dt"}, {shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs:  []string{simShed + "overload", simShed + "overload-low"}},
 	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
+		Edits: edit(shedGossip, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
 	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/controlplane/planner",
 		Edits: edit("internal/controlplane/forwarder/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
 		Edits: edit(module, "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(q)", "req.plan.Weight, g.accountFor(q)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
 	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "return d.ClassRank + 1, d.ClassCount + 1", "return d.ClassCount - d.ClassRank, d.ClassCount + 1"), Runs: []string{simShed + "overload"}},
+		Edits: edit(shedOrder, "return p.ClassRank + 1, p.ClassCount + 1", "return p.ClassCount - p.ClassRank, p.ClassCount + 1"), Runs: []string{simShed + "overload"}},
 	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
+		Edits: edit(shedOrder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
 		Why: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
 		Edits: edit(module, "commonTimeoutFraction*g.shedder.FirstAttemptFactor()", "commonTimeoutFraction"), Runs: []string{simShed + "overload", simShed + "overload-high"},
