--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -14,11 +14,13 @@
 	simShed     = "sim -overload -shrink=false -schedules 8 -for 25s -planners 0 -forwarders 8 -scenario "
 	simShedTwo  = "sim -overload -shrink=false -schedules 8 -for 25s -planners 3 -forwarders 5 -scenario "
 	module      = "policy/policy.go"
-	shedder     = "internal/decision/loadshed/overload.go"
+	shedLevel   = "internal/decision/loadshed/level.go"
+	shedOrder   = "internal/decision/loadshed/admission.go"
+	shedGossip  = "internal/decision/loadshed/gossip.go"
 	wordsFile   = "internal/controlplane/planner/words.go"
-	counts      = "internal/decision/quota/tally.go"
-	ceilings    = "internal/decision/hardlimit/ceiling.go"
-	lender      = "internal/decision/slotlease/places.go"
+	counts      = "internal/decision/quota/quota.go"
+	ceilings    = "internal/decision/hardlimit/hardlimit.go"
+	lender      = "internal/decision/slotlease/table.go"
 	state       = "policy/state.go"
 	core        = "internal/controlplane/forwarder/core.go"
 	mover       = "internal/controlplane/forwarder/move.go"
@@ -34,25 +36,25 @@
 var List = []Mutant{
 	// ---- Overload shed as one ----
 	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
+		Edits: edit(shedOrder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
 	{Name: "the level comes to what is served", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: []Edit{{shedder, "if to := s.levelFor(now, done*beyond*(1-drainMargin*much)); to > s.level {", "if to := s.levelFor(now, 0*(1-drainMargin*much)); to > s.level {"},
-			{shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
+		Edits: []Edit{{shedLevel, "s.levelFor(now, capacity*(1-drainMargin*excess))", "s.levelFor(now, 0*(1-drainMargin*excess))"},
+			{shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs: []string{simShed + "overload-low", simShed + "overload"}},
 	{Name: "and falls again", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: []Edit{{shedder, "s.level -= down * (1 - wait/targetWait) * dt", "s.level -= 0.01 * down * (1 - wait/targetWait) * dt"}, {shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
+		Edits: []Edit{{shedLevel, "s.level -= fall * (1 - wait/targetWait) * dt", "s.level -= 0.01 * fall * (1 - wait/targetWait) * dt"}, {shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs:  []string{simShed + "overload", simShed + "overload-low"}},
 	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
+		Edits: edit(shedGossip, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
 	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/controlplane/planner",
 		Edits: edit("internal/controlplane/forwarder/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
 		Edits: edit(module, "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(q)", "req.plan.Weight, g.accountFor(q)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
 	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "return d.ClassRank + 1, d.ClassCount + 1", "return d.ClassCount - d.ClassRank, d.ClassCount + 1"), Runs: []string{simShed + "overload"}},
+		Edits: edit(shedOrder, "return p.ClassRank + 1, p.ClassCount + 1", "return p.ClassCount - p.ClassRank, p.ClassCount + 1"), Runs: []string{simShed + "overload"}},
 	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
+		Edits: edit(shedOrder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
 		Why: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
 		Edits: edit(module, "commonTimeoutFraction*g.shedder.FirstAttemptFactor()", "commonTimeoutFraction"), Runs: []string{simShed + "overload", simShed + "overload-high"},
@@ -96,15 +98,15 @@
 		Edits: []Edit{{module, "case plan.MaxConcurrency > 0 && g.freeSlots(account) <= 0:", "case false:"},
 			{module, " || req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account)", ""}}, Runs: []string{simTwo + "capped"}},
 	{Name: "ceilings", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "return t.Rate <= 0 || units <= c.Local.Refill(now, t.Rate*t.localFraction(), t.Burst*t.localFraction())", "return t.Rate <= 0 || c.Local.Refill(now, t.Rate*t.localFraction(), t.Burst*t.localFraction()) != units+0.123"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, "return p.Rate <= 0 || units <= l.Local.Refill(now, p.Rate*p.localFraction(), p.Burst*p.localFraction())", "return p.Rate <= 0 || l.Local.Refill(now, p.Rate*p.localFraction(), p.Burst*p.localFraction()) != units+0.123"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "the shared part of a ceiling", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "t.OwnsShared && t.Rate > 0 && units <= c.Shared", "t.OwnsShared && t.Rate > 0 && units+1e9 >= c.Shared"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, "\t\tunits <= l.Shared.Refill(", "\t\tunits+1e9 >= l.Shared.Refill("), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "what is sent is taken off the ceiling", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, `		c.Local.Level -= units
-`, `		c.Local.Level -= 0
+		Edits: edit(ceilings, `		l.Local.Level -= units
+`, `		l.Local.Level -= 0
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "grants are taken off the shared part", Rule: "ceilings kept",
-		Edits: edit(ceilings, `	c.Shared.Level -= units
+		Edits: edit(ceilings, `	l.Shared.Level -= units
 	return units
 `, `	return units
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
@@ -112,9 +114,9 @@
 		Edits: edit(module, "hardlimit.NewLimiter(g.startedAt)}", "hardlimit.Limiter{Local: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}, Shared: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}}}"),
 		Runs:  []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "ceilings are split among gateways", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "return (1 - t.SharedFraction()) / float64(max(t.Gateways, 1))", "return 1 - t.SharedFraction()"), Runs: []string{simOne + "ceilings"}},
+		Edits: edit(ceilings, "return (1 - p.SharedFraction()) / float64(max(p.Gateways, 1))", "return 1 - p.SharedFraction()"), Runs: []string{simOne + "ceilings"}},
 	{Name: "one gateway pays out the shared part", Rule: "ceilings kept",
-		Edits: edit(ceilings, "return t.OwnsShared && t.Rate > 0 && units", "return t.Rate > 0 && units"), Runs: []string{simOne + "ceilings"}},
+		Edits: edit(ceilings, "return p.OwnsShared && p.Rate > 0 &&", "return p.Rate > 0 &&"), Runs: []string{simOne + "ceilings"}},
 	{Name: "what owes the ceiling waits until it is paid", Rule: "ceilings kept",
 		Edits: edit(module, `	if req.hardLimitUnpaid && !g.hardLimitPays(req) {
 `, `	if false {
@@ -128,8 +130,8 @@
 `, `		ledger.Available -= 2 * grant
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "a report is counted once", Rule: "quotas can be used", Unit: "./internal/decision/quota",
-		Edits: edit(counts, `Demand: rate, ReportedAt: now}
-`, `Demand: rate, ReportedAt: now}
+		Edits: edit(counts, `Demand: demand, ReportedAt: now}
+`, `Demand: demand, ReportedAt: now}
 	delta += max(delta, 0)
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "lives of a member are told apart", Rule: "quotas can be used",
@@ -143,7 +145,7 @@
 `, `0, 0, g.now+report.BackoffS*100
 `), Runs: []string{simOne + "calm", simCrowd + "crowd"}},
 	{Name: "a member that lets in more than its split is counted", Rule: "quotas kept", Unit: "./internal/decision/quota",
-		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -most))", "l.Available = max(l.Available-units/2, min(l.Available, -most))"), Runs: []string{simOne + "calm", simOne + "friday"}},
+		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -maxDebt))", "l.Available = max(l.Available-units/2, min(l.Available, -maxDebt))"), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "the local window is a part of the whole", Rule: "quotas kept",
 		Why:   "what a member last heard of the room bounds it as well, and what it lets in is owed once it is told",
 		Edits: edit(module, "account.localWindow.Refill(g.now, plan.Rate/n, max(plan.Burst/n, float64(g.settings.MaxRequestUnits)))", "account.localWindow.Refill(g.now, 9*plan.Rate, 9*plan.Burst*n/n)"), Runs: []string{simOne + "programs", simCrowd + "crowd"}},
@@ -156,16 +158,16 @@
 		Edits: edit(module, "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
 	{Name: "lost reports are no silence", Rule: "quotas can be used", Unit: "./internal/decision/failuredetector",
 		Why:   "owners passed over for a second each cost 1% of service at 80 ingresses, which no rule is made of",
-		Edits: edit("internal/decision/failuredetector/pulse.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
+		Edits: edit("internal/decision/failuredetector/failuredetector.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
 	// ---- The module: places lent by time, units ahead ----
 	{Name: "a place comes back by itself", Rule: "caps kept", Unit: "./internal/decision/slotlease",
 		Why:   "without it places stand idle, which no rule is made of: resto falls to 0.85 of its share at 300 ingresses",
-		Edits: edit(lender, "now, now + min(span, MaxLeaseS) + GraceS,", "now, now + 10*min(span, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
+		Edits: edit(lender, "now + min(leaseS, MaxLeaseS) + GraceS,", "now + 10*min(leaseS, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
 	{Name: "a place is lent once", Rule: "caps kept", Unit: "./internal/decision/slotlease",
-		Edits: edit(lender, `if l.member != but {
-			n += l.slots
-`, `if l.member != but {
-			n += 0 * l.slots
+		Edits: edit(lender, `if l.member != except {
+			slots += l.slots
+`, `if l.member != except {
+			slots += 0 * l.slots
 `), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a place in use is renewed", Rule: "caps kept", Unit: "./policy",
 		Why:   "an attempt that outlives its place is one beyond the cap for as long as it lasts, which the budget of a cap of two has room for",
@@ -176,7 +178,7 @@
 `, ""), Runs: []string{simPlaces + "places-storm"}},
 	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/decision/hardlimit",
 		Why:   "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
-		Edits: edit(ceilings, "-c.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
+		Edits: edit(ceilings, "-l.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
 	// ---- Nodes held by hand in two levels ----
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
 		Edits: edit("internal/controlplane/cordon/withhold.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
