--- a/internal/dataplane/hotrestart/golden_test.go
+++ b/internal/dataplane/hotrestart/golden_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	raw, err := net.DialUnix("unixpacket", nil, l.l.Addr().(*net.UnixAddr))
+	raw, err := net.DialUnix("unixpacket", nil, l.listener.Addr().(*net.UnixAddr))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/dataplane/hotrestart/hotrestart.go
@@ -0,0 +1,119 @@
+// Package hotrestart is the link by which a new process takes the sockets, the state and the open connections of the process that it
+// replaces. It carries messages and file descriptors over a Unix socket; when to ask for, stop and resume what is for the two processes
+// to decide.
+//
+// The messages, in their order (P is the predecessor, S the successor):
+//
+//	S -> P  Hello       the version of this protocol
+//	P -> S  Sockets     descriptors: the listener of clients and, where gateways are peers, their datagram socket
+//	S -> P  Ready       all other preparation is done
+//	P -> S  Snapshot    a part of the decision module's state, any number of them
+//	P -> S  Proceed     the predecessor accepts nothing more; with its endpoint list and its number of clients
+//	P -> S  Client      descriptor: an idle client connection; with the bytes that were read from it and not used
+//	P -> S  LargeValue  descriptors: a client connection with a large value under way, and the backend connection that it comes from
+//
+// Where the decisions move to the successor, these follow until the predecessor's last request has ended:
+//
+//	P -> S  Event       a request that was read late, the end of an attempt, a client that disconnected
+//	S -> P  Order       what is to be done to a request that the predecessor holds
+//
+// The link ends with either process. What that means follows from the messages that came before.
+package hotrestart
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// Version is the protocol's version, which Hello carries.
+const Version = 1
+
+// MaxBodyBytes is the most that a message carries beside its descriptors.
+const MaxBodyBytes = 128 << 10
+
+const (
+	maxDescriptors = 2   // of a message
+	maxSocketPath  = 100 // bytes; the kernel allows 107
+)
+
+// Errors of this package. Those of sockets and files are returned beside them, wrapped.
+var (
+	ErrTruncated   = errors.New("hot restart: message longer than its buffer")
+	ErrTooLarge    = errors.New("hot restart: message over the limits")
+	ErrUnexpected  = errors.New("hot restart: unexpected message")
+	ErrWrongSocket = errors.New("hot restart: descriptor is not the expected socket")
+	ErrLocked      = errors.New("hot restart: another process of this name has the lock")
+	ErrPathTooLong = errors.New("hot restart: path too long for a Unix socket")
+)
+
+// Kind is the kind of a message, as it stands in the message's first byte.
+type Kind byte
+
+// The kinds of messages; the package comment says who sends which.
+const (
+	Hello      Kind = 'H'
+	Sockets    Kind = 'S'
+	Ready      Kind = 'R'
+	Snapshot   Kind = 'K'
+	Proceed    Kind = 'G'
+	Client     Kind = 'C'
+	LargeValue Kind = 'V'
+	Event      Kind = 'E'
+	Order      Kind = 'O'
+)
+
+// String is the kind's name, for logs.
+func (k Kind) String() string {
+	switch k {
+	case Hello:
+		return "hello"
+	case Sockets:
+		return "sockets"
+	case Ready:
+		return "ready"
+	case Snapshot:
+		return "snapshot"
+	case Proceed:
+		return "proceed"
+	case Client:
+		return "client"
+	case LargeValue:
+		return "large value"
+	case Event:
+		return "event"
+	case Order:
+		return "order"
+	}
+	return fmt.Sprintf("kind %q", byte(k))
+}
+
+// Message is one message. The receiver owns its files and closes them, by Close or one by one.
+type Message struct {
+	Kind  Kind
+	Body  []byte // MaxBodyBytes at most
+	Files []*os.File
+}
+
+// Close closes the files that came with the message.
+func (m Message) Close() {
+	for _, f := range m.Files {
+		f.Close()
+	}
+}
+
+// SocketPath is the path of the Unix socket at which the running process called name listens for its successor. Both processes use the
+// same dir; whatever name holds, the socket is directly in it. The error is ErrPathTooLong.
+func SocketPath(dir, name string) (string, error) {
+	path := filePath(dir, name, ".sock")
+	if len(path) > maxSocketPath {
+		return "", fmt.Errorf("%w: %s", ErrPathTooLong, path)
+	}
+	return path, nil
+}
+
+// filePath names a file of the process called name.
+func filePath(dir, name, suffix string) string {
+	return filepath.Join(dir, "eiderspread-"+filepath.Base("/"+name)+suffix)
+}
--- a/internal/dataplane/hotrestart/takeover_test.go
+++ b/internal/dataplane/hotrestart/hotrestart_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -37,6 +38,20 @@
 	return a, b, path
 }
 
+func setDeadline(t *testing.T, c net.Conn) {
+	t.Helper()
+	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func write(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Guards what the replacement rests on: a connection goes on at the receiver with every byte, while the sender closes it,
 // and a listener's queue is taken over with it.
 func TestLink_PassesSockets(t *testing.T) {
@@ -51,8 +66,8 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
-		io.WriteString(c, say)
+		setDeadline(t, c)
+		write(t, c, say)
 		return c
 	}
 	one := dial("unread")
@@ -100,12 +115,12 @@
 			}
 			defer far.Close()
 		}
-		far.SetDeadline(time.Now().Add(patience))
+		setDeadline(t, far)
 		got := make([]byte, len(want.say))
 		if _, err := io.ReadFull(far, got); err != nil || string(got) != want.say {
 			t.Fatalf("%q, want %q: %v", got, want.say, err)
 		}
-		io.WriteString(far, "back")
+		write(t, far, "back")
 		if _, err := io.ReadFull(want.near, got[:4]); err != nil || string(got[:4]) != "back" {
 			t.Fatalf("%q came back: %v", got[:4], err)
 		}
@@ -127,37 +142,43 @@
 		}
 		return len(list)
 	}
+	send := func(kind Kind, conns ...syscall.Conn) {
+		t.Helper()
+		if err := b.Send(kind, nil, patience, conns...); err != nil {
+			t.Fatal(err)
+		}
+	}
 	before := open()
 	for range 20 {
-		b.Send(Proceed, nil, patience, l, l)
-		if _, err := a.Expect(Sockets, 1, patience); err == nil {
-			t.Fatal("another kind was taken")
+		send(Proceed, l, l)
+		if _, err := a.Expect(Sockets, 1, patience); !errors.Is(err, ErrUnexpected) {
+			t.Fatal("another kind was taken:", err)
 		}
-		b.Send(Sockets, nil, patience, l)
-		if _, err := a.Expect(Sockets, 2, patience); err == nil {
-			t.Fatal("too few descriptors were taken")
+		send(Sockets, l)
+		if _, err := a.Expect(Sockets, 2, patience); !errors.Is(err, ErrUnexpected) {
+			t.Fatal("too few descriptors were taken:", err)
 		}
-		b.Send(Sockets, nil, patience, l)
+		send(Sockets, l)
 		m, err := a.Expect(Sockets, 1, patience)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := TCPListener(m.Files[0], "127.0.0.1:1"); err == nil || !strings.Contains(err.Error(), "not *net.TCPListener at 127.0.0.1:1") {
+		if _, err := TCPListener(m.Files[0], "127.0.0.1:1"); !errors.Is(err, ErrWrongSocket) || !strings.Contains(err.Error(), "want *net.TCPListener at 127.0.0.1:1") {
 			t.Fatal(err)
 		}
-		b.Send(Client, nil, patience, l)
+		send(Client, l)
 		if m, err = a.Receive(patience); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := TCPConn(m.Files[0]); err == nil {
-			t.Fatal("a listener passes for a connection")
+		if _, err := TCPConn(m.Files[0]); !errors.Is(err, ErrWrongSocket) {
+			t.Fatal("a listener passes for a connection:", err)
 		}
 	}
 	if after := open(); after > before {
 		t.Errorf("%d descriptors, %d before", after, before)
 	}
-	if err := b.Send(Client, make([]byte, MaxBodyBytes+1), patience); err == nil {
-		t.Error("an overlong message was sent")
+	if err := b.Send(Client, make([]byte, MaxBodyBytes+1), patience); !errors.Is(err, ErrTooLarge) {
+		t.Error("an overlong message was sent:", err)
 	}
 	if err := b.Send(Client, bytes.Repeat([]byte("x"), MaxBodyBytes), patience); err != nil {
 		t.Error(err)
@@ -166,8 +187,8 @@
 		t.Error(len(m.Body), err)
 	}
 	b.Close()
-	if _, err := a.Receive(patience); err == nil {
-		t.Error("the end of the link is no error")
+	if _, err := a.Receive(patience); !errors.Is(err, io.EOF) {
+		t.Error("the end of the link is no error:", err)
 	}
 }
 
@@ -182,8 +203,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	syscall.Bind(fd, &syscall.SockaddrUnix{Name: path})
-	syscall.Close(fd) // as a killed process leaves it
+	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrUnix{Name: path}), syscall.Close(fd)); err != nil { // as a killed process leaves it
+		t.Fatal(err)
+	}
 	if l, err := Dial(path); l != nil || err != nil {
 		t.Fatal("nobody listens:", l, err)
 	}
@@ -200,8 +222,8 @@
 		t.Fatal("the old process took the new one's path away:", err)
 	}
 	second.Close()
-	if _, err := SocketPath(strings.Repeat("x", 100), "n"); err == nil {
-		t.Error("a path that is too long is no error")
+	if _, err := SocketPath(strings.Repeat("x", 100), "n"); !errors.Is(err, ErrPathTooLong) {
+		t.Error("a path that is too long is no error:", err)
 	}
 	if p, _ := SocketPath(dir, "../../n"); filepath.Dir(p) != dir {
 		t.Error("a name leads out of the folder:", p)
--- /dev/null
+++ b/internal/dataplane/hotrestart/link.go
@@ -0,0 +1,100 @@
+package hotrestart
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+// network keeps the bounds of messages and passes descriptors; it exists on Linux.
+const network = "unixpacket"
+
+// Link is one side of a link. One goroutine at a time sends and one receives; Close may be called by any.
+type Link struct {
+	conn   *net.UnixConn
+	buffer []byte // of Receive; made by its first call
+}
+
+// Dial connects to the process that listens at path. It returns nil without an error where there is none.
+func Dial(path string) (*Link, error) {
+	conn, err := net.DialUnix(network, nil, &net.UnixAddr{Name: path, Net: network})
+	switch {
+	case errors.Is(err, os.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED):
+		return nil, nil
+	case err != nil:
+		return nil, fmt.Errorf("hot restart: %w", err)
+	}
+	return &Link{conn: conn}, nil
+}
+
+// Close ends the link.
+func (l *Link) Close() { l.conn.Close() }
+
+// Send sends a message with the descriptors of conns, within timeout. The connections stay the sender's. A message over the limits is
+// ErrTooLarge, and nothing is sent.
+func (l *Link) Send(kind Kind, body []byte, timeout time.Duration, conns ...syscall.Conn) error {
+	if len(body) > MaxBodyBytes || len(conns) > maxDescriptors {
+		return fmt.Errorf("%w: %v of %d bytes and %d descriptors", ErrTooLarge, kind, len(body), len(conns))
+	}
+	if err := l.conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
+		return err
+	}
+	return withDescriptors(conns, nil, func(fds []int) error {
+		var rights []byte
+		if len(fds) > 0 {
+			rights = syscall.UnixRights(fds...)
+		}
+		_, _, err := l.conn.WriteMsgUnix(append([]byte{byte(kind)}, body...), rights, nil)
+		return err
+	})
+}
+
+// Receive waits for the next message, for timeout at most; 0 stands for no limit. Errors are io.EOF once the other
+// side has closed, ErrTruncated and those of the socket; descriptors that came with a message that can't be used are closed.
+func (l *Link) Receive(timeout time.Duration) (Message, error) {
+	if l.buffer == nil {
+		l.buffer = make([]byte, 1+MaxBodyBytes)
+	}
+	var deadline time.Time
+	if timeout > 0 {
+		deadline = time.Now().Add(timeout)
+	}
+	if err := l.conn.SetReadDeadline(deadline); err != nil {
+		return Message{}, err
+	}
+	control := make([]byte, syscall.CmsgSpace(4*maxDescriptors)) // a descriptor is an int32
+	n, controlLen, flags, _, err := l.conn.ReadMsgUnix(l.buffer, control)
+	if err != nil {
+		return Message{}, err
+	}
+	files, err := openFiles(control[:controlLen])
+	switch {
+	case err != nil:
+	case n == 0:
+		err = io.EOF
+	case flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0:
+		err = ErrTruncated
+	}
+	if err != nil {
+		Message{Files: files}.Close()
+		return Message{}, err
+	}
+	return Message{Kind: Kind(l.buffer[0]), Body: append([]byte(nil), l.buffer[1:n]...), Files: files}, nil
+}
+
+// Expect is Receive for a message that must be of a kind and bring at least so many descriptors; another one is ErrUnexpected.
+func (l *Link) Expect(kind Kind, descriptors int, timeout time.Duration) (Message, error) {
+	m, err := l.Receive(timeout)
+	if err != nil {
+		return m, err
+	}
+	if m.Kind != kind || len(m.Files) < descriptors {
+		m.Close()
+		return m, fmt.Errorf("%w: %v with %d descriptors, want %v with %d", ErrUnexpected, m.Kind, len(m.Files), kind, descriptors)
+	}
+	return m, nil
+}
--- /dev/null
+++ b/internal/dataplane/hotrestart/listener.go
@@ -0,0 +1,61 @@
+package hotrestart
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+)
+
+// Listener waits for successors.
+type Listener struct {
+	listener *net.UnixListener
+}
+
+// Listen takes path over from the process that listened there; until then its file stays.
+func Listen(path string) (*Listener, error) {
+	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, fmt.Errorf("hot restart: %w", err)
+	}
+	l, err := net.ListenUnix(network, &net.UnixAddr{Name: path, Net: network})
+	if err != nil {
+		return nil, fmt.Errorf("hot restart: %w", err)
+	}
+	l.SetUnlinkOnClose(false) // by then the file may be the successor's
+	if err := os.Chmod(path, 0o600); err != nil {
+		l.Close()
+		return nil, fmt.Errorf("hot restart: %w", err)
+	}
+	return &Listener{listener: l}, nil
+}
+
+// Accept waits for the next link from a process of the same user; others are closed. Its error is that of a closed listener.
+func (l *Listener) Accept() (*Link, error) {
+	for {
+		conn, err := l.listener.AcceptUnix()
+		if err != nil {
+			return nil, err
+		}
+		if fromSameUser(conn) {
+			return &Link{conn: conn}, nil
+		}
+		conn.Close()
+	}
+}
+
+// Close ends the listener; the file stays.
+func (l *Listener) Close() { l.listener.Close() }
+
+// fromSameUser reports whether the other process has this one's user id.
+func fromSameUser(conn *net.UnixConn) (same bool) {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return false
+	}
+	err = raw.Control(func(fd uintptr) {
+		credentials, err := syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+		same = err == nil && int(credentials.Uid) == os.Getuid()
+	})
+	return same && err == nil
+}
