--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -199,10 +199,10 @@
 			{in + "pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
 		Runs: []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "a node that drains is told from one that is up", Rule: "drains kept",
-		Edits: edit("internal/membership/discovery/roster.go", `"terminating": policy.Draining`, `"terminating": policy.Up`),
+		Edits: edit("internal/membership/discovery/list.go", "Terminating: policy.Draining", "Terminating: policy.Up"),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "what changed is passed on whole", Rule: "drains kept", Unit: "./internal/dataplane/ingress",
-		Edits: edit("internal/membership/discovery/roster.go", "if list.Full || len(list.Endpoints) > 0 {", "if list.Full || len(list.Endpoints) > 0 && list.Version%2 == 0 {"),
+		Edits: edit("internal/membership/discovery/watcher.go", "if list.Full || len(list.Endpoints) > 0 {", "if list.Full || len(list.Endpoints) > 0 && list.Version%2 == 0 {"),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	// ---- The ingress: what an attempt's end means ----
 	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
