--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -17,14 +17,12 @@
 	shedLevel   = "internal/decision/loadshed/level.go"
 	shedOrder   = "internal/decision/loadshed/admission.go"
 	shedGossip  = "internal/decision/loadshed/gossip.go"
-	wordsFile   = "internal/controlplane/planner/words.go"
 	counts      = "internal/decision/quota/quota.go"
 	ceilings    = "internal/decision/hardlimit/hardlimit.go"
 	lender      = "internal/decision/slotlease/table.go"
 	state       = "policy/state.go"
 	core        = "internal/controlplane/forwarder/core.go"
 	mover       = "internal/controlplane/forwarder/move.go"
-	host        = "internal/controlplane/planner/host.go"
 	windows     = "internal/controlplane/planner/windows.go"
 	leases      = "internal/controlplane/planner/leases.go"
 	in          = "internal/dataplane/ingress/"
@@ -47,7 +45,7 @@
 	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedGossip, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
 	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/controlplane/planner",
-		Edits: edit("internal/controlplane/forwarder/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
+		Edits: edit(core, "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
 		Edits: edit(module, "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(q)", "req.plan.Weight, g.accountFor(q)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
@@ -181,13 +179,13 @@
 		Edits: edit(ceilings, "-l.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
 	// ---- Nodes held by hand in two levels ----
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/withhold.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/withhold.go", "op.effectiveAt = now + c.leaseS", "op.effectiveAt = now + 1e-9"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "op.phase, op.effectiveAt = awaiting, now+c.leaseS", "op.phase, op.effectiveAt = awaiting, now+1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
 		Edits: edit("internal/controlplane/forwarder/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/controlplane/planner/holds.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/planner/cordons.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
 	// ---- The module: servers ----
 	{Name: "cold servers get their part", Rule: "cold nodes stand", Unit: "./policy",
 		Edits: edit(module, "\treturn backend.inFlight < 2 && (sum+work <=", "\treturn true || backend.inFlight < 2 && (sum+work <="),
@@ -311,8 +309,7 @@
 	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return true || !request.mayHaveRun && request.inFlight == 0 ||"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, `	c.endOverdue()
-`, ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
+		Edits: edit(core, "\tc.endOverdue()\n", ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
 	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation):", "case msg.Epoch > cell.epoch:"),
 		Runs:  []string{simTwo + "programs"}},
@@ -334,37 +331,31 @@
 `),
 		Runs: []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit("internal/controlplane/forwarder/usage.go", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt}", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt - 1e6}"),
+		Edits: edit("internal/controlplane/forwarder/usage.go", "incompleteAt: startedAt}", "incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
 	// ---- Planners ----
 	{Name: "a lead ends before the promises that it rests on", Rule: "one leader",
-		Edits: edit("internal/controlplane/topology/fleet.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/topology/params.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
 	{Name: "a lead runs out", Rule: "one leader", Unit: "./internal/controlplane/planner",
-		Edits: []Edit{{leases, "return lease.leading && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)", "return lease.leading && lease.epoch == epoch"},
-			{leases, "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt && topology.Fenced {", "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt+1e9 && topology.Fenced {"}},
+		Edits: []Edit{{leases, "return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)", "return lease.role == leader && lease.epoch == epoch"},
+			{leases, "lease.role == leader && now >= lease.expiresAt && topology.Fenced {", "lease.role == leader && now >= lease.expiresAt+1e9 && topology.Fenced {"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a majority has to promise", Rule: "one leader", Unit: "./internal/controlplane/planner",
-		Edits: edit("internal/controlplane/topology/fleet.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
+		Edits: edit("internal/controlplane/topology/cells.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
 	{Name: "a successor takes windows for empty until all have told", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, `		if t.missingReports > 0 {
-			window.available = min(`, `		if false {
-			window.available = min(`), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "\t\tif t.missingReports > 0 {\n\t\t\twindow.available = min(", "\t\tif false {\n\t\t\twindow.available = min("), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a successor believes what was told of windows", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, "return min(p.Burst, p.Burst-window.debt+p.Rate*max(now-window.reportedAt, 0))", "return p.Burst"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "return min(plan.Burst, plan.Burst-window.debt+plan.Rate*max(now-window.reportedAt, 0))", "return plan.Burst"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "of several tales the latest pass holds", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, "if !window.reported || msg.Handle > window.epoch || msg.Handle == window.epoch && msg.Round > window.reportedSeq {", "if !window.reported || msg.Handle < window.epoch || msg.Handle == window.epoch && msg.Round < window.reportedSeq {"),
+		Edits: edit(windows, "!window.reported || epoch > window.epoch || epoch == window.epoch && seq > window.reportedSeq {", "!window.reported || epoch < window.epoch || epoch == window.epoch && seq < window.reportedSeq {"),
 		Runs:  []string{simTwo + "ceilings"}},
 	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, `	window.available -= units
-	t.admissions++`, "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "\twindow.available -= units\n\tt.admissions++", "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/controlplane/planner",
-		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit(host, `			c.reportCounts(request.cellID, cell.windows.setOrphans(now, forwarder, request.account, request.plan, inFlight[request.account]))
-`, ""), Runs: []string{simTwo + "lonely"}},
+		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Edits: edit("internal/controlplane/planner/requests.go", "\t\tc.applyCounts(request.cellID, cell.windows.setOrphans(c.now, forwarder, request.account, request.plan, attempts))\n", ""), Runs: []string{simTwo + "lonely"}},
 	{Name: "a planner tells its module of earlier passes", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(host, `	c.reportCounts(int(msg.Cell), cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan)))
-`, `	cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan))
-`), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit("internal/controlplane/planner/requests.go", "\tc.applyCounts(cellID, cell.windows.initialCounts(c.now, msg.Name, planIndex))\n", "\tcell.windows.initialCounts(c.now, msg.Name, planIndex)\n"), Runs: []string{simTwo + "ceilings"}},
 	// ---- Membership from etcd ----
 	{Name: "a stale source takes nothing back", Rule: "none on a stale word", Unit: "./internal/membership/merge",
 		Edits: edit("internal/membership/merge/core.go", "if !s.current && s.relaxes(n) {", "if false {"), Runs: []string{labEtcd}},
@@ -418,10 +409,7 @@
 	clear(c.planners)`), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
-		Why: "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
-		Edits: edit("internal/controlplane/transport/conn.go", `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
-`, `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
-	idleTimeout = time.Hour
-`),
-		Runs: []string{labTwo + "programs"}},
+		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
+		Edits: edit("internal/controlplane/transport/conn.go", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n\tidleTimeout = time.Hour\n"),
+		Runs:  []string{labTwo + "programs"}},
 }
