--- a/internal/controlplane/forwarder/gateway.go
+++ b/internal/controlplane/forwarder/gateway.go
@@ -41,6 +41,8 @@
 	closedBytesIn, closedBytesOut uint64 // of links that have ended
 }
 
+var _ ingress.MigratingDecider = (*RemoteGateway)(nil)
+
 var errNotForwarderState = errors.New("the state of the process before is not a forwarder's")
 
 // NewGatewayFunc returns a function that makes a RemoteGateway, for ingress.RunWith.
--- a/internal/controlplane/planner/actions.go
+++ b/internal/controlplane/planner/actions.go
@@ -2,6 +2,7 @@
 
 import (
 	"eiderspread/internal/controlplane/transport"
+	"eiderspread/policy"
 )
 
 // cellActions implements policy.Actions for the module of one cell: what the module decides goes to the request's forwarder. A module is
@@ -12,6 +13,8 @@
 	epoch  uint64
 }
 
+var _ policy.Actions = (*cellActions)(nil)
+
 // findRequest returns the request of a module's id; nil if it has ended.
 func (a *cellActions) findRequest(id string) *openRequest {
 	forwarder, handle, ok := parseModuleID(id)
