--- a/internal/controlplane/forwarder/core_test.go
+++ b/internal/controlplane/forwarder/core_test.go
@@ -471,3 +471,41 @@
 	f.attemptEnds("b", 2, policy.Reset)
 	f.expect("reject b") // it is not submitted again
 }
+
+// A load-shedding level is relayed to all planners but the one that sent it.
+func TestRelayShedLevel(t *testing.T) {
+	f := newFixture(t)
+	for planner := range 3 {
+		f.core.LinkUp(f.now, planner, 1)
+	}
+	f.receive(1, transport.NewShedLevel(3, 0.6, 7))
+	f.expect("p0 disconnected", "p2 disconnected")
+	if cellID, _, phase, ok := f.lastMessage.ShedLevel(); !ok || cellID != 3 || phase != 7 {
+		t.Errorf("cell %d, phase %d, %v", cellID, phase, ok)
+	}
+}
+
+// A newer state of a cordon register binds at once and goes to every planner that knows cordons; an older one changes nothing.
+func TestHandleCordon(t *testing.T) {
+	f := newFixture(t)
+	for planner := range 3 {
+		f.core.LinkUp(f.now, planner, 1)
+		if planner < 2 {
+			f.receive(planner, transport.Message{Kind: transport.KindRelease, Cell: transport.CordonCapableCell})
+		}
+	}
+	f.receive(0, transport.Message{Kind: transport.KindCordonWrite, Handle: 9, Name: "z1", Epoch: 64, Flag: true})
+	f.expect("cordon z1 true", "p0 cordon", "p1 cordon", "p0 cordon")
+	if f.lastMessage.Handle != 9 || f.lastMessage.Epoch != 64 || !f.lastMessage.Flag {
+		t.Errorf("answered by %+v", f.lastMessage)
+	}
+	f.receive(1, transport.Message{Kind: transport.KindCordonWrite, Handle: 9, Name: "z1", Epoch: 63})
+	f.expect("p1 cordon")
+	f.receive(1, transport.Message{Kind: transport.KindCordonRead, Handle: 10, Name: "z1"})
+	f.expect("p1 cordon")
+	if f.lastMessage.Epoch != 64 || !f.lastMessage.Flag {
+		t.Errorf("answered by %+v", f.lastMessage)
+	}
+	f.receive(2, transport.Message{Kind: transport.KindRelease, Cell: transport.CordonCapableCell})
+	f.expect("p2 cordon")
+}
--- a/internal/controlplane/planner/core_test.go
+++ b/internal/controlplane/planner/core_test.go
@@ -179,3 +179,48 @@
 		}
 	}
 }
+
+// Until the forwarders have reported, an account's quota window counts as empty at the start of the lead.
+func TestRequests_WaitForUsageReports(t *testing.T) {
+	core, out, _ := newTestCore(t, policy.Plan{Name: "p", Rate: 1, Burst: 4, Weight: 1})
+	cellID := core.cfg.CellOf("c")
+	request := func(now float64, handle uint64) {
+		core.HandleMessage(now, 0, &transport.Message{Kind: transport.KindRequest, Cell: uint16(cellID), Epoch: core.cells[cellID].epoch, Handle: handle,
+			Name: "c", DurationS: 2, Units: 1})
+	}
+	request(1000.01, 1)
+	if len(out.sends) != 0 {
+		t.Fatal("units are admitted that another leader may have admitted")
+	}
+	for forwarder := range core.cfg.Forwarders {
+		core.HandleMessage(1000.02, forwarder, &transport.Message{Kind: transport.KindUsageReportEnd, Cell: uint16(cellID),
+			Epoch: core.cells[cellID].epoch, Flag: true})
+	}
+	request(1000.03, 2)
+	if len(out.sends) == 0 {
+		t.Error("the window is not handed back after all forwarders have reported")
+	}
+}
+
+// A cordoned backend is draining to the modules. Once uncordoned, it counts as started then until a later start is reported.
+func TestCordonOverlay(t *testing.T) {
+	overlay := cordonOverlay{cordonedAt: map[string]float64{}, uncordonedAt: map[string]float64{}}
+	backend := func(state policy.BackendState, startedAt float64) policy.Backend {
+		return policy.Backend{ID: "z1", State: state, StartedAt: startedAt}
+	}
+	expect := func(step string, given, want policy.Backend) {
+		t.Helper()
+		if got := overlay.apply(given); got != want {
+			t.Errorf("%s: got %+v, want %+v", step, got, want)
+		}
+	}
+	expect("without a cordon", backend(policy.Up, 1), backend(policy.Up, 1))
+	overlay.update(10, "z1", true)
+	expect("cordoned", backend(policy.Up, 1), backend(policy.Draining, 1))
+	expect("cordoned and restarted", backend(policy.Up, 11), backend(policy.Draining, 11))
+	overlay.update(20, "z1", false)
+	expect("uncordoned", backend(policy.Up, 1), backend(policy.Up, 20))
+	expect("uncordoned, its start is reported", backend(policy.Up, 15), backend(policy.Up, 15))
+	overlay.update(30, "z1", true)
+	expect("cordoned again", backend(policy.Up, 15), backend(policy.Draining, 15))
+}
