--- a/internal/controlplane/cordon/coordinator.go
+++ b/internal/controlplane/cordon/coordinator.go
@@ -22,7 +22,7 @@
 	ReadRegister(forwarder int, operationID uint64, id string)
 	// WriteRegister asks a forwarder to merge a state. Unless operationID is 0, the register's state then goes to HandleState.
 	WriteRegister(forwarder int, operationID uint64, id string, state State)
-	// RegisterChanged tells that a newer state is known, which binds from now on.
+	// RegisterChanged notifies the planner of a newer state, which binds from now on.
 	RegisterChanged(id string, state State)
 }
 
@@ -70,7 +70,7 @@
 // Registers returns the latest states known to this planner. The caller must not change them.
 func (c *Coordinator) Registers() *Registers { return &c.registers }
 
-// LinkUp takes a link to a forwarder that knows cordons. It is told all registers, and what calls under way ask for.
+// LinkUp handles a new link to a forwarder that knows cordons: it sends all registers, and the requests of calls under way.
 func (c *Coordinator) LinkUp(forwarder int) {
 	c.linked[forwarder] = true
 	c.registers.Each(func(id string, state State) { c.out.WriteRegister(forwarder, 0, id, state) })
@@ -79,8 +79,8 @@
 	}
 }
 
-// LinkDown takes the end of a link. What the forwarder has acknowledged counts on: if its process ends and forgets, the next one promises
-// nothing for a lease.
+// LinkDown handles the end of a link. What the forwarder has acknowledged still counts: if its process ends, the next one promises nothing
+// for a lease.
 func (c *Coordinator) LinkDown(forwarder int) { c.linked[forwarder] = false }
 
 func (c *Coordinator) operationIDs() []uint64 { return slices.Sorted(maps.Keys(c.operations)) }
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// HandleState takes a register's state from a forwarder: the answer to an operation, or with operation 0 a change.
+// HandleState handles a register's state from a forwarder: the answer to an operation, or with operation 0 a change.
 func (c *Coordinator) HandleState(now float64, forwarder int, operationID uint64, backendID string, state State) {
 	c.merge(backendID, state)
 	op := c.operations[operationID]
@@ -158,7 +158,7 @@
 	}
 }
 
-// Tick ends the calls that hold, and those whose time is over.
+// Tick ends the calls that have become effective, and those whose time is over.
 func (c *Coordinator) Tick(now float64) {
 	for _, id := range c.operationIDs() {
 		switch op := c.operations[id]; {
--- a/internal/controlplane/cordontable/store.go
+++ b/internal/controlplane/cordontable/store.go
@@ -69,7 +69,7 @@
 	return s.write(cordons)
 }
 
-// ReadIfChanged calls apply with the cordons in the file if it has changed since this store last read or wrote it. An error tells of a file
+// ReadIfChanged calls apply with the cordons in the file if it has changed since this store last read or wrote it. An error is about a file
 // that can't be read or used; it is returned once for each state of the file.
 func (s *Store) ReadIfChanged(apply func(Cordons)) error {
 	s.sem <- struct{}{}
--- a/internal/controlplane/cordontable/table.go
+++ b/internal/controlplane/cordontable/table.go
@@ -45,7 +45,7 @@
 // New returns a table in which nothing is listed or cordoned.
 func New() *Table { return &Table{listed: map[string]discovery.Endpoint{}, cordons: Cordons{}} }
 
-// ApplyList takes discovery's list, full or only what has changed, and returns it with the cordons applied.
+// ApplyList merges discovery's list, full or only what has changed, and returns it with the cordons applied.
 func (t *Table) ApplyList(list discovery.List) discovery.List {
 	t.version = list.Version
 	if list.Full {
--- a/internal/controlplane/forwarder/actions.go
+++ b/internal/controlplane/forwarder/actions.go
@@ -35,7 +35,7 @@
 	c.releaseIfDone(request)
 }
 
-// executeSend starts an attempt, unless one is in flight or the limit of attempts is reached: both hold whatever a planner decides.
+// executeSend starts an attempt, unless one is in flight or the limit of attempts is reached: both limits apply whatever a planner decides.
 func (c *Core) executeSend(planner int, request *openRequest, msg *transport.Message) {
 	switch {
 	case request.completed:
--- a/internal/controlplane/forwarder/cordons.go
+++ b/internal/controlplane/forwarder/cordons.go
@@ -11,7 +11,7 @@
 // Cordoned lists the ids of the backends that this forwarder knows to be cordoned, in order.
 func (c *Core) Cordoned() []string { return c.cordons.Cordoned() }
 
-// handleCordon takes a planner's read or write of a cordon register. A newer state binds at once. It goes to every planner before anything
+// handleCordon handles a planner's read or write of a cordon register. A newer state binds at once. It goes to every planner before anything
 // that is sent to it from now on, a promise above all: whoever leads by that promise knows the state.
 func (c *Core) handleCordon(planner int, msg *transport.Message) {
 	if msg.Kind == transport.KindCordonWrite {
--- a/internal/controlplane/forwarder/core.go
+++ b/internal/controlplane/forwarder/core.go
@@ -19,7 +19,7 @@
 	Number         int // this forwarder's number, from 0
 	Classes        []policy.Class
 	Plans          []policy.Plan
-	MaxRetryAfterS float64 // bound of what a rejected client is told to wait, in seconds
+	MaxRetryAfterS float64 // bound of the Retry-After of a rejected client, in seconds
 	MaxAttempts    int     // of a request, whichever planners decide on them; 0: no bound of the forwarder's
 	Seed           uint64  // of all that is drawn at random
 }
@@ -27,7 +27,7 @@
 // Output carries out what a Core asks for. It is called only while one of the Core's methods runs, and must not call back.
 type Output interface {
 	policy.Actions // carried out by the ingress
-	// SendToPlanner queues messages in order; they are lost without a word if the planner's link is down.
+	// SendToPlanner queues messages in order; they are dropped silently if the planner's link is down.
 	SendToPlanner(planner int, msgs ...transport.Message)
 	// PlannerWritable reports whether the planner's link is up and keeps up.
 	PlannerWritable(planner int) bool
@@ -110,7 +110,7 @@
 	return c
 }
 
-// LinkUp takes a new link to a planner.
+// LinkUp handles a new link to a planner.
 func (c *Core) LinkUp(now float64, planner int, incarnation uint64) {
 	if c.now = now; c.migrated {
 		return
@@ -120,7 +120,7 @@
 	c.sendViews(planner)
 }
 
-// LinkDown takes the end of a link. The promises stand: they were given to the planner, not to its link.
+// LinkDown handles the end of a link. The promises stand: they were given to the planner, not to its link.
 func (c *Core) LinkDown(now float64, planner int) {
 	c.now = now
 	c.planners[planner].linked, c.planners[planner].cordonCapable = false, false
@@ -137,7 +137,7 @@
 	return slices.ContainsFunc(c.planners, func(p plannerLink) bool { return p.linked })
 }
 
-// HandleMessage takes a message of a planner.
+// HandleMessage handles a message of a planner.
 func (c *Core) HandleMessage(now float64, planner int, msg *transport.Message) {
 	if c.now = now; c.migrated {
 		return
@@ -178,7 +178,7 @@
 	}
 }
 
-// HandleProbeResult takes the end of a health check. All leaders learn of it.
+// HandleProbeResult forwards the result of a health check to all leaders.
 func (c *Core) HandleProbeResult(now float64, result policy.ProbeResult) {
 	c.now = now
 	for i := range c.cells {
--- a/internal/controlplane/forwarder/doc.go
+++ b/internal/controlplane/forwarder/doc.go
@@ -8,7 +8,7 @@
 //   - promises.go: promises to planners, and whom to follow
 //   - requests.go: open requests, from the client to the planner and back
 //   - actions.go: carrying out what a planner has decided
-//   - usage.go, orphans.go: what a new leader is told of earlier ones' decisions
+//   - usage.go, orphans.go: what is reported to a new leader of earlier ones' decisions
 //   - cordons.go: backends that operators have cordoned
 //   - migrate.go: handing everything over to a new process, and taking it back
 //
--- a/internal/controlplane/forwarder/links.go
+++ b/internal/controlplane/forwarder/links.go
@@ -121,7 +121,7 @@
 	return hello, err
 }
 
-// removeLink takes the end of a planner's link. Loop only.
+// removeLink handles the end of a planner's link. Loop only.
 func (g *RemoteGateway) removeLink(planner int, link *transport.Conn) {
 	g.closedBytesIn += link.BytesIn.Load()
 	g.closedBytesOut += link.BytesOut.Load()
--- a/internal/controlplane/forwarder/migrate.go
+++ b/internal/controlplane/forwarder/migrate.go
@@ -86,7 +86,7 @@
 	return sameCells
 }
 
-// restoreRequest takes a request over. One that does not fit the present settings fails.
+// restoreRequest restores a request of the process before. One that does not fit the present settings fails.
 func (c *Core) restoreRequest(saved snapshot.OpenRequest) {
 	class, knownClass := c.classIndex[saved.Class]
 	plan, knownPlan := c.planIndex[saved.Plan]
--- a/internal/controlplane/forwarder/orphans.go
+++ b/internal/controlplane/forwarder/orphans.go
@@ -7,8 +7,8 @@
 	"eiderspread/internal/controlplane/transport"
 )
 
-// orphanCount is how many attempts of one account are in flight here whose request no leader knows. Leaders are told, for the account's
-// cap on concurrency.
+// orphanCount is how many attempts of one account are in flight here whose request no leader knows. It is reported to leaders, for the
+// account's cap on concurrency.
 type orphanCount struct{ plan, attempts int }
 
 // addOrphans counts a request's attempts in flight as orphaned.
@@ -18,7 +18,7 @@
 	}
 }
 
-// removeOrphan takes the end of one of a request's orphaned attempts, and tells the leader.
+// removeOrphan handles the end of one of a request's orphaned attempts, and reports it to the leader.
 func (c *Core) removeOrphan(request *openRequest) {
 	count := c.orphans[request.Account]
 	count.attempts--
@@ -32,7 +32,7 @@
 	}
 }
 
-// reportOrphans tells a cell's holder of all orphaned attempts in the cell.
+// reportOrphans reports all orphaned attempts in a cell to its holder.
 func (c *Core) reportOrphans(cellID int) {
 	for _, account := range slices.Sorted(maps.Keys(c.orphans)) {
 		if c.cfg.CellOf(account) == cellID {
--- a/internal/controlplane/forwarder/promises.go
+++ b/internal/controlplane/forwarder/promises.go
@@ -88,7 +88,7 @@
 	c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindGrant, Cell: claim.Cell, Epoch: claim.Epoch, Round: claim.Round})
 }
 
-// handleLead takes a planner's announcement that a majority has granted its claim. If it holds this forwarder's promise, it is followed
+// handleLead handles a planner's announcement that a majority has granted its claim. If it holds this forwarder's promise, it is followed
 // from now on, and what waits is submitted to it.
 func (c *Core) handleLead(planner int, msg *transport.Message) {
 	if int(msg.Cell) >= len(c.cells) {
--- a/internal/controlplane/forwarder/requests.go
+++ b/internal/controlplane/forwarder/requests.go
@@ -14,7 +14,7 @@
 	maxOpenRequests = 16 << 10
 	// leaderWaitFraction is the part of a request's time for which it may wait for a leader if no attempt has run.
 	leaderWaitFraction = 0.5
-	// minRetryAfterFraction is the least part of Config.MaxRetryAfterS that a client rejected here is told to wait.
+	// minRetryAfterFraction is the least Retry-After of a client rejected here, as a part of Config.MaxRetryAfterS.
 	minRetryAfterFraction = 0.5
 	// keyTTLMarginS is taken off the time for which backends remember an idempotency key, in seconds.
 	keyTTLMarginS = 0.05
@@ -37,7 +37,7 @@
 	unitsCounted bool      // its units have been taken off the account's quota
 	mayHaveRun   bool      // an attempt may have had an effect
 	firstRunAt   float64   // when the first such attempt was sent
-	completed    bool      // its client has an answer, or is gone
+	completed    bool      // its client has an answer, or has disconnected
 }
 
 // attempt is one attempt that the ingress was asked to send.
@@ -66,7 +66,7 @@
 	}
 }
 
-// HandleRequest takes a client's request.
+// HandleRequest handles a client's request.
 func (c *Core) HandleRequest(now float64, req policy.Request) {
 	c.now = now
 	if c.requests[req.ID] != nil {
@@ -229,7 +229,7 @@
 	}
 }
 
-// sendDisconnected tells the planner that knows a request, if any, that no more decisions are wanted.
+// sendDisconnected notifies the planner that knows a request, if any, that no more decisions are wanted.
 func (c *Core) sendDisconnected(request *openRequest) {
 	if request.handle != 0 {
 		c.out.SendToPlanner(c.cells[request.cellID].holder, transport.Message{Kind: transport.KindDisconnected, Handle: request.handle})
@@ -260,7 +260,7 @@
 	}
 }
 
-// HandleOutcome takes the end of an attempt.
+// HandleOutcome handles the end of an attempt.
 func (c *Core) HandleOutcome(now float64, outcome policy.Outcome) {
 	c.now = now
 	request := c.requests[outcome.ID]
@@ -291,7 +291,7 @@
 	c.out.SendToPlanner(c.cells[request.cellID].holder, msg)
 }
 
-// HandleDisconnect takes the end of a request whose client needs no answer any more.
+// HandleDisconnect ends a request whose client needs no answer any more.
 func (c *Core) HandleDisconnect(now float64, id string) {
 	c.now = now
 	if request := c.requests[id]; request != nil && !request.completed {
--- a/internal/controlplane/forwarder/status.go
+++ b/internal/controlplane/forwarder/status.go
@@ -130,7 +130,7 @@
 	select {
 	case status := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status) // a client that has gone needs no status
+		_ = json.NewEncoder(w).Encode(status) // a client that has disconnected needs no status
 	case <-req.Context().Done():
 	case <-time.After(statusTimeout):
 	}
--- a/internal/controlplane/forwarder/usage.go
+++ b/internal/controlplane/forwarder/usage.go
@@ -16,7 +16,7 @@
 	sweepsPerSpan = 4
 )
 
-// usageTable holds what leaders last told of the quota windows of accounts that this forwarder sent attempts for: the source of usage
+// usageTable holds what leaders last sent of the quota windows of accounts that this forwarder sent attempts for: the source of usage
 // reports. A window from which nothing is taken is full after the table's span, so older entries do not matter.
 type usageTable struct {
 	spanS       float64 // for how many seconds an entry matters
@@ -46,7 +46,7 @@
 	return usageTable{spanS: windowS + spanMarginS, maxAccounts: maxAccounts, byAccount: map[string]windowUsage{}, incompleteAt: startedAt}
 }
 
-// record takes an account's usage, unless a later admission is known.
+// record stores an account's usage, unless a later admission is known.
 func (t *usageTable) record(account string, usage windowUsage) {
 	known, ok := t.byAccount[account]
 	if !ok {
@@ -81,7 +81,7 @@
 	}
 }
 
-// reportUsage tells a cell's new holder what earlier leaders admitted. It follows the grant: from then on no older epoch is followed, so
+// reportUsage reports to a cell's new holder what earlier leaders admitted. It follows the grant: from then on no older epoch is followed, so
 // that nothing can be added to the report.
 func (c *Core) reportUsage(cellID int) {
 	cell := &c.cells[cellID]
--- a/internal/controlplane/planner/cordons.go
+++ b/internal/controlplane/planner/cordons.go
@@ -11,7 +11,7 @@
 // errIDTooLong rejects an id that the transport would cut off: the cordon would bind nobody.
 var errIDTooLong = fmt.Errorf("an id of over %d bytes can't be held", transport.MaxNameBytes)
 
-// cordonOverlay applies the operators' cordons to the backends that the modules are told of. That a cordon binds whichever planner leads
+// cordonOverlay applies the operators' cordons to the backends that the modules see. That a cordon binds whichever planner leads
 // is package cordon's matter.
 type cordonOverlay struct {
 	coordinator  *cordon.Coordinator
--- a/internal/controlplane/planner/core.go
+++ b/internal/controlplane/planner/core.go
@@ -26,7 +26,7 @@
 
 // Output carries out what a Core asks for. It is called only while one of the Core's methods runs.
 type Output interface {
-	// SendToForwarder queues messages in order; they are lost without a word if the forwarder's link is down.
+	// SendToForwarder queues messages in order; they are dropped silently if the forwarder's link is down.
 	SendToForwarder(forwarder int, msgs ...transport.Message)
 	// Log writes a log line; args are alternating keys and values.
 	Log(text string, args ...any)
@@ -42,7 +42,7 @@
 	leases      *leaseManager
 	cells       []hostedCell
 	linked      []bool                    // by forwarder
-	requests    []map[uint64]*openRequest // by forwarder and handle; bounded by what forwarders hold open
+	requests    []map[uint64]*openRequest // by forwarder and handle; bounded by what forwarders keep open
 	backends    map[string]policy.Backend // as discovery reported them last, without cordons
 	cordons     cordonOverlay
 	shedLevels  shedLevelBroadcast
@@ -70,7 +70,7 @@
 	epoch    uint64
 	module   *policy.Gateway // nil until the planner leads the cell
 	windows  *windowTable    // from the claim on
-	countSeq uint16          // sequence number of the latest count that the module was told
+	countSeq uint16          // sequence number of the latest count reported to the module
 	timers   []moduleTimer   // that the module has set; one or two
 }
 
@@ -79,7 +79,7 @@
 	token  uint64
 }
 
-// NewCore returns the decisions of a planner that has just started and leads nothing. An error tells of settings that no module accepts.
+// NewCore returns the decisions of a planner that has just started and leads nothing. An error is about settings that no module accepts.
 func NewCore(cfg Config, now float64, out Output) (*Core, error) {
 	c := &Core{
 		cfg:         cfg,
@@ -179,7 +179,7 @@
 // must return quickly.
 func (c *Core) SetTracer(trace func(reason.Decision)) { c.trace = trace }
 
-// LinkUp takes a new link to a forwarder. LinkDown must have been called for the one before.
+// LinkUp handles a new link to a forwarder. LinkDown must have been called for the one before.
 func (c *Core) LinkUp(now float64, forwarder int, incarnation uint64) {
 	c.advanceTo(now)
 	c.linked[forwarder] = true
@@ -191,7 +191,7 @@
 	c.leases.linkUp(now, forwarder)
 }
 
-// LinkDown takes the end of a forwarder's link. To the modules, all of its requests end. Its attempts may still be in flight: they count
+// LinkDown handles the end of a forwarder's link. To the modules, all of its requests end. Its attempts may still be in flight: they count
 // as orphaned for a while, until the forwarder reports otherwise or starts anew.
 func (c *Core) LinkDown(now float64, forwarder int) {
 	c.advanceTo(now)
@@ -201,7 +201,7 @@
 	c.orphanRequests(forwarder)
 }
 
-// HandleMessage takes a message of a forwarder.
+// HandleMessage handles a message of a forwarder.
 func (c *Core) HandleMessage(now float64, forwarder int, msg *transport.Message) {
 	c.advanceTo(now)
 	switch msg.Kind {
@@ -226,7 +226,7 @@
 	}
 }
 
-// handleDisconnected takes a client's disconnect, or one of the two messages that travel as one so that older peers ignore them.
+// handleDisconnected handles a client's disconnect, or one of the two messages that are sent as one so that older peers ignore them.
 func (c *Core) handleDisconnected(forwarder int, msg *transport.Message) {
 	if msg.Handle == transport.CordonCapableHandle {
 		c.cordons.coordinator.LinkUp(forwarder)
@@ -248,7 +248,7 @@
 		LatencyS: msg.DurationS, Load: loadReport(msg)})
 }
 
-// UpdateBackends takes discovery's list of backends: all of them if full, else those that have changed.
+// UpdateBackends applies discovery's list of backends: all of them if full, else those that have changed.
 func (c *Core) UpdateBackends(now float64, backends []policy.Backend, full bool) {
 	c.advanceTo(now)
 	if full {
--- a/internal/controlplane/planner/leases.go
+++ b/internal/controlplane/planner/leases.go
@@ -110,7 +110,7 @@
 	return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)
 }
 
-// linkUp takes a new link to a forwarder. One that has promised a cell to this lead, before its link broke or its process was replaced,
+// linkUp handles a new link to a forwarder. One that has promised a cell to this lead, before its link broke or its process was replaced,
 // need not wait for the next renewal to learn that the lead stands; no other follows by this message.
 func (m *leaseManager) linkUp(now float64, forwarder int) {
 	m.linked[forwarder] = true
@@ -137,7 +137,7 @@
 	}
 }
 
-// handleView takes a forwarder's report of its promise for a cell.
+// handleView handles a forwarder's report of its promise for a cell.
 func (m *leaseManager) handleView(now float64, forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(m.cells) {
 		return
@@ -152,7 +152,7 @@
 	}
 }
 
-// handleGrant takes a forwarder's promise, or its renewal.
+// handleGrant handles a forwarder's promise, or its renewal.
 func (m *leaseManager) handleGrant(now float64, forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(m.cells) {
 		return
@@ -201,7 +201,7 @@
 	m.renewLease(now, cellID)
 }
 
-// becomeFollower ends a claim or a lead without telling the forwarders. The next claim waits for a random time, so that candidates
+// becomeFollower ends a claim or a lead without notifying the forwarders. The next claim waits for a random time, so that candidates
 // that have hindered each other do not meet again.
 func (m *leaseManager) becomeFollower(now float64, cellID int) {
 	lease := &m.cells[cellID]
@@ -234,7 +234,7 @@
 	m.sendRelease(cellID, epoch)
 }
 
-// sendRelease tells the forwarders that nothing more will be decided under an epoch.
+// sendRelease notifies the forwarders that nothing more will be decided under an epoch.
 func (m *leaseManager) sendRelease(cellID int, epoch uint64) {
 	m.broadcast(transport.Message{Kind: transport.KindRelease, Cell: uint16(cellID), Epoch: epoch})
 }
--- a/internal/controlplane/planner/links.go
+++ b/internal/controlplane/planner/links.go
@@ -114,7 +114,7 @@
 	s.core.LinkUp(now, forwarder, incarnation)
 }
 
-// removeLink takes the end of a forwarder's link. Loop only.
+// removeLink handles the end of a forwarder's link. Loop only.
 func (s *Server) removeLink(now float64, forwarder int) {
 	s.closedBytesIn.Add(s.links[forwarder].BytesIn.Load())
 	s.closedBytesOut.Add(s.links[forwarder].BytesOut.Load())
--- a/internal/controlplane/planner/recovery.go
+++ b/internal/controlplane/planner/recovery.go
@@ -8,7 +8,7 @@
 // maxOrphanedAttempts bounds what is believed of one forwarder's report for one account.
 const maxOrphanedAttempts = 1 << 15
 
-// handleUsageReport takes a part of a forwarder's usage report, which arrives after the claim, before or during the lead.
+// handleUsageReport handles a part of a forwarder's usage report, which arrives after the claim, before or during the lead.
 func (c *Core) handleUsageReport(forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(c.cells) {
 		return
--- a/internal/controlplane/planner/requests.go
+++ b/internal/controlplane/planner/requests.go
@@ -53,7 +53,7 @@
 	return forwarder, handle, err == nil
 }
 
-// handleRequest takes a request that a forwarder submits. One for a cell or an epoch that is not led here is ignored: the forwarder
+// handleRequest handles a request that a forwarder submits. One for a cell or an epoch that is not led here is ignored: the forwarder
 // submits it again to the next leader.
 func (c *Core) handleRequest(forwarder int, msg *transport.Message) {
 	cell := c.leadingCell(int(msg.Cell), msg.Epoch)
@@ -81,7 +81,7 @@
 	c.releaseIfDone(request)
 }
 
-// handleOutcome takes the end of an attempt.
+// handleOutcome handles the end of an attempt.
 func (c *Core) handleOutcome(forwarder int, msg *transport.Message) {
 	request := c.requests[forwarder][msg.Handle]
 	number := int(msg.Number)
@@ -101,7 +101,7 @@
 	c.releaseIfDone(request)
 }
 
-// handleWithdraw takes a forwarder's word that it will say nothing more of a request, which goes to another leader.
+// handleWithdraw ends a request that the forwarder submits to another leader.
 func (c *Core) handleWithdraw(forwarder int, msg *transport.Message) {
 	request := c.requests[forwarder][msg.Handle]
 	if request != nil && c.leadingCell(request.cellID, c.cells[request.cellID].epoch) != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// disconnectRequest takes the end of a request whose client has disconnected; its attempts may still be in flight.
+// disconnectRequest ends a request whose client has disconnected; its attempts may still be in flight.
 func (c *Core) disconnectRequest(forwarder int, handle uint64) {
 	request := c.requests[forwarder][handle]
 	if request == nil {
@@ -126,7 +126,7 @@
 	c.releaseIfDone(request)
 }
 
-// abandonRequest ends a request of which the forwarder will say nothing more. To the module, its attempts are cancelled.
+// abandonRequest ends a request about which the forwarder will send nothing more. To the module, its attempts are cancelled.
 func (c *Core) abandonRequest(request *openRequest) {
 	delete(c.requests[request.forwarder], request.handle)
 	module := c.cells[request.cellID].module
--- a/internal/controlplane/planner/shedlevels.go
+++ b/internal/controlplane/planner/shedlevels.go
@@ -12,15 +12,15 @@
 	shedLevelPaths = 2
 )
 
-// shedLevelBroadcast is when and by whom load-shedding levels are broadcast next. The modules of all cells hold one level together: each
-// tells its own to those of the same planner directly, and to those of other planners by way of some forwarders, others each time.
+// shedLevelBroadcast is when and by whom load-shedding levels are broadcast next. The modules of all cells keep one level together: each
+// sends its own to those of the same planner directly, and to those of other planners by way of some forwarders, others each time.
 // Forwarders relay the levels and keep none.
 type shedLevelBroadcast struct {
 	nextAt        float64
 	lastForwarder int // the one that relayed last
 }
 
-// broadcastShedLevels tells the levels of the cells that are led here to the modules of all cells, if load shedding is on.
+// broadcastShedLevels sends the levels of the cells that are led here to the modules of all cells, if load shedding is on.
 func (c *Core) broadcastShedLevels(now float64) {
 	if !c.cfg.Settings.LoadShedding.Enabled || now < c.shedLevels.nextAt {
 		return
--- a/internal/controlplane/planner/status.go
+++ b/internal/controlplane/planner/status.go
@@ -79,7 +79,7 @@
 	select {
 	case status := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status) // a client that has gone needs no status
+		_ = json.NewEncoder(w).Encode(status) // a client that has disconnected needs no status
 	case <-s.done:
 	case <-r.Context().Done():
 	}
--- a/internal/controlplane/planner/windows.go
+++ b/internal/controlplane/planner/windows.go
@@ -34,7 +34,7 @@
 
 // windowTable is what the leader of a cell knows of its accounts' quota windows beside its module: what forwarders reported at the start
 // of the lead, and what was admitted since. From that it works out which units the module has to take as counted before the lead, and
-// the debt that forwarders are told with each admission, from which the next leader will start. The rule and its proof are in
+// the debt that is sent to forwarders with each admission, from which the next leader will start. The rule and its proof are in
 // docs/two-levels.md. Times are seconds.
 type windowTable struct {
 	plans          []policy.Plan
@@ -60,8 +60,8 @@
 
 	orphans []orphanReport // attempts in flight that this lead did not decide on; one entry a forwarder at most
 
-	inModule     bool    // the module has been told of the account; the fields below are valid
-	countedUnits float64 // units that the module was told were used before the lead, in quarters
+	inModule     bool    // the module knows the account; the fields below are valid
+	countedUnits float64 // units reported to the module as used before the lead, in quarters
 	available    float64 // at availableAt: units that are certainly left, debts of earlier leads deducted
 	availableAt  float64
 }
@@ -82,7 +82,7 @@
 	return attempts
 }
 
-// memberCount is what the module is told of an account; see peerprotocol.MemberReport.
+// memberCount is a count of an account that is reported to the module; see peerprotocol.MemberReport.
 type memberCount struct {
 	account      string
 	plan         int
@@ -101,7 +101,7 @@
 // startLeading notes the start of the lead. Reports of forwarders may have arrived before, since the claim.
 func (t *windowTable) startLeading(now float64) { t.leadingSince = now }
 
-// applyReport takes one account of a forwarder's usage report. Of several reports the one of the latest admission holds: it was decided
+// applyReport applies one account of a forwarder's usage report. Of several reports the one of the latest admission holds: it was decided
 // by a leader that knew of all admissions before.
 func (t *windowTable) applyReport(now float64, forwarder int, msg *transport.Message) {
 	if t.reports[forwarder] != reportPending || int(msg.Plan) >= len(t.plans) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// endReport takes the end of a forwarder's usage report. When the last missing one is complete, it returns the counts that hand back
+// endReport handles the end of a forwarder's usage report. When the last missing one is complete, it returns the counts that hand back
 // to the module what initialCounts had deducted as unknown.
 func (t *windowTable) endReport(now float64, forwarder int, complete bool) (credits []memberCount) {
 	if t.reports[forwarder] != reportPending {
@@ -175,7 +175,7 @@
 	window.availableAt = now
 }
 
-// initialCounts returns what the module has to be told of an account before the account's first request of the lead: two counts at most,
+// initialCounts returns what has to be reported to the module of an account before its first request of the lead: two counts at most,
 // and none if the module knows the account. While reports are missing, the window is taken to have been empty at the start of the lead.
 func (t *windowTable) initialCounts(now float64, account string, planIndex int) []memberCount {
 	window := t.byAccount[account]
@@ -214,7 +214,7 @@
 }
 
 // admit takes the units of an admitted request off its account's window. It returns the admission's sequence number and the window's
-// debt, of which the forwarder is told; both are 0 for an account without a rate.
+// debt, which go to the forwarder; both are 0 for an account without a rate.
 func (t *windowTable) admit(now float64, account string, units float64) (seq uint32, debt float64) {
 	window := t.byAccount[account]
 	if window == nil || !window.inModule || t.plans[window.plan].Rate <= 0 {
@@ -226,8 +226,8 @@
 	return t.admissions, max(t.plans[window.plan].Burst-window.available, 0)
 }
 
-// setOrphans takes a forwarder's report of an account's attempts in flight there that this lead did not decide on. It returns the count
-// to tell the module, if that knows the account.
+// setOrphans applies a forwarder's report of an account's attempts in flight there that this lead did not decide on. It returns the count
+// to report to the module, if that knows the account.
 func (t *windowTable) setOrphans(now float64, forwarder int, account string, plan, attempts int) []memberCount {
 	window := t.byAccount[account]
 	if window == nil {
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -161,19 +161,19 @@
 	r.err = &AbortError{Program: r.programs[r.current], Phase: r.phase, Problem: err.Error(), Done: r.current, Total: len(r.programs), Err: err}
 }
 
-// HandleAnswer takes what a program answered to CheckReadiness; answered is false if it did not.
+// HandleAnswer records what a program answered to CheckReadiness; answered is false if it did not.
 func (r *Rollout) HandleAnswer(now float64, i int, answered, ready, busy bool) {
 	r.answers[i] = answer{receivedAt: now, ready: answered && ready, busy: answered && busy}
 }
 
-// Drained takes the result of Drain. A program that can't be drained is not restarted.
+// Drained handles the result of Drain. A program that can't be drained is not restarted.
 func (r *Rollout) Drained(_ float64, i int, err error) {
 	if r.err == nil && i == r.current && r.phase == Draining && err != nil {
 		r.abortWith(err)
 	}
 }
 
-// Restarted takes the result of Restart.
+// Restarted handles the result of Restart.
 func (r *Rollout) Restarted(now float64, i int, err error) {
 	switch {
 	case r.err != nil || i != r.current || r.phase != Restarting:
--- a/internal/controlplane/topology/params_test.go
+++ b/internal/controlplane/topology/params_test.go
@@ -87,3 +87,10 @@
 		}
 	}
 }
+
+// A lead ends before the promises on which it rests even if the planner's clock is slow by 5% against the forwarders'.
+func TestLeadFraction(t *testing.T) {
+	if slowness := 1.05; LeadFraction*slowness > 1 {
+		t.Errorf("a lead of %v of a lease may outlast a promise", LeadFraction)
+	}
+}
--- a/internal/controlplane/transport/handshake.go
+++ b/internal/controlplane/transport/handshake.go
@@ -17,7 +17,7 @@
 // ErrHandshake is wrapped by the errors of a peer that is not the one expected.
 var ErrHandshake = errors.New("handshake rejected")
 
-// Hello is what both sides of a link say of themselves in its first record.
+// Hello identifies each side of a link in its first record.
 type Hello struct {
 	Fleet       string
 	Cells       int    // how many the fleet's accounts are divided into
--- a/internal/controlplane/transport/message.go
+++ b/internal/controlplane/transport/message.go
@@ -10,7 +10,7 @@
 	MaxNameBytes  = 128      // of Message.Name; a longer one is cut off
 )
 
-// Kind is what a message says.
+// Kind is the kind of a message.
 type Kind uint8
 
 // The kinds of messages with the fields that each uses. F: sent by forwarders, P: by planners. The values are on the wire.
@@ -22,7 +22,7 @@
 	KindUsageReportEnd                  // F: Cell, Epoch, Flag (the report is complete)
 	KindRequest                         // F: submits a request. Cell, Epoch, Handle, Class, Plan, Name (account), DurationS (left), Units, Flag (client retry)
 	KindOutcome                         // F: an attempt's end. Handle, Number (attempt), Class (status), Flag (request completed), DurationS (latency), Load
-	KindDisconnected                    // F: the client has gone, or the answer is given. Handle
+	KindDisconnected                    // F: the client has disconnected, or has its answer. Handle
 	KindProbeResult                     // F: Cell, Epoch, Name (backend), Class (status), DurationS (latency), Load
 	KindClaim                           // P: asks for a promise, or for its renewal. Cell, Epoch, Round
 	KindLead                            // P: a majority has promised. Cell, Epoch
@@ -32,7 +32,7 @@
 	KindReject                          // P: a final answer. Cell, Epoch, Handle, DurationS (retry after)
 	KindFail                            // P: a final answer. Cell, Epoch, Handle
 	KindCancel                          // P: Cell, Epoch, Handle, Number (attempt)
-	KindWithdraw                        // F: nothing more will be said of a request, which goes to another leader. Handle
+	KindWithdraw                        // F: ends the submission of a request, which goes to another leader. Handle
 	KindOrphans                         // F: attempts in flight that this leader did not decide on. Cell, Epoch, Name (account), Plan, Number
 	KindProbe                           // P: starts a health check. Cell, Epoch, Name (backend)
 	KindHeartbeat                       // both: no fields
@@ -42,7 +42,7 @@
 	kindCount
 )
 
-// Peers of the version before cordons end a link on a record that they don't know. Each side therefore first says that it knows these by a
+// Peers of the version before cordons end a link on a record that they don't know. Each side therefore first announces that it knows these by a
 // record that such a peer ignores: a forwarder by a KindDisconnected of this handle, a planner by a KindRelease of this cell.
 const (
 	CordonCapableHandle = 1<<63 | 1
@@ -53,7 +53,7 @@
 // whose Handle is the release's Epoch. Peers of earlier versions ignore both.
 const ShedLevelCell = 1<<16 - 2
 
-// A relayed level is told from requests by the upper bits of its handle, which no request has.
+// A relayed level differs from requests by the upper bits of its handle, which no request has.
 const (
 	shedLevelMark      = 3 << 62
 	shedLevelMarkShift = 62
@@ -77,7 +77,7 @@
 	return int(uint16(m.Handle >> shedLevelCellShift)), level, uint8(m.Handle), true
 }
 
-// Message is one record. The comments of the kinds say which fields each uses and for what.
+// Message is one record. The comments of the kinds list the fields that each uses.
 type Message struct {
 	Kind      Kind
 	Cell      uint16
