--- a/internal/membership/agent/agent.go
+++ b/internal/membership/agent/agent.go
@@ -52,7 +52,7 @@
 	TimeoutMS      float64                        `toml:"timeout_ms"`
 	MaxRetryMS     float64                        `toml:"retry_ms"`
 	FlapMS         float64                        `toml:"flap_ms"`
-	MaxFlapHoldMS  float64                        `toml:"flap_most_ms"`
+	MaxFlapDelayMS float64                        `toml:"flap_most_ms"`
 }
 
 // Config is the file, checked.
@@ -66,7 +66,7 @@
 
 // ReadFile reads and checks the operator's file and all that it names.
 func ReadFile(path string) (Config, error) {
-	f := File{ProgressMS: 500, StaleMS: 2000, RosterStaleMS: 5000, OrphanMS: 10000, TimeoutMS: 2000, MaxRetryMS: 2000, FlapMS: 60000, MaxFlapHoldMS: 30000, StartTimeoutMS: 3000}
+	f := File{ProgressMS: 500, StaleMS: 2000, RosterStaleMS: 5000, OrphanMS: 10000, TimeoutMS: 2000, MaxRetryMS: 2000, FlapMS: 60000, MaxFlapDelayMS: 30000, StartTimeoutMS: 3000}
 	if err := operatorconfig.Decode(path, &f); err != nil {
 		return Config{}, err
 	}
@@ -83,14 +83,14 @@
 		Etcd: etcdsource.Config{Endpoints: f.Endpoints, Prefix: f.Prefix, User: f.User, ProgressInterval: ms(f.ProgressMS), ReadTimeout: ms(f.TimeoutMS),
 			MaxRetryDelay: ms(f.MaxRetryMS)},
 		Merge: merge.Config{StaleAfterS: map[string]float64{etcdName: f.StaleMS / 1e3}, OrphanAfterS: f.OrphanMS / 1e3, FlapWindowS: f.FlapMS / 1e3,
-			MaxFlapHoldS: f.MaxFlapHoldMS / 1e3}}
+			MaxFlapDelayS: f.MaxFlapDelayMS / 1e3}}
 	for name, a := range map[string]string{"listen": f.Listen, "status": f.Status, "roster": f.Roster} {
 		if _, err := netip.ParseAddrPort(a); err != nil && (a != "" || name == "listen") {
 			return c, fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	for name, x := range map[string]float64{"progress_ms": f.ProgressMS, "stale_ms": f.StaleMS, "roster_stale_ms": f.RosterStaleMS, "orphan_ms": f.OrphanMS,
-		"timeout_ms": f.TimeoutMS, "retry_ms": f.MaxRetryMS, "flap_ms": f.FlapMS, "flap_most_ms": f.MaxFlapHoldMS, "start_ms": f.StartTimeoutMS} {
+		"timeout_ms": f.TimeoutMS, "retry_ms": f.MaxRetryMS, "flap_ms": f.FlapMS, "flap_most_ms": f.MaxFlapDelayMS, "start_ms": f.StartTimeoutMS} {
 		if !(x >= 1 && x <= 3.6e6) {
 			return c, fmt.Errorf("%s must be 1 to 3600000", name)
 		}
--- a/internal/membership/agent/etcd_test.go
+++ b/internal/membership/agent/etcd_test.go
@@ -145,7 +145,7 @@
 	cfg := Config{Listen: "127.0.0.1:0", Roster: rosterAddr,
 		Etcd: etcdsource.Config{Endpoints: []string{"http://" + endpoint}, Prefix: prefix, ProgressInterval: 150 * time.Millisecond, ReadTimeout: 2 * time.Second,
 			MaxRetryDelay: 300 * time.Millisecond},
-		Merge: merge.Config{StaleAfterS: map[string]float64{etcdName: 0.8}, OrphanAfterS: 3600, FlapWindowS: 0.001, MaxFlapHoldS: 0.001}}
+		Merge: merge.Config{StaleAfterS: map[string]float64{etcdName: 0.8}, OrphanAfterS: 3600, FlapWindowS: 0.001, MaxFlapDelayS: 0.001}}
 	if rosterAddr != "" {
 		cfg.Merge.StaleAfterS[rosterName] = 5
 	}
--- a/internal/membership/merge/core_test.go
+++ b/internal/membership/merge/merge_test.go
@@ -8,7 +8,7 @@
 )
 
 func newTestMerger(known ...Node) *Merger {
-	return NewMerger(Config{StaleAfterS: map[string]float64{"etcd": 1, "roster": 5}, OrphanAfterS: 10, FlapWindowS: 60, MaxFlapHoldS: 30}, 100, known)
+	return NewMerger(Config{StaleAfterS: map[string]float64{"etcd": 1, "roster": 5}, OrphanAfterS: 10, FlapWindowS: 60, MaxFlapDelayS: 30}, 100, known)
 }
 
 func node(id string, started int64, state State) Node {
@@ -24,6 +24,15 @@
 	return strings.Join(list, ", ")
 }
 
+// Guards the numbers of states in agents' state files.
+func TestState_StoredNumbers(t *testing.T) {
+	for state, name := range []string{"up", "draining", "gone"} {
+		if got := State(state).String(); got != name {
+			t.Errorf("state %d is %s, want %s", state, got, name)
+		}
+	}
+}
+
 // Guards the rules one by one: each line takes a step and says what stands then.
 func TestMerger_Rules(t *testing.T) {
 	mark := func(id string, s State) Node { return Node{Identity: Identity{ID: id}, State: s} }
@@ -285,7 +294,7 @@
 
 // Guards the word gone against a source that is late: it holds for a minute however short the time of flapping is.
 func TestMerger_RemovalOutlivesLateSource(t *testing.T) {
-	m := NewMerger(Config{StaleAfterS: map[string]float64{"etcd": 100, "roster": 100}, OrphanAfterS: 100, FlapWindowS: 0.001, MaxFlapHoldS: 0.001}, 0, nil)
+	m := NewMerger(Config{StaleAfterS: map[string]float64{"etcd": 100, "roster": 100}, OrphanAfterS: 100, FlapWindowS: 0.001, MaxFlapDelayS: 0.001}, 0, nil)
 	n := Node{Identity: Identity{ID: "z", Addr: "127.0.0.1:1", StartedMS: 5}}
 	m.ReplaceAll(1, "roster", nil)
 	m.ReplaceAll(1, "etcd", []Node{n})
