--- a/internal/membership/agent/etcd_test.go
+++ b/internal/membership/agent/etcd_test.go
@@ -107,7 +107,9 @@
 				marks[id] = true
 			} else {
 				var v struct{ Addr string }
-				json.Unmarshal(kv.Value, &v)
+				if err := json.Unmarshal(kv.Value, &v); err != nil {
+					return err
+				}
 				nodes[strings.TrimPrefix(key, "nodes/")] = v.Addr
 			}
 		}
@@ -161,7 +163,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); a.Run(ctx) }()
+	go func() {
+		defer close(done)
+		if err := a.Run(ctx); err != nil {
+			t.Error(err)
+		}
+	}()
 	stop = func() { cancel(); <-done }
 	t.Cleanup(stop)
 	return a, stop
--- a/internal/membership/agent/moves_test.go
+++ b/internal/membership/agent/moves_test.go
@@ -189,8 +189,9 @@
 			}
 			m.Version += 3.6e6 // as a clock that was an hour ahead would have had it
 			version = m.Version
-			text, _ := json.Marshal(m)
-			os.WriteFile(cfg.State, text, 0o600)
+			if err := writeState(cfg.State, m); err != nil {
+				t.Fatal(err)
+			}
 		}
 		b, _ := startWith(t, cfg)
 		ros.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "terminating", Weight: 1})
@@ -233,7 +234,9 @@
 		}
 		defer r.Body.Close()
 		var l discovery.List
-		json.NewDecoder(r.Body).Decode(&l)
+		if err := json.NewDecoder(r.Body).Decode(&l); err != nil && r.StatusCode == http.StatusOK {
+			t.Fatal(err)
+		}
 		return r.StatusCode, l
 	}
 	cfg := config(link.Addr(), addr)
