--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -15,14 +15,14 @@
 	simShedTwo  = "sim -overload -shrink=false -schedules 8 -for 25s -planners 3 -forwarders 5 -scenario "
 	module      = "policy/gateway.go"
 	rules       = "policy/"
-	shedder     = "internal/decision/loadshed/overload.go"
-	wordsFile   = "internal/controlplane/planner/words.go"
-	counts      = "internal/decision/quota/tally.go"
-	ceilings    = "internal/decision/hardlimit/ceiling.go"
-	lender      = "internal/decision/slotlease/places.go"
+	shedLevel   = "internal/decision/loadshed/level.go"
+	shedOrder   = "internal/decision/loadshed/admission.go"
+	shedGossip  = "internal/decision/loadshed/gossip.go"
+	counts      = "internal/decision/quota/quota.go"
+	ceilings    = "internal/decision/hardlimit/hardlimit.go"
+	lender      = "internal/decision/slotlease/table.go"
 	core        = "internal/controlplane/forwarder/core.go"
 	mover       = "internal/controlplane/forwarder/move.go"
-	host        = "internal/controlplane/planner/host.go"
 	windows     = "internal/controlplane/planner/windows.go"
 	leases      = "internal/controlplane/planner/leases.go"
 	in          = "internal/dataplane/ingress/"
@@ -34,25 +34,25 @@
 var List = []Mutant{
 	// ---- Overload shed as one ----
 	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
+		Edits: edit(shedOrder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
 	{Name: "the level comes to what is served", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: []Edit{{shedder, "if to := s.levelFor(now, done*beyond*(1-drainMargin*much)); to > s.level {", "if to := s.levelFor(now, 0*(1-drainMargin*much)); to > s.level {"},
-			{shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
+		Edits: []Edit{{shedLevel, "s.levelFor(now, capacity*(1-drainMargin*excess))", "s.levelFor(now, 0*(1-drainMargin*excess))"},
+			{shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs: []string{simShed + "overload-low", simShed + "overload"}},
 	{Name: "and falls again", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: []Edit{{shedder, "s.level -= down * (1 - wait/targetWait) * dt", "s.level -= 0.01 * down * (1 - wait/targetWait) * dt"}, {shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
+		Edits: []Edit{{shedLevel, "s.level -= fall * (1 - wait/targetWait) * dt", "s.level -= 0.01 * fall * (1 - wait/targetWait) * dt"}, {shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs:  []string{simShed + "overload", simShed + "overload-low"}},
 	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
+		Edits: edit(shedGossip, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
 	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/controlplane/planner",
-		Edits: edit("internal/controlplane/forwarder/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
+		Edits: edit(core, "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
 		Edits: edit(rules+"request.go", "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(incoming)", "req.plan.Weight, g.accountFor(incoming)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
 	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "return d.ClassRank + 1, d.ClassCount + 1", "return d.ClassCount - d.ClassRank, d.ClassCount + 1"), Runs: []string{simShed + "overload"}},
+		Edits: edit(shedOrder, "return p.ClassRank + 1, p.ClassCount + 1", "return p.ClassCount - p.ClassRank, p.ClassCount + 1"), Runs: []string{simShed + "overload"}},
 	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
+		Edits: edit(shedOrder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
 		Why: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
 		Edits: edit(rules+"request.go", "commonTimeoutFraction * g.shedder.FirstAttemptFactor()\n", "commonTimeoutFraction * 1\n"), Runs: []string{simShed + "overload", simShed + "overload-high"},
@@ -96,15 +96,15 @@
 		Edits: []Edit{{rules + "quota_owner.go", "case plan.MaxConcurrency > 0 && g.freeSlots(account) <= 0:", "case false:"},
 			{rules + "adaptive_limit.go", " || req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account)", ""}}, Runs: []string{simTwo + "capped"}},
 	{Name: "ceilings", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "return t.Rate <= 0 || units <= c.Local.Refill(now, t.Rate*t.localFraction(), t.Burst*t.localFraction())", "return t.Rate <= 0 || c.Local.Refill(now, t.Rate*t.localFraction(), t.Burst*t.localFraction()) != units+0.123"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, "return p.Rate <= 0 || units <= l.Local.Refill(now, p.Rate*p.localFraction(), p.Burst*p.localFraction())", "return p.Rate <= 0 || l.Local.Refill(now, p.Rate*p.localFraction(), p.Burst*p.localFraction()) != units+0.123"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "the shared part of a ceiling", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "t.OwnsShared && t.Rate > 0 && units <= c.Shared", "t.OwnsShared && t.Rate > 0 && units+1e9 >= c.Shared"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, "\t\tunits <= l.Shared.Refill(", "\t\tunits+1e9 >= l.Shared.Refill("), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "what is sent is taken off the ceiling", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, `		c.Local.Level -= units
-`, `		c.Local.Level -= 0
+		Edits: edit(ceilings, `		l.Local.Level -= units
+`, `		l.Local.Level -= 0
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "grants are taken off the shared part", Rule: "ceilings kept",
-		Edits: edit(ceilings, `	c.Shared.Level -= units
+		Edits: edit(ceilings, `	l.Shared.Level -= units
 	return units
 `, `	return units
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
@@ -112,9 +112,9 @@
 		Edits: edit(rules+"account.go", "hardlimit.NewLimiter(g.startedAt)}", "hardlimit.Limiter{Local: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}, Shared: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}}}"),
 		Runs:  []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "ceilings are split among gateways", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "return (1 - t.SharedFraction()) / float64(max(t.Gateways, 1))", "return 1 - t.SharedFraction()"), Runs: []string{simOne + "ceilings"}},
+		Edits: edit(ceilings, "return (1 - p.SharedFraction()) / float64(max(p.Gateways, 1))", "return 1 - p.SharedFraction()"), Runs: []string{simOne + "ceilings"}},
 	{Name: "one gateway pays out the shared part", Rule: "ceilings kept",
-		Edits: edit(ceilings, "return t.OwnsShared && t.Rate > 0 && units", "return t.Rate > 0 && units"), Runs: []string{simOne + "ceilings"}},
+		Edits: edit(ceilings, "return p.OwnsShared && p.Rate > 0 &&", "return p.Rate > 0 &&"), Runs: []string{simOne + "ceilings"}},
 	{Name: "what owes the ceiling waits until it is paid", Rule: "ceilings kept",
 		Edits: edit(rules+"selection.go", `	if req.hardLimitUnpaid && !g.hardLimitPays(req) {
 `, `	if false {
@@ -128,8 +128,8 @@
 `, `		ledger.Available -= 2 * grant
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "a report is counted once", Rule: "quotas can be used", Unit: "./internal/decision/quota",
-		Edits: edit(counts, `Demand: rate, ReportedAt: now}
-`, `Demand: rate, ReportedAt: now}
+		Edits: edit(counts, `Demand: demand, ReportedAt: now}
+`, `Demand: demand, ReportedAt: now}
 	delta += max(delta, 0)
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "lives of a member are told apart", Rule: "quotas can be used",
@@ -141,7 +141,7 @@
 	{Name: "a silence ends", Rule: "quotas can be used",
 		Edits: edit(rules+"quota_member.go", "account.backoffUntil = g.now + reply.BackoffS\n", "account.backoffUntil = g.now + reply.BackoffS*100\n"), Runs: []string{simOne + "calm", simCrowd + "crowd"}},
 	{Name: "a member that lets in more than its split is counted", Rule: "quotas kept", Unit: "./internal/decision/quota",
-		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -most))", "l.Available = max(l.Available-units/2, min(l.Available, -most))"), Runs: []string{simOne + "calm", simOne + "friday"}},
+		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -maxDebt))", "l.Available = max(l.Available-units/2, min(l.Available, -maxDebt))"), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "the local window is a part of the whole", Rule: "quotas kept",
 		Why:   "what a member last heard of the room bounds it as well, and what it lets in is owed once it is told",
 		Edits: edit(rules+"quota_member.go", "account.localWindow.Refill(g.now, plan.Rate/gateways, burst)\n", "account.localWindow.Refill(g.now, 9*plan.Rate, 9*burst*gateways)\n"), Runs: []string{simOne + "programs", simCrowd + "crowd"}},
@@ -154,16 +154,16 @@
 		Edits: edit(rules+"quota_owner.go", "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
 	{Name: "lost reports are no silence", Rule: "quotas can be used", Unit: "./internal/decision/failuredetector",
 		Why:   "owners passed over for a second each cost 1% of service at 80 ingresses, which no rule is made of",
-		Edits: edit("internal/decision/failuredetector/pulse.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
+		Edits: edit("internal/decision/failuredetector/failuredetector.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
 	// ---- The module: places lent by time, units ahead ----
 	{Name: "a place comes back by itself", Rule: "caps kept", Unit: "./internal/decision/slotlease",
 		Why:   "without it places stand idle, which no rule is made of: resto falls to 0.85 of its share at 300 ingresses",
-		Edits: edit(lender, "now, now + min(span, MaxLeaseS) + GraceS,", "now, now + 10*min(span, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
+		Edits: edit(lender, "now + min(leaseS, MaxLeaseS) + GraceS,", "now + 10*min(leaseS, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
 	{Name: "a place is lent once", Rule: "caps kept", Unit: "./internal/decision/slotlease",
-		Edits: edit(lender, `if l.member != but {
-			n += l.slots
-`, `if l.member != but {
-			n += 0 * l.slots
+		Edits: edit(lender, `if l.member != except {
+			slots += l.slots
+`, `if l.member != except {
+			slots += 0 * l.slots
 `), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a place in use is renewed", Rule: "caps kept", Unit: "./policy",
 		Why:   "an attempt that outlives its place is one beyond the cap for as long as it lasts, which the budget of a cap of two has room for",
@@ -173,16 +173,16 @@
 		Edits: edit(rules+"gateway.go", "leaseFrom:       now + slotlease.ReportLeaseS,", "leaseFrom:       0 * slotlease.ReportLeaseS,"), Runs: []string{simPlaces + "places-storm"}},
 	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/decision/hardlimit",
 		Why:   "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
-		Edits: edit(ceilings, "-c.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
+		Edits: edit(ceilings, "-l.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
 	// ---- Nodes held by hand in two levels ----
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/withhold.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/withhold.go", "op.effectiveAt = now + c.leaseS", "op.effectiveAt = now + 1e-9"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "op.phase, op.effectiveAt = awaiting, now+c.leaseS", "op.phase, op.effectiveAt = awaiting, now+1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
 		Edits: edit("internal/controlplane/forwarder/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/controlplane/planner/holds.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/planner/cordons.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
 	// ---- The module: servers ----
 	{Name: "cold servers get their part", Rule: "cold nodes stand", Unit: "./policy",
 		Edits: edit(rules+"slow_start.go", "\treturn backend.inFlight < slowStartInFlight &&\n\t\t(sent+workS <=", "\treturn true || backend.inFlight < slowStartInFlight &&\n\t\t(sent+workS <="),
@@ -196,10 +196,10 @@
 			{in + "pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
 		Runs: []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "a node that drains is told from one that is up", Rule: "drains kept",
-		Edits: edit("internal/membership/discovery/roster.go", `"terminating": policy.Draining`, `"terminating": policy.Up`),
+		Edits: edit("internal/membership/discovery/list.go", "Terminating: policy.Draining", "Terminating: policy.Up"),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "what changed is passed on whole", Rule: "drains kept", Unit: "./internal/dataplane/ingress",
-		Edits: edit("internal/membership/discovery/roster.go", "if list.Full || len(list.Endpoints) > 0 {", "if list.Full || len(list.Endpoints) > 0 && list.Version%2 == 0 {"),
+		Edits: edit("internal/membership/discovery/watcher.go", "if list.Full || len(list.Endpoints) > 0 {", "if list.Full || len(list.Endpoints) > 0 && list.Version%2 == 0 {"),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	// ---- The ingress: what an attempt's end means ----
 	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
@@ -306,8 +306,7 @@
 	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return true || !request.mayHaveRun && request.inFlight == 0 ||"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, `	c.endOverdue()
-`, ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
+		Edits: edit(core, "\tc.endOverdue()\n", ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
 	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation):", "case msg.Epoch > cell.epoch:"),
 		Runs:  []string{simTwo + "programs"}},
@@ -329,37 +328,31 @@
 `),
 		Runs: []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit("internal/controlplane/forwarder/usage.go", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt}", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt - 1e6}"),
+		Edits: edit("internal/controlplane/forwarder/usage.go", "incompleteAt: startedAt}", "incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
 	// ---- Planners ----
 	{Name: "a lead ends before the promises that it rests on", Rule: "one leader",
-		Edits: edit("internal/controlplane/topology/fleet.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/topology/params.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
 	{Name: "a lead runs out", Rule: "one leader", Unit: "./internal/controlplane/planner",
-		Edits: []Edit{{leases, "return lease.leading && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)", "return lease.leading && lease.epoch == epoch"},
-			{leases, "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt && topology.Fenced {", "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt+1e9 && topology.Fenced {"}},
+		Edits: []Edit{{leases, "return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)", "return lease.role == leader && lease.epoch == epoch"},
+			{leases, "lease.role == leader && now >= lease.expiresAt && topology.Fenced {", "lease.role == leader && now >= lease.expiresAt+1e9 && topology.Fenced {"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a majority has to promise", Rule: "one leader", Unit: "./internal/controlplane/planner",
-		Edits: edit("internal/controlplane/topology/fleet.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
+		Edits: edit("internal/controlplane/topology/cells.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
 	{Name: "a successor takes windows for empty until all have told", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, `		if t.missingReports > 0 {
-			window.available = min(`, `		if false {
-			window.available = min(`), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "\t\tif t.missingReports > 0 {\n\t\t\twindow.available = min(", "\t\tif false {\n\t\t\twindow.available = min("), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a successor believes what was told of windows", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, "return min(p.Burst, p.Burst-window.debt+p.Rate*max(now-window.reportedAt, 0))", "return p.Burst"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "return min(plan.Burst, plan.Burst-window.debt+plan.Rate*max(now-window.reportedAt, 0))", "return plan.Burst"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "of several tales the latest pass holds", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, "if !window.reported || msg.Handle > window.epoch || msg.Handle == window.epoch && msg.Round > window.reportedSeq {", "if !window.reported || msg.Handle < window.epoch || msg.Handle == window.epoch && msg.Round < window.reportedSeq {"),
+		Edits: edit(windows, "!window.reported || epoch > window.epoch || epoch == window.epoch && seq > window.reportedSeq {", "!window.reported || epoch < window.epoch || epoch == window.epoch && seq < window.reportedSeq {"),
 		Runs:  []string{simTwo + "ceilings"}},
 	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, `	window.available -= units
-	t.admissions++`, "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "\twindow.available -= units\n\tt.admissions++", "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/controlplane/planner",
-		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit(host, `			c.reportCounts(request.cellID, cell.windows.setOrphans(now, forwarder, request.account, request.plan, inFlight[request.account]))
-`, ""), Runs: []string{simTwo + "lonely"}},
+		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Edits: edit("internal/controlplane/planner/requests.go", "\t\tc.applyCounts(request.cellID, cell.windows.setOrphans(c.now, forwarder, request.account, request.plan, attempts))\n", ""), Runs: []string{simTwo + "lonely"}},
 	{Name: "a planner tells its module of earlier passes", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(host, `	c.reportCounts(int(msg.Cell), cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan)))
-`, `	cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan))
-`), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit("internal/controlplane/planner/requests.go", "\tc.applyCounts(cellID, cell.windows.initialCounts(c.now, msg.Name, planIndex))\n", "\tcell.windows.initialCounts(c.now, msg.Name, planIndex)\n"), Runs: []string{simTwo + "ceilings"}},
 	// ---- Membership from etcd ----
 	{Name: "a stale source takes nothing back", Rule: "none on a stale word", Unit: "./internal/membership/merge",
 		Edits: edit("internal/membership/merge/core.go", "if !s.current && s.relaxes(n) {", "if false {"), Runs: []string{labEtcd}},
@@ -413,10 +406,7 @@
 	clear(c.planners)`), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
-		Why: "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
-		Edits: edit("internal/controlplane/transport/conn.go", `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
-`, `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
-	idleTimeout = time.Hour
-`),
-		Runs: []string{labTwo + "programs"}},
+		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
+		Edits: edit("internal/controlplane/transport/conn.go", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n\tidleTimeout = time.Hour\n"),
+		Runs:  []string{labTwo + "programs"}},
 }
