--- /dev/null
+++ b/policy/account_test.go
@@ -0,0 +1,127 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+
+	"eiderspread/internal/base/peerprotocol"
+)
+
+// accountOwnedElsewhere is the name of an account that another gateway owns.
+func accountOwnedElsewhere(g *Gateway) (name string) {
+	for i := 0; ; i++ {
+		if name = fmt.Sprint("k", i); g.findOwner(&accountState{point: peerprotocol.HashPoint(name), gatewayCount: g.settings.Gateways}, false) != g.settings.Self {
+			return name
+		}
+	}
+}
+
+// Backends that were removed and accounts that were used once do not stay in memory.
+func TestState_IdleEntriesAreEvicted(t *testing.T) {
+	g, r := newTestGateway(t, alone)
+	for i := range 500 {
+		now := 200 + float64(i)*0.1
+		g.UpdateBackends(now, []Backend{{ID: fmt.Sprint("new", i), Zone: "a"}}, true)
+		id := fmt.Sprint("q", i)
+		g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "capped", Account: id, DeadlineAt: now + 2, GatewayCount: 1, Units: 4})
+		for _, a := range r.of("send", id) {
+			g.HandleOutcome(now, Outcome{ID: id, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.1})
+		}
+		g.HandleTimer(now, 1)
+	}
+	most := int((accountTTLS + accountTTLS/2) / 0.1)
+	if n, hashes := g.backends.Len(); n > most || hashes > most || len(g.accounts) > most {
+		t.Errorf("%d backends, %d hashes and %d accounts in memory, want at most %d", n, hashes,
+			len(g.accounts), most)
+	}
+	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Account: "held", DeadlineAt: 254, GatewayCount: 1, Units: 4})
+	g.HandleTimer(290, 1)
+	if retained := g.accountByKey(uint32(peerprotocol.HashPoint("held") >> 32)); len(r.of("send", "held")) != 1 || retained == nil {
+		t.Error("an account with an attempt in flight is evicted")
+	}
+}
+
+// A member that has evicted an account starts its count at 0. Whoever of the two evicted what, the owner must not take that for
+// units handed back, nor miss the new ones.
+func TestQuota_OwnerAndMemberEvictConsistently(t *testing.T) {
+	for _, pause := range []float64{1, memberTTLS - 1, memberTTLS + 1, accountTTLS - 0.5, accountTTLS + 0.5, 2 * accountTTLS, 4 * accountTTLS} {
+		g, r, pump := newPair(t)
+		var q Request
+		for i := range 100 { // an account of g[0] with requests at g[1] alone
+			q = Request{Class: "pay", Plan: "basic", Account: fmt.Sprint("c", i), FirstGateway: 0, GatewayCount: 2, Units: 2}
+			if g[1].owner(g[1].accountFor(q)) == 0 {
+				break
+			}
+		}
+		now, n := 100.0, 0
+		run := func(until float64) {
+			for ; now < until; now += 0.02 {
+				g[0].HandleTimer(now, 1)
+				g[1].HandleTimer(now, 1)
+				pump(now)
+			}
+		}
+		sendOne := func() bool {
+			n++
+			q.ID, q.DeadlineAt = fmt.Sprint("q", n), now+4
+			g[1].HandleRequest(now, q)
+			run(now + 0.2)
+			sent := r[1].of("send", q.ID)
+			for _, a := range sent {
+				g[1].HandleOutcome(now, Outcome{ID: q.ID, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.1})
+			}
+			run(now + 0.2)
+			return len(sent) > 0
+		}
+		for range 3 {
+			sendOne()
+		}
+		run(now + pause)
+		before := now
+		passed := 0
+		for range 8 {
+			if sendOne() {
+				passed++
+			}
+		}
+		// A window of 8 that fills at 2 a second, and requests of 2.
+		if most := int((8 + 2*(now-before)) / 2); passed > most || passed < min(most, 8)-2 {
+			t.Errorf("after a pause of %v s %d of 8 passed, %d are inside the quota", pause, passed, most)
+		}
+	}
+}
+
+// accountByKey finds an account of whatever plan by its key.
+func (g *Gateway) accountByKey(key uint32) *accountState {
+	for id, account := range g.accounts {
+		if id.key == key {
+			return account
+		}
+	}
+	return nil
+}
+
+// An account is never served by another plan's figures: after it moved, or if its hash is that of an account of another plan.
+func TestAccount_PlanChangeIsNewAccount(t *testing.T) {
+	g, r := newTestGateway(t, alone)
+	submit(g, 100, "old", "read", "wide", 4)
+	for i := range 12 { // the same account, by the plan of a quota of 8
+		g.HandleRequest(100, Request{ID: fmt.Sprint("q", i), Class: "pay", Plan: "basic", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
+	}
+	if n := len(r.of("send", "")); n != 9 {
+		t.Errorf("%d sent, want the first and a burst of 8", n)
+	}
+	for _, n := range r.of("send", "") {
+		g.HandleOutcome(100.1, Outcome{ID: n.id, Backend: n.backend, Status: OK, Completed: true})
+	}
+	parts := g.Snapshot(100.2)
+	next, nr := newTestGateway(t, alone)
+	for _, p := range parts {
+		next.Restore(100.3, p)
+	}
+	next.HandleRequest(100.3, Request{ID: "more", Class: "pay", Plan: "basic", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
+	next.HandleRequest(100.3, Request{ID: "still", Class: "pay", Plan: "wide", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
+	if len(nr.of("reject", "more")) != 1 || len(nr.of("send", "still")) != 1 {
+		t.Errorf("after the snapshot: %+v", nr.actions)
+	}
+}
--- /dev/null
+++ b/policy/client_retry_test.go
@@ -0,0 +1,62 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+// When clients begin to use another timeout, that soon is a timeout of first attempts.
+func TestClientRetry_NewTimeoutIsLearned(t *testing.T) {
+	g, r := newTestGateway(t, alone)
+	now := 100.0
+	sent := func(n int, d float64) (sent int) {
+		for range n {
+			now += 0.02
+			id := fmt.Sprint("q", now)
+			g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "wide", Account: "c", DeadlineAt: now + d, GatewayCount: 1, Units: 1})
+			for _, a := range r.of("send", id) {
+				sent++
+				g.HandleOutcome(now, Outcome{ID: id, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.1})
+			}
+			g.HandleTimer(now, 1)
+		}
+		return sent
+	}
+	if n := sent(2000, 2); n != 2000 {
+		t.Fatalf("%d of 2000 sent", n)
+	}
+	sent(128, 0.9)
+	if n := sent(200, 0.9); n != 200 {
+		t.Errorf("%d of 200 sent, after as many as count came with the new timeout", n)
+	}
+}
+
+// Clients' retries are rejected once their first attempt's latency objective is missed.
+func TestClientRetry_IsRecognized(t *testing.T) {
+	g, r := newTestGateway(t, alone)
+	for i := range 40 {
+		id := fmt.Sprint("q", i)
+		submit(g, 100+float64(i), id, "read", "basic", 1)
+		g.HandleOutcome(100+float64(i), Outcome{ID: id, Backend: r.of("send", id)[0].backend, Status: OK, Completed: true, LatencyS: 0.1})
+	}
+	sendOne := func(id, customer string, remaining float64) (sent, rejected int) {
+		g.HandleRequest(150, Request{ID: id, Class: "read", Plan: "basic", Account: customer, DeadlineAt: 150 + remaining, GatewayCount: 1, Units: 1})
+		return len(r.of("send", id)), len(r.of("reject", id))
+	}
+	if sent, _ := sendOne("first", "x", 0.8); sent != 1 {
+		t.Fatal("a first attempt with little time left was rejected, of an account without rejections")
+	}
+	g.accountFor(Request{Account: "x", Plan: "basic"}).rejectedAt = 149
+	if sent, rejected := sendOne("late", "x", 0.8); sent != 0 || rejected != 1 {
+		t.Fatal("a retry past its objective was sent")
+	}
+	if sent, _ := sendOne("soon", "x", 1.7); sent != 1 {
+		t.Fatal("a retry that can still meet its objective was rejected")
+	}
+	for i := range 4 { // each half a second's worth of the rate, in no time
+		sendOne(fmt.Sprint("many", i), "y", 2)
+	}
+	if sent, _ := sendOne("over", "y", 0.8); sent != 0 {
+		t.Fatal("a retry past its objective was sent, of an account over its rate")
+	}
+}
--- /dev/null
+++ b/policy/decision_trace_test.go
@@ -0,0 +1,38 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+
+	"eiderspread/internal/decision/reason"
+)
+
+// Each decision that ends or admits a request has one reason. Nothing is recorded without a tracer.
+func TestTrace_DecisionsCarryReasons(t *testing.T) {
+	g, r := newTestGateway(t, alone)
+	var list []reason.Decision
+	submit(g, 100, "untraced", "pay", "basic", 1)
+	g.SetTracer(func(decision reason.Decision) { list = append(list, decision) })
+	for i := range 12 {
+		submit(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
+	}
+	g.HandleRequest(101, Request{ID: "late", Class: "read", Plan: "wide", Account: "w", DeadlineAt: 101.01, GatewayCount: 1, Units: 1})
+	reasons := map[reason.Step]map[reason.Reason]int{}
+	for _, decision := range list {
+		if reasons[decision.Step] == nil {
+			reasons[decision.Step] = map[reason.Reason]int{}
+		}
+		reasons[decision.Step][decision.Reason]++
+	}
+	if reasons[reason.StepArrived][reason.OwnerCount] != 7+1 || reasons[reason.StepRejected][reason.WindowExhausted] != 5 || reasons[reason.StepRejected][reason.ObjectiveMissed] != 1 {
+		t.Errorf("%v", reasons)
+	}
+	if rejected := len(r.of("reject", "")); rejected != 6 {
+		t.Errorf("%d rejected", rejected)
+	}
+	for _, decision := range list {
+		if decision.ID == "untraced" {
+			t.Error("recorded without a tracer")
+		}
+	}
+}
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -1,13 +1,15 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+)
 
-// Guards the schedule of a drain: what is decided at each time of it.
+// What is decided at each time of a drain.
 func TestDrain_Schedule(t *testing.T) {
 	const call = 1000.0
 	for _, x := range []struct {
-		after                 float64
-		idle, refused, retire bool // an idle connection is closed; a request is refused; connections in use end
+		after                   float64
+		idle, rejected, closing bool // an idle connection is closed; a request is rejected; connections in use close
 	}{
 		{0, false, false, false},
 		{0.49, false, false, false},
@@ -31,11 +33,11 @@
 		if d.CloseIdle(now, now-0.1, false) {
 			t.Errorf("after %v: a connection used just now is closed", x.after)
 		}
-		if got := d.CloseAfterResponse(now); got != x.retire {
+		if got := d.CloseAfterResponse(now); got != x.closing {
 			t.Errorf("after %v: connections in use end: %v", x.after, got)
 		}
-		if reject != x.refused {
-			t.Errorf("after %v: refused: %v", x.after, reject)
+		if reject != x.rejected {
+			t.Errorf("after %v: rejected: %v", x.after, reject)
 		}
 		if d.End(); d.Active() || d.CloseIdle(now, call, false) || d.CloseAfterResponse(now) || d.Elapsed(now) != 0 {
 			t.Errorf("after %v: a drain that has ended goes on", x.after)
@@ -43,7 +45,7 @@
 	}
 }
 
-// Guards the operators' page: at the end of the time allowed no request that was taken is younger than 2 s.
+// At the end of the time that operators allow no open request is younger than 2 s.
 func TestDrain_NoRecentRequestsAtEnd(t *testing.T) {
 	d := Drain{}
 	d.Begin(0)
@@ -60,3 +62,23 @@
 		t.Error(d.RemainingS(1), d.RemainingS(9), d.NextIdleCheckS(0), d.NextIdleCheckS(2))
 	}
 }
+
+// The check at the end of a drain finds connections that break the rule, and no others.
+func TestDrain_Overdue(t *testing.T) {
+	d := Drain{}
+	d.Begin(0)
+	for name, x := range map[string]struct {
+		now, accepted, used, last float64
+		idle, want                bool
+	}{
+		"before the end":             {3.9, 0, 0, 0, true, false},
+		"idle":                       {4.05, 0, 3, 2, true, true},
+		"opened just now":            {4.05, 4, 4, 0, true, false},
+		"with a recent request":      {4.05, 3, 3, 3, false, true},
+		"with a request of long ago": {4.05, 1, 1.5, 1.5, false, false},
+	} {
+		if got := d.Overdue(x.now, x.accepted, x.used, x.last, x.idle); got != x.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -17,7 +17,7 @@
 	in.sent = append(in.sent, backend)
 	fmt.Printf("%s: send %s to %s\n", in.name, id, backend)
 }
-func (in *ingress) Reject(id string, retryAfterS float64) { fmt.Printf("%s: refuse %s\n", in.name, id) }
+func (in *ingress) Reject(id string, retryAfterS float64) { fmt.Printf("%s: reject %s\n", in.name, id) }
 func (in *ingress) Fail(id string)                        { fmt.Printf("%s: fail %s\n", in.name, id) }
 func (in *ingress) Cancel(id string, attempt int)         {}
 func (in *ingress) SetTimer(token uint64, delayS float64) {}
@@ -51,10 +51,10 @@
 	g.HandleOutcome(10.1, policy.Outcome{ID: "r0", Backend: "10.0.0.1:80", Status: policy.OK, Completed: true, LatencyS: 0.1})
 	// Output:
 	// gateway: send r0 to 10.0.0.1:80
-	// gateway: refuse r1
+	// gateway: reject r1
 }
 
-// Two gateways keep one customer to one quota: what one lets in, the other hears of.
+// Two gateways keep one account to one quota: what one admits is reported to the other.
 func ExampleGateway_owners() {
 	ins := [2]*ingress{{name: "west"}, {name: "east"}}
 	var gates [2]*policy.Gateway
@@ -81,7 +81,7 @@
 	ask(1, "second")
 	// Output:
 	// west: send first to 10.0.0.1:80
-	// east: refuse second
+	// east: reject second
 }
 
 // Invalid settings come back as an error.
--- a/policy/overload_test.go
+++ b/policy/load_shedding_test.go
@@ -8,9 +8,8 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// Asked for far more than its servers do, a gateway that sheds refuses at the door: at once, without a charge
-// to the quota, what is worth least first, with hints inside the settings; what it lets in is sent, and once
-// less is asked for nothing is refused. Without it nothing is refused at the door.
+// Under overload requests are shed at arrival, the lowest priority first, without a charge to the quota and with hints within
+// the settings. What is admitted is sent. Nothing is shed once demand is back to normal, nor with load shedding off.
 func TestLoadShedding_RejectsBeforeQuota(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		g, r := newTestGateway(t, func(settings *Settings) {
@@ -25,7 +24,7 @@
 		n, done := 0, 0
 		now, next := 100.0, 100.0
 		play := func(seconds float64, every float64) (rejected int) {
-			before := len(r.of("refuse", ""))
+			before := len(r.of("reject", ""))
 			for end := now + seconds; now < end; now += 0.02 {
 				for ; next < now+0.02; next += every {
 					n++
@@ -36,21 +35,21 @@
 					}
 					g.HandleRequest(now, Request{ID: fmt.Sprint(n), Class: c, Plan: "wide", Account: fmt.Sprint("c", n%40), DeadlineAt: now + 4 - 2*float64((n+1)%2),
 						GatewayCount: 1, Units: 1})
-					if last := r.actions[was:]; len(last) > 0 && last[0].kind == "refuse" {
+					if last := r.actions[was:]; len(last) > 0 && last[0].kind == "reject" {
 						if account := g.accountByKey(uint32(peerprotocol.HashPoint(fmt.Sprint("c", n%40)) >> 32)); account.admittedUnits != total {
-							t.Fatalf("%d was refused and charged", n)
+							t.Fatalf("%d was rejected and charged", n)
 						}
 						if last[0].value < 0 || last[0].value > 0.5 {
 							t.Fatalf("hint %g", last[0].value)
 						}
 					}
 				}
-				for sends := r.of("send", ""); done < len(sends) && done < int((now-100)*30); done++ { // thirty a second are served
+				for sends := r.of("send", ""); done < len(sends) && done < int((now-100)*30); done++ { // thirty a second are answered
 					g.HandleOutcome(now, Outcome{ID: sends[done].id, Backend: sends[done].backend, Status: OK, LatencyS: 0.1})
 				}
 				g.HandleTimer(now, 1)
 			}
-			return len(r.of("refuse", "")) - before
+			return len(r.of("reject", "")) - before
 		}
 		play(4, 0.005)
 		if !on {
@@ -64,7 +63,7 @@
 		}
 		play(4, 0.1)
 		if requeued := play(2, 0.1); g.Shedder().Level() > 0.05 || requeued > 2 {
-			t.Errorf("level %.2f and %d refused long after", g.Shedder().Level(), requeued)
+			t.Errorf("level %.2f and %d rejected long after", g.Shedder().Level(), requeued)
 		}
 	}
 }
--- /dev/null
+++ b/policy/selection_test.go
@@ -0,0 +1,56 @@
+package policy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// A backend that fails is quick about it and always has capacity: requests wait for a healthy one, as long as most are.
+func TestSelection_WaitsForHealthyBackend(t *testing.T) {
+	g, r := newTestGateway(t, alone)
+	g.adaptiveLimit = 4.5 // two at each backend
+	erring := func(id string, class string) {
+		submit(g, 100, id, class, "wide", 1)
+		g.requests[id].attempts[0].backend = g.backends.ByID["s1"]
+		g.backends.ByID["s1"].inFlight++
+		g.HandleOutcome(100, Outcome{ID: id, Status: Error, LatencyS: 0.001})
+		g.HandleOutcome(100, Outcome{ID: id, Attempt: 1, Status: OK, Completed: true, LatencyS: 0.01})
+	}
+	for i := range 3 {
+		erring(fmt.Sprint("e", i), "read")
+	}
+	if backend := g.backends.ByID["s1"]; backend.ErrorScore(g.classes["read"].index, g.now) < 0.5 || backend.ErrorRate(g.classes["read"].index) < 0.2 {
+		t.Fatalf("no occasion: %+v", backend)
+	}
+	g.backends.ByID["s1"].inFlight = 0
+	for i := range 6 {
+		submit(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
+	}
+	for _, a := range r.of("send", "") {
+		if strings.HasPrefix(a.id, "q") && a.backend == "s1" {
+			t.Errorf("%s went to the backend that fails", a.id)
+		}
+	}
+	if len(g.queue) == 0 {
+		t.Fatal("no occasion: nothing had to wait")
+	}
+	waiting := g.queue[0].ID
+	r.actions = nil
+	g.HandleOutcome(100.01, Outcome{ID: "q0", Status: OK, Completed: true, LatencyS: 0.01})
+	if a := r.of("send", waiting); len(a) != 1 || a[0].backend == "s1" {
+		t.Errorf("the request that waited went %v", a)
+	}
+	submit(g, 100.01, "unsafe", "pay", "wide", 1)
+	if a := r.of("send", "unsafe"); len(a) > 0 && a[0].backend == "s1" {
+		t.Error("a request that is not idempotent went to a backend that fails another class")
+	}
+	for _, id := range []string{"s2", "s3"} { // most are unhealthy: one that has capacity gets it
+		g.recordFailure(g.backends.ByID[id], nil, 0.95)
+	}
+	r.actions = nil
+	g.HandleTimer(100.02, 1)
+	if len(r.of("send", "")) == 0 {
+		t.Error("nothing is sent though most backends are unhealthy")
+	}
+}
