--- a/cmd/decisiontrace/main.go
+++ b/cmd/decisiontrace/main.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if run.Lost > 0 || run.Cut > 0 {
-		fmt.Fprintf(os.Stderr, "decisiontrace: %d records were lost for want of room, %d of %d files are cut off: counts are too low\n", run.Lost, run.Cut, run.Files)
+	if run.Lost > 0 || run.Truncated > 0 {
+		fmt.Fprintf(os.Stderr, "decisiontrace: %d records were lost for want of room, %d of %d files are cut off: counts are too low\n", run.Lost, run.Truncated, run.Files)
 	}
 	return run, func(r analyse.Record) bool {
 		at := r.At - run.Start
@@ -73,8 +73,8 @@
 		}
 		keys = append(keys, key)
 	}
-	rows := run.By(func(r analyse.Record) bool {
-		return inside(r) && (c.Step == "refused" && analyse.Refused(r) || r.Step.String() == c.Step) && (c.Why == "" || r.Reason.String() == c.Why) &&
+	rows := run.SumBy(func(r analyse.Record) bool {
+		return inside(r) && (c.Step == "refused" && analyse.Rejected(r) || r.Step.String() == c.Step) && (c.Why == "" || r.Reason.String() == c.Why) &&
 			(c.Plan == "" || r.Plan == c.Plan)
 	}, func(r analyse.Record) string {
 		var parts []string
@@ -86,7 +86,7 @@
 	if c.Most > 0 && len(rows) > c.Most {
 		rows = rows[:c.Most]
 	}
-	return analyse.Print(os.Stdout, c.By, rows)
+	return analyse.PrintTable(os.Stdout, c.By, rows)
 }
 
 type storyCmd struct {
@@ -111,7 +111,7 @@
 	case c.ID == "":
 		return fmt.Errorf("a story needs --id or --account")
 	}
-	return run.CSV(os.Stdout, func(r analyse.Record) bool {
+	return run.WriteCSV(os.Stdout, func(r analyse.Record) bool {
 		return inside(r) && (c.ID == "" || r.ID == c.ID) && (c.Account == "" || uint64(r.Account) == key)
 	})
 }
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	return run.CSV(os.Stdout, func(r analyse.Record) bool { return inside(r) && (!c.Refused || analyse.Refused(r)) })
+	return run.WriteCSV(os.Stdout, func(r analyse.Record) bool { return inside(r) && (!c.Refused || analyse.Rejected(r)) })
 }
 
 type plotCmd struct {
@@ -141,21 +141,21 @@
 	if err != nil {
 		return err
 	}
-	refused := func(r analyse.Record) bool { return inside(r) && analyse.Refused(r) }
+	refused := func(r analyse.Record) bool { return inside(r) && analyse.Rejected(r) }
 	path := filepath.Join(c.Out, "reasons.png")
-	if err := plots.Reasons(run, c.Step, refused, path); err != nil {
+	if err := plots.RejectionReasons(run, c.Step, refused, path); err != nil {
 		return err
 	}
 	fmt.Println(path)
 	if c.Account == "" {
-		rows := run.By(refused, analyse.Keys["account"])
+		rows := run.SumBy(refused, analyse.Keys["account"])
 		if len(rows) == 0 {
 			return nil
 		}
 		c.Account = rows[0].Key
 	}
 	path = filepath.Join(c.Out, "rooms-"+c.Account+".png")
-	if err := plots.Rooms(run, c.Account, inside, path); err != nil {
+	if err := plots.AvailableUnits(run, c.Account, inside, path); err != nil {
 		return err
 	}
 	fmt.Println(path)
--- a/cmd/testbed/sim.go
+++ b/cmd/testbed/sim.go
@@ -195,7 +195,7 @@
 		if err != nil {
 			return err
 		}
-		w, err := trace.NewWriter(f, trace.Header{Name: fmt.Sprint("sim", i), Me: i, Gateways: len(told), Plans: cfg.Plans, Classes: cfg.Classes})
+		w, err := trace.NewWriter(f, trace.Header{Name: fmt.Sprint("sim", i), Gateway: i, Gateways: len(told), Plans: cfg.Plans, Classes: cfg.Classes})
 		if err == nil {
 			err = w.Write(list, 0)
 		}
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -123,8 +123,8 @@
 	}
 	if s.cfg.TraceFolder != "" {
 		settings := s.cfg.Ingress.Settings
-		recorder, err := trace.Start(serveCtx, s.cfg.TraceFolder, s.cfg.TraceMB, trace.Header{Name: fmt.Sprint("planner-", s.cfg.Number), Me: s.cfg.Number, Gateways: s.cfg.Planners,
-			Started: s.clock.Now(), Plans: settings.Plans, Classes: settings.Classes}, s.log)
+		recorder, err := trace.Start(serveCtx, s.cfg.TraceFolder, s.cfg.TraceMB, trace.Header{Name: fmt.Sprint("planner-", s.cfg.Number), Gateway: s.cfg.Number, Gateways: s.cfg.Planners,
+			StartedAt: s.clock.Now(), Plans: settings.Plans, Classes: settings.Classes}, s.log)
 		if err != nil {
 			return err
 		}
--- a/internal/dataplane/ingress/tracing.go
+++ b/internal/dataplane/ingress/tracing.go
@@ -14,7 +14,7 @@
 		return nil, nil
 	}
 	s := cfg.Settings.Settings
-	to, err := trace.Start(ctx, cfg.OperatorConfig.Trace, cfg.OperatorConfig.TraceMB, trace.Header{Name: cfg.Name, Me: s.Self, Gateways: s.Gateways, Started: now,
+	to, err := trace.Start(ctx, cfg.OperatorConfig.Trace, cfg.OperatorConfig.TraceMB, trace.Header{Name: cfg.Name, Gateway: s.Self, Gateways: s.Gateways, StartedAt: now,
 		Plans: s.Plans, Classes: s.Classes}, log)
 	if err == nil {
 		gate.SetTracer(to.Put)
--- a/internal/observability/trace/analyse/run.go
+++ b/internal/observability/trace/analyse/run.go
@@ -17,25 +17,25 @@
 // every first send of every gateway at once. Units; they mean nothing where Counted is false.
 type Record struct {
 	reason.Decision
-	Gateway int
-	Name    string
-	Counted bool    // the account has a plan with a rate
-	Free    float64 // left in its window
-	CeilOK  bool    // its ceiling held the units
+	Gateway         int
+	Name            string
+	Counted         bool    // the account has a plan with a rate
+	WindowFree      float64 // left in its window
+	WithinHardLimit bool    // its ceiling held the units
 }
 
 // Fits tells that the units would have been inside quota and ceiling.
-func (r Record) Fits() bool { return r.Counted && r.Units <= r.Free && r.CeilOK }
+func (r Record) Fits() bool { return r.Counted && r.Units <= r.WindowFree && r.WithinHardLimit }
 
 // Run is all that was traced.
 type Run struct {
-	Records []Record // by time
-	Plans   map[string]policy.Plan
-	Classes map[string]policy.Class
-	Start   float64 // the earliest record's time
-	Lost    uint64
-	Cut     int // files that end in the middle of a record
-	Files   int
+	Records   []Record // by time
+	Plans     map[string]policy.Plan
+	Classes   map[string]policy.Class
+	Start     float64 // the earliest record's time
+	Lost      uint64
+	Truncated int // files that end in the middle of a record
+	Files     int
 }
 
 // Load reads and joins files.
@@ -70,11 +70,11 @@
 			run.Classes[c.Name] = c
 		}
 		run.Lost += f.Lost
-		if f.Cut {
-			run.Cut++
+		if f.Truncated {
+			run.Truncated++
 		}
 		for _, d := range f.Decisions {
-			run.Records = append(run.Records, Record{Decision: d, Gateway: f.Me, Name: f.Name})
+			run.Records = append(run.Records, Record{Decision: d, Gateway: f.Gateway, Name: f.Name})
 		}
 	}
 	slices.SortStableFunc(run.Records, func(a, b Record) int { return cmp.Compare(a.At, b.At) })
@@ -108,13 +108,13 @@
 			a = &account{window{p.Burst, r.At}, window{p.HardLimitBurst, r.At}}
 			accounts[r.Account] = a
 		}
-		r.Counted, r.CeilOK = true, true
-		r.Free = a.quota.now(r.At, p.Rate, p.Burst)
+		r.Counted, r.WithinHardLimit = true, true
+		r.WindowFree = a.quota.now(r.At, p.Rate, p.Burst)
 		if p.HardLimitRate > 0 {
-			r.CeilOK = r.Units <= a.ceiling.now(r.At, p.HardLimitRate, p.HardLimitBurst)
+			r.WithinHardLimit = r.Units <= a.ceiling.now(r.At, p.HardLimitRate, p.HardLimitBurst)
 		}
 		if r.Step == reason.StepSent && r.Attempt == 0 {
-			if r.Units <= r.Free { // beyond the quota nothing is taken from it
+			if r.Units <= r.WindowFree { // beyond the quota nothing is taken from it
 				a.quota.room -= r.Units
 			}
 			a.ceiling.room -= r.Units
@@ -122,8 +122,8 @@
 	}
 }
 
-// Worth is what a request's good answer earns inside the quota.
-func (run *Run) Worth(r Record) float64 {
+// Value is what a request's good answer earns inside the quota.
+func (run *Run) Value(r Record) float64 {
 	price := 1.0
 	if p, ok := run.Plans[r.Plan]; ok {
 		price = p.Weight
--- a/internal/observability/trace/bench_test.go
+++ b/internal/observability/trace/bench_test.go
@@ -8,17 +8,17 @@
 	"eiderspread/policy"
 )
 
-// nobody takes a module's actions; it remembers where the last request was sent.
-type nobody struct{ server string }
+// nullActions takes a module's actions; it remembers where the last request was sent.
+type nullActions struct{ server string }
 
-func (n *nobody) Send(_, server string, _ float64) { n.server = server }
-func (*nobody) Reject(string, float64)             {}
-func (*nobody) Fail(string)                        {}
-func (*nobody) Cancel(string, int)                 {}
-func (*nobody) SetTimer(uint64, float64)           {}
-func (*nobody) Probe(string)                       {}
-func (*nobody) SendPeerMessage(int, []byte)        {}
-func (*nobody) Log(string)                         {}
+func (n *nullActions) Send(_, server string, _ float64) { n.server = server }
+func (*nullActions) Reject(string, float64)             {}
+func (*nullActions) Fail(string)                        {}
+func (*nullActions) Cancel(string, int)                 {}
+func (*nullActions) SetTimer(uint64, float64)           {}
+func (*nullActions) Probe(string)                       {}
+func (*nullActions) SendPeerMessage(int, []byte)        {}
+func (*nullActions) Log(string)                         {}
 
 // BenchmarkModule is what a request and its answer cost the module with nobody asking for reasons, and with the recorder's ring. The
 // writer's part, off the loop, is BenchmarkWrite.
@@ -29,7 +29,7 @@
 			name = "on"
 		}
 		b.Run(name, func(b *testing.B) {
-			n := &nobody{}
+			n := &nullActions{}
 			s := policy.Settings{Gateways: 1, MaxAttempts: 3, MaxRequestUnits: 4, Classes: []policy.Class{{Name: "look", LatencyObjectiveS: 1, DeadlineS: 2, PriorityWeight: 1}},
 				Plans: []policy.Plan{{Name: "p", Rate: 1e9, Burst: 1e9, Weight: 1, HardLimitRate: 2e9, HardLimitBurst: 2e9}}}
 			now := 100.0
@@ -52,7 +52,7 @@
 				g.HandleOutcome(now+0.00005, policy.Outcome{ID: id, Backend: n.server, Status: policy.OK, Completed: true, LatencyS: 0.01})
 				if i%200 == 0 {
 					g.HandleTimer(now, 1)
-					list, _ = r.Take(list[:0])
+					list, _ = r.Drain(list[:0])
 				}
 			}
 		})
@@ -61,14 +61,14 @@
 
 // BenchmarkWrite is what a record costs the writer, and its size on disk.
 func BenchmarkWrite(b *testing.B) {
-	c := &counter{to: discard{}}
+	c := &byteCounter{to: discard{}}
 	w, err := NewWriter(c, Header{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	list := make([]reason.Decision, 1000)
 	for i := range list {
-		list[i] = record(i)
+		list[i] = testRecord(i)
 		list[i].RemainingS, list[i].ObjectiveRemainingS, list[i].MeanLatencyS, list[i].HardLimitLocal, list[i].HardLimitShared, list[i].LocalDemand, list[i].OtherDemand = 1, 0.5, 0.1, 3, 4, 20, 30
 	}
 	n := 0
--- a/internal/observability/trace/file.go
+++ b/internal/observability/trace/file.go
@@ -17,14 +17,14 @@
 
 // Header is the first item of a file.
 type Header struct {
-	Magic    string         `cbor:"1,keyasint"`
-	Version  int            `cbor:"2,keyasint"`
-	Name     string         `cbor:"3,keyasint"` // of the gateway
-	Me       int            `cbor:"4,keyasint"`
-	Gateways int            `cbor:"5,keyasint"`
-	Started  float64        `cbor:"6,keyasint"` // Unix seconds, by the gateway's clock
-	Plans    []config.Plan  `cbor:"7,keyasint"`
-	Classes  []config.Class `cbor:"8,keyasint"`
+	Magic     string         `cbor:"1,keyasint"`
+	Version   int            `cbor:"2,keyasint"`
+	Name      string         `cbor:"3,keyasint"` // of the gateway
+	Gateway   int            `cbor:"4,keyasint"`
+	Gateways  int            `cbor:"5,keyasint"`
+	StartedAt float64        `cbor:"6,keyasint"` // Unix seconds, by the gateway's clock
+	Plans     []config.Plan  `cbor:"7,keyasint"`
+	Classes   []config.Class `cbor:"8,keyasint"`
 }
 
 const magic = "eiderspread.trace"
@@ -37,76 +37,76 @@
 
 // Writer writes a file: a CBOR sequence (RFC 8742). It is of one goroutine.
 type Writer struct {
-	buf   *bufio.Writer
-	enc   *cbor.Encoder
-	count *counter
+	buffer  *bufio.Writer
+	encoder *cbor.Encoder
+	counter *byteCounter
 }
 
-type counter struct {
-	to io.Writer
-	n  int64
+type byteCounter struct {
+	to    io.Writer
+	count int64
 }
 
 // Write implements io.Writer.
-func (c *counter) Write(b []byte) (int, error) {
+func (c *byteCounter) Write(b []byte) (int, error) {
 	n, err := c.to.Write(b)
-	c.n += int64(n)
+	c.count += int64(n)
 	return n, err
 }
 
 // NewWriter writes the header.
 func NewWriter(to io.Writer, h Header) (*Writer, error) {
 	h.Magic, h.Version = magic, Version
-	c := &counter{to: to}
-	w := &Writer{buf: bufio.NewWriterSize(c, 32<<10), count: c}
-	w.enc = cbor.NewEncoder(w.buf)
-	if err := w.enc.Encode(h); err != nil {
+	c := &byteCounter{to: to}
+	w := &Writer{buffer: bufio.NewWriterSize(c, 32<<10), counter: c}
+	w.encoder = cbor.NewEncoder(w.buffer)
+	if err := w.encoder.Encode(h); err != nil {
 		return nil, fmt.Errorf("trace: header: %w", err)
 	}
-	return w, w.buf.Flush()
+	return w, w.buffer.Flush()
 }
 
 // Write appends records, behind a note of those that were lost before them, and hands all of it on.
 func (w *Writer) Write(list []reason.Decision, lost uint64) error {
 	if lost > 0 {
-		if err := w.enc.Encode(item{Lost: lost}); err != nil {
+		if err := w.encoder.Encode(item{Lost: lost}); err != nil {
 			return fmt.Errorf("trace: %w", err)
 		}
 	}
 	for i := range list {
-		if err := w.enc.Encode(item{Decision: &list[i]}); err != nil {
+		if err := w.encoder.Encode(item{Decision: &list[i]}); err != nil {
 			return fmt.Errorf("trace: %w", err)
 		}
 	}
-	if err := w.buf.Flush(); err != nil {
+	if err := w.buffer.Flush(); err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
 	return nil
 }
 
 // Size is what was written, in bytes.
-func (w *Writer) Size() int64 { return w.count.n }
+func (w *Writer) Size() int64 { return w.counter.count }
 
 // File is what a file holds.
 type File struct {
 	Header
 	Decisions []reason.Decision
 	Lost      uint64 // records that the ring had no room for
-	Cut       bool   // the file ends in the middle of a record, or in something that is none
+	Truncated bool   // the file ends in the middle of a record, or in something that is none
 }
 
-// ErrNoTrace is returned for what does not begin with a header of this version.
-var ErrNoTrace = errors.New("not a trace of this version")
+// ErrNotTrace is returned for what does not begin with a header of this version.
+var ErrNotTrace = errors.New("not a trace of this version")
 
 // Read reads a file up to its last whole record.
 func Read(from io.Reader) (*File, error) {
 	dec := cbor.NewDecoder(bufio.NewReaderSize(from, 64<<10))
 	f := &File{}
 	if err := dec.Decode(&f.Header); err != nil || f.Magic != magic {
-		return nil, ErrNoTrace
+		return nil, ErrNotTrace
 	}
 	if f.Version != Version {
-		return nil, fmt.Errorf("%w: version %d, want %d", ErrNoTrace, f.Version, Version)
+		return nil, fmt.Errorf("%w: version %d, want %d", ErrNotTrace, f.Version, Version)
 	}
 	for {
 		var it item
@@ -114,7 +114,7 @@
 		case errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
 			return f, nil
 		case err != nil:
-			f.Cut = true
+			f.Truncated = true
 			return f, nil
 		}
 		f.Lost += it.Lost
--- a/internal/observability/trace/plots/plots.go
+++ b/internal/observability/trace/plots/plots.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	width  = 28 * vg.Centimeter
-	height = 14 * vg.Centimeter
-	most   = 6 // reasons drawn one by one, each in a colour of its own; the others are one bar
+	width      = 28 * vg.Centimeter
+	height     = 14 * vg.Centimeter
+	maxReasons = 6 // reasons drawn one by one, each in a colour of its own; the others are one bar
 )
 
-// Reasons draws how many refusals there were for which reason over time, stacked, in steps of so many seconds.
-func Reasons(run *analyse.Run, step float64, want func(analyse.Record) bool, path string) error {
-	bins, by := run.Seconds(step, want)
+// RejectionReasons draws how many refusals there were for which reason over time, stacked, in steps of so many seconds.
+func RejectionReasons(run *analyse.Run, step float64, want func(analyse.Record) bool, path string) error {
+	bins, by := run.CountOverTime(step, want)
 	if bins == 0 || len(by) == 0 {
 		return fmt.Errorf("nothing was refused")
 	}
@@ -50,7 +50,7 @@
 		for b, n := range by[order[i]] {
 			values[b] = float64(n)
 		}
-		if i == most {
+		if i == maxReasons {
 			name = "others"
 			for _, r := range order[i+1:] {
 				for b, n := range by[r] {
@@ -76,8 +76,8 @@
 	return p.Save(width, height, path)
 }
 
-// Rooms draws an account's room as each gateway saw it beside the true one, and where it was refused.
-func Rooms(run *analyse.Run, account string, want func(analyse.Record) bool, path string) error {
+// AvailableUnits draws an account's room as each gateway saw it beside the true one, and where it was refused.
+func AvailableUnits(run *analyse.Run, account string, want func(analyse.Record) bool, path string) error {
 	views, free, refused := map[string]plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
 	plan := ""
 	for _, r := range run.Records {
@@ -87,9 +87,9 @@
 		plan = r.Plan
 		at := r.At - run.Start
 		views[r.Name] = append(views[r.Name], plotter.XY{X: at, Y: float64(r.WindowAvailable)})
-		free = append(free, plotter.XY{X: at, Y: r.Free})
-		if analyse.Refused(r) {
-			refused = append(refused, plotter.XY{X: at, Y: r.Free})
+		free = append(free, plotter.XY{X: at, Y: r.WindowFree})
+		if analyse.Rejected(r) {
+			refused = append(refused, plotter.XY{X: at, Y: r.WindowFree})
 		}
 	}
 	if len(free) == 0 {
--- a/internal/observability/trace/plots/plots_test.go
+++ b/internal/observability/trace/plots/plots_test.go
@@ -13,7 +13,7 @@
 )
 
 // Both pictures are drawn, also with more reasons than are drawn one by one; without anything to draw there is an error and no file.
-func TestPictures(t *testing.T) {
+func TestPlots_AreDrawn(t *testing.T) {
 	var list []reason.Decision
 	for i, r := range reason.Reasons() {
 		for k := range 3 {
@@ -24,8 +24,8 @@
 	all := func(analyse.Record) bool { return true }
 	dir := t.TempDir()
 	for name, draw := range map[string]func(string) error{
-		"reasons.png": func(p string) error { return Reasons(run, 1, analyse.Refused, p) },
-		"rooms.png":   func(p string) error { return Rooms(run, "00000007", all, p) },
+		"reasons.png": func(p string) error { return RejectionReasons(run, 1, analyse.Rejected, p) },
+		"rooms.png":   func(p string) error { return AvailableUnits(run, "00000007", all, p) },
 	} {
 		path := filepath.Join(dir, name)
 		if err := draw(path); err != nil {
@@ -42,7 +42,7 @@
 		}
 	}
 	none := func(analyse.Record) bool { return false }
-	if Reasons(run, 1, none, filepath.Join(dir, "none.png")) == nil || Rooms(run, "00000008", all, filepath.Join(dir, "none.png")) == nil {
+	if RejectionReasons(run, 1, none, filepath.Join(dir, "none.png")) == nil || AvailableUnits(run, "00000008", all, filepath.Join(dir, "none.png")) == nil {
 		t.Error("nothing was drawn without an error")
 	}
 }
--- a/internal/observability/trace/recorder.go
+++ b/internal/observability/trace/recorder.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	ringSize   = 8192 // records, some 2 MB: a second of a gateway at its limit
-	flushEvery = 100 * time.Millisecond
-	// DefaultMostMB bounds a file where the operator's file does not.
-	DefaultMostMB = 256
+	ringSize      = 8192 // records, some 2 MB: a second of a gateway at its limit
+	flushInterval = 100 * time.Millisecond
+	// DefaultMaxMB bounds a file where the operator's file does not.
+	DefaultMaxMB = 256
 )
 
 // Recorder writes a gateway's decisions to a file of its own in a folder.
 type Recorder struct {
-	ring  *Ring
-	path  string
-	file  *os.File
-	w     *Writer
-	most  int64
-	flush chan chan error
-	done  chan struct{}
-	log   *slog.Logger
+	ring     *Ring
+	path     string
+	file     *os.File
+	writer   *Writer
+	maxBytes int64
+	flushes  chan chan error
+	done     chan struct{}
+	log      *slog.Logger
 }
 
 // Open makes the file, named for the gateway, its process and its start, and begins to write. It ends with ctx, after what is there by
 // then is written; Done tells when.
 func Open(ctx context.Context, dir string, mostMB int, h Header, log *slog.Logger) (*Recorder, error) {
-	path := filepath.Join(dir, fmt.Sprintf("%s-%d-%d.trace", h.Name, int64(h.Started*1000), os.Getpid()))
+	path := filepath.Join(dir, fmt.Sprintf("%s-%d-%d.trace", h.Name, int64(h.StartedAt*1000), os.Getpid()))
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o640)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
@@ -47,9 +47,9 @@
 		return nil, err
 	}
 	if mostMB <= 0 {
-		mostMB = DefaultMostMB
+		mostMB = DefaultMaxMB
 	}
-	r := &Recorder{ring: NewRing(ringSize), path: path, file: file, w: w, most: int64(mostMB) << 20, flush: make(chan chan error),
+	r := &Recorder{ring: NewRing(ringSize), path: path, file: file, writer: w, maxBytes: int64(mostMB) << 20, flushes: make(chan chan error),
 		done: make(chan struct{}), log: log}
 	go r.run(ctx)
 	return r, nil
@@ -105,7 +105,7 @@
 func (r *Recorder) Flush(ctx context.Context) error {
 	back := make(chan error, 1)
 	select {
-	case r.flush <- back:
+	case r.flushes <- back:
 		return <-back
 	case <-r.done:
 		return nil
@@ -117,17 +117,17 @@
 func (r *Recorder) run(ctx context.Context) {
 	defer close(r.done)
 	defer r.file.Close()
-	tick := time.NewTicker(flushEvery)
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
 	var list []reason.Decision
 	var over error // why nothing is written any more
 	write := func() error {
 		var lost uint64
-		if list, lost = r.ring.Take(list[:0]); over != nil || len(list) == 0 && lost == 0 {
+		if list, lost = r.ring.Drain(list[:0]); over != nil || len(list) == 0 && lost == 0 {
 			return over
 		}
-		err := r.w.Write(list, lost)
-		if err == nil && r.w.Size() >= r.most {
+		err := r.writer.Write(list, lost)
+		if err == nil && r.writer.Size() >= r.maxBytes {
 			err = fmt.Errorf("trace: %s is full", r.path)
 		}
 		if over = err; over != nil {
@@ -142,9 +142,9 @@
 			return
 		case <-tick.C:
 			write()
-		case <-r.ring.Half():
+		case <-r.ring.HalfFull():
 			write()
-		case back := <-r.flush:
+		case back := <-r.flushes:
 			back <- write()
 		}
 	}
--- a/internal/observability/trace/spans/spans.go
+++ b/internal/observability/trace/spans/spans.go
@@ -21,11 +21,11 @@
 	Value any    `json:"value"`
 }
 
-func text(key, value string) attribute {
+func stringAttribute(key, value string) attribute {
 	return attribute{key, map[string]string{"stringValue": value}}
 }
 
-func number(key string, value float64) attribute {
+func doubleAttribute(key string, value float64) attribute {
 	return attribute{key, map[string]float64{"doubleValue": value}}
 }
 
@@ -40,21 +40,21 @@
 	End        string      `json:"endTimeUnixNano"`
 	Attributes []attribute `json:"attributes"`
 	Events     []event     `json:"events,omitempty"`
-	Status     status      `json:"status"`
+	Status     spanStatus  `json:"status"`
 }
 
 type event struct {
-	At         string      `json:"timeUnixNano"`
+	Time       string      `json:"timeUnixNano"`
 	Name       string      `json:"name"`
 	Attributes []attribute `json:"attributes,omitempty"`
 }
 
-type status struct {
+type spanStatus struct {
 	Code    int    `json:"code"` // 1 ok, 2 error
 	Message string `json:"message,omitempty"`
 }
 
-func nano(at float64) string {
+func unixNano(at float64) string {
 	s, f := math.Modf(at)
 	return strconv.FormatInt(int64(s)*1e9+int64(f*1e9), 10)
 }
@@ -66,17 +66,17 @@
 	return hex.EncodeToString(t[:16]), hex.EncodeToString(s[:8])
 }
 
-type key struct{ gateway, id string }
+type requestKey struct{ gateway, id string }
 
 // Write writes the requests that are wanted, or of them those that were refused or failed. A request whose end is not traced ends with
 // its last record.
 func Write(w io.Writer, run *analyse.Run, want func(analyse.Record) bool, refused bool) error {
-	stories, order := map[key][]analyse.Record{}, []key{}
+	stories, order := map[requestKey][]analyse.Record{}, []requestKey{}
 	for _, r := range run.Records {
 		if r.ID == "" || !want(r) {
 			continue
 		}
-		k := key{r.Name, r.ID}
+		k := requestKey{r.Name, r.ID}
 		if stories[k] == nil {
 			order = append(order, k)
 		}
@@ -84,7 +84,7 @@
 	}
 	byGateway, names := map[string][]span{}, []string{}
 	for _, k := range order {
-		list, bad := request(k, stories[k])
+		list, bad := spansOf(k, stories[k])
 		if refused && !bad {
 			continue
 		}
@@ -105,7 +105,7 @@
 		Resources []resource `json:"resourceSpans"`
 	}{[]resource{}}
 	for _, n := range names {
-		out.Resources = append(out.Resources, resource{map[string][]attribute{"attributes": {text("service.name", "eiderspread"), text("service.instance.id", n)}},
+		out.Resources = append(out.Resources, resource{map[string][]attribute{"attributes": {stringAttribute("service.name", "eiderspread"), stringAttribute("service.instance.id", n)}},
 			[]scope{{map[string]string{"name": "eiderspread/policy"}, byGateway[n]}}})
 	}
 	return json.NewEncoder(w).Encode(out)
@@ -114,19 +114,19 @@
 var statuses = map[int]string{int(policy.OK): "ok", int(policy.Error): "error", int(policy.Rejected): "full", int(policy.Timeout): "timeout",
 	int(policy.ConnectFailed): "connect-failed", int(policy.Reset): "reset", int(policy.Cancelled): "cancelled", int(policy.NotSent): "moot"}
 
-// request makes the spans of one request from its records, which come by time.
-func request(k key, story []analyse.Record) (list []span, bad bool) {
+// spansOf makes the spans of one request from its records, which come by time.
+func spansOf(k requestKey, story []analyse.Record) (list []span, bad bool) {
 	first, last := story[0], story[len(story)-1]
-	root := span{Name: first.Class, Kind: 2, Start: nano(first.At), End: nano(last.At),
-		Attributes: []attribute{text("plan", first.Plan), text("account", fmt.Sprintf("%08x", first.Account)), number("units", first.Units)}}
+	root := span{Name: first.Class, Kind: 2, Start: unixNano(first.At), End: unixNano(last.At),
+		Attributes: []attribute{stringAttribute("plan", first.Plan), stringAttribute("account", fmt.Sprintf("%08x", first.Account)), doubleAttribute("units", first.Units)}}
 	root.TraceID, root.SpanID = ids(k.gateway, k.id, "")
 	open := map[int]int{} // attempt to its place in list
 	list = []span{root}
 	for _, r := range story {
 		switch r.Step {
 		case reason.StepSent:
-			s := span{TraceID: root.TraceID, Parent: root.SpanID, Name: "attempt", Kind: 3, Start: nano(r.At), End: nano(last.At),
-				Attributes: []attribute{text("server.id", r.Backend), number("attempt", float64(r.Attempt))}}
+			s := span{TraceID: root.TraceID, Parent: root.SpanID, Name: "attempt", Kind: 3, Start: unixNano(r.At), End: unixNano(last.At),
+				Attributes: []attribute{stringAttribute("server.id", r.Backend), doubleAttribute("attempt", float64(r.Attempt))}}
 			_, s.SpanID = ids(k.gateway, k.id, strconv.Itoa(r.Attempt))
 			open[r.Attempt] = len(list)
 			list = append(list, s)
@@ -135,19 +135,19 @@
 			if !ok {
 				continue
 			}
-			list[i].End = nano(r.At)
-			list[i].Status = status{Code: 1}
+			list[i].End = unixNano(r.At)
+			list[i].Status = spanStatus{Code: 1}
 			if r.Status != int(policy.OK) {
-				list[i].Status = status{Code: 2, Message: statuses[r.Status]}
+				list[i].Status = spanStatus{Code: 2, Message: statuses[r.Status]}
 			} else {
-				list[0].Status, list[0].End = status{Code: 1}, nano(r.At)
+				list[0].Status, list[0].End = spanStatus{Code: 1}, unixNano(r.At)
 			}
 		default:
-			list[0].Events = append(list[0].Events, event{nano(r.At), r.Step.String(), []attribute{text("reason", r.Reason.String()), number("room", float64(r.WindowAvailable)),
-				number("free", r.Free), number("word.age_s", float64(r.ReplyAgeS))}})
-			if analyse.Refused(r) {
+			list[0].Events = append(list[0].Events, event{unixNano(r.At), r.Step.String(), []attribute{stringAttribute("reason", r.Reason.String()), doubleAttribute("room", float64(r.WindowAvailable)),
+				doubleAttribute("free", r.WindowFree), doubleAttribute("word.age_s", float64(r.ReplyAgeS))}})
+			if analyse.Rejected(r) {
 				bad = true
-				list[0].Status, list[0].End = status{Code: 2, Message: r.Step.String() + ": " + r.Reason.String()}, nano(r.At)
+				list[0].Status, list[0].End = spanStatus{Code: 2, Message: r.Step.String() + ": " + r.Reason.String()}, unixNano(r.At)
 			}
 		}
 	}
--- a/internal/observability/trace/spans/spans_test.go
+++ b/internal/observability/trace/spans/spans_test.go
@@ -13,7 +13,7 @@
 
 // A request with two attempts and one that is refused: field names as OTLP's JSON form has them, ids of its lengths, attempts below
 // their request, statuses by what came of it.
-func TestSpansOfARequest(t *testing.T) {
+func TestWrite_SpansOfRequests(t *testing.T) {
 	send := func(at float64, n int) reason.Decision {
 		return reason.Decision{At: at, Step: reason.StepSent, ID: "a", Attempt: n, Backend: "z1", Class: "look"}
 	}
--- a/internal/observability/trace/trace.go
+++ b/internal/observability/trace/trace.go
@@ -10,52 +10,52 @@
 
 // Ring is a bounded queue of records between one loop and one writer. It is of both goroutines.
 type Ring struct {
-	mu   sync.Mutex
-	buf  []reason.Decision
-	from int // the oldest
-	n    int
-	lost uint64 // since the last Take
-	half chan struct{}
+	mutex    sync.Mutex
+	records  []reason.Decision
+	oldest   int // the oldest
+	count    int
+	lost     uint64 // since the last Take
+	halfFull chan struct{}
 }
 
 // NewRing makes a ring for so many records, one at least.
 func NewRing(most int) *Ring {
-	return &Ring{buf: make([]reason.Decision, max(most, 1)), half: make(chan struct{}, 1)}
+	return &Ring{records: make([]reason.Decision, max(most, 1)), halfFull: make(chan struct{}, 1)}
 }
 
 // Put adds a record, unless the ring is full. It never blocks for longer than a Take copies.
 func (r *Ring) Put(d reason.Decision) {
-	r.mu.Lock()
-	if r.n == len(r.buf) {
+	r.mutex.Lock()
+	if r.count == len(r.records) {
 		r.lost++
-		r.mu.Unlock()
+		r.mutex.Unlock()
 		return
 	}
-	r.buf[(r.from+r.n)%len(r.buf)] = d
-	r.n++
-	full := r.n >= len(r.buf)/2
-	r.mu.Unlock()
+	r.records[(r.oldest+r.count)%len(r.records)] = d
+	r.count++
+	full := r.count >= len(r.records)/2
+	r.mutex.Unlock()
 	if full {
 		select {
-		case r.half <- struct{}{}:
+		case r.halfFull <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Half yields when the ring has become half full.
-func (r *Ring) Half() <-chan struct{} { return r.half }
+// HalfFull yields when the ring has become half full.
+func (r *Ring) HalfFull() <-chan struct{} { return r.halfFull }
 
-// Take moves what is there behind into and returns it with the number of records lost since the last Take.
-func (r *Ring) Take(into []reason.Decision) ([]reason.Decision, uint64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for range r.n {
-		into = append(into, r.buf[r.from])
-		r.buf[r.from] = reason.Decision{} // lets go of its strings
-		r.from = (r.from + 1) % len(r.buf)
+// Drain moves what is there behind into and returns it with the number of records lost since the last Take.
+func (r *Ring) Drain(into []reason.Decision) ([]reason.Decision, uint64) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for range r.count {
+		into = append(into, r.records[r.oldest])
+		r.records[r.oldest] = reason.Decision{} // lets go of its strings
+		r.oldest = (r.oldest + 1) % len(r.records)
 	}
-	r.n = 0
+	r.count = 0
 	lost := r.lost
 	r.lost = 0
 	return into, lost
--- a/internal/testbed/simulation/flood_test.go
+++ b/internal/testbed/simulation/flood_test.go
@@ -33,7 +33,7 @@
 		cfg.Faults = append(cfg.Faults, testbed.Fault{At: time.Duration(flood * float64(time.Second)), For: time.Duration((over - flood) / 2 * float64(time.Second)), Kind: "flood", X: 0.4})
 		files := make([]*trace.File, cfg.Forwarders)
 		for i := range files {
-			files[i] = &trace.File{Header: trace.Header{Me: i, Plans: cfg.Plans, Classes: cfg.Classes}}
+			files[i] = &trace.File{Header: trace.Header{Gateway: i, Plans: cfg.Plans, Classes: cfg.Classes}}
 		}
 		cfg.Trace = func(i int, d reason.Decision) { files[i].Decisions = append(files[i].Decisions, d) }
 		rep := New(cfg).Run()
@@ -49,7 +49,7 @@
 				came[r.ID] = true
 			case r.Step == reason.StepSent && r.Attempt == 0 && came[r.ID]:
 				sum += r.Units
-				worth += run.Worth(r)
+				worth += run.Value(r)
 			}
 		}
 		if asked < 300 {
