--- a/internal/observability/trace/analyse/analyse_test.go
+++ b/internal/observability/trace/analyse/analyse_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"math"
 	"strings"
 	"testing"
 
@@ -10,58 +11,65 @@
 	"eiderspread/policy"
 )
 
-var header = trace.Header{Plans: []policy.Plan{{Name: "p", Rate: 2, Burst: 4, Weight: 1.5, HardLimitRate: 4, HardLimitBurst: 8}},
-	Classes: []policy.Class{{Name: "c", PriorityWeight: 3}}}
+// testFile returns the trace of one gateway with a plan of 2 units per second and a class of weight 3.
+func testFile(name string, gateway int, list ...reason.Decision) *trace.File {
+	return &trace.File{
+		Header: trace.Header{
+			Name: name, Gateway: gateway,
+			Plans:   []policy.Plan{{Name: "p", Rate: 2, Burst: 4, Weight: 1.5, HardLimitRate: 4, HardLimitBurst: 8}},
+			Classes: []policy.Class{{Name: "c", PriorityWeight: 3}},
+		},
+		Decisions: list,
+	}
+}
 
-func testFile(name string, me int, list ...reason.Decision) *trace.File {
-	h := header
-	h.Name, h.Gateway = name, me
-	return &trace.File{Header: h, Decisions: list}
+func decision(at float64, step reason.Step, why reason.Reason, id string, units float64) reason.Decision {
+	return reason.Decision{At: at, Step: step, Reason: why, ID: id, Account: 7, Plan: "p", Class: "c", Units: units}
 }
 
-func decision(t float64, step reason.Step, because reason.Reason, id string, units float64) reason.Decision {
-	return reason.Decision{At: t, Step: step, Reason: because, ID: id, Account: 7, Plan: "p", Class: "c", Units: units}
+func sent(at float64, id string, units float64) reason.Decision {
+	return decision(at, reason.StepSent, reason.None, id, units)
 }
 
-// The true room is of all gateways' first sends; further attempts and refusals take nothing.
-func TestJoin_WindowFreeCountsAllGateways(t *testing.T) {
-	again := decision(0.2, reason.StepSent, reason.None, "a", 3)
-	again.Attempt = 1
-	run := Join([]*trace.File{
-		testFile("n0", 0, decision(0, reason.StepSent, reason.None, "a", 3), again, decision(0.5, reason.StepRejected, reason.HardLimitLocal, "x", 2), decision(1, reason.StepRejected, reason.WindowExhausted, "y", 2)),
-		testFile("n1", 1, decision(0.25, reason.StepRejected, reason.Denied, "z", 1), decision(0.4, reason.StepSent, reason.None, "b", 1)),
+func rejected(at float64, why reason.Reason, id string, units float64) reason.Decision {
+	return decision(at, reason.StepRejected, why, id, units)
+}
+
+// threeRejections is a run of two gateways that reject x, y and z.
+func threeRejections() *Run {
+	retry := sent(0.2, "a", 3)
+	retry.Attempt = 1
+	return Join([]*trace.File{
+		testFile("n0", 0, sent(0, "a", 3), retry, rejected(0.5, reason.HardLimitLocal, "x", 2), rejected(1, reason.WindowExhausted, "y", 2)),
+		testFile("n1", 1, rejected(0.25, reason.Denied, "z", 1), sent(0.4, "b", 1)),
 	})
+}
+
+// The window is charged with the first attempts of all gateways; retries and rejections take nothing.
+func TestJoin_WindowFreeCountsAllGateways(t *testing.T) {
 	want := map[string]struct {
 		free float64
 		fits bool
 	}{"z": {1.5, true}, "x": {1, false}, "y": {2, true}}
-	for _, r := range run.Records {
+	for _, r := range threeRejections().Records {
 		w, ok := want[r.ID]
 		if !ok {
 			continue
 		}
 		delete(want, r.ID)
-		if d := r.WindowFree - w.free; d > 1e-9 || d < -1e-9 || r.Fits() != w.fits {
-			t.Errorf("%s: free %v, fits %v, want %+v", r.ID, r.WindowFree, r.Fits(), w)
+		if math.Abs(r.WindowFree-w.free) > 1e-9 || r.Fits() != w.fits {
+			t.Errorf("%s: %v units free, fits %v, want %+v", r.ID, r.WindowFree, r.Fits(), w)
 		}
 	}
 	if len(want) > 0 {
-		t.Errorf("not seen: %v", want)
-	}
-	rows := run.SumBy(Rejected, Keys["reason"])
-	if len(rows) != 3 || rows[0].Key != "own-room" || rows[0].FittingValue != 2*3*1.5 || rows[1].Key != "denied" || rows[2].Fitting != 0 {
-		t.Errorf("%+v", rows)
-	}
-	var b bytes.Buffer
-	if err := PrintTable(&b, "reason", rows); err != nil || !strings.Contains(b.String(), "all") {
-		t.Errorf("%v %s", err, b.String())
+		t.Errorf("records that are missing: %v", want)
 	}
 }
 
-// A first send beyond the quota takes nothing from it, but from the ceiling.
+// A first attempt beyond the quota takes nothing from the window, but from the hard limit.
 func TestJoin_AttemptsBeyondTheQuota(t *testing.T) {
-	run := Join([]*trace.File{testFile("n0", 0, decision(0, reason.StepSent, reason.None, "a", 4), decision(0, reason.StepSent, reason.None, "b", 4), decision(0.5, reason.StepRejected, reason.WindowExhausted, "x", 1),
-		decision(1, reason.StepRejected, reason.WindowExhausted, "y", 2), decision(1, reason.StepSent, reason.None, "d", 4), decision(1.0, reason.StepRejected, reason.HardLimitExhausted, "v", 1))})
+	run := Join([]*trace.File{testFile("n0", 0, sent(0, "a", 4), sent(0, "b", 4), rejected(0.5, reason.WindowExhausted, "x", 1),
+		rejected(1, reason.WindowExhausted, "y", 2), sent(1, "d", 4), rejected(1.0, reason.HardLimitExhausted, "v", 1))})
 	for _, r := range run.Records {
 		switch r.ID {
 		case "x":
@@ -75,3 +83,33 @@
 		}
 	}
 }
+
+func TestRun_SumBy(t *testing.T) {
+	rows := threeRejections().SumBy(Rejected, Keys["reason"])
+	if len(rows) != 3 || rows[0].Key != "own-room" || rows[0].FittingValue != 2*3*1.5 || rows[1].Key != "denied" || rows[2].Fitting != 0 {
+		t.Errorf("%+v", rows)
+	}
+	var b bytes.Buffer
+	if err := PrintTable(&b, "reason", rows); err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
+	if len(lines) != 5 || !strings.HasPrefix(strings.TrimSpace(lines[4]), "all") {
+		t.Errorf("want a head, three rows and their sum:\n%s", b.String())
+	}
+}
+
+func TestRun_WriteCSV(t *testing.T) {
+	var b bytes.Buffer
+	if err := threeRejections().WriteCSV(&b, Rejected); err != nil {
+		t.Fatal(err)
+	}
+	const want = `at,gateway,step,reason,id,account,plan,class,units,later,left,aim,latency,owner,prime,room,age,mine,others,ceiling,pool,out,most,attempt,server,status,from,free,fits
+0.2500,n1,refuse,denied,z,00000007,p,c,1.0000,false,0.0000,0.0000,0.0000,0,0,0.0000,0.0000,0.0000,0.0000,0.0000,0.0000,0,0.0000,0,,0,0,1.5000,true
+0.5000,n0,refuse,ceiling-part,x,00000007,p,c,2.0000,false,0.0000,0.0000,0.0000,0,0,0.0000,0.0000,0.0000,0.0000,0.0000,0.0000,0,0.0000,0,,0,0,1.0000,false
+1.0000,n0,refuse,own-room,y,00000007,p,c,2.0000,false,0.0000,0.0000,0.0000,0,0,0.0000,0.0000,0.0000,0.0000,0.0000,0.0000,0,0.0000,0,,0,0,2.0000,true
+`
+	if b.String() != want {
+		t.Errorf("got:\n%swant:\n%s", b.String(), want)
+	}
+}
--- a/internal/observability/trace/analyse/run.go
+++ b/internal/observability/trace/analyse/run.go
@@ -1,65 +1,78 @@
-// Package analyse joins the traces of all gateways of a run and tells who refused what, for which reason, and how much of the quota was
-// free at that moment by the first sends of all of them.
+// Package analyse joins the traces of all gateways of a run and sums their decisions: which gateway rejected what, for which
+// reason, and whether the account's quota and hard limit had the units at that moment, by the first attempts of all
+// gateways.
 package analyse
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"os"
 	"slices"
 
+	"eiderspread/internal/decision/quota"
 	"eiderspread/internal/decision/reason"
 	"eiderspread/internal/observability/trace"
 	"eiderspread/policy"
 )
 
-// Record is a decision with whose it was, and the account's true rooms just before it: what a gateway would have known that saw
-// every first send of every gateway at once. Units; they mean nothing where Counted is false.
+// Record is a decision with its gateway, and with what a gateway would have known of the account that saw the first
+// attempts of all gateways at once.
 type Record struct {
 	reason.Decision
 	Gateway         int
-	Name            string
-	Counted         bool    // the account has a plan with a rate
-	WindowFree      float64 // left in its window
-	WithinHardLimit bool    // its ceiling held the units
+	Name            string  // of the gateway
+	Counted         bool    // the account's plan has a rate; if not, the fields below mean nothing
+	WindowFree      float64 // units that were available in the account's window just before
+	WithinHardLimit bool    // the account's hard limit had the units
 }
 
-// Fits tells that the units would have been inside quota and ceiling.
+// Fits reports whether the units were within quota and hard limit.
 func (r Record) Fits() bool { return r.Counted && r.Units <= r.WindowFree && r.WithinHardLimit }
 
-// Run is all that was traced.
+// Rejected reports whether the record is a final answer by the gateway itself: a rejection or a failure.
+func Rejected(r Record) bool { return r.Step == reason.StepRejected || r.Step == reason.StepFailed }
+
+// Run is what the traces of one run hold.
 type Run struct {
 	Records   []Record // by time
 	Plans     map[string]policy.Plan
 	Classes   map[string]policy.Class
-	Start     float64 // the earliest record's time
-	Lost      uint64
-	Truncated int // files that end in the middle of a record
+	Start     float64 // time of the first record, Unix seconds
+	Lost      uint64  // decisions that are in no file, as a ring was full
+	Truncated int     // files that end within a record
 	Files     int
 }
 
-// Load reads and joins files.
+// Load reads trace files and joins them.
 func Load(paths []string) (*Run, error) {
-	var files []*trace.File
-	for _, path := range paths {
-		f, err := os.Open(path)
-		if err != nil {
+	if len(paths) == 0 {
+		return nil, errors.New("no traces given")
+	}
+	files := make([]*trace.File, len(paths))
+	for i, path := range paths {
+		var err error
+		if files[i], err = readFile(path); err != nil {
 			return nil, err
 		}
-		t, err := trace.Read(f)
-		f.Close()
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", path, err)
-		}
-		files = append(files, t)
-	}
-	if len(files) == 0 {
-		return nil, fmt.Errorf("no traces given")
 	}
 	return Join(files), nil
 }
 
-// Join merges files by time, and plays again what each account spent.
+func readFile(path string) (*trace.File, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	file, err := trace.Read(f)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return file, nil
+}
+
+// Join merges files by time, and replays what each account used.
 func Join(files []*trace.File) *Run {
 	run := &Run{Plans: map[string]policy.Plan{}, Classes: map[string]policy.Class{}, Files: len(files)}
 	for _, f := range files {
@@ -85,48 +98,41 @@
 	return run
 }
 
-// window is an account's store of units: full at first, filled at a rate up to a burst.
-type window struct{ room, at float64 }
-
-func (w *window) now(at, rate, burst float64) float64 {
-	w.room = min(burst, w.room+rate*(at-w.at))
-	w.at = at
-	return w.room
-}
-
+// replay counts each account's window and hard limit over all gateways, both full at the account's first record. First
+// attempts are charged; one that does not fit the window takes nothing from it.
 func (run *Run) replay() {
-	type account struct{ quota, ceiling window }
-	accounts := map[uint32]*account{}
+	type usage struct{ window, hardLimit quota.Bucket }
+	accounts := map[uint32]*usage{}
 	for i := range run.Records {
 		r := &run.Records[i]
 		p, ok := run.Plans[r.Plan]
 		if !ok || p.Rate <= 0 || r.Account == 0 {
 			continue
 		}
-		a := accounts[r.Account]
-		if a == nil {
-			a = &account{window{p.Burst, r.At}, window{p.HardLimitBurst, r.At}}
-			accounts[r.Account] = a
+		u := accounts[r.Account]
+		if u == nil {
+			u = &usage{quota.Bucket{Level: p.Burst, UpdatedAt: r.At}, quota.Bucket{Level: p.HardLimitBurst, UpdatedAt: r.At}}
+			accounts[r.Account] = u
 		}
 		r.Counted, r.WithinHardLimit = true, true
-		r.WindowFree = a.quota.now(r.At, p.Rate, p.Burst)
+		r.WindowFree = u.window.Refill(r.At, p.Rate, p.Burst)
 		if p.HardLimitRate > 0 {
-			r.WithinHardLimit = r.Units <= a.ceiling.now(r.At, p.HardLimitRate, p.HardLimitBurst)
+			r.WithinHardLimit = r.Units <= u.hardLimit.Refill(r.At, p.HardLimitRate, p.HardLimitBurst)
 		}
 		if r.Step == reason.StepSent && r.Attempt == 0 {
-			if r.Units <= r.WindowFree { // beyond the quota nothing is taken from it
-				a.quota.room -= r.Units
+			if r.Units <= r.WindowFree {
+				u.window.Level -= r.Units
 			}
-			a.ceiling.room -= r.Units
+			u.hardLimit.Level -= r.Units
 		}
 	}
 }
 
-// Value is what a request's good answer earns inside the quota.
+// Value returns what a timely answer to the request earns within the quota: units by the weights of class and plan.
 func (run *Run) Value(r Record) float64 {
-	price := 1.0
+	planWeight := 1.0
 	if p, ok := run.Plans[r.Plan]; ok {
-		price = p.Weight
+		planWeight = p.Weight
 	}
-	return run.Classes[r.Class].PriorityWeight * price * r.Units
+	return run.Classes[r.Class].PriorityWeight * planWeight * r.Units
 }
--- a/internal/observability/trace/analyse/table.go
+++ b/internal/observability/trace/analyse/table.go
@@ -13,127 +13,178 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// Row sums decisions that have something in common. Worth is by the settings; Fit counts those whose units the account's true
-// window and ceiling held at that moment.
+// Row sums the records of one key.
 type Row struct {
-	Key                           string
-	Count, Fitting, ClientRetries int
-	Units                         float64
-	Value, FittingValue           float64
-	ReplyAgeSumS, ShortfallSum    float64 // of the owner's word; units beyond the room that the gateway saw, where there is less
+	Key           string
+	Count         int
+	Fitting       int // records that fit the account's quota and hard limit, see Record.Fits
+	ClientRetries int
+	Units         float64
+	Value         float64 // see Run.Value
+	FittingValue  float64 // of the fitting records
+	ReplyAgeSumS  float64 // ages of the owner replies that the decisions are based on, seconds
+	ShortfallSum  float64 // units beyond what the gateway itself saw as available
 }
 
-// Rejected tells that the record is a final answer in the gateway's own words.
-func Rejected(r Record) bool { return r.Step == reason.StepRejected || r.Step == reason.StepFailed }
+func (row *Row) add(other Row) {
+	row.Count += other.Count
+	row.Fitting += other.Fitting
+	row.ClientRetries += other.ClientRetries
+	row.Units += other.Units
+	row.Value += other.Value
+	row.FittingValue += other.FittingValue
+	row.ReplyAgeSumS += other.ReplyAgeSumS
+	row.ShortfallSum += other.ShortfallSum
+}
+
+// rowOf returns the row of a single record.
+func (run *Run) rowOf(r Record) Row {
+	row := Row{Count: 1, Units: r.Units, Value: run.Value(r), ReplyAgeSumS: float64(r.ReplyAgeS),
+		ShortfallSum: max(r.Units-float64(r.WindowAvailable), 0)}
+	if r.ClientRetry {
+		row.ClientRetries = 1
+	}
+	if r.Fits() {
+		row.Fitting, row.FittingValue = 1, row.Value
+	}
+	return row
+}
 
-// SumBy sums those records that are wanted by a key, the dearest first.
+// SumBy sums the wanted records by a key, the rows of the highest fitting value first.
 func (run *Run) SumBy(want func(Record) bool, key func(Record) string) []Row {
-	rows := map[string]*Row{}
+	rows := map[string]Row{}
 	for _, r := range run.Records {
-		if !want(r) {
-			continue
-		}
-		k := key(r)
-		row := rows[k]
-		if row == nil {
-			row = &Row{Key: k}
+		if want(r) {
+			k := key(r)
+			row := rows[k]
+			row.Key = k
+			row.add(run.rowOf(r))
 			rows[k] = row
 		}
-		worth := run.Value(r)
-		row.Count++
-		row.Units += r.Units
-		row.Value += worth
-		row.ReplyAgeSumS += float64(r.ReplyAgeS)
-		row.ShortfallSum += max(r.Units-float64(r.WindowAvailable), 0)
-		if r.ClientRetry {
-			row.ClientRetries++
-		}
-		if r.Fits() {
-			row.Fitting++
-			row.FittingValue += worth
-		}
 	}
-	list := slices.Collect(maps.Values(rows))
-	slices.SortFunc(list, func(a, b *Row) int {
+	return slices.SortedFunc(maps.Values(rows), func(a, b Row) int {
 		return cmp.Or(cmp.Compare(b.FittingValue, a.FittingValue), cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key))
 	})
-	out := make([]Row, len(list))
-	for i, r := range list {
-		out[i] = *r
-	}
-	return out
 }
 
-// Keys by which a table can be made.
+// Keys are the keys by which records can be summed, by name.
 var Keys = map[string]func(Record) string{
 	"reason":  func(r Record) string { return r.Reason.String() },
 	"plan":    func(r Record) string { return r.Plan },
 	"class":   func(r Record) string { return r.Class },
 	"gateway": func(r Record) string { return r.Name },
 	"account": func(r Record) string { return fmt.Sprintf("%08x", r.Account) },
-	"owner": func(r Record) string {
-		switch {
-		case r.Owner != r.PrimaryOwner:
-			return "stand-in"
-		case r.Owner == r.Gateway:
-			return "itself"
-		}
-		return "another"
-	},
+	"owner":   ownerRole,
+}
+
+// ownerRole tells who counted the account: the gateway itself, another one, or a stand-in of a suspected owner.
+func ownerRole(r Record) string {
+	switch {
+	case r.Owner != r.PrimaryOwner:
+		return "stand-in"
+	case r.Owner == r.Gateway:
+		return "itself"
+	}
+	return "another"
 }
 
-// PrintTable writes rows as a table.
-func PrintTable(w io.Writer, head string, rows []Row) error {
+// PrintTable writes rows and their sum as a table; keyName heads the column of keys.
+func PrintTable(w io.Writer, keyName string, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "%s\tnumber\tunits\tworth\twith room\tits worth\tlater tries\tword's age s\tshort units\t\n", head)
-	var all Row
-	for _, r := range append(slices.Clone(rows), all) {
-		if r.Key == "" && r.Count == 0 {
-			r = all
-			r.Key = "all"
-		} else {
-			all.Count, all.Fitting, all.ClientRetries = all.Count+r.Count, all.Fitting+r.Fitting, all.ClientRetries+r.ClientRetries
-			all.Units, all.Value, all.FittingValue = all.Units+r.Units, all.Value+r.Value, all.FittingValue+r.FittingValue
-			all.ReplyAgeSumS, all.ShortfallSum = all.ReplyAgeSumS+r.ReplyAgeSumS, all.ShortfallSum+r.ShortfallSum
-		}
-		n := max(float64(r.Count), 1)
-		fmt.Fprintf(t, "%s\t%d\t%.0f\t%.0f\t%d\t%.0f\t%d\t%.2f\t%.2f\t\n", r.Key, r.Count, r.Units, r.Value, r.Fitting, r.FittingValue, r.ClientRetries, r.ReplyAgeSumS/n, r.ShortfallSum/n)
+	fmt.Fprintf(t, "%s\tnumber\tunits\tworth\twith room\tits worth\tlater tries\tword's age s\tshort units\t\n", keyName)
+	sum := Row{Key: "all"}
+	for _, r := range rows {
+		printRow(t, r)
+		sum.add(r)
 	}
+	printRow(t, sum)
 	return t.Flush()
 }
 
-// WriteCSV writes every record that is wanted, a line each.
+func printRow(w io.Writer, r Row) {
+	n := max(float64(r.Count), 1)
+	fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%d\t%.0f\t%d\t%.2f\t%.2f\t\n", r.Key, r.Count, r.Units, r.Value, r.Fitting, r.FittingValue, r.ClientRetries,
+		r.ReplyAgeSumS/n, r.ShortfallSum/n)
+}
+
+// csvColumns are the columns of WriteCSV. Their names are part of the form.
+var csvColumns = []struct {
+	name  string
+	value func(run *Run, r Record) string
+}{
+	{"at", func(run *Run, r Record) string { return decimal(r.At - run.Start) }},
+	{"gateway", func(_ *Run, r Record) string { return r.Name }},
+	{"step", func(_ *Run, r Record) string { return r.Step.String() }},
+	{"reason", func(_ *Run, r Record) string { return r.Reason.String() }},
+	{"id", func(_ *Run, r Record) string { return r.ID }},
+	{"account", func(_ *Run, r Record) string { return fmt.Sprintf("%08x", r.Account) }},
+	{"plan", func(_ *Run, r Record) string { return r.Plan }},
+	{"class", func(_ *Run, r Record) string { return r.Class }},
+	{"units", func(_ *Run, r Record) string { return decimal(r.Units) }},
+	{"later", func(_ *Run, r Record) string { return strconv.FormatBool(r.ClientRetry) }},
+	{"left", func(_ *Run, r Record) string { return decimal(float64(r.RemainingS)) }},
+	{"aim", func(_ *Run, r Record) string { return decimal(float64(r.ObjectiveRemainingS)) }},
+	{"latency", func(_ *Run, r Record) string { return decimal(float64(r.MeanLatencyS)) }},
+	{"owner", func(_ *Run, r Record) string { return strconv.Itoa(r.Owner) }},
+	{"prime", func(_ *Run, r Record) string { return strconv.Itoa(r.PrimaryOwner) }},
+	{"room", func(_ *Run, r Record) string { return decimal(float64(r.WindowAvailable)) }},
+	{"age", func(_ *Run, r Record) string { return decimal(float64(r.ReplyAgeS)) }},
+	{"mine", func(_ *Run, r Record) string { return decimal(float64(r.LocalDemand)) }},
+	{"others", func(_ *Run, r Record) string { return decimal(float64(r.OtherDemand)) }},
+	{"ceiling", func(_ *Run, r Record) string { return decimal(float64(r.HardLimitLocal)) }},
+	{"pool", func(_ *Run, r Record) string { return decimal(float64(r.HardLimitShared)) }},
+	{"out", func(_ *Run, r Record) string { return strconv.Itoa(r.InFlight) }},
+	{"most", func(_ *Run, r Record) string { return decimal(float64(r.InFlightLimit)) }},
+	{"attempt", func(_ *Run, r Record) string { return strconv.Itoa(r.Attempt) }},
+	{"server", func(_ *Run, r Record) string { return r.Backend }},
+	{"status", func(_ *Run, r Record) string { return strconv.Itoa(r.Status) }},
+	{"from", func(_ *Run, r Record) string { return strconv.Itoa(r.Requester) }},
+	{"free", func(_ *Run, r Record) string { return decimal(r.WindowFree) }},
+	{"fits", func(_ *Run, r Record) string { return strconv.FormatBool(r.Fits()) }},
+}
+
+func decimal(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
+
+// WriteCSV writes the wanted records, one per line, under a line of column names.
 func (run *Run) WriteCSV(w io.Writer, want func(Record) bool) error {
 	out := csv.NewWriter(w)
-	f := func(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
-	out.Write([]string{"at", "gateway", "step", "reason", "id", "account", "plan", "class", "units", "later", "left", "aim", "latency", "owner", "prime", "room", "age",
-		"mine", "others", "ceiling", "pool", "out", "most", "attempt", "server", "status", "from", "free", "fits"})
+	line := make([]string, len(csvColumns))
+	for i, c := range csvColumns {
+		line[i] = c.name
+	}
+	if err := out.Write(line); err != nil {
+		return fmt.Errorf("csv: %w", err)
+	}
 	for _, r := range run.Records {
 		if !want(r) {
 			continue
 		}
-		out.Write([]string{f(r.At - run.Start), r.Name, r.Step.String(), r.Reason.String(), r.ID, fmt.Sprintf("%08x", r.Account), r.Plan, r.Class, f(r.Units),
-			strconv.FormatBool(r.ClientRetry), f(float64(r.RemainingS)), f(float64(r.ObjectiveRemainingS)), f(float64(r.MeanLatencyS)), strconv.Itoa(r.Owner), strconv.Itoa(r.PrimaryOwner), f(float64(r.WindowAvailable)),
-			f(float64(r.ReplyAgeS)), f(float64(r.LocalDemand)), f(float64(r.OtherDemand)), f(float64(r.HardLimitLocal)), f(float64(r.HardLimitShared)), strconv.Itoa(r.InFlight), f(float64(r.InFlightLimit)),
-			strconv.Itoa(r.Attempt), r.Backend, strconv.Itoa(r.Status), strconv.Itoa(r.Requester), f(r.WindowFree), strconv.FormatBool(r.Fits())})
+		for i, c := range csvColumns {
+			line[i] = c.value(run, r)
+		}
+		if err := out.Write(line); err != nil {
+			return fmt.Errorf("csv: %w", err)
+		}
 	}
 	out.Flush()
 	return out.Error()
 }
 
-// CountOverTime sums refusals by reason in steps of so many seconds from the start.
-func (run *Run) CountOverTime(step float64, want func(Record) bool) (bins int, by map[reason.Reason][]int) {
-	by = map[reason.Reason][]int{}
+// CountOverTime counts the wanted records by reason, in bins of stepS seconds from the start of the run.
+func (run *Run) CountOverTime(stepS float64, want func(Record) bool) (bins int, counts map[reason.Reason][]int) {
+	bin := func(r Record) int { return int((r.At - run.Start) / stepS) }
 	for _, r := range run.Records {
-		bins = max(bins, int((r.At-run.Start)/step)+1)
+		bins = max(bins, bin(r)+1)
 	}
+	counts = map[reason.Reason][]int{}
 	for _, r := range run.Records {
-		if want(r) {
-			if by[r.Reason] == nil {
-				by[r.Reason] = make([]int, bins)
-			}
-			by[r.Reason][int((r.At-run.Start)/step)]++
+		if !want(r) {
+			continue
+		}
+		if counts[r.Reason] == nil {
+			counts[r.Reason] = make([]int, bins)
 		}
+		counts[r.Reason][bin(r)]++
 	}
-	return bins, by
+	return bins, counts
 }
--- a/internal/observability/trace/file.go
+++ b/internal/observability/trace/file.go
@@ -12,36 +12,37 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// Version is of the files that are written. Readers take no other.
+// Version of the file format. Readers accept no other.
 const Version = 1
 
-// Header is the first item of a file.
+const magic = "eiderspread.trace"
+
+// Header is the first item of a file. Writers set Magic and Version themselves.
 type Header struct {
 	Magic     string         `cbor:"1,keyasint"`
 	Version   int            `cbor:"2,keyasint"`
 	Name      string         `cbor:"3,keyasint"` // of the gateway
-	Gateway   int            `cbor:"4,keyasint"`
-	Gateways  int            `cbor:"5,keyasint"`
+	Gateway   int            `cbor:"4,keyasint"` // its number
+	Gateways  int            `cbor:"5,keyasint"` // in the fleet
 	StartedAt float64        `cbor:"6,keyasint"` // Unix seconds, by the gateway's clock
 	Plans     []config.Plan  `cbor:"7,keyasint"`
 	Classes   []config.Class `cbor:"8,keyasint"`
 }
 
-const magic = "eiderspread.trace"
-
-// item is one item behind the header: a record, or how many were lost before the next.
+// item is an item after the header: a decision, or the number of decisions lost before the next one.
 type item struct {
 	Decision *reason.Decision `cbor:"1,keyasint,omitempty"`
 	Lost     uint64           `cbor:"2,keyasint,omitempty"`
 }
 
-// Writer writes a file: a CBOR sequence (RFC 8742). It is of one goroutine.
+// Writer writes a file: a CBOR sequence (RFC 8742). It must be used by one goroutine at a time.
 type Writer struct {
 	buffer  *bufio.Writer
 	encoder *cbor.Encoder
 	counter *byteCounter
 }
 
+// byteCounter counts the bytes that pass to a writer.
 type byteCounter struct {
 	to    io.Writer
 	count int64
@@ -54,19 +55,22 @@
 	return n, err
 }
 
-// NewWriter writes the header.
+// NewWriter writes the header and returns a writer for the decisions.
 func NewWriter(to io.Writer, h Header) (*Writer, error) {
 	h.Magic, h.Version = magic, Version
-	c := &byteCounter{to: to}
-	w := &Writer{buffer: bufio.NewWriterSize(c, 32<<10), counter: c}
-	w.encoder = cbor.NewEncoder(w.buffer)
+	counter := &byteCounter{to: to}
+	buffer := bufio.NewWriterSize(counter, 32<<10)
+	w := &Writer{buffer: buffer, encoder: cbor.NewEncoder(buffer), counter: counter}
 	if err := w.encoder.Encode(h); err != nil {
 		return nil, fmt.Errorf("trace: header: %w", err)
 	}
-	return w, w.buffer.Flush()
+	if err := w.buffer.Flush(); err != nil {
+		return nil, fmt.Errorf("trace: header: %w", err)
+	}
+	return w, nil
 }
 
-// Write appends records, behind a note of those that were lost before them, and hands all of it on.
+// Write appends decisions, after the number of those that were lost before them, and passes all buffered bytes on.
 func (w *Writer) Write(list []reason.Decision, lost uint64) error {
 	if lost > 0 {
 		if err := w.encoder.Encode(item{Lost: lost}); err != nil {
@@ -84,25 +88,26 @@
 	return nil
 }
 
-// Size is what was written, in bytes.
+// Size returns the number of bytes written so far.
 func (w *Writer) Size() int64 { return w.counter.count }
 
-// File is what a file holds.
+// File is the content of a file.
 type File struct {
 	Header
 	Decisions []reason.Decision
-	Lost      uint64 // records that the ring had no room for
-	Truncated bool   // the file ends in the middle of a record, or in something that is none
+	Lost      uint64 // decisions that were not written, as the ring was full
+	Truncated bool   // the file ends within an item, or in something that is none
 }
 
-// ErrNotTrace is returned for what does not begin with a header of this version.
+// ErrNotTrace is returned by Read for data that does not begin with a header of this version.
 var ErrNotTrace = errors.New("not a trace of this version")
 
-// Read reads a file up to its last whole record.
+// Read reads a file up to its last complete item. A truncated file is no error: a killed process leaves one. Read errors
+// of from count as its end.
 func Read(from io.Reader) (*File, error) {
-	dec := cbor.NewDecoder(bufio.NewReaderSize(from, 64<<10))
+	decoder := cbor.NewDecoder(bufio.NewReaderSize(from, 64<<10))
 	f := &File{}
-	if err := dec.Decode(&f.Header); err != nil || f.Magic != magic {
+	if err := decoder.Decode(&f.Header); err != nil || f.Magic != magic {
 		return nil, ErrNotTrace
 	}
 	if f.Version != Version {
@@ -110,7 +115,7 @@
 	}
 	for {
 		var it item
-		switch err := dec.Decode(&it); {
+		switch err := decoder.Decode(&it); {
 		case errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
 			return f, nil
 		case err != nil:
--- a/internal/observability/trace/plots/overload.go
+++ b/internal/observability/trace/plots/overload.go
@@ -1,6 +1,7 @@
 package plots
 
 import (
+	"errors"
 	"fmt"
 	"image/color"
 	"os"
@@ -14,59 +15,83 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Overload draws a run under overload: above worth asked for, sent to nodes and served in time, by second of asking; below the level that each
-// ingress, or cell, held.
-func Overload(l *oracle.Load, title, path string) error {
-	worth := plot.New()
-	worth.Title.Text, worth.Y.Label.Text, worth.Legend.Top = title, "worth a second", true
-	var lines []any
-	for _, x := range []struct {
-		name string
-		of   func(oracle.Second) float64
-	}{{"asked for", func(s oracle.Second) float64 { return s.Asked }}, {"sent to nodes", func(s oracle.Second) float64 { return s.Let }},
-		{"served in time", func(s oracle.Second) float64 { return s.Served }}} {
-		points := make(plotter.XYs, len(l.Second))
-		for i, s := range l.Second {
-			points[i] = plotter.XY{X: float64(i), Y: x.of(s)}
-		}
-		lines = append(lines, x.name, points)
+// Overload draws a run under overload as SVG: above the value that was requested, sent to backends and served in time, by
+// second of the request; below the load-shedding level of each gateway, or cell.
+func Overload(load *oracle.Load, title, path string) error {
+	values, err := valuePlot(load, title)
+	if err != nil {
+		return fmt.Errorf("plot: %w", err)
+	}
+	levels, err := levelPlot(load)
+	if err != nil {
+		return fmt.Errorf("plot: %w", err)
 	}
-	if err := plotutil.AddLines(worth, lines...); err != nil {
+	if err := saveStacked(path, values, levels); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	levels := plot.New()
-	levels.X.Label.Text, levels.Y.Label.Text, levels.Y.Min, levels.Y.Max = "seconds", "level of overload", 0, 1
-	levels.X.Max = float64(len(l.Second))
-	most := 0
-	for _, x := range l.Levels {
-		most = max(most, len(x.Of))
+	return nil
+}
+
+func valuePlot(load *oracle.Load, title string) (*plot.Plot, error) {
+	p := plot.New()
+	p.Title.Text, p.Y.Label.Text, p.Legend.Top = title, "worth a second", true
+	var lines []any // name and points by turns, as plotutil.AddLines takes them
+	for _, series := range []struct {
+		name  string
+		value func(oracle.Second) float64
+	}{
+		{"asked for", func(s oracle.Second) float64 { return s.Asked }},
+		{"sent to nodes", func(s oracle.Second) float64 { return s.Let }},
+		{"served in time", func(s oracle.Second) float64 { return s.Served }},
+	} {
+		points := make(plotter.XYs, len(load.Second))
+		for i, s := range load.Second {
+			points[i] = plotter.XY{X: float64(i), Y: series.value(s)}
+		}
+		lines = append(lines, series.name, points)
 	}
-	for i := range most {
+	return p, plotutil.AddLines(p, lines...)
+}
+
+func levelPlot(load *oracle.Load) (*plot.Plot, error) {
+	p := plot.New()
+	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "level of overload", 0, 1
+	p.X.Max = float64(len(load.Second))
+	gateways := 0
+	for _, l := range load.Levels {
+		gateways = max(gateways, len(l.Of))
+	}
+	for i := range gateways {
 		var points plotter.XYs
-		for _, x := range l.Levels {
-			if i < len(x.Of) {
-				points = append(points, plotter.XY{X: x.At.Seconds(), Y: x.Of[i]})
+		for _, l := range load.Levels {
+			if i < len(l.Of) {
+				points = append(points, plotter.XY{X: l.At.Seconds(), Y: l.Of[i]})
 			}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return fmt.Errorf("plot: %w", err)
+			return nil, err
 		}
 		line.Color = color.NRGBA{R: 30, G: 60, B: 140, A: 110}
-		levels.Add(line)
+		p.Add(line)
+	}
+	return p, nil
+}
+
+// saveStacked writes plots as one SVG, one below the other.
+func saveStacked(path string, list ...*plot.Plot) error {
+	rows := make([][]*plot.Plot, len(list))
+	for i, p := range list {
+		rows[i] = []*plot.Plot{p}
 	}
 	canvas := vgsvg.New(width, height)
-	rows := [][]*plot.Plot{{worth}, {levels}}
-	tiles := plot.Align(rows, draw.Tiles{Rows: 2, Cols: 1}, draw.New(canvas))
-	worth.Draw(tiles[0][0])
-	levels.Draw(tiles[1][0])
+	for i, tiles := range plot.Align(rows, draw.Tiles{Rows: len(list), Cols: 1}, draw.New(canvas)) {
+		list[i].Draw(tiles[0])
+	}
 	f, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("plot: %w", err)
-	}
-	if _, err := canvas.WriteTo(f); err != nil {
-		f.Close()
-		return fmt.Errorf("plot: %w", err)
+		return err
 	}
-	return f.Close()
+	_, err = canvas.WriteTo(f)
+	return errors.Join(err, f.Close())
 }
--- a/internal/observability/trace/plots/plots.go
+++ b/internal/observability/trace/plots/plots.go
@@ -1,9 +1,11 @@
-// Package plots draws what a run's traces tell.
+// Package plots draws what the traces of a run, or the figures of a run under overload, show.
 package plots
 
 import (
+	"errors"
 	"fmt"
 	"image/color"
+	"maps"
 	"slices"
 
 	"gonum.org/v1/plot"
@@ -15,51 +17,29 @@
 	"eiderspread/internal/observability/trace/analyse"
 )
 
+// Size of all pictures.
 const (
-	width      = 28 * vg.Centimeter
-	height     = 14 * vg.Centimeter
-	maxReasons = 6 // reasons drawn one by one, each in a colour of its own; the others are one bar
+	width  = 28 * vg.Centimeter
+	height = 14 * vg.Centimeter
 )
 
-// RejectionReasons draws how many refusals there were for which reason over time, stacked, in steps of so many seconds.
-func RejectionReasons(run *analyse.Run, step float64, want func(analyse.Record) bool, path string) error {
-	bins, by := run.CountOverTime(step, want)
-	if bins == 0 || len(by) == 0 {
-		return fmt.Errorf("nothing was refused")
-	}
-	sum := func(list []int) (n int) {
-		for _, x := range list {
-			n += x
-		}
-		return n
-	}
-	var order []reason.Reason
-	for _, r := range reason.Reasons() {
-		if by[r] != nil {
-			order = append(order, r)
-		}
+// maxReasons is how many reasons RejectionReasons draws one by one, each in its own colour; the others are one bar.
+const maxReasons = 6
+
+// RejectionReasons draws the number of the wanted records by reason over time, stacked, in bins of stepS seconds. The
+// file's extension gives the format. It returns an error if there is nothing to draw.
+func RejectionReasons(run *analyse.Run, stepS float64, want func(analyse.Record) bool, path string) error {
+	bins, counts := run.CountOverTime(stepS, want)
+	if bins == 0 || len(counts) == 0 {
+		return errors.New("nothing was refused")
 	}
-	slices.SortStableFunc(order, func(a, b reason.Reason) int { return sum(by[b]) - sum(by[a]) })
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Refusals and failures by reason", "seconds", fmt.Sprintf("in %g s", step)
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Refusals and failures by reason", "seconds", fmt.Sprintf("in %g s", stepS)
 	p.Legend.Top = true
 	barWidth := max((width-4*vg.Centimeter)/vg.Length(bins), vg.Points(1))
 	var below *plotter.BarChart
-	for i := 0; i < len(order); i++ {
-		values, name := make(plotter.Values, bins), order[i].String()
-		for b, n := range by[order[i]] {
-			values[b] = float64(n)
-		}
-		if i == maxReasons {
-			name = "others"
-			for _, r := range order[i+1:] {
-				for b, n := range by[r] {
-					values[b] += float64(n)
-				}
-			}
-			order = order[:i+1]
-		}
-		bars, err := plotter.NewBarChart(values, barWidth)
+	for i, s := range seriesOf(counts, bins) {
+		bars, err := plotter.NewBarChart(s.values, barWidth)
 		if err != nil {
 			return err
 		}
@@ -70,15 +50,50 @@
 		}
 		below = bars
 		p.Add(bars)
-		p.Legend.Add(fmt.Sprintf("%s (%d)", name, sum(by[order[i]])), bars)
+		p.Legend.Add(fmt.Sprintf("%s (%d)", s.name, s.total), bars)
 	}
 	p.Y.Max *= 1.35 // the legend stands above the bars
 	return p.Save(width, height, path)
 }
 
-// AvailableUnits draws an account's room as each gateway saw it beside the true one, and where it was refused.
+// series is one colour of RejectionReasons.
+type series struct {
+	name   string
+	total  int
+	values plotter.Values // by bin
+}
+
+// seriesOf returns the most frequent reasons, and the others in one.
+func seriesOf(counts map[reason.Reason][]int, bins int) (list []series) {
+	for _, r := range reason.Reasons() {
+		if counts[r] == nil {
+			continue
+		}
+		s := series{name: r.String(), values: make(plotter.Values, bins)}
+		for bin, n := range counts[r] {
+			s.total += n
+			s.values[bin] = float64(n)
+		}
+		list = append(list, s)
+	}
+	slices.SortStableFunc(list, func(a, b series) int { return b.total - a.total })
+	if len(list) <= maxReasons {
+		return list
+	}
+	others := series{name: "others", total: list[maxReasons].total, values: make(plotter.Values, bins)} // total: of the first of them alone
+	for _, s := range list[maxReasons:] {
+		for bin, n := range s.values {
+			others.values[bin] += n
+		}
+	}
+	return append(list[:maxReasons], others)
+}
+
+// AvailableUnits draws the units available to an account over time as each gateway saw them, beside what was free by the
+// first attempts of all gateways, and where requests were rejected. account is the key of analyse.Keys. It returns an
+// error if no wanted record is of the account.
 func AvailableUnits(run *analyse.Run, account string, want func(analyse.Record) bool, path string) error {
-	views, free, refused := map[string]plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
+	views, free, rejections := map[string]plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
 	plan := ""
 	for _, r := range run.Records {
 		if !want(r) || r.Account == 0 || analyse.Keys["account"](r) != account {
@@ -89,7 +104,7 @@
 		views[r.Name] = append(views[r.Name], plotter.XY{X: at, Y: float64(r.WindowAvailable)})
 		free = append(free, plotter.XY{X: at, Y: r.WindowFree})
 		if analyse.Rejected(r) {
-			refused = append(refused, plotter.XY{X: at, Y: r.WindowFree})
+			rejections = append(rejections, plotter.XY{X: at, Y: r.WindowFree})
 		}
 	}
 	if len(free) == 0 {
@@ -98,29 +113,16 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = fmt.Sprintf("Room of account %s (%s)", account, plan), "seconds", "units"
 	p.Legend.Top = true
-	truth, err := plotter.NewLine(free)
-	if err != nil {
+	if err := addLine(p, "true", free, color.Black, vg.Points(2)); err != nil {
 		return err
 	}
-	truth.Width, truth.Color = vg.Points(2), color.Black
-	p.Add(truth)
-	p.Legend.Add("true", truth)
-	var names []string
-	for n := range views {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	for i, n := range names {
-		line, err := plotter.NewLine(views[n])
-		if err != nil {
+	for i, name := range slices.Sorted(maps.Keys(views)) {
+		if err := addLine(p, "seen by "+name, views[name], plotutil.Color(i), plotter.DefaultLineStyle.Width); err != nil {
 			return err
 		}
-		line.Color = plotutil.Color(i)
-		p.Add(line)
-		p.Legend.Add("seen by "+n, line)
 	}
-	if len(refused) > 0 {
-		dots, err := plotter.NewScatter(refused)
+	if len(rejections) > 0 {
+		dots, err := plotter.NewScatter(rejections)
 		if err != nil {
 			return err
 		}
@@ -130,3 +132,14 @@
 	}
 	return p.Save(width, height, path)
 }
+
+func addLine(p *plot.Plot, name string, points plotter.XYs, c color.Color, lineWidth vg.Length) error {
+	line, err := plotter.NewLine(points)
+	if err != nil {
+		return err
+	}
+	line.Color, line.Width = c, lineWidth
+	p.Add(line)
+	p.Legend.Add(name, line)
+	return nil
+}
--- a/internal/observability/trace/plots/plots_test.go
+++ b/internal/observability/trace/plots/plots_test.go
@@ -1,31 +1,42 @@
 package plots
 
 import (
+	"errors"
 	"image/png"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"testing"
+	"time"
 
 	"eiderspread/internal/decision/config"
 	"eiderspread/internal/decision/reason"
 	"eiderspread/internal/observability/trace"
 	"eiderspread/internal/observability/trace/analyse"
+	"eiderspread/internal/testbed/oracle"
 )
 
-// Both pictures are drawn, also with more reasons than are drawn one by one; without anything to draw there is an error and no file.
-func TestPlots_AreDrawn(t *testing.T) {
+func everyRecord(analyse.Record) bool { return true }
+
+func noRecord(analyse.Record) bool { return false }
+
+// testRun has rejections of one account for every reason: more than are drawn one by one.
+func testRun() *analyse.Run {
 	var list []reason.Decision
 	for i, r := range reason.Reasons() {
 		for k := range 3 {
-			list = append(list, reason.Decision{At: 100 + float64(i%7) + float64(k), Step: reason.StepRejected, Reason: r, ID: "q", Account: 7, Plan: "p", Units: 1, WindowAvailable: float32(k)})
+			list = append(list, reason.Decision{At: 100 + float64(i%7) + float64(k), Step: reason.StepRejected, Reason: r, ID: "q", Account: 7, Plan: "p",
+				Units: 1, WindowAvailable: float32(k)})
 		}
 	}
-	run := analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0", Plans: []config.Plan{{Name: "p", Rate: 1, Burst: 5}}}, Decisions: list}})
-	all := func(analyse.Record) bool { return true }
-	dir := t.TempDir()
-	for name, draw := range map[string]func(string) error{
-		"reasons.png": func(p string) error { return RejectionReasons(run, 1, analyse.Rejected, p) },
-		"rooms.png":   func(p string) error { return AvailableUnits(run, "00000007", all, p) },
+	return analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0", Plans: []config.Plan{{Name: "p", Rate: 1, Burst: 5}}}, Decisions: list}})
+}
+
+func TestPlots_AreDrawn(t *testing.T) {
+	run, dir := testRun(), t.TempDir()
+	for name, draw := range map[string]func(path string) error{
+		"reasons.png": func(path string) error { return RejectionReasons(run, 1, analyse.Rejected, path) },
+		"rooms.png":   func(path string) error { return AvailableUnits(run, "00000007", everyRecord, path) },
 	} {
 		path := filepath.Join(dir, name)
 		if err := draw(path); err != nil {
@@ -35,14 +46,35 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		defer f.Close()
 		img, err := png.Decode(f)
-		f.Close()
-		if err != nil || img.Bounds().Dx() < 500 {
-			t.Errorf("%s: %v", name, err)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		if img.Bounds().Dx() < 500 {
+			t.Errorf("%s is %d pixels wide", name, img.Bounds().Dx())
 		}
 	}
-	none := func(analyse.Record) bool { return false }
-	if RejectionReasons(run, 1, none, filepath.Join(dir, "none.png")) == nil || AvailableUnits(run, "00000008", all, filepath.Join(dir, "none.png")) == nil {
-		t.Error("nothing was drawn without an error")
+}
+
+func TestPlots_NothingToDraw(t *testing.T) {
+	run, path := testRun(), filepath.Join(t.TempDir(), "none.png")
+	if RejectionReasons(run, 1, noRecord, path) == nil || AvailableUnits(run, "00000008", everyRecord, path) == nil {
+		t.Error("no error although there is nothing to draw")
+	}
+	if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("a file was written: %v", err)
+	}
+}
+
+func TestOverload_WritesAFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "overload.svg")
+	load := &oracle.Load{Second: []oracle.Second{{Asked: 3, Let: 2, Served: 1}, {Asked: 4, Let: 2, Served: 2}},
+		Levels: []oracle.Levels{{At: time.Second, Of: []float64{0.5, 0.4}}, {At: 2 * time.Second, Of: []float64{0.6, 0.5}}}}
+	if err := Overload(load, "a run", path); err != nil {
+		t.Fatal(err)
+	}
+	if st, err := os.Stat(path); err != nil || st.Size() == 0 {
+		t.Errorf("no drawing: %v", err)
 	}
 }
--- a/internal/observability/trace/recorder.go
+++ b/internal/observability/trace/recorder.go
@@ -1,3 +1,5 @@
+// Package trace records a gateway's decisions and their reasons in a file, and reads such files. The event loop puts
+// decisions into a ring and never waits for the disk: while the ring is full, decisions are dropped and counted.
 package trace
 
 import (
@@ -15,60 +17,62 @@
 )
 
 const (
-	ringSize      = 8192 // records, some 2 MB: a second of a gateway at its limit
+	ringSize      = 8192 // decisions, about 2 MB: what a gateway at its limit decides in a second
 	flushInterval = 100 * time.Millisecond
-	// DefaultMaxMB bounds a file where the operator's file does not.
+	// DefaultMaxMB bounds a file, in megabytes, if the operators' file does not.
 	DefaultMaxMB = 256
 )
 
-// Recorder writes a gateway's decisions to a file of its own in a folder.
+// Recorder writes a gateway's decisions to a file of its own.
 type Recorder struct {
 	ring     *Ring
 	path     string
 	file     *os.File
 	writer   *Writer
 	maxBytes int64
-	flushes  chan chan error
+	flushes  chan chan error // requests of Flush; each gets the result of one write
 	done     chan struct{}
 	log      *slog.Logger
+
+	buffer  []reason.Decision // scratch space of write
+	stopped error             // why nothing is written any more
 }
 
-// Open makes the file, named for the gateway, its process and its start, and begins to write. It ends with ctx, after what is there by
-// then is written; Done tells when.
-func Open(ctx context.Context, dir string, mostMB int, h Header, log *slog.Logger) (*Recorder, error) {
+// Open creates a file in dir, named for the gateway, its start and the process, and starts to write. At maxMB megabytes
+// (0: DefaultMaxMB) recording stops. When ctx ends, the recorder writes what it has, closes the file and then Done.
+func Open(ctx context.Context, dir string, maxMB int, h Header, log *slog.Logger) (*Recorder, error) {
 	path := filepath.Join(dir, fmt.Sprintf("%s-%d-%d.trace", h.Name, int64(h.StartedAt*1000), os.Getpid()))
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o640)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	w, err := NewWriter(file, h)
+	writer, err := NewWriter(file, h)
 	if err != nil {
-		file.Close()
-		return nil, err
+		return nil, errors.Join(err, file.Close())
 	}
-	if mostMB <= 0 {
-		mostMB = DefaultMaxMB
+	if maxMB <= 0 {
+		maxMB = DefaultMaxMB
 	}
-	r := &Recorder{ring: NewRing(ringSize), path: path, file: file, writer: w, maxBytes: int64(mostMB) << 20, flushes: make(chan chan error),
-		done: make(chan struct{}), log: log}
+	r := &Recorder{ring: NewRing(ringSize), path: path, file: file, writer: writer, maxBytes: int64(maxMB) << 20,
+		flushes: make(chan chan error), done: make(chan struct{}), log: log}
 	go r.run(ctx)
 	return r, nil
 }
 
-// Start is Open for a program: at SIGUSR1 what is there is written at once.
-func Start(ctx context.Context, dir string, mostMB int, h Header, log *slog.Logger) (*Recorder, error) {
-	r, err := Open(ctx, dir, mostMB, h, log)
+// Start is Open for a program: in addition, SIGUSR1 has all decisions so far written at once.
+func Start(ctx context.Context, dir string, maxMB int, h Header, log *slog.Logger) (*Recorder, error) {
+	r, err := Open(ctx, dir, maxMB, h, log)
 	if err != nil {
 		return nil, err
 	}
-	flush := make(chan os.Signal, 1)
-	signal.Notify(flush, syscall.SIGUSR1)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR1)
 	go func() {
-		defer signal.Stop(flush)
+		defer signal.Stop(signals)
 		for {
 			select {
-			case <-flush:
-				r.Flush(ctx)
+			case <-signals:
+				_ = r.Flush(ctx) // the recorder has logged a failure itself
 			case <-r.Done():
 				return
 			}
@@ -77,36 +81,41 @@
 	return r, nil
 }
 
-// Wait returns when all is written, once the context that the recorder was started with has ended; at once for none.
-func (r *Recorder) Wait() {
-	if r != nil {
-		<-r.done
-	}
-}
-
-// CheckFolder tells what is wrong with an operator's settings of a trace.
-func CheckFolder(dir string, mostMB int) error {
-	if mostMB < 0 {
+// CheckFolder returns an error if an operators' file asks for a trace that can't be written: dir is no folder, or maxMB is
+// below 0. An empty dir stands for no trace.
+func CheckFolder(dir string, maxMB int) error {
+	if maxMB < 0 {
 		return errors.New("trace_mb must not be below 0")
 	}
-	if st, err := os.Stat(dir); dir != "" && (err != nil || !st.IsDir()) {
+	if dir == "" {
+		return nil
+	}
+	if st, err := os.Stat(dir); err != nil || !st.IsDir() {
 		return fmt.Errorf("trace: %s is no folder", dir)
 	}
 	return nil
 }
 
-// Put takes a record; it is what the module is given. Of the loop.
+// Put records a decision. It is called by the event loop alone and does not wait for the disk.
 func (r *Recorder) Put(d reason.Decision) { r.ring.Put(d) }
 
-// Done is closed when the file is.
+// Done returns a channel that is closed when the file is.
 func (r *Recorder) Done() <-chan struct{} { return r.done }
 
-// Flush has all that was put so far written. It fails where the trace has ended before its time. Of any goroutine but the loop.
+// Wait waits until Done is closed; it returns at once for a nil recorder.
+func (r *Recorder) Wait() {
+	if r != nil {
+		<-r.done
+	}
+}
+
+// Flush has all decisions so far written. It fails if recording has stopped early, as the file is full or can't be
+// written. It must not be called by the event loop.
 func (r *Recorder) Flush(ctx context.Context) error {
-	back := make(chan error, 1)
+	result := make(chan error, 1)
 	select {
-	case r.flushes <- back:
-		return <-back
+	case r.flushes <- result:
+		return <-result
 	case <-r.done:
 		return nil
 	case <-ctx.Done():
@@ -116,36 +125,36 @@
 
 func (r *Recorder) run(ctx context.Context) {
 	defer close(r.done)
-	defer r.file.Close()
-	tick := time.NewTicker(flushInterval)
-	defer tick.Stop()
-	var list []reason.Decision
-	var over error // why nothing is written any more
-	write := func() error {
-		var lost uint64
-		if list, lost = r.ring.Drain(list[:0]); over != nil || len(list) == 0 && lost == 0 {
-			return over
-		}
-		err := r.writer.Write(list, lost)
-		if err == nil && r.writer.Size() >= r.maxBytes {
-			err = fmt.Errorf("trace: %s is full", r.path)
-		}
-		if over = err; over != nil {
-			r.log.Error("decisions are not traced any more", "error", err)
-		}
-		return err
-	}
+	defer func() { _ = r.file.Close() }() // each write was checked
+	ticker := time.NewTicker(flushInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			write()
+			r.write()
 			return
-		case <-tick.C:
-			write()
+		case <-ticker.C:
+			r.write()
 		case <-r.ring.HalfFull():
-			write()
-		case back := <-r.flushes:
-			back <- write()
+			r.write()
+		case result := <-r.flushes:
+			r.write()
+			result <- r.stopped
 		}
 	}
 }
+
+// write writes what is in the ring. After a failure, which it logs, it only empties the ring.
+func (r *Recorder) write() {
+	var lost uint64
+	if r.buffer, lost = r.ring.Drain(r.buffer[:0]); r.stopped != nil || len(r.buffer) == 0 && lost == 0 {
+		return
+	}
+	r.stopped = r.writer.Write(r.buffer, lost)
+	if r.stopped == nil && r.writer.Size() >= r.maxBytes {
+		r.stopped = fmt.Errorf("trace: %s is full", r.path)
+	}
+	if r.stopped != nil {
+		r.log.Error("decisions are not traced any more", "error", r.stopped)
+	}
+}
--- a/internal/observability/trace/spans/spans_test.go
+++ b/internal/observability/trace/spans/spans_test.go
@@ -11,57 +11,66 @@
 	"eiderspread/policy"
 )
 
-// A request with two attempts and one that is refused: field names as OTLP's JSON form has them, ids of its lengths, attempts below
-// their request, statuses by what came of it.
+// writtenSpan is a span with the field names of OTLP's JSON encoding, as a reader has it.
+type writtenSpan struct {
+	TraceID, SpanID, ParentSpanID, Name, StartTimeUnixNano, EndTimeUnixNano string
+	Status                                                                  struct {
+		Code    int
+		Message string
+	}
+}
+
+// writeSpans returns the spans that Write writes, of the only gateway.
+func writeSpans(t *testing.T, run *analyse.Run, rejectedOnly bool) []writtenSpan {
+	t.Helper()
+	var b bytes.Buffer
+	if err := Write(&b, run, func(analyse.Record) bool { return true }, rejectedOnly); err != nil {
+		t.Fatal(err)
+	}
+	var got struct {
+		ResourceSpans []struct {
+			ScopeSpans []struct{ Spans []writtenSpan }
+		}
+	}
+	if err := json.Unmarshal(b.Bytes(), &got); err != nil {
+		t.Fatal(err)
+	}
+	return got.ResourceSpans[0].ScopeSpans[0].Spans
+}
+
+// A request with two attempts and one that is rejected: ids of OTLP's lengths, attempts below their request, statuses by
+// their ends.
 func TestWrite_SpansOfRequests(t *testing.T) {
-	send := func(at float64, n int) reason.Decision {
-		return reason.Decision{At: at, Step: reason.StepSent, ID: "a", Attempt: n, Backend: "z1", Class: "look"}
+	started := func(at float64, attempt int) reason.Decision {
+		return reason.Decision{At: at, Step: reason.StepSent, ID: "a", Attempt: attempt, Backend: "z1", Class: "look"}
 	}
-	back := func(at float64, n int, s policy.Status) reason.Decision {
-		return reason.Decision{At: at, Step: reason.StepEnded, ID: "a", Attempt: n, Status: int(s), Class: "look"}
+	ended := func(at float64, attempt int, status policy.Status) reason.Decision {
+		return reason.Decision{At: at, Step: reason.StepEnded, ID: "a", Attempt: attempt, Status: int(status), Class: "look"}
 	}
 	run := analyse.Join([]*trace.File{{Header: trace.Header{Name: "n0"}, Decisions: []reason.Decision{
-		{At: 10, Step: reason.StepArrived, Reason: reason.OwnerCount, ID: "a", Class: "look", Plan: "p"}, send(10.25, 0), back(10.5, 0, policy.Reset), send(10.5, 1), back(11, 1, policy.OK),
-		{At: 12, Step: reason.StepArrived, ID: "b", Class: "look", Plan: "p"}, {At: 12, Step: reason.StepRejected, Reason: reason.ConcurrencyLimit, ID: "b", Class: "look"}}}})
-	for _, refused := range []bool{false, true} {
-		var b bytes.Buffer
-		if err := Write(&b, run, func(analyse.Record) bool { return true }, refused); err != nil {
-			t.Fatal(err)
-		}
-		var got struct {
-			ResourceSpans []struct {
-				ScopeSpans []struct {
-					Spans []struct {
-						TraceID, SpanID, ParentSpanID, Name, StartTimeUnixNano, EndTimeUnixNano string
-						Status                                                                  struct {
-							Code    int
-							Message string
-						}
-					}
-				}
-			}
-		}
-		if err := json.Unmarshal(b.Bytes(), &got); err != nil {
-			t.Fatal(err)
-		}
-		spans := got.ResourceSpans[0].ScopeSpans[0].Spans
-		if refused {
-			if len(spans) != 1 || spans[0].Status.Code != 2 || spans[0].Status.Message != "refuse: cap" {
-				t.Errorf("%+v", spans)
-			}
-			continue
-		}
-		if len(spans) != 4 {
-			t.Fatalf("%d spans", len(spans))
-		}
-		root := spans[0]
-		if len(root.TraceID) != 32 || len(root.SpanID) != 16 || root.StartTimeUnixNano != "10000000000" || root.EndTimeUnixNano != "11000000000" || root.Status.Code != 1 {
-			t.Errorf("%+v", root)
-		}
-		for i, code := range []int{2, 1} {
-			if s := spans[1+i]; s.ParentSpanID != root.SpanID || s.TraceID != root.TraceID || s.Status.Code != code {
-				t.Errorf("attempt %d: %+v", i, s)
-			}
+		{At: 10, Step: reason.StepArrived, Reason: reason.OwnerCount, ID: "a", Class: "look", Plan: "p"},
+		started(10.25, 0), ended(10.5, 0, policy.Reset),
+		started(10.5, 1), ended(11, 1, policy.OK),
+		{At: 12, Step: reason.StepArrived, ID: "b", Class: "look", Plan: "p"},
+		{At: 12, Step: reason.StepRejected, Reason: reason.ConcurrencyLimit, ID: "b", Class: "look"},
+	}}})
+
+	spans := writeSpans(t, run, false)
+	if len(spans) != 4 {
+		t.Fatalf("%d spans, want 4", len(spans))
+	}
+	root := spans[0]
+	if len(root.TraceID) != 32 || len(root.SpanID) != 16 || root.StartTimeUnixNano != "10000000000" || root.EndTimeUnixNano != "11000000000" || root.Status.Code != 1 {
+		t.Errorf("request: %+v", root)
+	}
+	for i, code := range []int{2, 1} {
+		if s := spans[1+i]; s.ParentSpanID != root.SpanID || s.TraceID != root.TraceID || s.Status.Code != code {
+			t.Errorf("attempt %d: %+v, want status %d", i, s, code)
 		}
 	}
+
+	spans = writeSpans(t, run, true)
+	if len(spans) != 1 || spans[0].Status.Code != 2 || spans[0].Status.Message != "refuse: cap" {
+		t.Errorf("rejected requests: %+v", spans)
+	}
 }
