--- a/cmd/testbed/sim.go
+++ b/cmd/testbed/sim.go
@@ -4,11 +4,9 @@
 	"cmp"
 	"flag"
 	"fmt"
-	"maps"
 	"os"
 	"path/filepath"
 	"runtime"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -21,181 +19,170 @@
 	"eiderspread/internal/testbed/simulation"
 )
 
+// maxShrinkTime bounds the search for the faults that matter.
+const maxShrinkTime = time.Minute
+
+// simOptions are the flags of the sim command.
+type simOptions struct {
+	scenario    string
+	planners    int
+	forwarders  int
+	schedules   int
+	firstSeed   uint64
+	length      time.Duration
+	jobs        int
+	shrink      bool
+	traceFolder string
+	shedding    bool
+	rule        string
+}
+
+func parseSimOptions(args []string) (o simOptions, err error) {
+	set := flag.NewFlagSet("sim", flag.ContinueOnError)
+	set.StringVar(&o.scenario, "scenario", "storm", "one of: "+strings.Join(names(testbed.ScenarioNames()), ", "))
+	set.IntVar(&o.planners, "planners", 3, "3 for two levels, 0 for one")
+	set.IntVar(&o.forwarders, "forwarders", 0, "how many, or ingresses; 0 for 5, or 4 of one level")
+	set.IntVar(&o.schedules, "schedules", 20, "how many")
+	set.Uint64Var(&o.firstSeed, "seed", 1, "of the first schedule; the others follow")
+	set.DurationVar(&o.length, "for", 30*time.Second, "virtual time of each")
+	set.IntVar(&o.jobs, "jobs", runtime.NumCPU(), "schedules at a time")
+	set.BoolVar(&o.shrink, "shrink", true, "cut a schedule that fails down to the faults that matter")
+	set.StringVar(&o.traceFolder, "trace", "", "a folder: decisions of the first schedule's ingresses, or planners, are written there, for decisiontrace")
+	set.BoolVar(&o.shedding, "overload", false, "ingresses and planners shed load as one")
+	set.StringVar(&o.rule, "rule", "", "with this, only a breach of this rule fails a schedule")
+	return o, set.Parse(args)
+}
+
+// fails reports whether a schedule's report breaks a rule that counts.
+func (o simOptions) fails(report *oracle.Report) bool {
+	if o.rule == "" {
+		return len(report.Counts) > 0
+	}
+	return report.Counts[o.rule] > 0
+}
+
+// simRun plays the schedules of one call. mu guards all below it.
+type simRun struct {
+	simOptions
+	began time.Time
+	next  atomic.Uint64 // schedules begun
+
+	mu     sync.Mutex
+	size   int // forwarders of a schedule
+	totals simTotals
+	failed []simulation.Config
+}
+
 // runSim plays schedules of a scenario in virtual time, and cuts the first that fails down to the faults that matter.
 func runSim(args []string) error {
-	set := flag.NewFlagSet("sim", flag.ContinueOnError)
-	scenario := set.String("scenario", "storm", "one of: "+strings.Join(names(testbed.ScenarioNames()), ", "))
-	planners := set.Int("planners", 3, "3 for two levels, 0 for one")
-	forwarders := set.Int("forwarders", 0, "how many, or ingresses; 0 for 5, or 4 of one level")
-	schedules := set.Int("schedules", 20, "how many")
-	first := set.Uint64("seed", 1, "of the first schedule; the others follow")
-	length := set.Duration("for", 30*time.Second, "virtual time of each")
-	jobs := set.Int("jobs", runtime.NumCPU(), "schedules at a time")
-	shrink := set.Bool("shrink", true, "cut a schedule that fails down to the faults that matter")
-	folder := set.String("trace", "", "a folder: decisions of the first schedule's ingresses, or planners, are written there, for decisiontrace")
-	shed := set.Bool("overload", false, "ingresses and planners decide on overload as one")
-	rule := set.String("rule", "", "with this, only a breach of this rule fails a schedule")
-	if err := set.Parse(args); err != nil {
+	options, err := parseSimOptions(args)
+	if err != nil {
 		return err
 	}
-	play := func(cfg simulation.Config) *oracle.Report { return simulation.New(cfg).Run() }
-	fails := func(r *oracle.Report) bool {
-		return *rule == "" && len(r.Counts) > 0 || *rule != "" && r.Counts[*rule] > 0
+	run := &simRun{simOptions: options, began: time.Now(), totals: newSimTotals()}
+	var workers sync.WaitGroup
+	for range options.jobs {
+		workers.Go(run.work)
 	}
-	began := time.Now()
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	var next atomic.Uint64
-	var failed []simulation.Config
-	size := 0
-	seen, counts, nearest := map[string]int{}, map[string]int{}, map[string]float64{}
-	tries, attempts, messages, drowned, handshakes := 0, 0, 0, 0, 0
-	var cost oracle.Cost
-	var ideal, withheld, beyond, service, placeS, beyondS float64
-	reasons, byPlan, kinds := map[reason.Reason]int{}, map[string]float64{}, map[string]int{}
-	for range *jobs {
-		all.Go(func() {
-			for n := next.Add(1) - 1; n < uint64(*schedules); n = next.Add(1) - 1 {
-				cfg, err := simulation.MakeOf(*scenario, *planners > 0, *forwarders, *first+n, length.Seconds())
-				if err != nil {
-					mu.Lock()
-					fmt.Fprintln(os.Stderr, err)
-					failed = append(failed, cfg)
-					mu.Unlock()
-					return
-				}
-				mu.Lock()
-				size = cfg.Forwarders
-				mu.Unlock()
-				cfg.Overload.Enabled = *shed
-				var told [][]reason.Decision
-				if n == 0 && *folder != "" {
-					told = make([][]reason.Decision, cmp.Or(cfg.Planners, cfg.Forwarders))
-					cfg.Trace = func(i int, d reason.Decision) { told[i] = append(told[i], d) }
-				}
-				r := play(cfg)
-				cfg.Trace = nil
-				if err := writeTraces(*folder, cfg, told); err != nil {
-					mu.Lock()
-					fmt.Fprintln(os.Stderr, err)
-					failed = append(failed, cfg)
-					mu.Unlock()
-					return
-				}
-				mu.Lock()
-				tries, attempts = tries+r.Tries, attempts+r.Attempts
-				ideal, withheld, service = ideal+r.Ideal, withheld+r.Withheld, service+r.Service
-				for _, o := range r.Overshoots {
-					beyond += o.Units
-				}
-				cost.Real, cost.Late = cost.Real+r.Beyond.Real, cost.Late+r.Beyond.Late
-				messages, drowned = messages+r.Messages, drowned+r.Drowned
-				handshakes += r.Handshakes
-				placeS, beyondS = placeS+r.PlaceS, beyondS+r.BeyondS
-				for k, n := range r.Kinds {
-					kinds[k] += n
-				}
-				for k, v := range r.ByPlan {
-					byPlan[k] += v
-				}
-				for k, n := range r.Reasons {
-					reasons[reason.Reason(k)] += n
-				}
-				for k, v := range r.Seen {
-					seen[k] += v
-				}
-				for k, v := range r.Counts {
-					counts[k] += v
-				}
-				for k, v := range r.Nearest {
-					nearest[k] = max(nearest[k], v)
-				}
-				if fails(r) {
-					failed = append(failed, cfg)
-					if len(failed) == 1 {
-						fmt.Printf("seed %d after %v: %v\n", cfg.Seed, time.Since(began).Round(time.Millisecond), r.Verdict())
-					}
-				}
-				stop := len(failed) > 0 && *shrink
-				mu.Unlock()
-				if stop {
-					return
-				}
-			}
-		})
+	workers.Wait()
+	run.print()
+	if len(run.failed) == 0 {
+		return nil
+	}
+	if first := run.failed[0]; options.shrink && first.Forwarders > 0 {
+		run.printShrunk(first)
 	}
-	all.Wait()
-	fmt.Printf("%s, planners %d: %d schedules of %v from seed %d in %v on %d cores: %d tries, %d attempts, %d schedules failed\n", *scenario, *planners,
-		min(int(next.Load()), *schedules), *length, *first, time.Since(began).Round(time.Millisecond), runtime.NumCPU(), tries, attempts, len(failed))
-	for _, r := range append(slices.Clone(oracle.RuleNames), "one leader", "everybody is led") {
-		if seen[r]+counts[r] > 0 {
-			fmt.Printf("  %-18s breaches %d, occasions %d\n", r, counts[r], seen[r])
+	return fmt.Errorf("%d schedules failed", len(run.failed))
+}
+
+// work plays schedules until all are played, or one has failed that is to be shrunk.
+func (run *simRun) work() {
+	for n := run.next.Add(1) - 1; n < uint64(run.schedules); n = run.next.Add(1) - 1 {
+		cfg, report, err := run.play(n)
+		run.mu.Lock()
+		if err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			run.failed = append(run.failed, cfg)
+			run.mu.Unlock()
+			return
+		}
+		run.add(cfg, report)
+		stop := len(run.failed) > 0 && run.shrink
+		run.mu.Unlock()
+		if stop {
+			return
 		}
 	}
-	for _, what := range slices.Sorted(maps.Keys(nearest)) {
-		fmt.Printf("  nearest to %s: %.2f\n", what, nearest[what])
+}
+
+// play plays the n-th schedule; the decisions of the first are traced if that was asked for.
+func (run *simRun) play(n uint64) (simulation.Config, *oracle.Report, error) {
+	cfg, err := simulation.MakeOf(run.scenario, run.planners > 0, run.forwarders, run.firstSeed+n, run.length.Seconds())
+	if err != nil {
+		return cfg, nil, err
 	}
-	played := float64(max(1, min(int(next.Load()), *schedules)))
-	fmt.Printf("  service %.3f", service/played)
-	for _, k := range slices.Sorted(maps.Keys(byPlan)) {
-		fmt.Printf(" %s %.3f", k, byPlan[k]/played)
+	cfg.Overload.Enabled = run.shedding
+	var decisions [][]reason.Decision // by gateway
+	if n == 0 && run.traceFolder != "" {
+		decisions = make([][]reason.Decision, cmp.Or(cfg.Planners, cfg.Forwarders))
+		cfg.Trace = func(i int, d reason.Decision) { decisions[i] = append(decisions[i], d) }
 	}
-	fmt.Printf("\n  beyond quotas: costs %.3f of the worth asked for inside, %.3f under a policy that sees all late", cost.Real/played, cost.Late/played)
-	fmt.Printf("\n  connections opened to nodes: %.2f an attempt\n", float64(handshakes)/float64(max(attempts, 1)))
-	if ideal > 0 {
-		fmt.Printf("  counts: %.0f units would be let in without fault, %.1f%% of them were withheld; the worst moments of accounts add up to %.1f%% beyond\n",
-			ideal, 100*withheld/ideal, 100*beyond/ideal)
-		list := slices.SortedFunc(maps.Keys(reasons), func(a, b reason.Reason) int { return reasons[b] - reasons[a] })
-		fmt.Printf("  messages between ingresses: %.1f a second at each, %.1f%% of them beyond its intake\n",
-			float64(messages)/played/length.Seconds()/float64(max(1, size)), 100*float64(drowned)/float64(max(1, messages)))
-		if placeS > 0 {
-			fmt.Printf("  places: %.0f s of attempts within caps, %.1f%% of that beyond\n", placeS, 100*beyondS/placeS)
-		}
-		fmt.Print("  sent, a second at each:")
-		for _, k := range slices.Sorted(maps.Keys(kinds)) {
-			fmt.Printf(" %s %.2f", k, float64(kinds[k])/played/length.Seconds()/float64(max(1, size)))
-		}
-		fmt.Println()
-		fmt.Print("  refused:")
-		for _, k := range list {
-			fmt.Printf(" %v %d", k, reasons[k])
-		}
-		fmt.Println()
+	report := simulation.New(cfg).Run()
+	cfg.Trace = nil
+	return cfg, report, writeTraces(run.traceFolder, cfg, decisions)
+}
+
+// add counts a schedule's report. The caller holds mu.
+func (run *simRun) add(cfg simulation.Config, report *oracle.Report) {
+	run.size = cfg.Forwarders
+	run.totals.add(report)
+	if !run.fails(report) {
+		return
 	}
-	if len(failed) == 0 {
-		return nil
+	run.failed = append(run.failed, cfg)
+	if len(run.failed) == 1 {
+		fmt.Printf("seed %d after %v: %v\n", cfg.Seed, time.Since(run.began).Round(time.Millisecond), report.Verdict())
 	}
-	if cfg := failed[0]; *shrink && cfg.Forwarders > 0 {
-		began := time.Now()
-		faults := simulation.Shrink(cfg.Faults, func(list []testbed.Fault) bool {
-			if time.Since(began) > time.Minute {
-				return false
-			}
-			c := cfg
-			c.Faults = list
-			return fails(play(c))
-		})
-		cfg.Faults = faults
-		fmt.Printf("seed %d: %d faults matter:\n", cfg.Seed, len(faults))
-		for _, x := range faults {
-			fmt.Printf("  %8.3f %v\n", x.At.Seconds(), x)
-		}
-		for _, b := range play(cfg).Breaches {
-			fmt.Printf("  %8.3f %s: %s\n", b.At.Seconds(), b.Rule, b.What)
-			break
+}
+
+// played is how many schedules were played.
+func (run *simRun) played() int { return min(int(run.next.Load()), run.schedules) }
+
+func (run *simRun) print() {
+	fmt.Printf("%s, planners %d: %d schedules of %v from seed %d in %v on %d cores: %d tries, %d attempts, %d schedules failed\n", run.scenario,
+		run.planners, run.played(), run.length, run.firstSeed, time.Since(run.began).Round(time.Millisecond), runtime.NumCPU(), run.totals.tries,
+		run.totals.attempts, len(run.failed))
+	run.totals.print(float64(max(1, run.played())), run.length.Seconds(), float64(max(1, run.size)))
+}
+
+// printShrunk cuts a failed schedule down to the faults that matter and prints these, with the first breach.
+func (run *simRun) printShrunk(cfg simulation.Config) {
+	began := time.Now()
+	cfg.Faults = simulation.Shrink(cfg.Faults, func(faults []testbed.Fault) bool {
+		if time.Since(began) > maxShrinkTime {
+			return false
 		}
+		shorter := cfg
+		shorter.Faults = faults
+		return run.fails(simulation.New(shorter).Run())
+	})
+	fmt.Printf("seed %d: %d faults matter:\n", cfg.Seed, len(cfg.Faults))
+	for _, fault := range cfg.Faults {
+		fmt.Printf("  %8.3f %v\n", fault.At.Seconds(), fault)
+	}
+	if breaches := simulation.New(cfg).Run().Breaches; len(breaches) > 0 {
+		fmt.Printf("  %8.3f %s: %s\n", breaches[0].At.Seconds(), breaches[0].Rule, breaches[0].What)
 	}
-	return fmt.Errorf("%d schedules failed", len(failed))
 }
 
-// writeTraces writes what ingresses told of their decisions, a file each. Times are the schedule's.
-func writeTraces(folder string, cfg simulation.Config, told [][]reason.Decision) error {
-	for i, list := range told {
+// writeTraces writes the decisions of each gateway to a file of its own. Times are the schedule's.
+func writeTraces(folder string, cfg simulation.Config, decisions [][]reason.Decision) error {
+	for i, list := range decisions {
 		f, err := os.Create(filepath.Join(folder, fmt.Sprintf("sim%d-%d.trace", i, cfg.Seed)))
 		if err != nil {
 			return err
 		}
-		w, err := trace.NewWriter(f, trace.Header{Name: fmt.Sprint("sim", i), Gateway: i, Gateways: len(told), Plans: cfg.Plans, Classes: cfg.Classes})
+		w, err := trace.NewWriter(f, trace.Header{Name: fmt.Sprint("sim", i), Gateway: i, Gateways: len(decisions), Plans: cfg.Plans, Classes: cfg.Classes})
 		if err == nil {
 			err = w.Write(list, 0)
 		}
@@ -206,10 +193,10 @@
 	return nil
 }
 
-// names are the first words of a list of names with what they stand for.
+// names returns the first word of each line of a list.
 func names(list []string) (out []string) {
-	for _, x := range list {
-		out = append(out, strings.Fields(x)[0])
+	for _, line := range list {
+		out = append(out, strings.Fields(line)[0])
 	}
 	return out
 }
