--- a/internal/dataplane/admin/console_test.go
+++ b/internal/dataplane/admin/server_test.go
@@ -17,7 +17,7 @@
 
 const testTimeout = 20 * time.Second
 
-// fakeHandler notes calls and answers with what a test says.
+// fakeHandler records calls and answers with what a test says.
 type fakeHandler struct {
 	mu    sync.Mutex
 	calls []string
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testTimeout))
+	_ = c.SetDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
 	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: x\r\n\r\n", head)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -123,7 +123,7 @@
 		}
 		defer c.Close()
 		if i%2 == 0 {
-			io.WriteString(c, "POST /v1/ingr")
+			_, _ = io.WriteString(c, "POST /v1/ingr")
 		}
 		silent = append(silent, c)
 	}
@@ -131,7 +131,7 @@
 		t.Fatal(got)
 	}
 	for _, c := range silent { // each of them ends too
-		c.SetReadDeadline(time.Now().Add(testTimeout))
+		_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal("a silent caller is kept")
 		}
