--- a/internal/base/monotime/monotime.go
+++ b/internal/base/monotime/monotime.go
@@ -1,4 +1,5 @@
-// Package mono tells the time of a program: Unix seconds at its start, advanced by the monotonic clock alone.
+// Package monotime tells the time of a program: Unix seconds at its start, advanced by the monotonic clock alone, so that a step of the
+// machine's clock moves nothing.
 package monotime
 
 import (
@@ -7,27 +8,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is safe for concurrent use; copies tell the same time.
+// Clock is safe for concurrent use; copies tell the same time. The zero Clock is of no use: NewClock starts one.
 type Clock struct {
 	start      time.Time
 	startUnixS float64
-	bootUnixS  float64
+	bootUnixS  float64 // 0: not known
 }
 
 // NewClock starts a clock.
 func NewClock() Clock {
-	t := time.Now()
-	unixS := float64(t.UnixNano()) / 1e9
-	boot := 0.0
-	var since unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &since) == nil {
-		boot = unixS - float64(since.Nano())/1e9
+	start := time.Now()
+	startUnixS := float64(start.UnixNano()) / 1e9
+	bootUnixS := 0.0
+	var sinceBoot unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &sinceBoot) == nil {
+		bootUnixS = startUnixS - float64(sinceBoot.Nano())/1e9
 	}
-	return Clock{t, unixS, boot}
+	return Clock{start, startUnixS, bootUnixS}
 }
 
-// BootTime is the moment at which the machine's monotonic clock stood at 0, by this clock; 0 where there is none. Two programs of one
-// machine differ in it by what their clocks do.
+// BootTime is when the machine's monotonic clock stood at 0, in Unix seconds by this clock; 0 where there is no such clock. The clocks of two
+// programs of one machine differ by as much as their boot times do.
 func (c Clock) BootTime() float64 { return c.bootUnixS }
 
 // Now is the time in Unix seconds.
--- a/internal/base/settings/golden_test.go
+++ b/internal/base/settings/golden_test.go
@@ -12,8 +12,8 @@
 func TestGoldenSettings(t *testing.T) {
 	var w wireSettings
 	golden.Fill(&w)
-	w.Feedback.How, w.Profiles, w.Packages = "probe", w.Profiles[:1], w.Packages[:1]
-	w.Profiles[0].Effect, w.Profiles[0].KeyScope = "dedup", "cell"
+	w.LoadReports.CarriedBy, w.Classes, w.Plans = "probe", w.Classes[:1], w.Plans[:1]
+	w.Classes[0].Idempotency, w.Classes[0].KeyScope = "dedup", "cell"
 	text, err := json.Marshal(w)
 	if err != nil {
 		t.Fatal(err)
