--- a/cmd/eiderspread/drain_test.go
+++ b/cmd/eiderspread/drain_test.go
@@ -23,7 +23,7 @@
 	lateInDrain   = 2 * time.Second        // a request that comes later would be too young at the end
 )
 
-// persistentConn is one that a client keeps open between its requests, as long as the ingress does.
+// persistentConn is a connection that a client keeps open between its requests, as long as the ingress does.
 type persistentConn struct {
 	net.Conn
 	reader         *bufio.Reader
@@ -64,7 +64,7 @@
 	return served, err == nil
 }
 
-// violation tells how the connection breaks the rule at the end of a drain, or "".
+// violation is how the connection breaks the rule at the end of a drain, or "".
 func (k *persistentConn) violation(now time.Time) string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -103,7 +103,7 @@
 			return
 		}
 		k := &persistentConn{Conn: conn, reader: bufio.NewReader(conn)}
-		conn.SetDeadline(time.Now().Add(testTimeout))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
 		if f.sinceDrainCall() > noticedLately {
 			f.openedLate.Add(1)
 		}
@@ -226,7 +226,7 @@
 		if err != nil {
 			return err
 		}
-		conn.SetDeadline(time.Now().Add(testTimeout))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
 		reader := bufio.NewReader(conn)
 		var open []time.Time // when each was sent
 		send := func() {
--- a/cmd/eiderspread/main.go
+++ b/cmd/eiderspread/main.go
@@ -1,8 +1,13 @@
-// Command eiderspread is one real ingress: the decision module on sockets.
+// Command eiderspread is one ingress with the decision module in its own process.
+//
+// EDGE_CONFIG names the configuration file, EDGE_OPERATOR the operator's file, if there is one, and EDGE_CONSOLE the address at which operators
+// call, where the configuration names none. SIGHUP reads both files again, SIGTERM drains. With -check it reads the files, says what is wrong
+// with them, and ends.
 package main
 
 import (
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"log/slog"
@@ -14,11 +19,10 @@
 	"eiderspread/internal/dataplane/ingress"
 )
 
-const (
-	// There is one core: a second processor took 1.84 s of CPU a calm day against 1.71 and 1.73 s,
-	// at the same result.
-	maxProcs = 1
-)
+// maxProcs is 1: an ingress has one core.
+const maxProcs = 1
+
+var errNoConfig = errors.New("EDGE_CONFIG names no configuration file")
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
@@ -35,7 +39,7 @@
 	}
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
-		return fmt.Errorf("EDGE_CONFIG names no configuration file")
+		return errNoConfig
 	}
 	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read when it is taken
 	signal.Notify(hup, syscall.SIGHUP)
@@ -68,9 +72,7 @@
 	return cfg, err
 }
 
-// reloadOnSignal reads the configuration again at each signal and hands it on. What can't be read is logged,
-// and the ingress goes on as it is.
-func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, path string, first ingress.Config,
-	to chan<- ingress.Config, log *slog.Logger) {
+// reloadOnSignal reads the configuration again at each signal and hands it on, until done is closed.
+func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, path string, first ingress.Config, to chan<- ingress.Config, log *slog.Logger) {
 	ingress.Reload(hup, done, func() (ingress.Config, error) { return readConfig(path) }, first, to, log)
 }
--- a/cmd/eiderspread/main_test.go
+++ b/cmd/eiderspread/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -106,7 +107,7 @@
 						return
 					}
 					if strings.HasPrefix(line, "c=") { // the last argument of a read
-						io.WriteString(c, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+						_, _ = io.WriteString(c, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 					}
 				}
 			}()
@@ -184,7 +185,7 @@
 				return err
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(3 * testTimeout))
+			_ = c.SetDeadline(time.Now().Add(3 * testTimeout)) // an error shows in the next read
 			r := bufio.NewReader(c)
 			for n := 0; ; n++ {
 				fields := "c=look,t=basic,d=20000,units=1,spread=1,first=0"
@@ -193,7 +194,7 @@
 					len(id), id, len(fields), fields)
 				for _, want := range []string{"$1\r\n", "v\r\n"} {
 					if got, err := r.ReadString('\n'); err != nil || got != want {
-						return fmt.Errorf("request %d: got %q, %v", n, got, err)
+						return errors.Join(fmt.Errorf("request %d: got %q", n, got), err)
 					}
 				}
 				select {
--- a/cmd/eiderspread/term_test.go
+++ b/cmd/eiderspread/term_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// A test that starts itself with this set is the program.
+// runAsProgramEnv is set where a test starts itself as the program.
 const runAsProgramEnv = "EIDERSPREAD_TEST_RUNS_IT"
 
 func TestMain(m *testing.M) {
@@ -71,7 +71,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
+	t.Cleanup(func() { _ = cmd.Process.Kill(); _ = cmd.Wait() })
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if c, err := net.Dial("tcp", listen); err == nil {
 			c.Close()
@@ -125,7 +125,7 @@
 					return err
 				}
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(testTimeout))
+				_ = c.SetDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
 				r := bufio.NewReader(c)
 				send := func(k int) error {
 					id, fields := fmt.Sprintf("q-%d-%d", n, k), "c=look,t=basic,d=400,units=1,spread=1,first=0"
@@ -147,7 +147,7 @@
 					case line[0] == '$':
 						want := fmt.Sprintf("%d-%d\r\n", n, k)
 						if value, err := r.ReadString('\n'); err != nil || value != want {
-							return fmt.Errorf("answer %d: %q, %v, want %q", k, value, err, want)
+							return errors.Join(fmt.Errorf("answer %d: %q, want %q", k, value, want), err)
 						}
 					case line[0] != '-':
 						return fmt.Errorf("answer %d: %q", k, line)
@@ -155,13 +155,15 @@
 					if k == 20 {
 						first.Done()
 					}
-					send(k + ahead) // to an end that was sent already, perhaps: what comes back tells
+					_ = send(k + ahead) // to an end that was sent already, perhaps: what comes back tells
 				}
 			}()
 		})
 	}
 	first.Wait()
-	cmd.Process.Signal(syscall.SIGTERM)
+	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
 	all.Wait()
 	close(errs)
 	for err := range errs {
