--- a/internal/dataplane/ingress/pool_test.go
+++ b/internal/dataplane/ingress/backend_pool_test.go
@@ -3,24 +3,130 @@
 import (
 	"io"
 	"net"
+	"strings"
 	"testing"
 
+	"eiderspread/internal/dataplane/resp"
+	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
 )
 
-const value = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
+// Guards against a send after the news of a drain: what waits for a dial is looked at again before
+// its first byte.
+func TestPool_AttemptRecheckedAfterDial(t *testing.T) {
+	addr, conns := listenBackend(t)
+	for name, change := range map[string]func(*testIngress){
+		"draining": func(r *testIngress) {
+			r.ingress.applyDiscoveryList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: "terminating"}}}, r.ingress.now)
+		},
+		"gone": func(r *testIngress) { r.ingress.applyDiscoveryList(discovery.List{Full: true}, r.ingress.now) },
+		"over": func(r *testIngress) { r.ingress.Reject("a", 0) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			dialing, free := make(chan struct{}), make(chan struct{})
+			r := startIngress(t, testConfig(addr), func(r *testIngress) {
+				sendTo(0)(r)
+				dial := r.ingress.backends.dial
+				r.ingress.backends.dial = func(addr string) (net.Conn, error) {
+					close(dialing)
+					<-free
+					return dial(addr)
+				}
+			})
+			r.client().send(lookCommand("a")...)
+			receive(t, dialing)
+			r.onLoop(func() { change(r) })
+			close(free)
+			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
+				t.Errorf("got %+v", o)
+			}
+			b := receive(t, conns)
+			r.onLoop(func() { r.ingress.applyDiscoveryList(discovery.List{Full: true}, r.ingress.now) }) // closes the pool
+			if got := b.command(); got != nil {
+				t.Errorf("the backend got %q", got)
+			}
+		})
+	}
+}
+
+// Guards against a request written to a connection that its backend has closed while it idled,
+// which would end as a reset that may have run.
+func TestPool_ReuseAndLimits(t *testing.T) {
+	addr, conns := listenBackend(t)
+	r := startIngress(t, testConfig(addr), sendTo(0))
+	c := r.client()
+	serve := func(id string, b *testConn) {
+		t.Helper()
+		b.command()
+		write(b, servedReply)
+		if c.line() != "$1" || c.line() != "v" {
+			t.Fatal("not served: " + id)
+		}
+		receive(t, r.decider.outcomes)
+	}
+	c.send(lookCommand("a")...)
+	b := receive(t, conns)
+	serve("a", b)
+	c.send(lookCommand("b")...)
+	serve("b", b) // the same connection
+	b.Close()
+	r.waitFor("the pool notices the close", func() bool { return r.ingress.backends.openConns == 0 })
+	c.send(lookCommand("c")...)
+	b = receive(t, conns)
+	serve("c", b)
+	r.onLoop(func() { r.ingress.now += r.ingress.backends.idleTimeoutS + 1; r.ingress.backends.sweep(r.ingress) })
+	if b.command() != nil {
+		t.Error("a connection that idled for long was used")
+	}
+}
 
-func (w *testConn) served(message string) {
-	w.t.Helper()
-	if a, b := w.line(), w.line(); a != "$1" || b != "v" {
-		w.t.Errorf("%s: got %q, %q", message, a, b)
+// Guards the edge between the two ways in which a broken connection may end an attempt: a command of
+// which the socket took only a part has not run, and one that is written in the end is served.
+func TestPool_PartialCommandWrite(t *testing.T) {
+	l, change := narrow(t)
+	r := startIngress(t, testConfig(l.Addr().String()), change)
+	body := strings.Repeat("x", resp.MaxValueBytes)
+	post := func(id string) *testConn {
+		c := r.client()
+		c.send("CALL.POST", customer, id, "c=bill,t=basic,d=600000,units=2,spread=2,first=1", body)
+		receive(t, r.decider.requests)
+		return c
+	}
+	post("a")
+	b, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.waitFor("a part is written", func() bool {
+		a := r.ingress.requests["a"].attempts[0]
+		return a.conn != nil && a.conn.written.load() == writePartial
+	})
+	b.Close()
+	if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
+		t.Errorf("a command that was cut off: %+v", o)
+	}
+	c := post("b")
+	b, err = l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := newTestConn(t, b)
+	if args := w.command(); len(args) != 5 || args[4] != body {
+		t.Error("the command did not come whole")
+	}
+	write(w, servedReply)
+	if c.line() != "$1" || c.line() != "v" {
+		t.Error("not served")
+	}
+	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
+		t.Errorf("got %+v", o)
 	}
 }
 
 // Guards against the second copy of an answer that is taken for the answer to the next command: a
 // connection on which bytes wait, or that has ended, gets none, also before its reader has come to it.
 func TestPool_StrayBytesRetireConnection(t *testing.T) {
-	for name, stray := range map[string]string{"a copy": value, "noise": "x", "the end": ""} {
+	for name, stray := range map[string]string{"a copy": servedReply, "noise": "x", "the end": ""} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listenBackend(t)
 			r := startIngress(t, testConfig(addr), sendTo(0))
@@ -29,26 +135,26 @@
 				t.Fatal(err)
 			}
 			old := receive(t, conns)
-			if io.WriteString(old, stray); stray == "" {
+			if write(old, stray); stray == "" {
 				old.Close()
 			}
 			var c *backendConn
 			r.onLoop(func() { // a pooled connection whose reader has not run yet
 				be := r.ingress.backends.byID["s0"]
-				c = &backendConn{backend: be, dialedTarget: be.target, conn: mine.(*net.TCPConn)}
+				c = &backendConn{backend: be, dialedEndpoint: be.Endpoint, conn: mine.(*net.TCPConn)}
 				c.rawConn, _ = c.conn.SyscallConn()
 				c.idleSince = r.ingress.now
 				be.idleConns = append(be.idleConns, c)
 				r.ingress.backends.openConns++
 			})
-			r.waitFor("it has come", func() bool { return !openAndSilent(c.rawConn) })
+			r.waitFor("it has come", func() bool { return !c.silent() })
 			client := r.client()
 			client.send(lookCommand("a")...)
 			b := receive(t, conns)
 			if got := b.command(); len(got) != 4 {
 				t.Fatalf("the new connection got %q", got)
 			}
-			io.WriteString(b, value)
+			write(b, servedReply)
 			client.served("on a new connection")
 			if stray != "" && old.command() != nil {
 				t.Error("a command was written behind the stray bytes")
@@ -69,14 +175,14 @@
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.command()
-	io.WriteString(b, value)
+	write(b, servedReply)
 	c.served("the first")
 	receive(t, r.decider.outcomes)
 	c.send(lookCommand("b")...)
 	if got := b.command(); len(got) != 4 || got[2] != "b" {
 		t.Fatalf("the connection got %q", got)
 	}
-	io.WriteString(b, value)
+	write(b, servedReply)
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Error || o.Completed {
 		t.Errorf("got %+v", o)
 	}
@@ -90,9 +196,9 @@
 func TestPool_MovedBackendNotPooled(t *testing.T) {
 	from, old := listenBackend(t)
 	to, moved := listenBackend(t)
-	for name, change := range map[string]func(*target){
-		"moved":     func(e *target) { e.Addr = to },
-		"restarted": func(e *target) { e.StartedMS = 5 },
+	for name, change := range map[string]func(*discovery.Endpoint){
+		"moved":     func(e *discovery.Endpoint) { e.Addr = to },
+		"restarted": func(e *discovery.Endpoint) { e.StartedMS = 5 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startIngress(t, testConfig(from), sendTo(0))
@@ -101,11 +207,11 @@
 			b := receive(t, old)
 			b.command()
 			r.onLoop(func() {
-				e := r.ingress.backends.byID["s0"].target
+				e := r.ingress.backends.byID["s0"].Endpoint
 				change(&e)
-				r.ingress.applyDiscoveryList(targets{Endpoints: []target{e}}, r.ingress.now)
+				r.ingress.applyDiscoveryList(discovery.List{Endpoints: []discovery.Endpoint{e}}, r.ingress.now)
 			})
-			io.WriteString(b, value)
+			write(b, servedReply)
 			c.served("the answer that was out")
 			c.send(lookCommand("b")...)
 			next := moved
@@ -116,7 +222,7 @@
 			if b.command() == nil {
 				t.Fatal("the next command did not come")
 			}
-			io.WriteString(b, value)
+			write(b, servedReply)
 			c.served("the next one")
 		})
 	}
@@ -147,7 +253,7 @@
 	receive(t, dialled)
 	c.send(lookCommand("b")...)
 	receive(t, dialled)
-	io.WriteString(b, value)
+	write(b, servedReply)
 	c.served("the first")
 	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
 		t.Fatalf("got %+v", o)
@@ -156,45 +262,10 @@
 	if got := b.command(); len(got) != 4 || got[2] != "b" {
 		t.Fatalf("the free connection got %q", got)
 	}
-	io.WriteString(b, value)
+	write(b, servedReply)
 	c.served("the second")
 }
 
-// Guards against good values thrown away for the figures behind them, against figures out of all range,
-// and against values in replies that are none.
-func TestParseReply(t *testing.T) {
-	for reply, want := range map[string]struct {
-		status policy.Status
-		load   float64 // of the cores, -1: none
-	}{
-		"*3\r\n$1\r\nv\r\n$-1\r\n$14\r\ncpu_share=0.25\r\n":           {policy.OK, 0.25},
-		"*3\r\n$1\r\nv\r\n$3\r\n\x00?!\r\n$-1\r\n":                    {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n:7\r\n$3\r\n\x00?!\r\n":                     {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$13\r\ncpu_share=1e8\r\n":            {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$13\r\ncpu_share=NaN\r\n":            {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$12\r\ncpu_share=-1\r\n":             {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$24\r\ncpu_share=0.5,svc_ms=1e9\r\n": {policy.OK, -1},
-		"*3\r\n$1\r\nv\r\n$-1\r\n$0\r\n\r\n":                          {policy.OK, -1},
-		"*3\r\n:1\r\n$-1\r\n$-1\r\n":                                  {policy.Error, -1},
-		"*0\r\n":                                                      {policy.Error, -1},
-		"+OK\r\n":                                                     {policy.Error, -1},
-		"-BUSY cpu_share=0.5\r\n":                                     {policy.Rejected, 0.5},
-		"-BUSYNESS\r\n":                                               {policy.Error, -1},
-	} {
-		if n, err := frameLen([]byte(reply)); n != len(reply) || err != nil {
-			t.Fatalf("%q: frame gives %d, %v", reply, n, err)
-		}
-		res := parseReply([]byte(reply))
-		load := -1.0
-		if res.load != nil {
-			load = res.load.Utilization
-		}
-		if res.status != want.status || load != want.load || (res.value != nil) != (want.status == policy.OK) {
-			t.Errorf("%q: got %+v, load %v", reply, res, load)
-		}
-	}
-}
-
 // Guards against a late second copy of a refusal or an error that is taken for what became of the next command: it would tell of another
 // request that it never ran. The connection rests until a copy has come, and what does come on it then ends it.
 func TestPool_DuplicateOfErrorReply(t *testing.T) {
@@ -209,7 +280,7 @@
 			c.send(lookCommand("a")...)
 			b := receive(t, conns)
 			b.command()
-			io.WriteString(b, answer)
+			write(b, answer)
 			receive(t, r.decider.outcomes)
 			c2 := r.client()
 			c2.send(lookCommand("b")...)
@@ -217,19 +288,19 @@
 			if got := other.command(); len(got) != 4 || got[2] != "b" {
 				t.Fatalf("the new connection got %q", got)
 			}
-			io.WriteString(b, answer)
+			write(b, answer)
 			if b.command() != nil {
 				t.Error("the connection is used on")
 			}
-			io.WriteString(other, value)
+			write(other, servedReply)
 			c2.served("the second")
 		})
 	}
 }
 
 // Guards the same for values that come late, behind another answer, and for large ones, of which the start tells.
-func TestRecentValues_Seen(t *testing.T) {
-	var l recentValues
+func TestDuplicateFilter_Seen(t *testing.T) {
+	var l duplicateFilter
 	a, b := []byte("a"), []byte("b")
 	for i, step := range []struct {
 		b    []byte
@@ -245,12 +316,12 @@
 		sendTo(0)(r)
 		r.ingress.backends.duplicateWindowS = 3600
 	})
-	text, answer := large(maxValueBytes+1, 7)
+	text, answer := large(resp.MaxValueBytes+1, 7)
 	c := r.client()
 	c.send(lookCommand("a")...)
 	w := receive(t, conns)
 	w.command()
-	w.Write(answer)
+	write(w, string(answer))
 	if got := c.bulk(); string(got) != string(text) {
 		t.Fatal("not served")
 	}
@@ -259,7 +330,7 @@
 	if w.command() == nil {
 		t.Fatal("no second command")
 	}
-	go w.Write(answer) // its end may be cut off
+	go write(w, string(answer)) // its end may be cut off
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Error || o.Completed {
 		t.Errorf("a copy of a large value: %+v", o)
 	}
@@ -275,7 +346,7 @@
 		r.ingress.backends.onLastByte = func() { close(out); <-said }
 	})
 	c := r.client()
-	c.send("CALL.POST", customer, "a", "c=bill,t=basic,d=600000,units=2,spread=2,first=1", string(make([]byte, maxValueBytes)))
+	c.send("CALL.POST", customer, "a", "c=bill,t=basic,d=600000,units=2,spread=2,first=1", string(make([]byte, resp.MaxValueBytes)))
 	receive(t, r.decider.requests)
 	b, err := l.Accept()
 	if err != nil {
@@ -302,8 +373,10 @@
 		b, _ := io.ReadAll(theirs)
 		got <- b
 	}()
-	if !c.abandonWrite() || !c.abandonWrite() {
-		t.Fatal("nothing of it was out")
+	for range 2 {
+		if !c.abandonWrite() {
+			t.Fatal("nothing of it was out")
+		}
 	}
 	c.writeRest(mine, []byte("rest"), func() bool { return true }, func() { t.Error("the last byte went out") })
 	mine.Close()
--- a/internal/dataplane/ingress/config.go
+++ b/internal/dataplane/ingress/config.go
@@ -2,36 +2,37 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/netip"
 	"os"
-	"reflect"
 	"strconv"
 	"time"
 
 	"eiderspread/internal/base/settings"
+	"eiderspread/internal/membership/discovery"
 )
 
 // Config is what an ingress is told at its start.
 type Config struct {
 	Name           string
-	Listen         string
-	Discovery      string
+	Listen         string // address for clients
+	Discovery      string // address of discovery
 	AdminAddr      string // where operators call; empty: nowhere
-	Seed           uint64
-	MemoryMB       int
-	MaxDescriptors int // file descriptors that the process may hold
+	Seed           uint64 // of the decider's randomness
+	MemoryMB       int    // 0: no limit, and buffers as for defaultMemoryMB
+	MaxDescriptors int    // file descriptors that the process may hold
 
-	PeerListen    netip.AddrPort // not valid: no peers
-	Peers         []netip.AddrPort
-	PeerBroadcast netip.AddrPort
+	PeerListen    netip.AddrPort   // not valid: no peers
+	Peers         []netip.AddrPort // by the gateway's number
+	PeerBroadcast netip.AddrPort   // reaches all of them; not valid: there is none
 
-	InitialEndpoints targets
+	InitialEndpoints discovery.List // until discovery's list has come
 	Settings         settings.Settings
 	keys             keySet         // of the file
 	OperatorConfig   OperatorConfig // of the operator's file, if there is one
-	FleetMember      bool           // of a fleet: its planners are told what is held
+	FleetMember      bool           // of a fleet: its planners are told what is cordoned
 
 	// Dial makes connections to backends in place of the system's own; nil: none does. Not of the file.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
@@ -42,27 +43,30 @@
 	defaultMemoryMB       = 192
 )
 
-// NeedsRestart tells whether more differs than what a running ingress takes over from a configuration
-// that is read again, or than what is new with each start.
-func (c Config) NeedsRestart(from Config) bool {
-	c.Discovery, c.InitialEndpoints, c.Seed, c.keys = from.Discovery, from.InitialEndpoints, from.Seed, from.keys
-	c.Dial, from.Dial = nil, nil
-	c.Settings.Classes, c.Settings.MaxAttempts = from.Settings.Classes, from.Settings.MaxAttempts
-	return !reflect.DeepEqual(c, from)
-}
+var (
+	errNoSettings   = errors.New("settings are missing")
+	errConnTimeouts = errors.New("settings: limits.dialTimeoutS and limits.connIdleS must be above 0")
+)
 
-// CheckAdminAddr checks the address of the operators' door; empty is none.
-func CheckAdminAddr(addr string) (string, error) {
-	if addr == "" {
-		return "", nil
-	}
-	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return "", fmt.Errorf("console: %w", err)
-	}
-	return addr, nil
+// fileConfig is the configuration file as the platform words it; unknown keys are passed over.
+type fileConfig struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Console   string `json:"console"`
+	Seed      string `json:"seed"` // 16 hex digits
+	Limits    struct {
+		MemoryMB int `json:"memory_mb"`
+		Sockets  int `json:"sockets"`
+	} `json:"limits"`
+	PeerListen string          `json:"peer_listen"`
+	Peers      []string        `json:"peers"`
+	PeersAll   string          `json:"peers_all"`
+	Known      discovery.List  `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
 }
 
-// ReadConfig reads the configuration file.
+// ReadConfig reads the configuration file. An error names the file and the key.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -76,74 +80,94 @@
 }
 
 func parseConfig(text []byte) (Config, error) {
-	var f struct {
-		Name, Listen, Discovery, Console, Seed string
-		Limits                                 struct {
-			MemoryMB int `json:"memory_mb"`
-			Sockets  int `json:"sockets"`
-		}
-		PeerListen string   `json:"peer_listen"`
-		Peers      []string `json:"peers"`
-		PeersAll   string   `json:"peers_all"`
-		Known      targets
-		Settings   json.RawMessage
-	}
+	var f fileConfig
 	if err := json.Unmarshal(text, &f); err != nil {
 		return Config{}, err
 	}
-	shape, err := parseKeySet(text)
+	keys, err := parseKeySet(text)
 	if err != nil {
 		return Config{}, err
 	}
-	c := Config{keys: shape, Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddr: f.Console, MemoryMB: f.Limits.MemoryMB,
+	c := Config{keys: keys, Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminAddr: f.Console, MemoryMB: f.Limits.MemoryMB,
 		MaxDescriptors: f.Limits.Sockets, InitialEndpoints: f.Known}
 	if c.MaxDescriptors <= 0 {
 		c.MaxDescriptors = defaultMaxDescriptors
 	}
+	for _, parse := range []func(fileConfig) error{c.parseAddrs, c.parseSettings, c.parsePeers} {
+		if err := parse(f); err != nil {
+			return c, err
+		}
+	}
+	return c, nil
+}
+
+// parseAddrs checks the addresses, which are used as they stand, and the seed.
+func (c *Config) parseAddrs(f fileConfig) (err error) {
 	for name, addr := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return c, fmt.Errorf("%s: %w", name, err)
+			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	if c.AdminAddr, err = CheckAdminAddr(f.Console); err != nil {
-		return c, err
+		return err
 	}
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return c, fmt.Errorf("seed: %w", err)
+		return fmt.Errorf("seed: %w", err)
 	}
+	return nil
+}
+
+// parseSettings reads the settings, and checks the endpoint list.
+func (c *Config) parseSettings(f fileConfig) (err error) {
 	if len(f.Settings) == 0 {
-		return c, fmt.Errorf("settings are missing")
+		return errNoSettings
 	}
 	if c.Settings, err = settings.Parse(f.Settings); err != nil {
-		return c, fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Settings.DialTimeoutS <= 0 || c.Settings.ConnIdleS <= 0 {
-		return c, fmt.Errorf("settings: limits.dialTimeoutS and limits.connIdleS must be above 0")
+		return errConnTimeouts
 	}
 	c.InitialEndpoints.Full = true
 	if err := c.InitialEndpoints.Validate(); err != nil {
-		return c, fmt.Errorf("known: %w", err)
+		return fmt.Errorf("known: %w", err)
 	}
+	return nil
+}
+
+// parsePeers reads the addresses of the other ingresses, if the settings allow messages to them.
+func (c *Config) parsePeers(f fileConfig) (err error) {
 	if !c.Settings.PeerMessages {
-		return c, nil
+		return nil
 	}
 	if c.PeerListen, err = netip.ParseAddrPort(f.PeerListen); err != nil {
-		return c, fmt.Errorf("peer_listen: %w", err)
+		return fmt.Errorf("peer_listen: %w", err)
 	}
 	if len(f.Peers) != c.Settings.Gateways {
-		return c, fmt.Errorf("peers: %d addresses given for %d ingresses", len(f.Peers), c.Settings.Gateways)
+		return fmt.Errorf("peers: %d addresses given for %d ingresses", len(f.Peers), c.Settings.Gateways)
 	}
 	for i, text := range f.Peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return c, fmt.Errorf("peers: number %d: %w", i, err)
+			return fmt.Errorf("peers: number %d: %w", i, err)
 		}
 		c.Peers = append(c.Peers, addr)
 	}
 	if f.PeersAll != "" {
 		if c.PeerBroadcast, err = netip.ParseAddrPort(f.PeersAll); err != nil {
-			return c, fmt.Errorf("peers_all: %w", err)
+			return fmt.Errorf("peers_all: %w", err)
 		}
 	}
-	return c, nil
+	return nil
+}
+
+// CheckAdminAddr checks the address at which operators call, and returns it; empty is none.
+func CheckAdminAddr(addr string) (string, error) {
+	if addr == "" {
+		return "", nil
+	}
+	if _, err := netip.ParseAddrPort(addr); err != nil {
+		return "", fmt.Errorf("console: %w", err)
+	}
+	return addr, nil
 }
--- /dev/null
+++ b/internal/dataplane/ingress/config_keys.go
@@ -0,0 +1,52 @@
+package ingress
+
+import (
+	"encoding/json"
+	"maps"
+)
+
+// keySet is the set of the keys in a configuration, by their paths; a key that all elements of a list have stands once, with [] in place of their
+// number.
+type keySet map[string]bool
+
+// openEndedKeys are lists and objects whose keys may come and go.
+var openEndedKeys = map[string]bool{"known": true}
+
+// parseKeySet reads the keys of a configuration.
+func parseKeySet(text []byte) (keySet, error) {
+	var v any
+	if err := json.Unmarshal(text, &v); err != nil {
+		return nil, err
+	}
+	s := keySet{}
+	s.add("", v)
+	return s, nil
+}
+
+// add adds the keys of what stands at a path.
+func (s keySet) add(path string, v any) {
+	switch v := v.(type) {
+	case map[string]any:
+		for key, element := range v {
+			p := path + "." + key
+			if path == "" {
+				p = key
+			}
+			s[p] = true
+			if !openEndedKeys[p] {
+				s.add(p, element)
+			}
+		}
+	case []any:
+		var common keySet
+		for _, element := range v {
+			keys := keySet{}
+			keys.add(path+"[]", element)
+			if common == nil {
+				common = keys
+			}
+			maps.DeleteFunc(common, func(k string, _ bool) bool { return !keys[k] })
+		}
+		maps.Copy(s, common)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/ingress/cordon.go
@@ -0,0 +1,23 @@
+package ingress
+
+import (
+	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/controlplane/cordontable"
+)
+
+// Cordon implements Host: what a fleet's planners were told by its operators. It lasts as long as this process; whoever asks for it asks the next
+// process again.
+func (in *Ingress) Cordon(id string, cordoned bool) {
+	if in.predecessorRequests != nil && in.predecessor != nil { // the predecessor still writes to backends
+		in.queueOrder(snapshot.Order{Kind: snapshot.OrderCordon, ID: id, Cordoned: cordoned})
+	}
+	cordons, nowMS := in.cordons.Cordons(), int64(in.now*1000)
+	switch c, known := cordons[id]; {
+	case cordoned:
+		cordons[id] = cordontable.Cordon{SinceMS: nowMS}
+	case known:
+		c.UncordonedMS = nowMS
+		cordons[id] = c
+	}
+	in.applyList(in.cordons.Replace(cordons))
+}
--- a/internal/dataplane/ingress/relay_test.go
+++ b/internal/dataplane/ingress/decider_migration_test.go
@@ -14,7 +14,7 @@
 	"eiderspread/policy"
 )
 
-// fakeMigratingDecider is a gateway that moves; it writes down what it is asked.
+// fakeMigratingDecider is a decider that migrates; it records what it is asked.
 type fakeMigratingDecider struct {
 	*fakeDecider
 	migrated  []snapshot.Part
@@ -31,14 +31,17 @@
 }
 
 func (m *fakeMigratingDecider) Migrate(float64) []snapshot.Part { return m.migrated }
+
 func (m *fakeMigratingDecider) Resume(_, _ float64, parts []snapshot.Part) error {
 	m.resumed <- parts
 	return nil
 }
+
 func (m *fakeMigratingDecider) RecordOrder(_ float64, o snapshot.Order) { m.ordered <- o }
-func (m *fakeMigratingDecider) Reclaim(float64)                         { m.reclaimed <- struct{}{} }
 
-// fleetMemberConfig is a configuration of a forwarder with a door.
+func (m *fakeMigratingDecider) Reclaim(float64) { m.reclaimed <- struct{}{} }
+
+// fleetMemberConfig is a configuration of a forwarder with an admin address.
 func fleetMemberConfig(t *testing.T, backends ...string) Config {
 	cfg := adminConfig(t, backends...)
 	cfg.FleetMember = true
@@ -49,8 +52,6 @@
 	return snapshot.OpenRequest{Request: policy.Request{ID: id, Class: "look"}}
 }
 
-const answer = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
-
 // Guards requests that the old process of a forwarder holds: the new one decides on them, each is answered where it was asked, and the
 // old process ends with the last of them.
 func TestRelay_PredecessorExecutesOrders(t *testing.T) {
@@ -76,7 +77,7 @@
 	if o := receive(t, was.ordered); o.Kind != snapshot.OrderSend || o.ID != "served" {
 		t.Errorf("%+v was not written down", o)
 	}
-	io.WriteString(b, answer)
+	write(b, servedReply)
 	if served.line() != "$1" || served.line() != "v" {
 		t.Error("the answer did not come")
 	}
@@ -145,7 +146,7 @@
 		t.Fatal("a running forwarder has no lock")
 	}
 	link := dialAsSuccessor(t, path)
-	link.Send(hotrestart.Ready, nil, testTimeout)
+	noError(t, link.Send(hotrestart.Ready, nil, testTimeout))
 	if _, err := link.Expect(hotrestart.Snapshot, 0, testTimeout); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/ingress/discovery.go
+++ b/internal/dataplane/ingress/discovery.go
@@ -7,62 +7,63 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-type (
-	targets = discovery.List
-	target  = discovery.Endpoint
-)
+// listAgeInterval is how often the age of the endpoint list is looked at, for the log alone.
+const listAgeInterval = 5 * time.Second
 
-// applyDiscoveryList applies a list that was told at a time to the pools and tells the module.
-func (in *Ingress) applyDiscoveryList(t targets, notifiedAt float64) {
+// applyDiscoveryList applies a list of discovery's, which it told at notifiedAt, with what operators cordon laid over it.
+func (in *Ingress) applyDiscoveryList(list discovery.List, notifiedAt float64) {
 	if in.cordons != nil {
-		t = in.cordons.ApplyList(t)
+		list = in.cordons.ApplyList(list)
 	}
-	in.applyListAt(t, notifiedAt)
+	in.applyListAt(list, notifiedAt)
 }
 
-// applyList takes a list as it stands with what operators hold.
-func (in *Ingress) applyList(t targets) { in.applyListAt(t, in.now) }
+// applyList applies a list that changes now, by operators.
+func (in *Ingress) applyList(list discovery.List) { in.applyListAt(list, in.now) }
 
-func (in *Ingress) applyListAt(t targets, notifiedAt float64) {
-	if len(t.Endpoints) == 0 && !t.Full {
+// applyListAt applies a list to the pools, and tells the decider.
+func (in *Ingress) applyListAt(list discovery.List, notifiedAt float64) {
+	if len(list.Endpoints) == 0 && !list.Full {
 		return
 	}
-	in.backends.applyList(in, t, notifiedAt)
-	in.decider.UpdateBackends(in.now, t.Backends(), t.Full)
+	in.backends.applyList(in, list, notifiedAt)
+	in.decider.UpdateBackends(in.now, list.Backends(), list.Full)
 }
 
-// watchDiscovery follows discovery for as long as ctx lasts, from each configuration that was read again on at
-// the address that it names.
+// watchDiscovery follows discovery until ctx ends, from each configuration that comes on reread on at the address that it names.
 func (in *Ingress) watchDiscovery(ctx context.Context, reread <-chan Config) {
-	moves := make(chan string)
-	go func() {
-		for {
+	addrs := make(chan string)
+	go in.takeConfigs(ctx, reread, addrs)
+	in.watcher.Run(ctx, addrs)
+}
+
+// takeConfigs takes over what a running ingress can of each configuration, and hands on the address of discovery, until ctx ends.
+func (in *Ingress) takeConfigs(ctx context.Context, reread <-chan Config, addrs chan<- string) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case cfg := <-reread:
+			if err := in.onLoop(ctx, func() error { return in.applySettings(cfg) }); err != nil {
+				in.log.Error("configuration not taken over", "error", err)
+				continue
+			}
+			in.log.Info("configuration read again", "discovery", cfg.Discovery)
 			select {
+			case addrs <- cfg.Discovery:
 			case <-ctx.Done():
 				return
-			case cfg := <-reread:
-				if err := in.onLoop(ctx, func() error { return in.applySettings(cfg) }); err != nil {
-					in.log.Error("configuration not taken over", "error", err)
-					continue
-				}
-				in.log.Info("configuration read again", "discovery", cfg.Discovery)
-				select {
-				case moves <- cfg.Discovery:
-				case <-ctx.Done():
-					return
-				}
 			}
 		}
-	}()
-	in.watcher.Run(ctx, moves)
+	}
 }
 
 // newWatcher makes the watcher of discovery; watchDiscovery's goroutine owns it but for its age.
 func (in *Ingress) newWatcher() *discovery.Watcher {
 	return discovery.NewWatcher(in.cfg.Discovery, in.cfg.InitialEndpoints.Version,
-		func(t targets) {
+		func(list discovery.List) {
 			at := in.clock.Now()
-			in.post(at, func() { in.applyDiscoveryList(t, at) })
+			in.post(at, func() { in.applyDiscoveryList(list, at) })
 		},
 		func(message string, args ...any) { in.post(in.clock.Now(), func() { in.logFault(message, args...) }) })
 }
@@ -70,10 +71,7 @@
 // EndpointListAge implements Host.
 func (in *Ingress) EndpointListAge() discovery.Age { return in.watcher.Age() }
 
-// listAgeInterval is how often the age of the list of backends is looked at, for the log alone.
-const listAgeInterval = 5 * time.Second
-
-// logListAge says so in the log, once each way, when the list of backends is too old to be trusted. The ingress goes on with it.
+// logListAge logs, once each way, when the endpoint list gets too old to be trusted. The ingress goes on with it.
 func (in *Ingress) logListAge(age discovery.Age) {
 	switch {
 	case age.Stale() && !in.endpointListStale:
--- a/internal/dataplane/ingress/drain.go
+++ b/internal/dataplane/ingress/drain.go
@@ -3,29 +3,35 @@
 import (
 	"slices"
 
-	"github.com/tidwall/redcon"
-
 	"eiderspread/policy"
 )
 
-// drainState is a drain by operators: the decision module's schedule, and what is logged of it. It does not outlive the process.
+// drainState is a drain by operators: the decision module's schedule, and what is logged of it. It does not outlive the process. Loop only.
 type drainState struct {
 	policy.Drain
-	sweepTimer    *timer // the next one for connections that idle
-	deadlineTimer *timer // the end of the time allowed
+	sweepTimer    *timer // of the next look at all connections
+	deadlineTimer *timer // of the end of the time allowed
 
 	// For the log.
 	sweeps              int
 	sweptAt             float64
-	longestSweepGap     float64 // between two looks
-	rejectedPings       int     // that were refused
-	rejectedPingsQueued int     // of these: behind other answers
+	longestSweepGapS    float64 // between two sweeps
+	rejectedPings       int
+	rejectedPingsQueued int // of these: behind other answers
 }
 
-// startDrain has the front told and lets go of all clients, by and by; a second call changes nothing. A process that is replaced, or ends, lets go
-// of them in its own way: what idles there may be on its way to another process.
+// recordSweep notes a look at all connections.
+func (d *drainState) recordSweep(now float64) {
+	if d.sweeps++; d.sweeps > 1 {
+		d.longestSweepGapS = max(d.longestSweepGapS, now-d.sweptAt)
+	}
+	d.sweptAt = now
+}
+
+// startDrain tells fronts no and lets go of all clients, by and by; a second call changes nothing. A process that is replaced, or shuts down, lets
+// go of them in its own way: an idle connection may be on its way to another process.
 func (in *Ingress) startDrain() {
-	if in.drain.Active() || in.closingClients || in.successor.stage != handoverNone {
+	if in.drain.Active() || in.shutdown.closingClients || in.successor.stage != handoverNone {
 		return
 	}
 	in.log.Info("drain begins", "connections", in.clients.open(), "requests", len(in.requests))
@@ -40,10 +46,10 @@
 	})
 }
 
-// cancelDrain takes clients again.
+// cancelDrain accepts clients again.
 func (in *Ingress) cancelDrain() error {
-	if in.closingClients {
-		return errNotReady
+	if in.shutdown.closingClients {
+		return errNotAccepting
 	}
 	if in.drain.Active() {
 		in.log.Info("drain ends", "after", roundToMillis(in.drain.Elapsed(in.now)))
@@ -60,8 +66,8 @@
 	in.drain = drainState{}
 }
 
-// sweepDraining closes what idles, and at the end of the time what is in use. Requests are decided on as they come, see take, and connections with
-// their answers, see written.
+// sweepDraining closes idle connections, and toward the end of the time those in use. Requests are decided on as they come, see rejectsRequests,
+// and connections with their answers, see afterAnswersWritten.
 func (in *Ingress) sweepDraining() {
 	in.drain.sweepTimer = in.after(in.drain.NextIdleCheckS(in.now), in.sweepDraining)
 	in.drain.recordSweep(in.now)
@@ -69,21 +75,31 @@
 		if c.lastCallAt > 0 && in.drain.CloseBlocked(in.now, c.lastCallAt) {
 			in.answerOpenRequests(c)
 		}
-		idle := c.quiescent() && in.drain.CloseIdle(in.now, c.lastUsedAt, c.receivingCommand.Load()) && openAndSilent(c.rawConn)
-		if !c.closing && (idle || c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered()) {
+		if in.drainable(c) {
 			in.closeGracefully(c, closeDrained)
 		}
 	}
 }
 
-// answerOpenRequests gives what is open on a connection its final answer now: refused where that is true, else failed.
+// drainable reports whether a drain may close the connection now.
+func (in *Ingress) drainable(c *clientConn) bool {
+	if c.state != connOpen {
+		return false
+	}
+	if c.quiescent() && in.drain.CloseIdle(in.now, c.lastUsedAt, c.receivingCommand.Load()) && c.silent() {
+		return true
+	}
+	return c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered()
+}
+
+// answerOpenRequests gives what is open on a connection its final answer now: rejected where that is true, else failed.
 func (in *Ingress) answerOpenRequests(c *clientConn) {
 	for _, s := range slices.Clone(c.answerSlots) {
 		if s == nil || s.request == nil || s.request.completed {
 			continue
 		}
-		answer := redcon.AppendError(nil, "ERR failed")
-		if policy.MayReject(s.request.class, s.request.mayHaveRun()) {
+		answer := failedReply()
+		if policy.MayReject(s.request.Spec, s.request.mayHaveRun()) {
 			answer = in.busyReply(0)
 		}
 		in.counters.cutByDrain++
@@ -91,16 +107,3 @@
 		in.decider.HandleDisconnect(in.now, s.request.ID)
 	}
 }
-
-// mayHaveRun tells that an attempt of the request may have run.
-func (r *request) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun() })
-}
-
-// recordSweep notes a look at all connections.
-func (d *drainState) recordSweep(now float64) {
-	if d.sweeps++; d.sweeps > 1 {
-		d.longestSweepGap = max(d.longestSweepGap, now-d.sweptAt)
-	}
-	d.sweptAt = now
-}
--- a/internal/dataplane/ingress/golden_test.go
+++ b/internal/dataplane/ingress/golden_test.go
@@ -4,11 +4,11 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net/netip"
 	"strings"
 	"testing"
 
+	"eiderspread/internal/dataplane/callprotocol"
 	"eiderspread/internal/decision/loadshed"
 	"eiderspread/internal/membership/discovery"
 	"eiderspread/internal/testbed/golden"
@@ -59,21 +59,21 @@
 
 // Guards what is read of a command and written to a backend, or said of one that can't be taken.
 func TestGoldenCommands(t *testing.T) {
-	words := newVocabulary(testConfig().Settings.Settings)
+	schema := callprotocol.NewSchema(testConfig().Settings.Settings)
 	var b bytes.Buffer
 	for i, line := range strings.Split(strings.TrimSpace(string(golden.Load(t, "commands.txt"))), "\n") {
 		var args [][]byte
 		for _, arg := range strings.Fields(line) {
 			args = append(args, []byte(arg))
 		}
-		c, err := words.parseCall(args)
+		c, err := schema.ParseCall(args)
 		if fmt.Fprintf(&b, "%d ", i); err != nil {
 			b.Write(errorReply(err))
 			continue
 		}
 		q := c.Request
-		fmt.Fprintln(&b, q.ID, q.Class, q.Plan, q.Account, q.FirstGateway, q.GatewayCount, q.Units, q.Retry, c.timeoutS)
-		b.Write(c.appendCommand(nil, c.timeoutS-0.0005))
+		fmt.Fprintln(&b, q.ID, q.Class, q.Plan, q.Account, q.FirstGateway, q.GatewayCount, q.Units, q.Retry, c.TimeoutS)
+		b.Write(c.AppendCommand(nil, c.TimeoutS-0.0005))
 	}
 	in := &Ingress{}
 	b.Write(in.appendCommand(nil, &attempt{}))
@@ -86,12 +86,16 @@
 func TestGoldenReplies(t *testing.T) {
 	var b strings.Builder
 	for _, line := range strings.Split(strings.TrimSpace(string(golden.Load(t, "replies.txt"))), "\n") {
-		res := parseReply([]byte(strings.ReplaceAll(line, "|", "\r\n")))
-		text, err := json.Marshal(res.load)
+		res := callprotocol.ParseReply([]byte(strings.ReplaceAll(line, "|", "\r\n")))
+		text, err := json.Marshal(res.Load)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&b, "%d %q %v %q %s\n", res.status, res.value, res.isProbe, res.malformed, text)
+		malformed := ""
+		if res.Err != nil {
+			malformed = res.Err.Error()
+		}
+		fmt.Fprintf(&b, "%d %q %v %q %s\n", res.Status, res.Value, res.Probe, malformed, text)
 	}
 	golden.Check(t, "replies.out", []byte(b.String()))
 }
@@ -118,7 +122,7 @@
 	c.send("NOVEL")
 	b := receive(t, conns)
 	b.command()
-	io.WriteString(b, "*3\r\n$5\r\nvalue\r\n$7\r\nfigures\r\n$13\r\ncpu_share=0.5\r\n")
+	write(b, "*3\r\n$5\r\nvalue\r\n$7\r\nfigures\r\n$13\r\ncpu_share=0.5\r\n")
 	var got []byte
 	read := func(w *testConn, lines int) {
 		for range lines {
--- a/internal/dataplane/ingress/door_test.go
+++ b/internal/dataplane/ingress/hot_restart_test.go
@@ -1,173 +1,38 @@
 package ingress
 
 import (
-	"bufio"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
 	"os"
 	"strings"
 	"testing"
 	"time"
 
-	"eiderspread/internal/controlplane/cordontable"
 	"eiderspread/internal/dataplane/hotrestart"
 	"eiderspread/policy"
 )
 
-// adminConfig is a configuration with an operators' door, in a folder of the test's own.
-func adminConfig(t *testing.T, backends ...string) Config {
-	t.Setenv("TMPDIR", t.TempDir())
-	cfg := testConfig(backends...)
-	cfg.AdminAddr = "127.0.0.1:0"
-	return cfg
-}
-
-// call makes an operator's call and returns its status.
-func (r *testIngress) call(method, path string) int {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.ingress.admin.Addr().String())
-	if err != nil {
-		r.t.Fatal(err)
+// dialAsSuccessor is a new process that has been given the sockets.
+func dialAsSuccessor(t *testing.T, path string) *hotrestart.Link {
+	t.Helper()
+	link, err := hotrestart.Dial(path)
+	if link == nil || err != nil {
+		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(testTimeout))
-	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: x\r\n\r\n", method, path)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	noError(t, link.Send(hotrestart.Hello, []byte{hotrestart.Version}, testTimeout))
+	m, err := link.Expect(hotrestart.Sockets, 1, testTimeout)
 	if err != nil {
-		r.t.Fatal(method, path, err)
+		t.Fatal(err)
 	}
-	resp.Body.Close()
-	return resp.StatusCode
+	m.Close()
+	return link
 }
 
-// backendIn is what the module was last told of a backend.
-func backendIn(t *testing.T, list []policy.Backend, id string) policy.Backend {
+// completeHandover has it say that it is ready, and waits for the word to go on.
+func completeHandover(t *testing.T, link *hotrestart.Link) {
 	t.Helper()
-	for _, s := range list {
-		if s.ID == id {
-			return s
-		}
-	}
-	t.Fatalf("%s is not told of in %+v", id, list)
-	panic("unreachable")
-}
-
-// Guards the drain rule against discovery and against time: what operators hold gets nothing until it is called back,
-// and what waits for a connection to it is given back at once.
-func TestAdmin_SuspendedBackendGetsNoAttempts(t *testing.T) {
-	addr, conns := listenBackend(t)
-	cfg := adminConfig(t, addr)
-	r := startIngress(t, cfg, sendTo(0))
-	receive(t, r.decider.lists)
-	r.client().send(lookCommand("before")...)
-	receive(t, conns).command()
-	if got := r.call("POST", "/v1/backends/s0/suspend"); got != 200 {
-		t.Fatal(got)
-	}
-	if s := backendIn(t, receive(t, r.decider.lists), "s0"); s.State != policy.Draining {
-		t.Fatalf("told as %+v", s)
-	}
-	r.onLoop(func() { r.ingress.applyDiscoveryList(cfg.InitialEndpoints, r.ingress.now) }) // discovery says that it serves
-	if s := backendIn(t, receive(t, r.decider.lists), "s0"); s.State != policy.Draining {
-		t.Fatalf("discovery put it back: %+v", s)
-	}
-	r.client().send(lookCommand("meanwhile")...)
-	if o := receive(t, r.decider.outcomes); o.ID != "meanwhile" || o.Status != policy.NotSent {
-		t.Fatalf("sent all the same: %+v", o)
-	}
-	if got := r.call("POST", "/v1/backends/x/suspend"); got != 404 {
-		t.Fatal("an id of nobody:", got)
-	}
-	if got := r.call("POST", "/v1/backends/s0/suspend"); got != 200 {
-		t.Fatal(got)
-	}
-	if got := r.call("POST", "/v1/backends/s0/resume"); got != 200 {
-		t.Fatal(got)
-	}
-	if s := backendIn(t, receive(t, r.decider.lists), "s0"); s.State != policy.Up || s.StartedAt == 0 {
-		t.Errorf("called back as %+v, want up and just started", s)
-	}
-	r.client().send(lookCommand("after")...)
-	if receive(t, conns).command() == nil {
-		t.Fatal("called back, but not in use")
-	}
-}
-
-// Guards the door against a loop that is busy: no is said in time.
-func TestAdmin_AnswersWhileLoopIsBusy(t *testing.T) {
-	r := startIngress(t, adminConfig(t, "127.0.0.1:1"), nil)
-	free := make(chan struct{})
-	r.ingress.Post(func(float64) { <-free })
-	if got := r.call("POST", "/v1/ingress/drain"); got != 503 {
-		t.Error("yes was said before it was done:", got)
-	}
-	if got := r.call("GET", "/v1/readyz"); got != 200 {
-		t.Error(got)
-	}
-	close(free)
-}
-
-// Guards clients and the front when an ingress is drained by hand: no at once, served while they stay, nothing left.
-func TestDrain_ClosesClientsAndActivateReopens(t *testing.T) {
-	addr, conns := listenBackend(t)
-	r := startIngress(t, adminConfig(t, addr), sendTo(0))
-	idle, busy := r.client(), r.client()
-	idle.send("PING")
-	idle.line()
-	busy.send(lookCommand("long")...)
-	b := receive(t, conns)
-	b.command()
-	if got := r.call("POST", "/v1/ingress/drain"); got != 200 {
-		t.Fatal(got)
-	}
-	if r.call("GET", "/v1/readyz") == 200 {
-		t.Error("ready while drained")
-	}
-	if idle.send("PING"); !strings.HasPrefix(idle.line(), "-") {
-		t.Error("PING is still answered with yes")
-	}
-	late := r.client() // the front has not noticed yet
-	late.send(lookCommand("late")...)
-	lateB := receive(t, conns)
-	lateB.command()
-	r.drainSince(1.75)
-	if idle.line() != "" {
-		t.Error("an idle connection is kept")
-	}
-	for i, w := range []*testConn{busy, late} {
-		io.WriteString([]*testConn{b, lateB}[i], "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-		if w.line() != "$1" || w.line() != "v" || w.line() != "" {
-			t.Error("a request was not answered, or its connection stayed")
-		}
-	}
-	r.waitFor("nobody is left", func() bool { return r.ingress.clients.open() == 0 })
-	if r.call("POST", "/v1/ingress/activate") != 200 || r.call("GET", "/v1/readyz") != 200 {
-		t.Error("not taken back")
-	}
-	again := r.client()
-	if again.send("PING"); again.line() != "+PONG" {
-		t.Error("clients are not taken again")
-	}
-}
-
-// drainSince has the drain look as if it had begun so many seconds ago.
-func (r *testIngress) drainSince(ago float64) {
-	r.onLoop(func() {
-		r.ingress.drain.End()
-		r.ingress.drain.Begin(r.ingress.now - ago)
-	})
-}
-
-// serveBackend answers every request at a backend with a value.
-func serveBackend(conns chan *testConn) {
-	for w := range conns {
-		go func() {
-			for w.command() != nil {
-				io.WriteString(w, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-			}
-		}()
+	noError(t, link.Send(hotrestart.Ready, nil, testTimeout))
+	if _, err := link.Expect(hotrestart.Proceed, 0, testTimeout); err != nil {
+		t.Fatal(err)
 	}
 }
 
@@ -187,11 +52,11 @@
 	idle.send("PING")
 	idle.line()
 	text := command(lookCommand("half")...)
-	io.WriteString(half, text[:30])
+	write(half, text[:30])
 	busy.send(lookCommand("busy")...)
 	b := receive(t, conns)
 	b.command()
-	io.WriteString(busy, command(lookCommand("behind")...)[:50])
+	write(busy, command(lookCommand("behind")...)[:50])
 	old.waitFor("the halves have been read", func() bool { return len(old.ingress.requests) == 1 })
 
 	young := startIngress(t, cfg, func(r *testIngress) {
@@ -213,7 +78,7 @@
 	if idle.line() != "+PONG" {
 		t.Error("an idle connection was not passed on")
 	}
-	io.WriteString(half, text[30:])
+	write(half, text[30:])
 	if q := receive(t, young.decider.requests); q.ID != "half" {
 		t.Errorf("%+v came in place of the request in two halves", q)
 	}
@@ -221,7 +86,7 @@
 	if hb.command() == nil {
 		t.Fatal("not sent")
 	}
-	io.WriteString(hb, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	write(hb, servedReply)
 	if half.line() != "$1" || half.line() != "v" {
 		t.Error("the request in two halves was not answered")
 	}
@@ -230,12 +95,12 @@
 		t.Fatal("the old process ended with a request open")
 	default:
 	}
-	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	write(b, servedReply)
 	if busy.line() != "$1" || busy.line() != "v" {
 		t.Error("the old process did not answer what it had taken")
 	}
 	receive(t, old.ended)
-	io.WriteString(busy, command(lookCommand("behind")...)[50:])
+	write(busy, command(lookCommand("behind")...)[50:])
 	if q := receive(t, young.decider.requests); q.ID != "behind" {
 		t.Errorf("%+v", q)
 	}
@@ -245,31 +110,6 @@
 	}
 }
 
-// dialAsSuccessor is a new process that has been given the sockets.
-func dialAsSuccessor(t *testing.T, path string) *hotrestart.Link {
-	t.Helper()
-	link, err := hotrestart.Dial(path)
-	if link == nil || err != nil {
-		t.Fatal(err)
-	}
-	link.Send(hotrestart.Hello, []byte{hotrestart.Version}, testTimeout)
-	m, err := link.Expect(hotrestart.Sockets, 1, testTimeout)
-	if err != nil {
-		t.Fatal(err)
-	}
-	m.Close()
-	return link
-}
-
-// completeHandover has it say that it is ready, and waits for the word to go on.
-func completeHandover(t *testing.T, link *hotrestart.Link) {
-	t.Helper()
-	link.Send(hotrestart.Ready, nil, testTimeout)
-	if _, err := link.Expect(hotrestart.Proceed, 0, testTimeout); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // Guards the end of a process that was asked to end, and of which the successor has died: it answers what it holds, and does
 // not come back to life.
 func TestHotRestart_SuccessorDiesAfterSIGTERM(t *testing.T) {
@@ -285,7 +125,7 @@
 			link := dialAsSuccessor(t, path)
 			completeHandover(t, link)
 			r.terminate()
-			r.waitFor("it has heard the signal", func() bool { return r.ingress.shutdownRequested })
+			r.waitFor("it has heard the signal", func() bool { return r.ingress.shutdown.requested })
 			die := func() {
 				link.Close()
 				r.waitFor("it knows that its successor has died", func() bool { return r.ingress.successor.stage == handoverNone })
@@ -302,7 +142,7 @@
 				t.Error("what it had taken was not answered")
 			}
 			receive(t, r.ended)
-			if r.ingress.shutdownExpired {
+			if r.ingress.shutdown.expired {
 				t.Error("it waited for a listener that rests")
 			}
 		})
@@ -351,7 +191,7 @@
 	idle.send("PING")
 	idle.line()
 	text := command(lookCommand("half")...)
-	io.WriteString(half, text[:30])
+	write(half, text[:30])
 	path, err := hotrestart.SocketPath(os.TempDir(), r.ingress.cfg.Name)
 	if err != nil {
 		t.Fatal(err)
@@ -398,23 +238,6 @@
 	}
 }
 
-// Guards the hold against a process that comes back to a file that is spoilt: it starts, and says so.
-func TestAdmin_MalformedCordonFile(t *testing.T) {
-	cfg := adminConfig(t, "127.0.0.1:1")
-	os.WriteFile(cordonStorePath(cfg.Name), []byte("{"), 0o600)
-	r := startIngress(t, cfg, nil)
-	if r.call("POST", "/v1/backends/s0/suspend") != 200 {
-		t.Fatal("no")
-	}
-	if err := cordontable.NewStore(cordonStorePath(cfg.Name)).ReadIfChanged(func(h cordontable.Cordons) {
-		if len(h) != 1 {
-			t.Error(h)
-		}
-	}); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // Guards chains: a process that is replaced while the one before it still ends. Idle connections come to the last one by way of the
 // middle one, what the first holds is answered, and each ends when all before it have.
 func TestHotRestart_WhilePredecessorStillDrains(t *testing.T) {
@@ -441,7 +264,7 @@
 		t.Fatal("the second ended while the first has a request open: the first would go on by itself")
 	default:
 	}
-	io.WriteString(b, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	write(b, servedReply)
 	if busy.line() != "$1" || busy.line() != "v" {
 		t.Fatal("not answered")
 	}
--- a/internal/dataplane/ingress/large_test.go
+++ b/internal/dataplane/ingress/large_value_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -12,9 +11,9 @@
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/dataplane/inputbuffer"
+	"eiderspread/internal/dataplane/resp"
 	"eiderspread/policy"
 )
 
@@ -28,18 +27,20 @@
 	return text, fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$-1\r\n$12\r\ncpu_share=.5\r\n", size, text)
 }
 
-// bulk reads a bulk string; what is not whole is returned as it came.
-func (w *testConn) bulk() []byte {
-	var size int
-	if _, err := fmt.Sscanf(w.line(), "$%d", &size); err != nil {
-		return nil
-	}
-	b := make([]byte, size+2)
-	n, _ := io.ReadFull(w.r, b)
-	if n == size+2 && string(b[size:]) == "\r\n" {
-		return b[:size]
+// slowLarge has a client ask for a large value at r, and its backend give so much of it.
+func slowLarge(t *testing.T, r *testIngress, conns chan *testConn, id string, first int) (w, b *testConn, text, rest []byte) {
+	t.Helper()
+	text, answer := large(1<<20, 9)
+	w = r.client()
+	w.send(lookCommand(id)...)
+	w.send("PING") // answered behind it
+	b = receive(t, conns)
+	if b.command() == nil {
+		t.Fatal("not sent")
 	}
-	return b[:min(n, size)]
+	write(b, string(answer[:first]))
+	r.waitFor("it has begun", func() bool { return len(r.ingress.largeValues) == 1 })
+	return w, b, text, answer[first:]
 }
 
 // Guards values that are too large to be kept, in pieces cut anywhere: byte for byte, in order with other answers, their
@@ -49,7 +50,7 @@
 	r := startIngress(t, testConfig(addr), sendTo(0))
 	w := r.client()
 	rng := rand.New(rand.NewPCG(5, 5))
-	for round, size := range []int{maxValueBytes + 1, 300_000, maxLargeValue} {
+	for round, size := range []int{resp.MaxValueBytes + 1, 300_000, maxLargeValue} {
 		text, answer := large(size, uint64(round))
 		w.send(lookCommand(fmt.Sprint("large", round))...)
 		w.send("PING") // answered behind it
@@ -70,7 +71,7 @@
 		go func() {
 			for len(answer) > 0 {
 				n := min(len(answer), 1+rng.IntN(9000))
-				b.Write(answer[:n])
+				write(b, string(answer[:n]))
 				answer = answer[n:]
 			}
 		}()
@@ -93,18 +94,6 @@
 	}
 }
 
-// shrinkClientBuffers has little room between the ingress and a client.
-func (r *testIngress) shrinkClientBuffers(w *testConn) {
-	w.send("PING")
-	w.line()
-	w.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
-	r.onLoop(func() {
-		for c := range r.ingress.clients.conns {
-			c.conn.SetWriteBuffer(64 << 10)
-		}
-	})
-}
-
 // Guards a client that reads slowly: its backend waits, nothing piles up, and the module is told how fast the backend was.
 func TestLargeValue_SlowClientDelaysOwnBackendOnly(t *testing.T) {
 	addr, conns := listenBackend(t)
@@ -117,14 +106,14 @@
 	b.command()
 	text, answer := large(maxLargeValue, 1)
 	wrote := make(chan struct{})
-	go func() { b.Write(answer); close(wrote) }()
+	go func() { write(b, string(answer)); close(wrote) }()
 	r.waitFor("the value is under way", func() bool { q := r.ingress.requests["slow"]; return q != nil && q.attempts[0].firstByteAt > 0 })
 	other := r.client()
 	other.send("PING")
 	if other.line() != "+PONG" {
 		t.Error("others wait for a slow reader")
 	}
-	if _, left := r.openResources(); free-left > streamChunkSize+2*readBufferSize {
+	if _, left := r.openResources(); free-left > streamChunkSize+2*inputbuffer.ReadSize {
 		t.Errorf("%d bytes are held", free-left)
 	}
 	r.onLoop(func() { r.ingress.Cancel("slow", 0) }) // a module that has lost patience: the answer has begun
@@ -156,7 +145,7 @@
 		w.send(lookCommand("x")...)
 		b := receive(t, conns)
 		b.command()
-		b.Write(c.answer)
+		write(b, string(c.answer))
 		if c.close {
 			b.Close()
 		}
@@ -199,7 +188,7 @@
 		receive(t, r.decider.requests)
 		b := receive(t, conns)
 		b.command()
-		go b.Write(answer)
+		go write(b, string(answer))
 		r.waitFor("the value is under way", func() bool { q := r.ingress.requests["x"]; return q != nil && q.attempts[0].firstByteAt > 0 })
 		w.Close()
 		if o := receive(t, r.decider.outcomes); o.Status != policy.Cancelled || !o.Completed {
@@ -212,101 +201,6 @@
 	}
 }
 
-// Guards answers that come long after one that the socket took in parts: that one's time limit must not end them.
-func TestClient_SlowWriteClearsDeadline(t *testing.T) {
-	defer func(was time.Duration) { clientWriteTimeout = was }(clientWriteTimeout)
-	clientWriteTimeout = 300 * time.Millisecond
-	addr, conns := listenBackend(t)
-	r := startIngress(t, testConfig(addr), sendTo(0))
-	w := r.client()
-	r.shrinkClientBuffers(w)
-	text := strings.Repeat("v", maxValueBytes)
-	go serveBackendWith(conns, fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", maxValueBytes, text))
-	for i := range 12 {
-		w.send(lookCommand(fmt.Sprint("a", i))...)
-	}
-	r.waitFor("a write goes on", func() bool {
-		for c := range r.ingress.clients.conns {
-			return c.writing
-		}
-		return false
-	})
-	for range 12 {
-		if got := w.bulk(); len(got) != maxValueBytes {
-			t.Fatal(len(got))
-		}
-	}
-	r.waitFor("all is written", func() bool {
-		for c := range r.ingress.clients.conns {
-			return !c.writing
-		}
-		return false
-	})
-	// A write that begins now, with the same limit and nobody who reads, ends after that of the one that is over.
-	near, far := net.Pipe()
-	defer near.Close()
-	defer far.Close()
-	near.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-	if _, err := near.Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal(err)
-	}
-	if w.send("PING"); w.line() != "+PONG" {
-		t.Fatal("the connection was ended")
-	}
-}
-
-func serveBackendWith(conns chan *testConn, answer string) {
-	for w := range conns {
-		go func() {
-			for w.command() != nil {
-				io.WriteString(w, answer)
-			}
-		}()
-	}
-}
-
-// waitForNoRequests waits until all clients were handed over, or could be.
-func (r *testIngress) waitForNoRequests() {
-	r.t.Helper()
-	r.waitFor("its readers rest", func() bool {
-		for c := range r.ingress.clients.conns {
-			if !c.readerStopped {
-				return false
-			}
-		}
-		return r.ingress.successor.stage == handoverActive
-	})
-}
-
-// slow makes the buffers between the one client and the ingress small, so that a client that does not read is noticed.
-func (r *testIngress) slow(w *testConn) {
-	r.t.Helper()
-	w.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	r.waitFor("the client is known", func() bool {
-		for c := range r.ingress.clients.conns {
-			c.conn.SetWriteBuffer(4 << 10)
-			return true
-		}
-		return false
-	})
-}
-
-// slowLarge has a client ask for a large value at r, and its backend give so much of it.
-func slowLarge(t *testing.T, r *testIngress, conns chan *testConn, id string, first int) (w, b *testConn, text, rest []byte) {
-	t.Helper()
-	text, answer := large(1<<20, 9)
-	w = r.client()
-	w.send(lookCommand(id)...)
-	w.send("PING") // answered behind it
-	b = receive(t, conns)
-	if b.command() == nil {
-		t.Fatal("not sent")
-	}
-	b.Write(answer[:first])
-	r.waitFor("it has begun", func() bool { return len(r.ingress.largeValues) == 1 })
-	return w, b, text, answer[first:]
-}
-
 // Guards large values at a replacement: one that is on its way goes on in the new process, whole, with what waits behind it and what its
 // client still asks, and the old one ends without it.
 func TestLargeValue_MigratesToSuccessor(t *testing.T) {
@@ -315,7 +209,7 @@
 	old := startIngress(t, cfg, sendTo(0))
 	cfg.Listen = old.ingress.listener.Addr().String()
 	w, b, text, rest := slowLarge(t, old, conns, "large", 100_000)
-	io.WriteString(w, command(lookCommand("next")...)[:40])
+	write(w, command(lookCommand("next")...)[:40])
 	young := startIngress(t, cfg, sendTo(0))
 	young.waitFor("the new process serves", young.ingress.acceptingClients.Load)
 	old.waitForNoRequests()
@@ -325,7 +219,7 @@
 	go func() {
 		for len(rest) > 0 {
 			n := min(len(rest), 5000)
-			b.Write(rest[:n])
+			write(b, string(rest[:n]))
 			rest = rest[n:]
 		}
 	}()
@@ -335,7 +229,7 @@
 	if got := w.line(); got != "+PONG" {
 		t.Fatalf("behind it: %q", got)
 	}
-	io.WriteString(w, command(lookCommand("next")...)[40:])
+	write(w, command(lookCommand("next")...)[40:])
 	if q := receive(t, young.decider.requests); q.ID != "next" {
 		t.Errorf("%+v came in place of the request in two halves", q)
 	}
@@ -365,7 +259,7 @@
 		old.ingress.failOpenRequests()
 	})
 	receive(t, old.ended)
-	go b.Write(rest)
+	go write(b, string(rest))
 	if got := w.bulk(); !bytes.Equal(got, text) {
 		t.Fatalf("%d bytes came, of %d", len(got), len(text))
 	}
@@ -394,7 +288,7 @@
 	r.waitFor("it has stopped", func() bool { return len(r.ingress.successor.transfers) == 1 })
 
 	link.Close()
-	go b.Write(rest)
+	go write(b, string(rest))
 	if got := w.bulk(); !bytes.Equal(got, text) {
 		t.Fatalf("%d bytes came, of %d", len(got), len(text))
 	}
@@ -422,7 +316,7 @@
 		left := 0
 		defer func() { wrote <- left }()
 		for rest := answer[:len(answer)-1]; len(rest) > 0; { // until nothing goes on any more
-			b.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
+			noError(t, b.SetWriteDeadline(time.Now().Add(100*time.Millisecond)))
 			n, err := b.Write(rest[:min(len(rest), 64<<10)])
 			if rest = rest[n:]; err != nil {
 				left = len(rest)
@@ -438,7 +332,7 @@
 		return false
 	})
 	t.Logf("%d bytes were not taken from the backend", left)
-	b.Conn.(*net.TCPConn).SetLinger(0)
+	noError(t, b.Conn.(*net.TCPConn).SetLinger(0))
 	b.Close()
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
 		t.Errorf("ended as %v, want as one that its backend broke off", o.Status)
@@ -457,15 +351,15 @@
 	w.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.command()
-	b.Write(answer[:5000])
+	write(b, string(answer[:5000]))
 	old.waitFor("it has begun", func() bool {
 		for v := range old.ingress.largeValues {
-			v.stream.backendConn.conn.SetReadBuffer(400 << 10)
+			noError(t, v.stream.backendConn.conn.SetReadBuffer(400<<10))
 			return true
 		}
 		return false
 	})
-	b.Write(answer[5000:])
+	write(b, string(answer[5000:]))
 	old.waitFor("the client is not reading", func() bool {
 		for v := range old.ingress.largeValues {
 			return v.stream.clientBlocked.Load()
@@ -473,7 +367,7 @@
 		return false
 	})
 	old.waitFor("the kernel has it all", func() bool { return unsent(t, b.Conn.(*net.TCPConn)) == 0 })
-	b.Conn.(*net.TCPConn).SetLinger(0)
+	noError(t, b.Conn.(*net.TCPConn).SetLinger(0))
 	b.Close() // resets it
 	young := startIngress(t, cfg, sendTo(0))
 	young.waitFor("the new process serves", young.ingress.acceptingClients.Load)
@@ -484,16 +378,3 @@
 		t.Fatalf("%d bytes came, of %d", len(got), len(text))
 	}
 }
-
-// unsent are the bytes of a connection that its peer has not acknowledged.
-func unsent(t *testing.T, c *net.TCPConn) (n int) {
-	t.Helper()
-	raw, err := c.SyscallConn()
-	if err == nil {
-		raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	return n
-}
--- a/internal/dataplane/ingress/peers.go
+++ b/internal/dataplane/ingress/peers.go
@@ -13,28 +13,15 @@
 
 const (
 	maxDatagramBytes = 256
-	peerQueueSize    = 64
+	peerQueueSize    = 64 // datagrams
 )
 
 // peerLink exchanges datagrams with the other ingresses.
 type peerLink struct {
 	ingress *Ingress
 	conn    *net.UDPConn
-	queue   chan datagram
-	paused  bool // another process speaks for this ingress; loop only
-}
-
-// pause leaves the socket to another process.
-func (p *peerLink) pause() {
-	p.paused = true
-	p.conn.SetReadDeadline(time.Unix(pastUnixS, 0))
-}
-
-// resume takes it again.
-func (p *peerLink) resume() {
-	p.paused = false
-	p.conn.SetReadDeadline(time.Time{})
-	go p.receiveLoop()
+	queue   chan datagram // from the loop to sendLoop
+	paused  bool          // another process speaks for this ingress; loop only
 }
 
 type datagram struct {
@@ -42,7 +29,8 @@
 	data        []byte
 }
 
-func (in *Ingress) openPeers() (*peerLink, error) {
+// newPeerLink opens the socket, or takes the predecessor's, and starts to send.
+func (in *Ingress) newPeerLink() (*peerLink, error) {
 	var conn *net.UDPConn
 	if in.predecessor != nil {
 		conn = in.predecessor.peers
@@ -57,6 +45,19 @@
 	return p, nil
 }
 
+// pause leaves the socket to another process.
+func (p *peerLink) pause() {
+	p.paused = true
+	setReadDeadline(p.conn, expiredDeadline)
+}
+
+// resume takes it again.
+func (p *peerLink) resume() {
+	p.paused = false
+	setReadDeadline(p.conn, time.Time{})
+	go p.receiveLoop()
+}
+
 func (p *peerLink) close() {
 	p.conn.Close()
 	close(p.queue)
@@ -67,45 +68,46 @@
 	if p.paused {
 		return
 	}
-	to := p.ingress.cfg.PeerBroadcast
+	destination := p.ingress.cfg.PeerBroadcast
 	if gateway != policy.Broadcast {
 		if gateway < 0 || gateway >= len(p.ingress.cfg.Peers) {
 			p.ingress.logFault("no such peer", "number", gateway)
 			return
 		}
-		to = p.ingress.cfg.Peers[gateway]
+		destination = p.ingress.cfg.Peers[gateway]
 	}
-	if len(data) > maxDatagramBytes || !to.IsValid() {
-		p.ingress.logFault("datagram not sent", "bytes", len(data), "to", to)
+	if len(data) > maxDatagramBytes || !destination.IsValid() {
+		p.ingress.logFault("datagram not sent", "bytes", len(data), "to", destination)
 		return
 	}
 	select {
-	case p.queue <- datagram{to, data}:
+	case p.queue <- datagram{destination, data}:
 	default:
 		p.ingress.logFault("datagram lost: the queue is full")
 	}
 }
 
+// sendLoop sends what is queued until the queue is closed. Datagrams may be lost on their way, so an error is nothing new.
 func (p *peerLink) sendLoop() {
 	for d := range p.queue {
-		p.conn.WriteToUDPAddrPort(d.data, d.destination) // may be lost anyway
+		_, _ = p.conn.WriteToUDPAddrPort(d.data, d.destination)
 	}
 }
 
-// receiveLoop hands on what known peers send. One byte more than allowed tells an overlong datagram.
+// receiveLoop hands on what known peers send, until the link is closed or paused.
 func (p *peerLink) receiveLoop() {
 	in := p.ingress
 	numbers := map[netip.AddrPort]int{}
 	for i, a := range in.cfg.Peers {
 		numbers[a] = i
 	}
-	buf := make([]byte, maxDatagramBytes+1)
+	buf := make([]byte, maxDatagramBytes+1) // one byte more tells an overlong datagram
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		} else if err != nil {
-			continue // such as a refused datagram that comes back
+			continue // such as the ICMP answer to a datagram that nobody took
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		number, known := numbers[from]
--- a/internal/dataplane/ingress/guard_test.go
+++ b/internal/dataplane/ingress/send_guard_test.go
@@ -5,6 +5,7 @@
 	"net"
 	"testing"
 
+	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
 )
 
@@ -24,7 +25,7 @@
 	r.client().send("CALL.POST", customer, id, fields, "body")
 	b := receive(r.t, conns)
 	b.command()
-	io.WriteString(b, "-ERR failed\r\n")
+	write(b, "-ERR failed\r\n")
 	if o := receive(r.t, r.decider.outcomes); o.Status != policy.Error {
 		r.t.Fatalf("%+v", o)
 	}
@@ -133,7 +134,7 @@
 	}
 	r.client().send(lookCommand("b")...)
 	receive(t, conns).command()
-	drained := targets{Endpoints: []target{{ID: "s0", Addr: addr, State: "terminating"}}}
+	drained := discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: "terminating"}}}
 	r.onLoop(func() { r.ingress.applyDiscoveryList(drained, r.ingress.now-1) })
 	if _, violated := r.guardCountsOf(policy.SendToDraining); violated != 1 {
 		t.Error("a send to a backend that drained is not counted")
--- a/internal/dataplane/ingress/telemetry.go
+++ b/internal/dataplane/ingress/telemetry.go
@@ -1,18 +1,12 @@
 package ingress
 
-import (
-	"sync/atomic"
-
-	"golang.org/x/sys/unix"
-)
-
 // closeReason says why this ingress closed a client's connection.
 type closeReason uint8
 
 const (
 	closeUnset        closeReason = iota // not closed yet
 	closeByClient                        // the client closed or reset it
-	closeIdleTimeout                     // it stood idle for too long
+	closeIdleTimeout                     // it was idle for too long
 	closeDrained                         // operators drain the ingress and nothing was open on it
 	closeShutdown                        // the process ends and nothing was open on it
 	closeShutdownEnd                     // the time for the shutdown was over
@@ -33,7 +27,7 @@
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
-// rejectReason says why the ingress refused a request before the decision module had it.
+// rejectReason says why the ingress rejected a request that the decision module never had.
 type rejectReason uint8
 
 const (
@@ -54,10 +48,10 @@
 
 const (
 	unsentAttemptLimit       unsentReason = iota // as many attempts were made as are allowed
-	unsentBackendState                           // the backend drains, is gone or has moved
+	unsentBackendState                           // the backend drains, is removed or has moved
 	unsentRequestCompleted                       // the request has its final answer
 	unsentTooLate                                // its time is over
-	unsentClientDisconnected                     // its client has left
+	unsentClientDisconnected                     // its client has disconnected
 	unsentNoConnection                           // no connection to the backend may be made
 	unsentReasonsCount       int          = iota
 )
@@ -68,22 +62,22 @@
 
 // ingressCounters are what an ingress counts of its own acts. Loop only.
 type ingressCounters struct {
-	accepted   int
-	requests   int // requests
-	attempts   int // that were asked for
-	retries    int // of these: further ones of a request
+	accepted   int // connections of clients
+	requests   int // that were accepted
+	attempts   int // that the decider asked for
+	retries    int // of these: a request's second and later ones
 	cutByDrain int // requests that were ended at the end of a drain, for others that waited behind them
 	closed     [closeReasonsCount]int
 	rejected   [rejectReasonsCount]int
 	unsent     [unsentReasonsCount]int
 }
 
-// CounterStatus is counters for people: each reason by its name, those that never occurred left out.
+// CounterStatus is what an ingress counts, for people: each reason by its name, those that never occurred left out.
 type CounterStatus struct {
 	Accepted   int            `json:"accepted"`          // connections of clients
-	Requests   int            `json:"taken"`             // requests
+	Requests   int            `json:"taken"`             // that the ingress did not reject itself
 	Attempts   int            `json:"attempts"`          // that the decision module asked for
-	Retries    int            `json:"retries"`           // of these: further ones of a request
+	Retries    int            `json:"retries"`           // of these: a request's second and later ones
 	CutByDrain int            `json:"cut,omitempty"`     // requests that were ended at the end of a drain, for others that waited behind them
 	Closed     map[string]int `json:"closed,omitempty"`  // connections of clients, by reason
 	Rejected   map[string]int `json:"refused,omitempty"` // requests that the decision module never had, by reason
@@ -95,6 +89,7 @@
 		countsByName(n.rejected[:], rejectReasonNames[:]), countsByName(n.unsent[:], unsentReasonNames[:])}
 }
 
+// countsByName names the counts that are above 0.
 func countsByName(counts []int, names []string) map[string]int {
 	named := map[string]int{}
 	for i, count := range counts {
@@ -104,49 +99,3 @@
 	}
 	return named
 }
-
-// lastClientConnID numbers the connections of clients within this process.
-var lastClientConnID atomic.Uint64
-
-// maxDrainLogLines bounds the lines of one drain or shutdown on single connections.
-const maxDrainLogLines = 60
-
-// draining tells that clients are being sent away, by operators or as the process ends.
-func (in *Ingress) draining() bool { return in.drain.Active() || in.closingClients }
-
-// logClientConn writes a line on one connection while the ingress drains, at most maxDrainLogLines a drain.
-func (in *Ingress) logClientConn(event string, c *clientConn, more ...any) {
-	if !in.draining() || in.drainLogLines >= maxDrainLogLines {
-		return
-	}
-	in.drainLogLines++
-	fields := []any{"conn", c.connID, "age", roundToMillis(in.now - c.acceptedAt), "requests", c.requestCount, "open", len(c.answerSlots)}
-	if c.lastCallAt > 0 {
-		fields = append(fields, "last_asked_ago", roundToMillis(in.now-c.lastCallAt))
-	}
-	in.log.Info(event, append(fields, more...)...)
-}
-
-// logOpenConns writes a line on each connection that is still open at the end of the time for a drain, and why it is.
-func (in *Ingress) logOpenConns() {
-	in.log.Warn("drain time is over", "connections", in.clients.open(), "requests", len(in.requests), "looks", in.drain.sweeps,
-		"longest_gap", roundToMillis(in.drain.longestSweepGap), "pings", in.drain.rejectedPings, "pings_behind_answers", in.drain.rejectedPingsQueued)
-	for c := range in.clients.conns {
-		in.logClientConn("connection outlived the drain", c, "reader_stopped", c.readerStopRequested, "parked", c.readerStopped, "ending", c.closing,
-			"writing", c.writing, "unread_bytes", unreadBytes(c))
-	}
-}
-
-// unreadBytes is how much the kernel holds of what the client sent; -1 if it can't be told.
-func unreadBytes(c *clientConn) int {
-	unread := -1
-	c.rawConn.Control(func(fd uintptr) {
-		if n, err := unix.IoctlGetInt(int(fd), unix.SIOCINQ); err == nil {
-			unread = n
-		}
-	})
-	return unread
-}
-
-// roundToMillis rounds a span to milliseconds, for the log.
-func roundToMillis(span float64) float64 { return float64(int(span*1000+0.5)) / 1000 }
--- a/internal/dataplane/ingress/tracing.go
+++ b/internal/dataplane/ingress/tracing.go
@@ -9,15 +9,15 @@
 )
 
 // startTracing has the module's decisions written until ctx ends, if the operator's file asks for it; else it returns nil.
-func startTracing(ctx context.Context, cfg Config, now float64, gate *policy.Gateway, log *slog.Logger) (*trace.Recorder, error) {
+func startTracing(ctx context.Context, cfg Config, now float64, gateway *policy.Gateway, log *slog.Logger) (*trace.Recorder, error) {
 	if cfg.OperatorConfig.Trace == "" {
 		return nil, nil
 	}
 	s := cfg.Settings.Settings
-	to, err := trace.Start(ctx, cfg.OperatorConfig.Trace, cfg.OperatorConfig.TraceMB, trace.Header{Name: cfg.Name, Me: s.Self, Gateways: s.Gateways, Started: now,
-		Plans: s.Plans, Classes: s.Classes}, log)
+	recorder, err := trace.Start(ctx, cfg.OperatorConfig.Trace, cfg.OperatorConfig.TraceMB, trace.Header{Name: cfg.Name, Me: s.Self, Gateways: s.Gateways,
+		Started: now, Plans: s.Plans, Classes: s.Classes}, log)
 	if err == nil {
-		gate.SetTracer(to.Put)
+		gateway.SetTracer(recorder.Put)
 	}
-	return to, err
+	return recorder, err
 }
--- /dev/null
+++ b/internal/dataplane/resp/command_test.go
@@ -0,0 +1,43 @@
+package resp
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/tidwall/redcon"
+)
+
+// FuzzParseCommand guards the readers of clients, in which a panic would end the process: whatever comes,
+// a command is whole, unfinished or wrong, and the codec reads the same in what is taken for whole.
+func FuzzParseCommand(f *testing.F) {
+	const call = "*4\r\n$8\r\nCALL.GET\r\n$16\r\n00000000b4d65521\r\n$1\r\na\r\n$48\r\nc=look,t=basic,d=600000,units=2,spread=2,first=1\r\n"
+	for _, seed := range []string{call, "*1\r\n$4\r\nPING\r\n", "*2\r\n$-1\r\n$1\r\na\r\n", "*1\r\n$+1\r\na\r\n",
+		"*2\r\n+OK\r\n:1\r\n", "*1\r\n$-2\r\nab\r\n", "*-1\r\n", "*0\r\n", "*1\r\n$60000000\r\n", "$1\r\na\r\n", "*1\r\n$01\r\na\r\n",
+		"*1\r\n$1\nab\r\n", "*\r\n", "*1\r\n$\r\n", "*1\r\n$1\r\nabc", "PING\r\n", "*1\r\n*1\r\n$1\r\na\r\n"} {
+		f.Add([]byte(seed))
+	}
+	f.Fuzz(func(t *testing.T, b []byte) {
+		if len(b) == 0 {
+			return
+		}
+		args, n, err := ParseCommand(b, nil)
+		if n < 0 || n > len(b) || n > 0 && err != nil {
+			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
+		}
+		if n == 0 {
+			return
+		}
+		complete, codec, _, rest, err := redcon.ReadNextCommand(b[:n], nil)
+		if !complete || err != nil || len(rest) != 0 || len(codec) != len(args) {
+			t.Fatalf("the codec reads %q, %v in %q", codec, err, b[:n])
+		}
+		for i := range args {
+			if !bytes.Equal(args[i], codec[i]) {
+				t.Fatalf("argument %d is %q, the codec reads %q", i, args[i], codec[i])
+			}
+		}
+		if _, m, err := ParseCommand(b[:n-1], nil); m != 0 || err != nil {
+			t.Fatalf("less its last byte it gives %d, %v", m, err)
+		}
+	})
+}
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -26,6 +26,7 @@
 	windows     = "internal/controlplane/planner/windows.go"
 	leases      = "internal/controlplane/planner/leases.go"
 	in          = "internal/dataplane/ingress/"
+	replies     = "internal/dataplane/callprotocol/reply.go"
 )
 
 func edit(file, old, new string) []Edit { return []Edit{{file, old, new}} }
@@ -194,9 +195,9 @@
 		Edits: edit(module, "min(g.admittedWork.Now(g.now, demandTauS), maxDemandToCompleted*g.completedWork.Now(g.now, demandTauS))", "g.admittedWork.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "no new work for a node that drains", Rule: "drains kept", // the module, the pool, the last check before a write and the guard at the write each hold it alone
 		Edits: []Edit{{module, "if backend.State != Up || g.now < backend.ejectedUntil {", "if g.now < backend.ejectedUntil {"},
-			{in + "backends.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
+			{in + "attempt.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
 			{"policy/guard.go", "if a.Backend.State != Up {", "if false {"},
-			{in + "pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
+			{in + "backend_pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
 		Runs: []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "a node that drains is told from one that is up", Rule: "drains kept",
 		Edits: edit("internal/membership/discovery/roster.go", `"terminating": policy.Draining`, `"terminating": policy.Up`),
@@ -206,41 +207,41 @@
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	// ---- The ingress: what an attempt's end means ----
 	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"backends.go", "in.finishAttempt(a, attemptResult{status: policy.Timeout}, in.now)", "in.finishAttempt(a, attemptResult{status: policy.NotSent}, in.now)"),
+		Edits: edit(in+"attempt.go", "in.finishAttempt(a, callprotocol.Result{Status: policy.Timeout}, in.now)", "in.finishAttempt(a, callprotocol.Result{Status: policy.NotSent}, in.now)"),
 		Runs:  []string{labOne + "answers", labTwo + "answers"}},
 	{Name: "a connection lost after the last byte may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"pool.go", "status := policy.Reset\n", "status := policy.ConnectFailed\n"),
+		Edits: edit(in+"backend_reader.go", "status := policy.Reset\n", "status := policy.ConnectFailed\n"),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "a spoilt answer may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"reply.go", "return attemptResult{status: policy.Error, malformed: why}", "return attemptResult{status: policy.Rejected, malformed: why}"),
+		Edits: edit(replies, "return Result{Status: policy.Error, Err: cause}", "return Result{Status: policy.Rejected, Err: cause}"),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "an error answer may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"reply.go", `res := attemptResult{status: policy.Error}
-`, `res := attemptResult{status: policy.Rejected}
+		Edits: edit(replies, `res := Result{Status: policy.Error}
+`, `res := Result{Status: policy.Rejected}
 `),
 		Runs: []string{labOne + "answers"}},
 	{Name: "an attempt that is given up ends", Rule: "one attempt out", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"backends.go", `		in.closeBackendConn(a.conn)
+		Edits: edit(in+"attempt.go", `		in.closeBackendConn(a.conn)
 		a.conn = nil
 `, `		a.conn.attempt = nil
 		a.conn = nil
 `),
 		Runs: []string{labOne + "answers", labOne + "snow"}},
 	{Name: "a copy of an answer is no answer", Rule: "one answer", Unit: "./internal/dataplane/ingress", // its bytes, what waits on a connection, and the rest before use each tell it
-		Edits: []Edit{{in + "pool.go", "if res.status == policy.OK && recent.seen(buf.data[:size], at, in.backends.duplicateWindowS) {", "if false {"},
-			{in + "pool.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
-			{in + "pool.go", `stray := len(buf.data) > size
-			buf.discard(len(buf.data))`, `stray := false
-			buf.discard(size)`},
-			{in + "pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !openAndSilent(c.rawConn) {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
+		Edits: []Edit{{in + "backend_reader.go", "if res.Status == policy.OK && r.recent.seen(r.input.Bytes()[:size], at, in.backends.duplicateWindowS) {", "if false {"},
+			{in + "backend_reader.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
+			{in + "backend_reader.go", `stray := r.input.Len() > size
+	r.input.Discard(r.input.Len())`, `stray := false
+	r.input.Discard(size)`},
+			{in + "backend_pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !c.silent() {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
 		Runs: []string{labOne + "answers", labTwo + "answers"}},
 	// ---- The ingress: clients ----
 	{Name: "an id that is open is not taken again", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"requests.go", "case in.requests[q.ID] != nil, in.predecessorRequests[q.ID] != nil:", "case false:"),
+		Edits: edit(in+"request.go", "case in.requests[call.ID] != nil, in.predecessorRequests[call.ID] != nil:", "case false:"),
 		Runs:  []string{labOne + "rude", labTwo + "rude"}},
 	{Name: "answers keep the order of their commands", Rule: "answers in order", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"clients.go", `	n, bytes := 0, len(c.pendingOutput)
-`, `	n, bytes := 0, len(c.pendingOutput)
+		Edits: edit(in+"client_writer.go", `	n, before := 0, len(c.pendingOutput)
+`, `	n, before := 0, len(c.pendingOutput)
 	for i, s := range c.answerSlots {
 		if s.answer != nil && c.answerSlots[0].answer == nil {
 			c.answerSlots[0], c.answerSlots[i] = s, c.answerSlots[0]
@@ -249,12 +250,12 @@
 `),
 		Runs: []string{labOne + "rude"}},
 	{Name: "a planned restart answers what was taken", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"clients.go", `		if c.fullyAnswered() && !c.transferring && !c.recentlyOpened(in) {
+		Edits: edit(in+"client_table.go", `		if c.fullyAnswered() && c.reader != readerTransferring && !c.recentlyOpened(in) {
 			in.closeGracefully(c, closeShutdown)`, `		if true {
 			in.closeClient(c, closeShutdown)`),
 		Runs: []string{"lab -forwarders 4 -planners 0 -nodes 6 -for 30s -scenario playoff -kinds roll,snow,snow -every 600ms"}}, // requests that last longer than the time in which new connections are taken
 	{Name: "a client's hang-up ends its own requests alone", Rule: "no request lost",
-		Edits: edit(in+"clients.go", `		if s.request != nil && !s.request.completed {
+		Edits: edit(in+"client_close.go", `		if s.request != nil && !s.request.completed {
 			in.completeRequest(s.request)
 			in.decider.HandleDisconnect(in.now, s.request.ID)
 		}
@@ -269,10 +270,10 @@
 `),
 		Runs: []string{labOne + "rude"}},
 	{Name: "a bad command ends no other's request", Rule: "no request lost",
-		Edits: edit(in+"clients.go", `	answer := errorReply(cause)
-	c.input.release()
+		Edits: edit(in+"client_reader.go", `	answer := errorReply(cause)
+	c.input.Release()
 `, `	answer := errorReply(cause)
-	c.input.release()
+	c.input.Release()
 	in.post(at, func() {
 		for x := range in.clients.conns {
 			in.closeClient(x, closeBadInput)
@@ -284,11 +285,11 @@
 		Edits: edit("policy/drain.go", "if d.active && now-d.startedAt >= drainRejectS {", "if d.active && now-d.startedAt >= 1e9 {"),
 		Runs:  []string{drainOne}},
 	{Name: "a drained connection ends when all on it is answered", Rule: "no request lost",
-		Edits: edit(in+"clients.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
+		Edits: edit(in+"client_writer.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
 		Runs:  []string{drainOne}},
 	{Name: "what may be written is asked directly before the write", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Why:   "connections that come up late are the soak's alone, which counts it by the ingresses' own check; the unit test makes one",
-		Edits: edit(in+"guard.go", "case now > a.latestStart:", "case false:"),
+		Edits: edit(in+"send_guard.go", "case now > a.latestStart:", "case false:"),
 		Runs:  []string{labOne + "keys"}},
 	// ---- Forwarders ----
 	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // by epoch and promise, and by the handle of the telling
@@ -386,13 +387,13 @@
 `, `		if false {
 `), Runs: []string{labOne + "operators"}},
 	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"door.go", "store.ReadIfChanged(func(h cordontable.Cordons) { in.cordons.Replace(h) })", "store.ReadIfChanged(func(h cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
+		Edits: edit(in+"admin.go", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) { in.cordons.Replace(c) })", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
 	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Why:   "a client whose idle connection ends asks on another; it costs a dial and, at times, a request that crosses the end and is sent again",
-		Edits: edit(in+"handover.go", "if in.successor.stage != handoverActive || c.closing", "if true || c.closing"), Runs: []string{labOne + "operators -kinds replaced"}},
+		Edits: edit(in+"hot_restart_successor.go", "if in.successor.stage != handoverActive || c.state == connClosing", "if true || c.state == connClosing"), Runs: []string{labOne + "operators -kinds replaced"}},
 	{Name: "what was read of a command goes with its connection", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Why:   "the laboratory's clients write a command in one piece, so that a part of one is hardly ever read at that moment; the unit test sends halves",
-		Edits: edit(in+"handover.go", "body: bytes.Clone(c.input.data)}", "body: bytes.Clone(c.input.data[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
+		Edits: edit(in+"hot_restart_successor.go", "body: bytes.Clone(c.input.Bytes())}", "body: bytes.Clone(c.input.Bytes()[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
 	// ---- A forwarder replaced while it serves ----
 	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "c.cells[i] = cellState{holder: -1, requester: -1, promisedUntil: now + c.cfg.LeaseS, leaderlessSince: now}", "c.cells[i].requester, c.cells[i].leaderlessSince = -1, now"), Runs: []string{simTwo + "handed-torn"}},
