--- a/internal/dataplane/ingress/decider.go
+++ b/internal/dataplane/ingress/decider.go
@@ -2,6 +2,7 @@
 
 import (
 	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/decision/loadshed"
 	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
 )
@@ -30,6 +31,11 @@
 	UpdateClasses(now float64, classes []policy.Class, maxAttempts int) error
 }
 
+// SheddingDecider is a Decider that sheds load.
+type SheddingDecider interface {
+	Shedder() *loadshed.Shedder // nil where load is not shed
+}
+
 // SnapshotDecider is a Decider that hands what it knows to its like in another process. Snapshot is its last call before that one serves;
 // Restore is called with each part, once backends are listed and before the first request. A decider whose successor died restores its own
 // snapshot.
--- a/internal/dataplane/ingress/send_guard.go
+++ b/internal/dataplane/ingress/send_guard.go
@@ -5,7 +5,7 @@
 )
 
 // The send guard: what must hold when bytes go out or a connection ends is checked at that very moment, and the result is counted. The rules
-// are the decision module's (policy/guard.go); nothing else in this package writes to a backend or ends a client's connection.
+// are the decision module's (policy/attempt_guard.go); nothing else in this package writes to a backend or ends a client's connection.
 
 const (
 	// disconnectCheckAfterS: a request that has waited for longer is sent only after a look whether its client is still there.
--- a/internal/dataplane/ingress/status.go
+++ b/internal/dataplane/ingress/status.go
@@ -24,7 +24,7 @@
 	ClosingClients    bool             `json:"leaving"`            // at a shutdown or a hot restart
 	Draining          bool             `json:"draining"`           // by operators
 	Counters          CounterStatus    `json:"counts"`             // of what it did, and why
-	Guard             GuardStatus      `json:"guard"`              // of rules, see policy/guard.go
+	Guard             GuardStatus      `json:"guard"`              // of rules, see policy/attempt_guard.go
 	Overload          *loadshed.Status `json:"overload,omitempty"` // nil: off
 }
 
@@ -58,8 +58,8 @@
 func (in *Ingress) status() Status {
 	age := in.EndpointListAge()
 	var overload *loadshed.Status
-	if d, ok := in.decider.(interface{ Overload() *loadshed.Shedder }); ok {
-		overload = d.Overload().Status(in.now)
+	if d, ok := in.decider.(SheddingDecider); ok {
+		overload = d.Shedder().Status(in.now)
 	}
 	return Status{Kind: "ingress", Name: in.cfg.Name, EndpointList: age, EndpointListStale: age.Stale(), Backends: len(in.backends.byID),
 		Clients: in.clients.open(), Requests: len(in.requests), ClosingClients: in.shutdown.closingClients, Draining: in.drain.Active(),
--- a/internal/dataplane/ingress/tracing.go
+++ b/internal/dataplane/ingress/tracing.go
@@ -14,8 +14,8 @@
 		return nil, nil
 	}
 	s := cfg.Settings.Settings
-	recorder, err := trace.Start(ctx, cfg.OperatorConfig.Trace, cfg.OperatorConfig.TraceMB, trace.Header{Name: cfg.Name, Me: s.Self, Gateways: s.Gateways,
-		Started: now, Plans: s.Plans, Classes: s.Classes}, log)
+	recorder, err := trace.Start(ctx, cfg.OperatorConfig.Trace, cfg.OperatorConfig.TraceMB, trace.Header{Name: cfg.Name, Gateway: s.Self, Gateways: s.Gateways,
+		StartedAt: now, Plans: s.Plans, Classes: s.Classes}, log)
 	if err == nil {
 		gateway.SetTracer(recorder.Put)
 	}
