--- a/internal/base/peerprotocol/peermsg_test.go
+++ b/internal/base/peerprotocol/gossip_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// A word of overload crosses beside records and items, is told from them, and fits or is left out whole.
+// The load-shedding state travels beside records and entries, is told from them, and is complete or left out.
 func TestLoadShedState_RoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e7).Draw(t, "now")
@@ -26,24 +26,24 @@
 		message = gossip.AppendNewest(AppendLoadShedState(message, level, phase), 6, now, 1)
 		_, _, records, entries, ok := Parse(message, now)
 		if !ok || len(records) != count {
-			t.Fatal("not read")
+			t.Fatal("not parsed")
 		}
 		n := 0
 		for _, entry := range entries {
 			if l, p, ok := entry.LoadShedState(now); ok {
 				n++
 				if math.Abs(l-Clamp(level, 0, 1)) > 0.003 || p != phase {
-					t.Fatalf("%g and %d came as %g and %d", level, phase, l, p)
+					t.Fatalf("%g and %d read as %g and %d", level, phase, l, p)
 				}
 			}
 		}
 		if fits != (n == 1) || n > 1 {
-			t.Fatalf("%d words, room for one: %v", n, fits)
+			t.Fatalf("%d states, space for one: %v", n, fits)
 		}
 		OverwriteLoadShedState(message, 1, 9)
 		if _, _, _, entries, _ = Parse(message, now); fits {
 			if l, p, ok := entries[0].LoadShedState(now); !ok || l != 1 || p != 9 {
-				t.Fatal("not belied")
+				t.Fatal("not overwritten")
 			}
 		}
 	})
--- /dev/null
+++ b/internal/decision/config/settings_test.go
@@ -0,0 +1,50 @@
+package config
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestValidate_TypedErrors(t *testing.T) {
+	valid := Settings{Gateways: 1, Classes: []Class{{Name: "read", LatencyObjectiveS: 1, DeadlineS: 2}}, Plans: []Plan{{Name: "basic", Rate: 1, Burst: 3}}}
+	if err := valid.Validate(); err != nil {
+		t.Fatal(err)
+	}
+	for setting, change := range map[string]func(*Settings){
+		"gateways": func(s *Settings) { s.Gateways = 0 },
+		"me":       func(s *Settings) { s.Self = 1 },
+		"classes":  func(s *Settings) { s.Classes = nil },
+		"class":    func(s *Settings) { s.Classes = []Class{{Name: "read", DeadlineS: 2}} },
+		"plans":    func(s *Settings) { s.Plans = make([]Plan, maxPlans+1) },
+		"plan":     func(s *Settings) { s.Plans = []Plan{{Rate: 1}} },
+	} {
+		settings, invalid := valid, &InvalidError{}
+		change(&settings)
+		if err := settings.Validate(); !errors.As(err, &invalid) || invalid.Setting != setting {
+			t.Errorf("%s: %v", setting, err)
+		}
+	}
+	invalid := &InvalidError{}
+	if _, err := valid.WithClasses(valid.Classes, 3, 9, 9); !errors.As(err, &invalid) || invalid.Setting != "classes" {
+		t.Errorf("too many classes: %v", err)
+	}
+	if settings, err := valid.WithClasses(valid.Classes, 3, 8, 9); err != nil || settings.MaxAttempts != 3 {
+		t.Errorf("%+v: %v", settings, err)
+	}
+}
+
+func TestKeyScope_Same(t *testing.T) {
+	a := Backend{Zone: "z", Cell: 1}
+	for _, tc := range []struct {
+		b               Backend
+		all, zone, cell bool
+	}{
+		{Backend{Zone: "z", Cell: 1}, true, true, true},
+		{Backend{Zone: "z", Cell: 2}, true, true, false},
+		{Backend{Zone: "y", Cell: 1}, true, false, false},
+	} {
+		if ScopeAll.Same(a, tc.b) != tc.all || ScopeZone.Same(a, tc.b) != tc.zone || ScopeCell.Same(a, tc.b) != tc.cell {
+			t.Errorf("%+v and %+v", a, tc.b)
+		}
+	}
+}
