--- a/internal/base/peerprotocol/gossip.go
+++ b/internal/base/peerprotocol/gossip.go
@@ -11,7 +11,7 @@
 	// MaxBackendHash is the largest hash of a backend.
 	MaxBackendHash = loadShedHash - 1
 
-	// loadShedHash, in place of a backend's hash, tells that an entry is the sender's load-shedding state. Earlier versions take
+	// loadShedHash, in place of a backend's hash, marks an entry as the sender's load-shedding state. Earlier versions take
 	// it for the utilization of a backend that they don't know.
 	loadShedHash = math.MaxUint16
 
--- a/internal/base/peerprotocol/gossip_test.go
+++ b/internal/base/peerprotocol/gossip_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The load-shedding state travels beside records and entries, is told from them, and is complete or left out.
+// The load-shedding state travels beside records and entries, is recognized, and is complete or left out.
 func TestLoadShedState_RoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 1e7).Draw(t, "now")
--- a/internal/base/peerprotocol/record.go
+++ b/internal/base/peerprotocol/record.go
@@ -27,7 +27,7 @@
 	planMask = 15
 )
 
-// Record is what two gateways tell each other of one account: a member's report to the owner, or the owner's reply.
+// Record is what two gateways exchange about one account: a member's report to the owner, or the owner's reply.
 type Record struct {
 	AccountKey uint32 // upper half of the account's HashPoint
 	Plan       int    // index of the plan in the settings, 15 at most
@@ -37,7 +37,7 @@
 	// Total is the member's count of units since its start: what it admitted or, from the owner, what the owner has counted or
 	// set aside for it. In quarters, modulo 16384.
 	Total float64
-	// Known tells that Available was counted, or was received from an owner.
+	// Known reports whether Available was counted, or was received from an owner.
 	Known bool
 	// Available is the units left in the window, as the sender knows it. In quarters, -64 to 8000.
 	Available float64
@@ -54,7 +54,7 @@
 	LowPriority float64
 	// Unacked is units that no owner has counted yet, up to 63.75. Of members.
 	Unacked float64
-	// SharedBucket tells, from a member, that the owner keeps the hard limit's shared bucket and, from the owner, that the
+	// SharedBucket reports, from a member, that the owner keeps the hard limit's shared bucket and, from the owner, that the
 	// grant was paid from it.
 	SharedBucket bool
 	// BackoffS is seconds until another quota request makes sense, up to 12.75. Of owners.
--- a/internal/base/peerprotocol/sequence.go
+++ b/internal/base/peerprotocol/sequence.go
@@ -6,7 +6,7 @@
 	Sequence    uint16 // of the same; 0: none
 }
 
-// Stale tells that a message is older than one that was accepted already, or the same. Otherwise it is accepted.
+// Stale reports whether a message is older than one that was accepted already, or the same. Otherwise it is accepted.
 func (t *SequenceTracker) Stale(incarnation uint8, sequence uint16) bool {
 	if incarnation == t.Incarnation && t.Sequence != 0 && int16(sequence-t.Sequence) <= 0 {
 		return true
--- a/internal/decision/config/doc.go
+++ b/internal/decision/config/doc.go
@@ -1,3 +1,3 @@
-// Package config holds what a gateway is configured with (classes, plans, limits) and what it is told of requests, backends and
+// Package config holds what a gateway is configured with (classes, plans, limits) and what events say about requests, backends and
 // outcomes. These are plain values. The settings are validated here; nothing is decided.
 package config
--- a/internal/decision/config/settings.go
+++ b/internal/decision/config/settings.go
@@ -6,7 +6,7 @@
 	"eiderspread/internal/decision/loadshed"
 )
 
-// Idempotency tells whether a class of requests may run more than once.
+// Idempotency is whether a class of requests may run more than once.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -26,7 +26,7 @@
 	ScopeCell                 // those of one cell of a zone
 )
 
-// Same tells whether two backends are in one group of the scope.
+// Same reports whether two backends are in one group of the scope.
 func (s KeyScope) Same(a, b Backend) bool {
 	return s == ScopeAll || a.Zone == b.Zone && (s == ScopeZone || a.Cell == b.Cell)
 }
@@ -68,14 +68,14 @@
 	Plans    []Plan
 
 	MaxRequestUnits   int     // units of the largest request
-	UnitsFromResponse bool    // units of a request are an estimate; the OK outcome tells the true ones
+	UnitsFromResponse bool    // units of a request are an estimate; the OK outcome has the true ones
 	PeerMessageRate   float64 // messages a second that a gateway accepts from its peers; 0: no limit
 
 	PeerMessages         bool    // gateways may send each other messages
 	ProbesAllowed        bool    // backends may be probed
 	CancelAllowed        bool    // attempts may be cancelled
 	HedgingAllowed       bool    // two attempts of a request may be in flight at once
-	RetryAfterAllowed    bool    // clients are told when to retry
+	RetryAfterAllowed    bool    // clients get a hint when to retry
 	MaxAttempts          int     // of a request; below 1 stands for 1
 	MaxRetryAfterS       float64 // seconds, the longest hint that clients heed
 	LoadReportInProbe    bool    // backends report their load in answers to probes alone
@@ -94,7 +94,7 @@
 	WorstPlanWeight   float64 // weight of the plan that is served worst, in the goal
 }
 
-// maxPlans is how many plans a peer message can tell apart.
+// maxPlans is how many plans a peer message can distinguish.
 const maxPlans = 16
 
 // InvalidError says what is wrong with the settings.
--- a/internal/decision/reason/reason.go
+++ b/internal/decision/reason/reason.go
@@ -20,7 +20,7 @@
 	stepCount
 )
 
-// Reason tells why.
+// Reason is why a step was taken.
 type Reason uint8
 
 // The reasons.
--- a/policy/account.go
+++ b/policy/account.go
@@ -23,10 +23,10 @@
 	key          uint32 // upper half of point, names the account in peer messages
 	point        uint64 // on the ring
 	plan         *planState
-	firstGateway int // its gateways are gatewayCount ones from this number on, modulo all
-	gatewayCount int // 0: known from peers' reports alone
-	primaryOwner int // first of its gateways on the ring, suspected or not
-	lastUsedAt   float64
+	firstGateway int     // its gateways are gatewayCount ones from this number on, modulo all
+	gatewayCount int     // 0: known from peers' reports alone
+	primaryOwner int     // first of its gateways on the ring, suspected or not
+	lastUsedAt   float64 // by a request, a report or a reply
 	rejectedAt   float64 // when a request was last rejected here
 
 	// Usage here.
@@ -36,7 +36,7 @@
 	unsentAdmitted int        // requests that were admitted and not sent yet
 
 	// As a member: what the owner last replied. Empty at the owner.
-	ownerReplied    bool
+	ownerReplied    bool    // a reply came, or this gateway was the owner before
 	available       float64 // units in the owner's window
 	availableAt     float64 // when that was received
 	ackedUnits      float64 // of admittedUnits, known to the owner
@@ -46,11 +46,11 @@
 	ownerLeases     bool    // the owner leases slots
 	leasedSlots     slotlease.MemberLeases
 	prefetched      float64 // units granted in advance
-	prefetchedUntil float64
+	prefetchedUntil float64 // then they go back to the owner
 
 	// As a member: exchange with the owner.
 	pending           []*request   // awaiting the owner, in order of arrival
-	reportedPending   int          // the first so many of them are in a report to the owner
+	reportedPending   int          // how many of them, from the first on, are in a report
 	inWaitQueue       bool         // in the owner's queue for a slot: a reply comes on its own
 	reportQueued      bool         // in Gateway.reports
 	reportTo          int          // gateway of the last report
@@ -120,7 +120,7 @@
 	return g.settings.Self
 }
 
-// peerAlive tells that a gateway isn't suspected to be down.
+// peerAlive reports whether a gateway isn't suspected to be down.
 func (g *Gateway) peerAlive(gateway int) bool {
 	return gateway == g.settings.Self || !g.failureDetector.Suspected(gateway, g.now)
 }
@@ -150,8 +150,8 @@
 	}
 }
 
-// isPristine tells that the account's window and hard limit are as full as those of one that was never heard
-// of.
+// isPristine reports whether the account's window and hard limit are as full as those of one that was never
+// heard of.
 func (g *Gateway) isPristine(account *accountState) bool {
 	plan, gateways := account.plan, float64(max(account.gatewayCount, 1))
 	available := 0.0
--- a/policy/account_test.go
+++ b/policy/account_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// A member that has evicted an account starts its count at 0. Whoever of the two evicted what, the owner must not take that for
-// units handed back, nor miss the new ones.
+// A member that has evicted an account starts its count at 0. Whoever of the two evicted what, the owner must
+// not take that for units handed back, nor miss the new ones.
 func TestQuota_OwnerAndMemberEvictConsistently(t *testing.T) {
 	for _, pause := range []float64{1, memberTTLS - 1, memberTTLS + 1, accountTTLS - 0.5, accountTTLS + 0.5, 2 * accountTTLS, 4 * accountTTLS} {
 		g, r, pump := newPair(t)
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// An account is never served by another plan's figures: after it moved, or if its hash is that of an account of another plan.
+// An account is never served by another plan's figures: after it moved, or if its hash is that of an account
+// of another plan.
 func TestAccount_PlanChangeIsNewAccount(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	submit(g, 100, "old", "read", "wide", 4)
--- a/policy/adaptive_limit.go
+++ b/policy/adaptive_limit.go
@@ -4,8 +4,8 @@
 // and shrinks multiplicatively while they are slow. Its bounds are for one backend, over all gateways.
 const (
 	initialLimit           = 3.0  // attempts
-	minLimit               = 3.0  // attempts
-	maxLimit               = 64.0 // attempts
+	minLimit               = 3.0  // attempts, lower bound
+	maxLimit               = 64.0 // attempts, upper bound
 	additiveIncrease       = 0.1  // attempts that a fast answer adds
 	multiplicativeDecrease = 0.03 // fraction of one backend's limit that a slow answer takes off
 	latencyRatioHigh       = 0.22 // of latency over latency objective, above which answers are slow
@@ -15,8 +15,8 @@
 	meanLatencyWeight      = 0.1  // of a new answer in the gateway's mean latency and latency ratio
 )
 
-// atAdaptiveLimit tells that no attempt may start now: at the adaptive limit, or before a first attempt at
-// the account's concurrency limit. Where less than one attempt is left, one may start all the same while
+// atAdaptiveLimit reports whether no attempt may start now: at the adaptive limit, or before a first attempt
+// at the account's concurrency limit. Where less than one attempt is left, one may start all the same while
 // answers are fast; while they are slow the gateway pauses in proportion first, as many gateways round up.
 func (g *Gateway) atAdaptiveLimit(req *request) bool {
 	left := g.adaptiveLimit - float64(g.inFlight)
@@ -25,13 +25,13 @@
 	return left <= 0 || pausing || req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account)
 }
 
-// updateAdaptiveLimit takes an answer or a timeout into the limit.
+// updateAdaptiveLimit adjusts the limit after an answer or a timeout.
 func (g *Gateway) updateAdaptiveLimit(class *classState, outcome Outcome) {
 	g.meanLatency += meanLatencyWeight * (outcome.LatencyS - g.meanLatency)
 	g.latencyRatio += meanLatencyWeight * (outcome.LatencyS/class.LatencyObjectiveS - g.latencyRatio)
 	utilization, known := g.meanUtilization()
 	underused := known && utilization < lowUtilization
-	step := min(1, initialLimit/g.adaptiveLimit) // one answer tells of one of the backends in use
+	step := min(1, initialLimit/g.adaptiveLimit) // an answer comes from one of the backends in use
 	if outcome.Status == Timeout && !underused {
 		g.adaptiveLimit *= 1 - timeoutWeight*step
 	}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -23,7 +23,7 @@
 	denied admission = iota
 	admitted
 	admittedPrefetched // out of units that the owner granted in advance
-	ownerRequired      // only the owner can tell
+	ownerRequired      // only the owner can decide
 )
 
 // String is the verdict's name.
@@ -70,8 +70,8 @@
 	return admitted, reason.OwnerCount
 }
 
-// admitAsMember decides by what the owner granted and last replied. Where that doesn't tell, the owner is
-// asked.
+// admitAsMember decides by what the owner granted and last replied. Where that is not enough, the
+// owner decides.
 func (g *Gateway) admitAsMember(req *request) (admission, reason.Reason) {
 	account, plan := req.account, req.plan
 	available := g.availableNow(account)
@@ -95,9 +95,9 @@
 	return g.admitByReply(req, available, replyAgeS)
 }
 
-// slotUncertain tells that no leased slot is free for the request, and that the owner's last reply is too
-// old, or leaves too few slots, to start an attempt without one. Others are taken to start attempts at their
-// demand since the reply.
+// slotUncertain reports whether the request needs the owner to lease a slot: none is free here, and the
+// owner's last reply is too old, or leaves too few slots, to start an attempt without one. The other gateways
+// are assumed to have started attempts at their demand since that reply.
 func (g *Gateway) slotUncertain(req *request, replyAgeS float64) bool {
 	account := req.account
 	used := account.inFlight + account.unsentAdmitted
--- a/policy/api.go
+++ b/policy/api.go
@@ -9,7 +9,7 @@
 	Class = config.Class
 	// Plan is the quota of an account, see config.Plan.
 	Plan = config.Plan
-	// Idempotency tells whether requests of a class may run more than once.
+	// Idempotency is whether requests of a class may run more than once.
 	Idempotency = config.Idempotency
 	// KeyScope is the group of backends that drops repeats of an idempotency key.
 	KeyScope = config.KeyScope
--- a/policy/attempt_guard.go
+++ b/policy/attempt_guard.go
@@ -109,12 +109,12 @@
 	return at, rule
 }
 
-// inSlowStart tells that the backend has started so recently that work comes to it by a budget.
+// inSlowStart reports whether the backend has started so recently that work comes to it by a budget.
 func (a *Attempt) inSlowStart() bool {
 	return a.Backend.StartedAt > 0 && a.DecidedAt-a.Backend.StartedAt < a.SlowStartS
 }
 
-// ViolationAt tells which rule a write broke that ended at a time, given its latest start and the rule behind
+// ViolationAt is the rule that a write broke that ended at a time, given its latest start and the rule behind
 // that; NoViolation if none. The time for which the process may have stood still is allowed, but for a
 // deadline.
 func ViolationAt(at, latestStart float64, rule Violation) Violation {
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -50,7 +50,7 @@
 	backend.Reset()
 }
 
-// UpdateBackends takes the list of backends: with complete all of them, else those that changed.
+// UpdateBackends applies the list of backends: with complete all of them, else those that changed.
 func (g *Gateway) UpdateBackends(now float64, list []Backend, complete bool) {
 	g.advanceClock(now)
 	before := float64(max(1, len(g.backends.Listed)))
@@ -61,7 +61,7 @@
 	g.drainQueue()
 }
 
-// applyLoadReport takes in a backend's load report; nil is none.
+// applyLoadReport applies a backend's load report; nil is none.
 func (g *Gateway) applyLoadReport(backend *backendState, load *Load) {
 	if load == nil || load.Utilization < 0 {
 		return
@@ -71,7 +71,7 @@
 		Value: load.Utilization, At: g.now})
 }
 
-// meanUtilization is the mean over the backends with a fresh load report; known tells whether there is any.
+// meanUtilization is the mean over the backends with a fresh load report; known reports whether there is any.
 func (g *Gateway) meanUtilization() (mean float64, known bool) {
 	n := 0.0
 	for _, backend := range g.backends.Listed {
@@ -102,7 +102,7 @@
 	}
 }
 
-// HandleProbeResult takes the end of a probe. One of an unknown backend is ignored.
+// HandleProbeResult handles the end of a probe. One of an unknown backend is ignored.
 func (g *Gateway) HandleProbeResult(now float64, result ProbeResult) {
 	g.advanceClock(now)
 	backend := g.backends.ByID[result.Backend]
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -8,10 +8,10 @@
 	commonTimeoutFraction = 0.4
 )
 
-// looksLikeRetry tells a client's retry from a first attempt by the seconds that are left until its deadline,
-// and counts them. First attempts of a class have one of few timeouts, each of them common; a retry has what
-// is left of its first attempt's. common is the fraction of requests that makes a time common. Where no time
-// is common, as clients draw a new one for each attempt, nothing is taken for a retry.
+// looksLikeRetry distinguishes a client's retry from a first attempt by the seconds that are left until its
+// deadline, and counts them. First attempts of a class have one of few timeouts, each of them common; a retry
+// has what is left of its first attempt's. common is the fraction of requests that makes a time common. Where
+// no time is common, as clients draw a new one for each attempt, nothing is taken for a retry.
 func (c *classState) looksLikeRetry(remainingS, commonFraction float64) bool {
 	common := commonFraction * float64(c.clientTimeouts.Samples())
 	similar := float64(c.clientTimeouts.Observe(remainingS / c.DeadlineS))
@@ -19,8 +19,8 @@
 	return c.clientTimeouts.Samples() > minTimeoutSamples && similar < common && mostSimilar >= common
 }
 
-// mayBeRetrying tells that the account's clients have cause to retry: a request was rejected here within a
-// client's timeout, or they ask for more than the rate. Other clients with little time left are first
+// mayBeRetrying reports whether the account's clients have cause to retry: a request was rejected here within
+// a client's timeout, or they ask for more than the rate. Other clients with little time left are first
 // attempts in a hurry.
 func (g *Gateway) mayBeRetrying(account *accountState, class *classState) bool {
 	return g.now-account.rejectedAt < class.DeadlineS ||
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -25,14 +25,14 @@
 	return account.plan.MaxConcurrency - account.inFlight - account.unsentAdmitted - leased
 }
 
-// atConcurrencyLimit tells that no further attempt of the account may start here now.
+// atConcurrencyLimit reports whether no further attempt of the account may start here now.
 func (g *Gateway) atConcurrencyLimit(account *accountState) bool {
 	return account.plan.MaxConcurrency > 0 && (account.inFlight >= account.plan.MaxConcurrency ||
 		g.owner(account) == g.settings.Self && g.freeSlots(account)+account.unsentAdmitted <= 0)
 }
 
-// slotFreeSoon tells that a slot is expected to be free while the request can still be sent, after all that
-// waits already.
+// slotFreeSoon reports whether a slot is expected to be free while the request can still be sent, after all
+// that waits already.
 func (g *Gateway) slotFreeSoon(req *request) bool {
 	account := req.account
 	waiting := account.unsentAdmitted + account.slotLeases.QueueLen()
@@ -69,7 +69,7 @@
 	}
 }
 
-// updateMemberSlots takes a member's attempts in flight into the owner's lease table.
+// updateMemberSlots records a member's attempts in flight in the owner's lease table.
 func (g *Gateway) updateMemberSlots(account *accountState, member int, report record) {
 	leaseS := slotlease.ReportLeaseS
 	if !report.Leases {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// A report of an attempt's end frees its slot for the next member that waits at once, and is not answered itself.
+// A report of an attempt's end frees its slot for the next member that waits at once, and is not answered
+// itself.
 func TestSlotLease_FreedSlotGoesToWaitQueue(t *testing.T) {
 	b := newOwnerRig(t, 9)
 	b.report(101, 1, slotRequest(0))
@@ -124,8 +125,8 @@
 	}
 }
 
-// An owner that has just started does not know what is in flight: it leases nothing until all leases of its predecessor have
-// ended.
+// An owner that has just started does not know what is in flight: it leases nothing until all leases of its
+// predecessor have ended.
 func TestSlotLease_NoneAfterRestart(t *testing.T) {
 	b := newOwnerRig(t, 9)
 	if reply, _ := b.report(100.1, 1, slotRequest(0)); reply.Slots != 0 || reply.Requested > emptyGrantUnits {
@@ -138,7 +139,8 @@
 	}
 }
 
-// newSlotMember is a gateway that has requested slots for n requests from the owner of an account with a concurrency limit.
+// newSlotMember is a gateway that has requested slots for n requests from the owner of an account with a
+// concurrency limit.
 func newSlotMember(t *testing.T, n int) (*Gateway, *recorder, *accountState, func(now float64, id string)) {
 	g, r := newTestGateway(t, withGateways(9))
 	g.adaptiveLimit = 9 // backends have capacity
@@ -153,7 +155,8 @@
 	return g, r, g.accountByKey(uint32(peerprotocol.HashPoint(name) >> 32)), submit
 }
 
-// A request that will get no slot in time is rejected at once. The others wait for a reply without asking again.
+// A request that will get no slot in time is rejected at once. The others wait for a reply without asking
+// again.
 func TestSlotLease_RejectsWhenQueueIsTooLong(t *testing.T) {
 	for _, tc := range []struct {
 		hold     float64
@@ -177,7 +180,8 @@
 	}
 }
 
-// An attempt that outlasts its lease is reported before that ends; its end is reported at once while others may wait.
+// An attempt that outlasts its lease is reported before that ends; its end is reported at once while others
+// may wait.
 func TestSlotLease_MemberRenews(t *testing.T) {
 	g, r, account, _ := newSlotMember(t, 1)
 	g.settings.HedgingAllowed, g.settings.CancelAllowed = false, false // nothing is hedged or cancelled
@@ -249,8 +253,8 @@
 	}
 }
 
-// A member whose owner is at the concurrency limit requests again for as many requests as may be in flight, and rejects the
-// others at once: attempts end one after the other.
+// A member whose owner is at the concurrency limit requests again for as many requests as may be in flight,
+// and rejects the others at once: attempts end one after the other.
 func TestConcurrencyLimit_MembersRetryAtLimit(t *testing.T) {
 	g, r := newTestGateway(t, nil)
 	name := ""
@@ -284,8 +288,8 @@
 	}
 }
 
-// Requests that were admitted while nothing was in flight and then waited for a backend are sent no more at a time than the
-// limit allows.
+// Requests that were admitted while nothing was in flight and then waited for a backend are sent no more at a
+// time than the limit allows.
 func TestConcurrencyLimit_AppliesToQueue(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	g.UpdateBackends(100, nil, true)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -18,7 +18,7 @@
 //
 // Each account hashes to one owner among its gateways. The owner keeps the only count (a ledger) against the
 // whole quota. The other gateways, its members, report what they admitted in batches, admit from their share
-// of what the owner last reported, request units where that share does not tell, and fall back to a local
+// of what the owner last reported, request units where that share does not decide, and fall back to a local
 // window while the owner is silent. Under a limit on concurrent attempts the owner leases slots; under a hard
 // limit each gateway has a local bucket, and the first gateway on the account's ring a shared one.
 //
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -1,8 +1,8 @@
 package policy
 
 // Drain is the schedule by which an ingress sends its clients away after an operator has asked for that. The
-// load balancer in front is told at once, by a failed health check, but clients may go on coming: each event
-// is decided when it happens.
+// load balancer in front learns of it at once, by a failed health check, but clients may go on coming: each
+// event is decided when it happens.
 //
 // Operators allow 4 s. By then no connection may idle, or carry a request that is younger than 2 s. A close
 // that crosses a request makes its client send that again: connections close as rarely as possible, those in
@@ -44,7 +44,7 @@
 // End ends the drain: the ingress serves clients again.
 func (d *Drain) End() { *d = Drain{} }
 
-// Active tells that the ingress is draining.
+// Active reports whether the ingress is draining.
 func (d *Drain) Active() bool { return d.active }
 
 // Elapsed is the seconds since the drain began; 0 if there is none.
@@ -63,7 +63,7 @@
 // RemainingS is the seconds left of the time that operators allow; 0 if it is over.
 func (d *Drain) RemainingS(now float64) float64 { return max(0, drainEndS-d.Elapsed(now)) }
 
-// CloseIdle tells that a connection without an open request, last used at usedAt, is to be closed. With
+// CloseIdle reports whether a connection without an open request, last used at usedAt, is to be closed. With
 // receiving a part of a request has come on it: its client writes slowly, and may still be answered in time.
 func (d *Drain) CloseIdle(now, usedAt float64, receiving bool) bool {
 	from := drainNoticeS
@@ -73,12 +73,12 @@
 	return d.active && now-d.startedAt >= from && now-usedAt > drainIdleGraceS
 }
 
-// CloseAfterResponse tells that a connection is to be closed once all its requests are answered.
+// CloseAfterResponse reports whether a connection is to be closed once all its requests are answered.
 func (d *Drain) CloseAfterResponse(now float64) bool {
 	return d.active && now-d.startedAt >= drainCloseAfterResponseS
 }
 
-// CloseBlocked tells that a connection with an open request, whose client sent its last request at
+// CloseBlocked reports whether a connection with an open request, whose client sent its last request at
 // lastRequestAt, would carry a young request at the end: answers go out in order, so that even a rejection
 // waits behind the open request.
 func (d *Drain) CloseBlocked(now, lastRequestAt float64) bool {
@@ -86,8 +86,8 @@
 		lastRequestAt-d.startedAt > drainEndS-drainRecentS-maxStallS
 }
 
-// Overdue tells that, after the time that operators allow, a connection breaks their rule: it idles, unless
-// it was opened or used just now, or its last request is too young.
+// Overdue reports whether, after the time that operators allow, a connection breaks their rule: it idles,
+// unless it was opened or used just now, or its last request is too young.
 func (d *Drain) Overdue(now, acceptedAt, usedAt, lastRequestAt float64, idle bool) bool {
 	switch {
 	case !d.active || now-d.startedAt < drainEndS:
@@ -98,8 +98,8 @@
 	return now-lastRequestAt < drainRecentS
 }
 
-// RejectRequest tells that a request that arrives now is to be rejected, and in how many seconds its client
-// may retry elsewhere.
+// RejectRequest reports whether a request that arrives now is to be rejected, and in how many seconds its
+// client may retry elsewhere.
 func (d *Drain) RejectRequest(now float64) (retryAfterS float64, reject bool) {
 	if d.active && now-d.startedAt >= drainRejectS {
 		return drainRetryAfterS, true
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -79,7 +79,7 @@
 
 	// Backends.
 	backends           endpoints.Table[backendState]
-	backendsPerGateway float64    // at least a fraction of one where gateways outnumber backends
+	backendsPerGateway float64    // listed ones, divided by the number of gateways
 	warmCapacity       float64    // sum over usable backends of the fraction that each can serve by now
 	admittedWork       decay.Rate // seconds of work a second that quotas admitted
 	completedWork      decay.Rate // seconds of work a second that was answered with OK
@@ -157,7 +157,7 @@
 	g.now = now
 }
 
-// HandleTimer takes a timer that was set by SetTimer: it does all work that no event brings. Unknown tokens
+// HandleTimer handles a timer that was set by SetTimer: it does all work that no event brings. Unknown tokens
 // are ignored.
 func (g *Gateway) HandleTimer(now float64, token uint64) {
 	g.advanceClock(now)
@@ -188,7 +188,7 @@
 	}
 }
 
-// UpdateClasses takes other classes and another limit of attempts a request. Requests in progress keep the
+// UpdateClasses applies other classes and another limit of attempts a request. Requests in progress keep the
 // class that they came with. On an error, that of config.Settings.WithClasses, nothing has changed.
 func (g *Gateway) UpdateClasses(now float64, classes []Class, maxAttempts int) error {
 	settings, err := g.settings.WithClasses(classes, maxAttempts, len(g.classList), maxClassNames)
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// setClasses takes over the settings' classes. What was measured of a class goes by its name, and stays while
+// setClasses applies the settings' classes. What was measured of a class goes by its name, and stays while
 // the class is not configured.
 func (g *Gateway) setClasses() {
 	g.maxPriorityWeight = 0
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -102,7 +102,8 @@
 		FirstGateway: 0, GatewayCount: g.settings.Gateways, Units: units})
 }
 
-// New settings apply to new requests: a class that became stricter, milder or was removed, and fewer attempts.
+// New settings apply to new requests: a class that became stricter, milder or was removed, and fewer
+// attempts.
 func TestUpdateClasses_ActiveRequestsKeepTheirClass(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	submit(g, 100, "old-read", "read", "wide", 1)
@@ -175,7 +176,8 @@
 	}
 }
 
-// newPair joins two gateways by a network that loses nothing. pump runs their timers and delivers their messages.
+// newPair joins two gateways by a network that loses nothing. pump runs their timers and delivers their
+// messages.
 func newPair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now float64)) {
 	for i := range 2 {
 		g[i], r[i] = newTestGateway(t, func(settings *Settings) { settings.Self = i })
--- a/policy/hard_limit.go
+++ b/policy/hard_limit.go
@@ -13,23 +13,23 @@
 	}
 }
 
-// hardLimitPays tells that a bucket kept here holds the request's units.
+// hardLimitPays reports whether a bucket kept here holds the request's units.
 func (g *Gateway) hardLimitPays(req *request) bool {
 	limit, buckets := g.hardLimitConfig(req.account), &req.account.hardLimit
 	return buckets.LocalCovers(limit, g.now, req.Units) || buckets.SharedCovers(limit, g.now, req.Units)
 }
 
-// hardLimitPaysSoon tells that the buckets kept here will hold the request's units, after all that is unpaid
-// already, while the request can still be sent. A hard limit refills faster than the quota, so that such
-// waits are short.
+// hardLimitPaysSoon reports whether the buckets kept here will hold the request's units, after all that is
+// unpaid already, while the request can still be sent. A hard limit refills faster than the quota, so that
+// such waits are short.
 func (g *Gateway) hardLimitPaysSoon(req *request) bool {
 	limit, waitS := g.hardLimitConfig(req.account), req.latestFirstSend()-g.now
 	return req.account.hardLimit.CoversWithin(limit, g.now, req.Units, waitS)
 }
 
-// hardLimitNeedsOwner tells that the local bucket doesn't hold the request's units after all that is unpaid,
-// and that a grant may: the primary owner pays it from the shared bucket. Without that owner the request may
-// wait for the buckets kept here.
+// hardLimitNeedsOwner reports whether the local bucket doesn't hold the request's units after all that is
+// unpaid, and that a grant may: the primary owner pays it from the shared bucket. Without that owner the
+// request may wait for the buckets kept here.
 func (g *Gateway) hardLimitNeedsOwner(req *request) bool {
 	account, limit := req.account, g.hardLimitConfig(req.account)
 	return !account.hardLimit.LocalCovers(limit, g.now, account.hardLimit.Unpaid+req.Units) &&
--- a/policy/hard_limit_test.go
+++ b/policy/hard_limit_test.go
@@ -9,8 +9,8 @@
 	"eiderspread/internal/decision/hardlimit"
 )
 
-// With the whole quota available a request waits until a bucket of the hard limit pays for it, if that is in time; else it is
-// rejected at once.
+// With the whole quota available a request waits until a bucket of the hard limit pays for it, if that is in
+// time; else it is rejected at once.
 func TestHardLimit_RequestsWaitForRefill(t *testing.T) {
 	g, r := newTestGateway(t, alone) // the buckets fill with 20 units a second in all, from 0
 	for i := range 40 {
@@ -20,7 +20,8 @@
 	if len(r.of("send", "")) != 0 {
 		t.Fatal("units were sent with an empty hard limit")
 	}
-	// Until a request must be sent (0.9 s: its latest start, and its objective less its latency) 17 units come in.
+	// Until a request must be sent (0.9 s: its latest start, and its objective less its latency) 17 units come
+	// in.
 	if waiting := 40 - rejected; waiting < 15 || waiting > 18 {
 		t.Fatalf("%d of 40 wait, %d rejected at once", waiting, rejected)
 	}
@@ -64,7 +65,8 @@
 	}
 }
 
-// cappedReport is a report of gateway 1 to gateway 0, as the primary owner of an account with a hard limit, and its reply.
+// cappedReport is a report of gateway 1 to gateway 0, as the primary owner of an account with a hard limit,
+// and its reply.
 func cappedReport(t *testing.T, g *Gateway, r *recorder, now float64, sequence uint16, want, first float64) record {
 	t.Helper()
 	key := uint32(0)
@@ -97,7 +99,8 @@
 	}
 }
 
-// Where a local bucket would hold less than half of the largest request, the shared bucket is the whole hard limit.
+// Where a local bucket would hold less than half of the largest request, the shared bucket is the whole hard
+// limit.
 func TestHardLimit_SingleBucketWithManyGateways(t *testing.T) {
 	for _, tc := range []struct {
 		gateways int
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -8,8 +8,9 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// Under overload requests are shed at arrival, the lowest priority first, without a charge to the quota and with hints within
-// the settings. What is admitted is sent. Nothing is shed once demand is back to normal, nor with load shedding off.
+// Under overload requests are shed at arrival, the lowest priority first, without a charge to the quota and
+// with hints within the settings. What is admitted is sent. Nothing is shed once demand is back to normal,
+// nor with load shedding off.
 func TestLoadShedding_RejectsBeforeQuota(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		g, r := newTestGateway(t, func(settings *Settings) {
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -28,7 +28,7 @@
 	minSampleWeight       = 0.02 // of a new latency in a class's mean latency, once many are known
 )
 
-// recordSuccess takes in an OK answer.
+// recordSuccess records an OK answer.
 func (g *Gateway) recordSuccess(req *request, backend *backendState, latencyS float64) {
 	class := req.class
 	relativeLatency := min(latencyS/class.meanLatency, maxRelativeLatency)
@@ -41,7 +41,7 @@
 	backend.relativeLatency = max(backend.relativeLatency+change, minRelativeLatency)
 }
 
-// addSample takes a latency into the class's mean and mean deviation.
+// addSample adds a latency to the class's mean and mean deviation.
 func (c *classState) addSample(latencyS float64) {
 	c.samples++
 	weight := max(minSampleWeight, 1/float64(c.samples+1))
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A backend that rejects everything is left alone, the longer the more often it does so, and tried again in the end. One broken
-// connection ejects nothing, two in a row do.
+// A backend that rejects everything is left alone, the longer the more often it does so, and tried again in
+// the end. One broken connection ejects nothing, two in a row do.
 func TestOutlier_RejectingOrBrokenBackendsAreEjected(t *testing.T) {
 	for status, most := range map[Status]int{Rejected: 12, Reset: 12, ConnectFailed: 12} {
 		g, r := newTestGateway(t, alone)
@@ -61,7 +61,7 @@
 		g.HandleTimer(now, 1)
 	}
 	if failing.ErrorScore(g.classes["read"].index, g.now) < 0.9 || failing.ErrorScore(g.classes["pay"].index, g.now) > 0 {
-		t.Fatal("a class without answers is not told from a backend without answers")
+		t.Fatal("a backend without answers in one class counts as one without any")
 	}
 	if a := r.of("send", "q"); len(a) != 1 || a[0].backend == "s1" {
 		t.Fatalf("the attempt without an answer was not hedged: %v", a)
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -16,7 +16,7 @@
 	gossipMinStepS   = 0.2 // seconds by which an entry must be newer than what is known
 )
 
-// record is what two gateways tell each other of one account: a member's report, or its owner's reply.
+// record is what two gateways exchange about one account: a member's report, or its owner's reply.
 type record = peerprotocol.Record
 
 // messageHeader begins a message.
@@ -42,8 +42,8 @@
 	g.actions.SendPeerMessage(to, message)
 }
 
-// HandlePeerMessage takes a message of another gateway. All its reports are answered at once, in one message.
-// What can't be parsed, is older than an earlier message or comes from nowhere is ignored.
+// HandlePeerMessage handles a message of another gateway. All its reports are answered at once, in one
+// message. What can't be parsed, is older than an earlier message or comes from nowhere is ignored.
 func (g *Gateway) HandlePeerMessage(now float64, from int, data []byte) {
 	g.advanceClock(now)
 	incarnation, sequence, records, entries, ok := peerprotocol.Parse(data, now)
@@ -68,7 +68,7 @@
 	g.flushReports()
 }
 
-// applyRecord takes in a record of a peer, and appends the reply to a report that needs one.
+// applyRecord applies a record of a peer, and appends the reply to a report that needs one.
 func (g *Gateway) applyRecord(from int, received record, replies []byte) []byte {
 	account := g.accounts[accountKey{received.AccountKey, uint32(received.Plan)}]
 	switch {
@@ -90,7 +90,7 @@
 	return replies
 }
 
-// applyGossip takes in what another gateway knows of a backend, and passes it on if it is new here.
+// applyGossip applies what another gateway knows of a backend, and passes it on if it is new here.
 func (g *Gateway) applyGossip(entry peerprotocol.GossipEntry) {
 	backend := g.backends.ByShortHash(entry.BackendHash)
 	if backend == nil || backend.StartedAt > entry.At {
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -101,7 +101,7 @@
 	return done
 }
 
-// memberReport is the account's report to its owner. From now on a reply is expected, unless the report tells
+// memberReport is the account's report to its owner. From now on a reply is expected, unless the report is
 // of slots alone.
 func (g *Gateway) memberReport(account *accountState) record {
 	available := g.availableNow(account) // first: it may make this gateway a member
@@ -153,8 +153,8 @@
 	g.awaitingReply = slices.DeleteFunc(g.awaitingReply, answered)
 }
 
-// replyOverdue tells that the owner's reply did not come in time. A stall of this process is not the owner's
-// silence.
+// replyOverdue reports whether the owner's reply did not come in time. A stall of this process is not the
+// owner's silence.
 func (g *Gateway) replyOverdue(account *accountState) bool {
 	timeoutS := reportReplyTimeoutS
 	if len(account.pending) > 0 {
@@ -232,7 +232,7 @@
 	return requeued
 }
 
-// applyOwnerReply takes in what the account's owner replied.
+// applyOwnerReply applies a reply of the account's owner.
 func (g *Gateway) applyOwnerReply(account *accountState, reply record) {
 	counted := g.applyOwnerView(account, reply)
 	requeued := 0
--- a/policy/quota_member_test.go
+++ b/policy/quota_member_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Units that were granted in advance are admitted without a quota request, no more than they are, and return to the owner in
-// the end.
+// Units that were granted in advance are admitted without a quota request, no more than they are, and return
+// to the owner in the end.
 func TestPrefetch_AdmitsWithoutRequest(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	g.adaptiveLimit = 9
@@ -91,7 +91,8 @@
 	}
 }
 
-// A request that a grant did not reach is requested again in time, though other accounts have urgent reports all the while.
+// A request that a grant did not reach is requested again in time, though other accounts have urgent reports
+// all the while.
 func TestQuotaRequest_RetryIsNotStarved(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	g.adaptiveLimit = 9
@@ -145,7 +146,8 @@
 	}
 }
 
-// newQuotaMember returns a gateway, and a function that submits a request of an account that another gateway owns.
+// newQuotaMember returns a gateway, and a function that submits a request of an account that another gateway
+// owns.
 func newQuotaMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *accountState) {
 	t.Helper()
 	g, r := newTestGateway(t, change)
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -38,8 +38,8 @@
 	return ledger
 }
 
-// windowDenial tells why the owner can't admit units; None if it can. While the account asks for more than
-// its rate, requests of lower priority leave a part of the burst to others.
+// windowDenial is the reason why the owner can't admit units; None if it can. While the account asks for more
+// than its rate, requests of lower priority leave a part of the burst to others.
 func (g *Gateway) windowDenial(account *accountState, ledger *quota.Ledger,
 	units, lowPriority float64) reason.Reason {
 	plan := account.plan
@@ -55,13 +55,13 @@
 	return reason.None
 }
 
-// newReply is a reply of this gateway as the account's owner. leases tells that the member knows slot leases.
+// newReply is a reply of this gateway as the account's owner. leases is whether the member knows slot leases.
 func (g *Gateway) newReply(account *accountState, leases bool) record {
 	return record{AccountKey: account.key, Plan: account.plan.index,
 		FromOwner: true, Known: true, Leases: leases}
 }
 
-// applyMemberReport takes a member's report into the ledger and returns the owner's reply. Units that the
+// applyMemberReport applies a member's report to the ledger and returns the owner's reply. Units that the
 // member requests are set aside at once; its next report shows which of them were used.
 func (g *Gateway) applyMemberReport(account *accountState, from int, report record) record {
 	ledger := g.ledger(account)
@@ -99,7 +99,7 @@
 	return member
 }
 
-// answerQuotaRequest grants what a member requests, lets it wait for a slot, or tells it when to ask again.
+// answerQuotaRequest grants what a member requests, lets it wait for a slot, or replies with a backoff.
 // At a concurrency limit a member that can't wait for a slot asks again with its next report: an attempt ends
 // soon.
 func (g *Gateway) answerQuotaRequest(account *accountState, ledger *quota.Ledger, from int,
@@ -119,8 +119,8 @@
 	}
 }
 
-// grantUnits sets units aside for a member that requests them, and slots under a concurrency limit. It tells
-// why not, if it grants nothing. The member is told of the grant in the reply.
+// grantUnits sets units aside for a member that requests them, and slots under a concurrency limit. It
+// returns why not, if it grants nothing. The reply reports the grant to the member.
 func (g *Gateway) grantUnits(account *accountState, waiter slotlease.Waiter, reply *record) reason.Reason {
 	ledger := g.ledger(account)
 	grant, denial := g.grantableUnits(account, ledger, waiter)
@@ -195,7 +195,7 @@
 	return grant, prefetch
 }
 
-// completeReply fills in what every owner reply tells a member: the ledger, and what the other gateways do.
+// completeReply fills in what every owner reply reports: the ledger, and what the other gateways do.
 func (g *Gateway) completeReply(account *accountState, to int, reply *record) {
 	ledger := g.ledger(account)
 	member := ledger.Members[to]
--- a/policy/request.go
+++ b/policy/request.go
@@ -63,7 +63,7 @@
 	hardLimitUnpaid bool          // its units are still to be taken from a bucket of the hard limit
 }
 
-// HandleRequest takes a client's request. It gets one final answer, by Reject, Fail or the outcome of an
+// HandleRequest handles a client's request. It gets one final answer, by Reject, Fail or the outcome of an
 // attempt.
 func (g *Gateway) HandleRequest(now float64, incoming Request) {
 	g.advanceClock(now)
@@ -141,7 +141,7 @@
 	return r.objectiveDeadline + r.class.LateWeightFraction*max(r.DeadlineAt-r.objectiveDeadline, 0)
 }
 
-// unsentAdmission tells that the request was charged to its quota and never sent.
+// unsentAdmission reports whether the request was charged to its quota and never sent.
 func (r *request) unsentAdmission() bool {
 	return r.account != nil && r.phase == phaseAdmitted && len(r.attempts) == 0
 }
@@ -184,7 +184,7 @@
 	})
 }
 
-// queueReason tells why no backend was picked for a request.
+// queueReason is the reason why no backend was picked for a request.
 func (g *Gateway) queueReason(req *request) reason.Reason {
 	switch {
 	case req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account):
@@ -252,7 +252,7 @@
 	}
 }
 
-// HandleResponseStart takes the start of a streamed answer: from now on the request depends on that attempt
+// HandleResponseStart handles the start of a streamed answer: from now on the request depends on that attempt
 // alone.
 func (g *Gateway) HandleResponseStart(now float64, id string, attempt int) {
 	g.advanceClock(now)
@@ -261,7 +261,7 @@
 	}
 }
 
-// HandleDisconnect takes the end of a client's connection: its request needs no answer.
+// HandleDisconnect handles the end of a client's connection: its request needs no answer.
 func (g *Gateway) HandleDisconnect(now float64, id string) {
 	g.advanceClock(now)
 	if req := g.requests[id]; req != nil && req.phase != phaseCompleted {
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// A class may be removed between the reading of a request and its arrival: the request was never sent, so that it is rejected
-// and not failed.
+// A class may be removed between the reading of a request and its arrival: the request was never sent, so
+// that it is rejected and not failed.
 func TestRequest_UnknownClassIsRejected(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	submit(g, 100, "under way", "read", "wide", 1)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -45,7 +45,8 @@
 // noAttempt, as the index of an attempt, stands for none.
 const noAttempt = -1
 
-// attemptBlocked tells why the request may have no further attempt, or why none is worth it; None if it may.
+// attemptBlocked is the reason why the request may have no further attempt, or why none is worth it; None if
+// it may.
 func (g *Gateway) attemptBlocked(req *request) reason.Reason {
 	switch {
 	case len(req.attempts) >= max(1, g.settings.MaxAttempts):
@@ -61,14 +62,14 @@
 	return reason.MayHaveRun
 }
 
-// MayReject tells that a request may be rejected, which promises that a retry is harmless, though an attempt
-// of it may have run.
+// MayReject reports whether a request may be rejected, which promises that a retry is harmless, though an
+// attempt of it may have run.
 func MayReject(class Class, mayHaveRun bool) bool {
 	return !mayHaveRun || class.Idempotency == Idempotent ||
 		class.Idempotency == KeyedIdempotent && class.KeyScope == ScopeAll
 }
 
-// neverRan tells that an attempt that ended so has certainly not run.
+// neverRan reports whether an attempt that ended so has certainly not run.
 func neverRan(status Status) bool {
 	return status == Rejected || status == ConnectFailed || status == NotSent
 }
@@ -131,7 +132,7 @@
 	}
 }
 
-// HandleOutcome takes the end of an attempt. The request is completed by it, or gets another attempt once
+// HandleOutcome handles the end of an attempt. The request is completed by it, or gets another attempt once
 // none is in flight. Outcomes of unknown attempts are ignored.
 func (g *Gateway) HandleOutcome(now float64, outcome Outcome) {
 	g.advanceClock(now)
@@ -157,10 +158,10 @@
 	g.drainQueue()
 }
 
-// recordOutcome takes in what the end of an attempt tells of its backend and of all of them.
+// recordOutcome updates the statistics of the backend, and of all backends, with the end of an attempt.
 func (g *Gateway) recordOutcome(req *request, backend *backendState, outcome Outcome) {
 	class := req.class
-	// A timeout at an unhealthy backend tells nothing of the others.
+	// A timeout at an unhealthy backend says nothing about the others.
 	informative := outcome.Status == OK ||
 		outcome.Status == Timeout && backend.ErrorScore(class.index, g.now) < unhealthyScore
 	switch outcome.Status {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -83,7 +83,7 @@
 	return best
 }
 
-// canTake tells that a backend can take the request's next attempt: within its slow-start budget and its
+// canTake reports whether a backend can take the request's next attempt: within its slow-start budget and its
 // share of the adaptive limit, and inside the scope of the key if an attempt may have run.
 func (g *Gateway) canTake(req *request, backend *backendState) bool {
 	if !g.slowStartAllows(backend, req.class.meanLatency) {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A backend that fails is quick about it and always has capacity: requests wait for a healthy one, as long as most are.
+// A backend that fails is quick about it and always has capacity: requests wait for a healthy one, as long as
+// most are.
 func TestSelection_WaitsForHealthyBackend(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	g.adaptiveLimit = 4.5 // two at each backend
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,7 +6,7 @@
 	slowStartInFlight    = 2   // attempts from here at a backend in slow start
 )
 
-// slowStartAllows tells that a backend that has just started can take so many seconds of work. Over any
+// slowStartAllows reports whether a backend that has just started can take so many seconds of work. Over any
 // window in which it could collapse it gets no more than its fraction of the fleet's warm capacity, of the
 // work that is admitted; work that was sent would not do, as all backends may be in slow start. Where a
 // gateway's share of that is under one request, chance decides.
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -10,8 +10,8 @@
 	"eiderspread/internal/base/snapshot"
 )
 
-// A process and its successor together admit what one process would have, however the plan is limited; the old one admits
-// nothing more under a hard limit.
+// A process and its successor together admit what one process would have, however the plan is limited; the
+// old one admits nothing more under a hard limit.
 func TestSnapshot_SuccessorContinuesCounts(t *testing.T) {
 	for _, plan := range []string{"basic", "capped", "wide"} {
 		passed := func(replace, adopt bool) (n int, late int) {
