--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -13,19 +13,20 @@
 	simPlaces   = "sim -shrink=false -schedules 8 -for 12s -planners 0 -forwarders 80 -scenario "
 	simShed     = "sim -overload -shrink=false -schedules 8 -for 25s -planners 0 -forwarders 8 -scenario "
 	simShedTwo  = "sim -overload -shrink=false -schedules 8 -for 25s -planners 3 -forwarders 5 -scenario "
-	module      = "policy/policy.go"
-	shedder     = "internal/decision/loadshed/overload.go"
-	wordsFile   = "internal/controlplane/planner/words.go"
-	counts      = "internal/decision/quota/tally.go"
-	ceilings    = "internal/decision/hardlimit/ceiling.go"
-	lender      = "internal/decision/slotlease/places.go"
-	state       = "policy/state.go"
+	module      = "policy/gateway.go"
+	rules       = "policy/"
+	shedLevel   = "internal/decision/loadshed/level.go"
+	shedOrder   = "internal/decision/loadshed/admission.go"
+	shedGossip  = "internal/decision/loadshed/gossip.go"
+	counts      = "internal/decision/quota/quota.go"
+	ceilings    = "internal/decision/hardlimit/hardlimit.go"
+	lender      = "internal/decision/slotlease/table.go"
 	core        = "internal/controlplane/forwarder/core.go"
-	mover       = "internal/controlplane/forwarder/move.go"
-	host        = "internal/controlplane/planner/host.go"
+	mover       = "internal/controlplane/forwarder/migrate.go"
 	windows     = "internal/controlplane/planner/windows.go"
 	leases      = "internal/controlplane/planner/leases.go"
 	in          = "internal/dataplane/ingress/"
+	replies     = "internal/dataplane/callprotocol/reply.go"
 )
 
 func edit(file, old, new string) []Edit { return []Edit{{file, old, new}} }
@@ -34,169 +35,166 @@
 var List = []Mutant{
 	// ---- Overload shed as one ----
 	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
+		Edits: edit(shedOrder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
 	{Name: "the level comes to what is served", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: []Edit{{shedder, "if to := s.levelFor(now, done*beyond*(1-drainMargin*much)); to > s.level {", "if to := s.levelFor(now, 0*(1-drainMargin*much)); to > s.level {"},
-			{shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
+		Edits: []Edit{{shedLevel, "s.levelFor(now, capacity*(1-drainMargin*excess))", "s.levelFor(now, 0*(1-drainMargin*excess))"},
+			{shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs: []string{simShed + "overload-low", simShed + "overload"}},
 	{Name: "and falls again", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: []Edit{{shedder, "s.level -= down * (1 - wait/targetWait) * dt", "s.level -= 0.01 * down * (1 - wait/targetWait) * dt"}, {shedder, "if to := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if to := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
+		Edits: []Edit{{shedLevel, "s.level -= fall * (1 - wait/targetWait) * dt", "s.level -= 0.01 * fall * (1 - wait/targetWait) * dt"}, {shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs:  []string{simShed + "overload", simShed + "overload-low"}},
 	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
+		Edits: edit(shedGossip, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
 	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/controlplane/planner",
-		Edits: edit("internal/controlplane/forwarder/core.go", "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
+		Edits: edit(core, "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
-		Edits: edit(module, "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(q)", "req.plan.Weight, g.accountFor(q)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
+		Edits: edit(rules+"request.go", "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(incoming)", "req.plan.Weight, g.accountFor(incoming)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
 	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "return d.ClassRank + 1, d.ClassCount + 1", "return d.ClassCount - d.ClassRank, d.ClassCount + 1"), Runs: []string{simShed + "overload"}},
+		Edits: edit(shedOrder, "return p.ClassRank + 1, p.ClassCount + 1", "return p.ClassCount - p.ClassRank, p.ClassCount + 1"), Runs: []string{simShed + "overload"}},
 	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
+		Edits: edit(shedOrder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
 		Why: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
-		Edits: edit(module, "commonTimeoutFraction*g.shedder.FirstAttemptFactor()", "commonTimeoutFraction"), Runs: []string{simShed + "overload", simShed + "overload-high"},
+		Edits: edit(rules+"request.go", "commonTimeoutFraction * g.shedder.FirstAttemptFactor()\n", "commonTimeoutFraction * 1\n"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Why: "work in vain rises from 6 to 13% at 5 times, in the mean of six runs of 25 s; single runs lie too far apart for a bound between"},
 	// ---- The module: further attempts and refusals ----
 	{Name: "unsafe runs once", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "case req.firstRan == nil || req.class.Idempotency == Idempotent ||", "case req.firstRan == nil || req.class.Idempotency != KeyedIdempotent ||"),
+		Edits: edit(rules+"retry.go", "case req.firstRan == nil || req.class.Idempotency == Idempotent ||", "case req.firstRan == nil || req.class.Idempotency != KeyedIdempotent ||"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "keys are remembered for a time", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "req.class.Idempotency == KeyedIdempotent && g.now <= req.firstRanAt+req.class.KeyTTLS-maxStallS", "req.class.Idempotency == KeyedIdempotent"),
+		Edits: edit(rules+"retry.go", "req.class.Idempotency == KeyedIdempotent && g.now <= req.firstRanAt+req.class.KeyTTLS-maxStallS", "req.class.Idempotency == KeyedIdempotent"),
 		Runs:  []string{simOne + "keys", simTwo + "keys"}},
 	{Name: "no harmless refusal of what may have run", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "if mayHaveRun := req.firstRan != nil || req.inFlight > 0; !MayReject(req.class.Class, mayHaveRun) {", "if mayHaveRun := req.inFlight > 9; !MayReject(req.class.Class, mayHaveRun) {"),
+		Edits: edit(rules+"request.go", "if mayHaveRun := req.firstRan != nil || req.inFlight > 0; !MayReject(req.class.Class, mayHaveRun) {", "if mayHaveRun := req.inFlight > 9; !MayReject(req.class.Class, mayHaveRun) {"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "a reset may have run", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent; !neverRan && req.firstRan == nil", "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent || outcome.Status == Reset; !neverRan && req.firstRan == nil"),
+		Edits: edit(rules+"retry.go", "return status == Rejected || status == ConnectFailed || status == NotSent\n", "return status == Rejected || status == ConnectFailed || status == NotSent || status == Reset\n"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "an error may have run", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent; !neverRan && req.firstRan == nil", "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent || outcome.Status == Error; !neverRan && req.firstRan == nil"),
+		Edits: edit(rules+"retry.go", "return status == Rejected || status == ConnectFailed || status == NotSent\n", "return status == Rejected || status == ConnectFailed || status == NotSent || status == Error\n"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "a time-out may have run", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent; !neverRan && req.firstRan == nil", "neverRan := outcome.Status == Rejected || outcome.Status == ConnectFailed || outcome.Status == NotSent || outcome.Status == Timeout; !neverRan && req.firstRan == nil"),
+		Edits: edit(rules+"retry.go", "return status == Rejected || status == ConnectFailed || status == NotSent\n", "return status == Rejected || status == ConnectFailed || status == NotSent || status == Timeout\n"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
 	{Name: "the first attempt that may have run counts", Rule: "no effect twice",
-		Edits: edit(module, "outcome.Status == NotSent; !neverRan && req.firstRan == nil {", "outcome.Status == NotSent; !neverRan {"),
+		Edits: edit(rules+"retry.go", "if !neverRan(outcome.Status) && req.firstRan == nil {", "if !neverRan(outcome.Status) {"),
 		Runs:  []string{simOne + "keys", simTwo + "keys"}},
 	{Name: "a request has so many attempts", Rule: "attempts limited", Unit: "./policy",
-		Edits: edit(module, "case len(req.attempts) >= max(1, g.settings.MaxAttempts):", "case len(req.attempts) >= 99:"), Runs: []string{simOne + "errors"}},
+		Edits: edit(rules+"retry.go", "case len(req.attempts) >= max(1, g.settings.MaxAttempts):", "case len(req.attempts) >= 99:"), Runs: []string{simOne + "errors"}},
 	{Name: "and over a change of leaders too", Rule: "attempts limited", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "len(request.attemptDone) >= c.cfg.MaxAttempts", "len(request.attemptDone) >= 99"), Runs: []string{simTwo + "errors"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "len(request.attempts) >= c.cfg.MaxAttempts", "len(request.attempts) >= 99"), Runs: []string{simTwo + "errors"}},
 	{Name: "a key goes where it is remembered", Rule: "no effect twice", Unit: "./policy",
-		Edits: edit(module, "!req.class.KeyScope.Same(req.firstRan.Backend, backend.Backend) {", "!ScopeAll.Same(req.firstRan.Backend, backend.Backend) {"), Runs: []string{simOne + "zones"}},
+		Edits: edit(rules+"selection.go", "\t\treq.class.KeyScope.Same(req.firstRan.Backend, backend.Backend)\n", "\t\tScopeAll.Same(req.firstRan.Backend, backend.Backend)\n"), Runs: []string{simOne + "zones"}},
 	// ---- The module: quotas, caps and ceilings ----
 	{Name: "the owner's window", Rule: "quotas kept", Unit: "./policy",
-		Edits: edit(module, "case plan.Rate > 0 && units > ledger.Available:", "case plan.Rate > 0 && units > ledger.Available+1e9:"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(rules+"quota_owner.go", "case plan.Rate > 0 && units > ledger.Available:", "case plan.Rate > 0 && units > ledger.Available+1e9:"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "what was let in is taken off the window", Rule: "quotas kept", Unit: "./policy",
-		Edits: edit(module, `		g.ledger(account).Charge(units, maxDebtFraction*account.plan.Burst)
+		Edits: edit(rules+"admission.go", `		g.ledger(account).Charge(units, maxDebtFraction*account.plan.Burst)
 `, `		g.ledger(account)
 `), Runs: []string{simTwo + "ceilings"}},
 	{Name: "cap on open attempts", Rule: "caps kept", Unit: "./policy", // when a request is let in, and when one that waited is sent
-		Edits: []Edit{{module, "case plan.MaxConcurrency > 0 && g.freeSlots(account) <= 0:", "case false:"},
-			{module, " || req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account)", ""}}, Runs: []string{simTwo + "capped"}},
+		Edits: []Edit{{rules + "quota_owner.go", "case plan.MaxConcurrency > 0 && g.freeSlots(account) <= 0:", "case false:"},
+			{rules + "adaptive_limit.go", " || req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account)", ""}}, Runs: []string{simTwo + "capped"}},
 	{Name: "ceilings", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "return t.Rate <= 0 || units <= c.Local.Refill(now, t.Rate*t.localFraction(), t.Burst*t.localFraction())", "return t.Rate <= 0 || c.Local.Refill(now, t.Rate*t.localFraction(), t.Burst*t.localFraction()) != units+0.123"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, "return p.Rate <= 0 || units <= l.Local.Refill(now, p.Rate*p.localFraction(), p.Burst*p.localFraction())", "return p.Rate <= 0 || l.Local.Refill(now, p.Rate*p.localFraction(), p.Burst*p.localFraction()) != units+0.123"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "the shared part of a ceiling", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "t.OwnsShared && t.Rate > 0 && units <= c.Shared", "t.OwnsShared && t.Rate > 0 && units+1e9 >= c.Shared"), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
+		Edits: edit(ceilings, "\t\tunits <= l.Shared.Refill(", "\t\tunits+1e9 >= l.Shared.Refill("), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "what is sent is taken off the ceiling", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, `		c.Local.Level -= units
-`, `		c.Local.Level -= 0
+		Edits: edit(ceilings, `		l.Local.Level -= units
+`, `		l.Local.Level -= 0
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "grants are taken off the shared part", Rule: "ceilings kept",
-		Edits: edit(ceilings, `	c.Shared.Level -= units
+		Edits: edit(ceilings, `	l.Shared.Level -= units
 	return units
 `, `	return units
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "a ceiling starts empty", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(module, "hardlimit.NewLimiter(g.startedAt)}", "hardlimit.Limiter{Local: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}, Shared: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}}}"),
+		Edits: edit(rules+"account.go", "hardlimit.NewLimiter(g.startedAt)}", "hardlimit.Limiter{Local: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}, Shared: quota.Bucket{Level: plan.HardLimitBurst, UpdatedAt: g.startedAt}}}"),
 		Runs:  []string{simTwo + "ceilings", simOne + "ceilings"}},
 	{Name: "ceilings are split among gateways", Rule: "ceilings kept", Unit: "./policy",
-		Edits: edit(ceilings, "return (1 - t.SharedFraction()) / float64(max(t.Gateways, 1))", "return 1 - t.SharedFraction()"), Runs: []string{simOne + "ceilings"}},
+		Edits: edit(ceilings, "return (1 - p.SharedFraction()) / float64(max(p.Gateways, 1))", "return 1 - p.SharedFraction()"), Runs: []string{simOne + "ceilings"}},
 	{Name: "one gateway pays out the shared part", Rule: "ceilings kept",
-		Edits: edit(ceilings, "return t.OwnsShared && t.Rate > 0 && units", "return t.Rate > 0 && units"), Runs: []string{simOne + "ceilings"}},
+		Edits: edit(ceilings, "return p.OwnsShared && p.Rate > 0 &&", "return p.Rate > 0 &&"), Runs: []string{simOne + "ceilings"}},
 	{Name: "what owes the ceiling waits until it is paid", Rule: "ceilings kept",
-		Edits: edit(module, `	if req.hardLimitUnpaid && !g.hardLimitPays(req) {
+		Edits: edit(rules+"selection.go", `	if req.hardLimitUnpaid && !g.hardLimitPays(req) {
 `, `	if false {
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	// ---- The module: the shared count of one level ----
 	{Name: "a grant is taken off the window", Rule: "quotas kept", Unit: "./policy",
-		Edits: edit(module, `		ledger.Available -= grant
+		Edits: edit(rules+"quota_owner.go", `		ledger.Available -= grant
 `, ""), Runs: []string{simOne + "calm"}},
 	{Name: "a grant is charged once", Rule: "quotas can be used",
-		Edits: edit(module, `		ledger.Available -= grant
+		Edits: edit(rules+"quota_owner.go", `		ledger.Available -= grant
 `, `		ledger.Available -= 2 * grant
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "a report is counted once", Rule: "quotas can be used", Unit: "./internal/decision/quota",
-		Edits: edit(counts, `Demand: rate, ReportedAt: now}
-`, `Demand: rate, ReportedAt: now}
+		Edits: edit(counts, `Demand: demand, ReportedAt: now}
+`, `Demand: demand, ReportedAt: now}
 	delta += max(delta, 0)
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "lives of a member are told apart", Rule: "quotas can be used",
 		Why:   "a new life's total begins at 0, which a former life's larger one turns into units handed back; restarts are allowed a window more each",
-		Edits: edit(module, "if member == nil || member.Incarnation != g.sequences[from].Incarnation {", "if member == nil {"), Runs: []string{simOne + "blinks", simOne + "programs"}},
+		Edits: edit(rules+"quota_owner.go", "g.now-member.ReportedAt <= memberTTLS && member.Incarnation == incarnation {", "g.now-member.ReportedAt <= memberTTLS {"), Runs: []string{simOne + "blinks", simOne + "programs"}},
 	{Name: "members split a room", Rule: "quotas kept",
 		Why:   "reports come a tenth of a second later and what was too much is owed: no window of a second shows it at 4, 12 or 80 ingresses",
-		Edits: edit(module, "need <= max(available*localDemand/max(localDemand+account.otherDemand, 1e-9), available-2*account.otherDemand*(age+replyLagS)):", "need <= available:"), Runs: []string{simOne + "crowd", simCrowd + "crowd"}},
+		Edits: edit(rules+"admission.go", "share := available * localDemand / max(localDemand+otherDemand, epsilon)\n", "share := available\n"), Runs: []string{simOne + "crowd", simCrowd + "crowd"}},
 	{Name: "a silence ends", Rule: "quotas can be used",
-		Edits: edit(module, `0, 0, g.now+report.BackoffS
-`, `0, 0, g.now+report.BackoffS*100
-`), Runs: []string{simOne + "calm", simCrowd + "crowd"}},
+		Edits: edit(rules+"quota_member.go", "account.backoffUntil = g.now + reply.BackoffS\n", "account.backoffUntil = g.now + reply.BackoffS*100\n"), Runs: []string{simOne + "calm", simCrowd + "crowd"}},
 	{Name: "a member that lets in more than its split is counted", Rule: "quotas kept", Unit: "./internal/decision/quota",
-		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -most))", "l.Available = max(l.Available-units/2, min(l.Available, -most))"), Runs: []string{simOne + "calm", simOne + "friday"}},
+		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -maxDebt))", "l.Available = max(l.Available-units/2, min(l.Available, -maxDebt))"), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "the local window is a part of the whole", Rule: "quotas kept",
 		Why:   "what a member last heard of the room bounds it as well, and what it lets in is owed once it is told",
-		Edits: edit(module, "account.localWindow.Refill(g.now, plan.Rate/n, max(plan.Burst/n, float64(g.settings.MaxRequestUnits)))", "account.localWindow.Refill(g.now, 9*plan.Rate, 9*plan.Burst*n/n)"), Runs: []string{simOne + "programs", simCrowd + "crowd"}},
+		Edits: edit(rules+"quota_member.go", "account.localWindow.Refill(g.now, plan.Rate/gateways, burst)\n", "account.localWindow.Refill(g.now, 9*plan.Rate, 9*burst*gateways)\n"), Runs: []string{simOne + "programs", simCrowd + "crowd"}},
 	{Name: "a window fills", Rule: "quotas can be used", Unit: "./policy",
-		Edits: edit(module, "ledger.Available+rate*(g.now-ledger.UpdatedAt)), g.now", "ledger.Available+rate/2*(g.now-ledger.UpdatedAt)), g.now"), Runs: []string{simOne + "calm"}},
+		Edits: edit(rules+"quota_owner.go", "ledger.Available+rate*(g.now-ledger.UpdatedAt)), g.now", "ledger.Available+rate/2*(g.now-ledger.UpdatedAt)), g.now"), Runs: []string{simOne + "calm"}},
 	{Name: "a window has a brim", Rule: "quotas kept", Unit: "./policy",
-		Edits: edit(module, "ledger.Available, ledger.UpdatedAt = min(account.plan.Burst-", "ledger.Available, ledger.UpdatedAt = min(9*account.plan.Burst-"), Runs: []string{simOne + "calm", simOne + "friday"}},
+		Edits: edit(rules+"quota_owner.go", "limit := account.plan.Burst - ", "limit := 9*account.plan.Burst - "), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "a young count believes what members heard", Rule: "quotas kept",
 		Why:   "a window more is what the budget has for an owner that comes back empty; it is what is to be tightened next",
-		Edits: edit(module, "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
+		Edits: edit(rules+"quota_owner.go", "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
 	{Name: "lost reports are no silence", Rule: "quotas can be used", Unit: "./internal/decision/failuredetector",
 		Why:   "owners passed over for a second each cost 1% of service at 80 ingresses, which no rule is made of",
-		Edits: edit("internal/decision/failuredetector/pulse.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
+		Edits: edit("internal/decision/failuredetector/failuredetector.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
 	// ---- The module: places lent by time, units ahead ----
 	{Name: "a place comes back by itself", Rule: "caps kept", Unit: "./internal/decision/slotlease",
 		Why:   "without it places stand idle, which no rule is made of: resto falls to 0.85 of its share at 300 ingresses",
-		Edits: edit(lender, "now, now + min(span, MaxLeaseS) + GraceS,", "now, now + 10*min(span, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
+		Edits: edit(lender, "now + min(leaseS, MaxLeaseS) + GraceS,", "now + 10*min(leaseS, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
 	{Name: "a place is lent once", Rule: "caps kept", Unit: "./internal/decision/slotlease",
-		Edits: edit(lender, `if l.member != but {
-			n += l.slots
-`, `if l.member != but {
-			n += 0 * l.slots
+		Edits: edit(lender, `if l.member != except {
+			slots += l.slots
+`, `if l.member != except {
+			slots += 0 * l.slots
 `), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a place in use is renewed", Rule: "caps kept", Unit: "./policy",
 		Why:   "an attempt that outlives its place is one beyond the cap for as long as it lasts, which the budget of a cap of two has room for",
-		Edits: edit(module, "account.ownerLeases && req.inFlight > 0 && account.leasedSlots.Count(g.now+slotlease.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simPlaces + "places-slow"}},
+		Edits: edit(rules+"concurrency_limit.go", "account.ownerLeases && req.inFlight > 0 &&\n\t\taccount.leasedSlots.Count(g.now+slotlease.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a new life lends nothing at first", Rule: "caps kept", Unit: "./policy",
-		Why: "what its former life lent is over within half a second: twice the cap is stated for that long",
-		Edits: edit(module, `	g.leaseFrom = now + slotlease.ReportLeaseS
-`, ""), Runs: []string{simPlaces + "places-storm"}},
+		Why:   "what its former life lent is over within half a second: twice the cap is stated for that long",
+		Edits: edit(rules+"gateway.go", "leaseFrom:       now + slotlease.ReportLeaseS,", "leaseFrom:       0 * slotlease.ReportLeaseS,"), Runs: []string{simPlaces + "places-storm"}},
 	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/decision/hardlimit",
 		Why:   "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
-		Edits: edit(ceilings, "-c.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
+		Edits: edit(ceilings, "-l.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
 	// ---- Nodes held by hand in two levels ----
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/withhold.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/withhold.go", "op.effectiveAt = now + c.leaseS", "op.effectiveAt = now + 1e-9"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "op.phase, op.effectiveAt = awaiting, now+c.leaseS", "op.phase, op.effectiveAt = awaiting, now+1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/controlplane/forwarder/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/forwarder/cordons.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/controlplane/planner/holds.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/planner/cordons.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
 	// ---- The module: servers ----
 	{Name: "cold servers get their part", Rule: "cold nodes stand", Unit: "./policy",
-		Edits: edit(module, "\treturn backend.inFlight < 2 && (sum+work <=", "\treturn true || backend.inFlight < 2 && (sum+work <="),
+		Edits: edit(rules+"slow_start.go", "\treturn backend.inFlight < slowStartInFlight &&\n\t\t(sent+workS <=", "\treturn true || backend.inFlight < slowStartInFlight &&\n\t\t(sent+workS <="),
 		Runs:  []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "under overload a cold server's part is of what is answered", Rule: "cold nodes stand",
-		Edits: edit(module, "min(g.admittedWork.Now(g.now, demandTauS), maxDemandToCompleted*g.completedWork.Now(g.now, demandTauS))", "g.admittedWork.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
+		Edits: edit(rules+"slow_start.go", "min(g.admittedWork.Now(g.now, demandTauS), maxDemandToCompleted*g.completedWork.Now(g.now, demandTauS))", "g.admittedWork.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "no new work for a node that drains", Rule: "drains kept", // the module, the pool, the last check before a write and the guard at the write each hold it alone
-		Edits: []Edit{{module, "if backend.State != Up || g.now < backend.ejectedUntil {", "if g.now < backend.ejectedUntil {"},
-			{in + "backends.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
-			{"policy/guard.go", "if a.Backend.State != Up {", "if false {"},
-			{in + "pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
+		Edits: []Edit{{rules + "selection.go", "if backend.State != Up || g.now < backend.ejectedUntil {", "if g.now < backend.ejectedUntil {"},
+			{in + "attempt.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
+			{rules + "attempt_guard.go", "if a.Backend.State != Up {", "if false {"},
+			{in + "backend_pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
 		Runs: []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "a node that drains is told from one that is up", Rule: "drains kept",
 		Edits: edit("internal/membership/discovery/list.go", "Terminating: policy.Draining", "Terminating: policy.Up"),
@@ -206,41 +204,41 @@
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	// ---- The ingress: what an attempt's end means ----
 	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"backends.go", "in.finishAttempt(a, attemptResult{status: policy.Timeout}, in.now)", "in.finishAttempt(a, attemptResult{status: policy.NotSent}, in.now)"),
+		Edits: edit(in+"attempt.go", "in.finishAttempt(a, callprotocol.Result{Status: policy.Timeout}, in.now)", "in.finishAttempt(a, callprotocol.Result{Status: policy.NotSent}, in.now)"),
 		Runs:  []string{labOne + "answers", labTwo + "answers"}},
 	{Name: "a connection lost after the last byte may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"pool.go", "status := policy.Reset\n", "status := policy.ConnectFailed\n"),
+		Edits: edit(in+"backend_reader.go", "status := policy.Reset\n", "status := policy.ConnectFailed\n"),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "a spoilt answer may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"reply.go", "return attemptResult{status: policy.Error, malformed: why}", "return attemptResult{status: policy.Rejected, malformed: why}"),
+		Edits: edit(replies, "return Result{Status: policy.Error, Err: cause}", "return Result{Status: policy.Rejected, Err: cause}"),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "an error answer may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"reply.go", `res := attemptResult{status: policy.Error}
-`, `res := attemptResult{status: policy.Rejected}
+		Edits: edit(replies, `res := Result{Status: policy.Error}
+`, `res := Result{Status: policy.Rejected}
 `),
 		Runs: []string{labOne + "answers"}},
 	{Name: "an attempt that is given up ends", Rule: "one attempt out", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"backends.go", `		in.closeBackendConn(a.conn)
+		Edits: edit(in+"attempt.go", `		in.closeBackendConn(a.conn)
 		a.conn = nil
 `, `		a.conn.attempt = nil
 		a.conn = nil
 `),
 		Runs: []string{labOne + "answers", labOne + "snow"}},
 	{Name: "a copy of an answer is no answer", Rule: "one answer", Unit: "./internal/dataplane/ingress", // its bytes, what waits on a connection, and the rest before use each tell it
-		Edits: []Edit{{in + "pool.go", "if res.status == policy.OK && recent.seen(buf.data[:size], at, in.backends.duplicateWindowS) {", "if false {"},
-			{in + "pool.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
-			{in + "pool.go", `stray := len(buf.data) > size
-			buf.discard(len(buf.data))`, `stray := false
-			buf.discard(size)`},
-			{in + "pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !openAndSilent(c.rawConn) {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
+		Edits: []Edit{{in + "backend_reader.go", "if res.Status == policy.OK && r.recent.seen(r.input.Bytes()[:size], at, in.backends.duplicateWindowS) {", "if false {"},
+			{in + "backend_reader.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
+			{in + "backend_reader.go", `stray := r.input.Len() > size
+	r.input.Discard(r.input.Len())`, `stray := false
+	r.input.Discard(size)`},
+			{in + "backend_pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !c.silent() {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
 		Runs: []string{labOne + "answers", labTwo + "answers"}},
 	// ---- The ingress: clients ----
 	{Name: "an id that is open is not taken again", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"requests.go", "case in.requests[q.ID] != nil, in.predecessorRequests[q.ID] != nil:", "case false:"),
+		Edits: edit(in+"request.go", "case in.requests[call.ID] != nil, in.predecessorRequests[call.ID] != nil:", "case false:"),
 		Runs:  []string{labOne + "rude", labTwo + "rude"}},
 	{Name: "answers keep the order of their commands", Rule: "answers in order", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"clients.go", `	n, bytes := 0, len(c.pendingOutput)
-`, `	n, bytes := 0, len(c.pendingOutput)
+		Edits: edit(in+"client_writer.go", `	n, before := 0, len(c.pendingOutput)
+`, `	n, before := 0, len(c.pendingOutput)
 	for i, s := range c.answerSlots {
 		if s.answer != nil && c.answerSlots[0].answer == nil {
 			c.answerSlots[0], c.answerSlots[i] = s, c.answerSlots[0]
@@ -249,12 +247,12 @@
 `),
 		Runs: []string{labOne + "rude"}},
 	{Name: "a planned restart answers what was taken", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"clients.go", `		if c.fullyAnswered() && !c.transferring && !c.recentlyOpened(in) {
+		Edits: edit(in+"client_table.go", `		if c.fullyAnswered() && c.reader != readerTransferring && !c.recentlyOpened(in) {
 			in.closeGracefully(c, closeShutdown)`, `		if true {
 			in.closeClient(c, closeShutdown)`),
 		Runs: []string{"lab -forwarders 4 -planners 0 -nodes 6 -for 30s -scenario playoff -kinds roll,snow,snow -every 600ms"}}, // requests that last longer than the time in which new connections are taken
 	{Name: "a client's hang-up ends its own requests alone", Rule: "no request lost",
-		Edits: edit(in+"clients.go", `		if s.request != nil && !s.request.completed {
+		Edits: edit(in+"client_close.go", `		if s.request != nil && !s.request.completed {
 			in.completeRequest(s.request)
 			in.decider.HandleDisconnect(in.now, s.request.ID)
 		}
@@ -269,10 +267,10 @@
 `),
 		Runs: []string{labOne + "rude"}},
 	{Name: "a bad command ends no other's request", Rule: "no request lost",
-		Edits: edit(in+"clients.go", `	answer := errorReply(cause)
-	c.input.release()
+		Edits: edit(in+"client_reader.go", `	answer := errorReply(cause)
+	c.input.Release()
 `, `	answer := errorReply(cause)
-	c.input.release()
+	c.input.Release()
 	in.post(at, func() {
 		for x := range in.clients.conns {
 			in.closeClient(x, closeBadInput)
@@ -281,88 +279,75 @@
 `),
 		Runs: []string{labOne + "rude"}},
 	{Name: "requests are refused late in a drain", Rule: "a drained ingress lets go of its clients", Unit: "./policy",
-		Edits: edit("policy/drain.go", "if d.active && now-d.startedAt >= drainRejectS {", "if d.active && now-d.startedAt >= 1e9 {"),
+		Edits: edit(rules+"drain.go", "if d.active && now-d.startedAt >= drainRejectS {", "if d.active && now-d.startedAt >= 1e9 {"),
 		Runs:  []string{drainOne}},
 	{Name: "a drained connection ends when all on it is answered", Rule: "no request lost",
-		Edits: edit(in+"clients.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
+		Edits: edit(in+"client_writer.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
 		Runs:  []string{drainOne}},
 	{Name: "what may be written is asked directly before the write", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Why:   "connections that come up late are the soak's alone, which counts it by the ingresses' own check; the unit test makes one",
-		Edits: edit(in+"guard.go", "case now > a.latestStart:", "case false:"),
+		Edits: edit(in+"send_guard.go", "case now > a.latestStart:", "case false:"),
 		Runs:  []string{labOne + "keys"}},
 	// ---- Forwarders ----
 	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // by epoch and promise, and by the handle of the telling
-		Edits: []Edit{{core, "ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !topology.Fenced)", "ok := true"},
-			{core, `	delete(c.submitted, request.handle)
-	if request.handle != 0`, "\tif request.handle != 0"},
-			{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"}},
+		Edits: []Edit{{"internal/controlplane/forwarder/promises.go", "return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.Fenced)", "return cell != nil"},
+			{"internal/controlplane/forwarder/requests.go", "\tdelete(c.submitted, request.handle)\n\tif request.handle != 0", "\tif request.handle != 0"},
+			{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"}},
 		Runs: []string{simTwo + "storm", simTwo + "programs"}},
 	{Name: "never two attempts out, whoever asks", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // a request waits for the end of its attempt, and a second one is not made
-		Edits: []Edit{{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"},
-			{core, `		c.withdraw(request)
-		if !request.completed && request.inFlight == 0 {`, `		c.withdraw(request)
-		if !request.completed {`},
-			{core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return !request.mayHaveRun ||"}},
+		Edits: []Edit{{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"},
+			{"internal/controlplane/forwarder/promises.go", "\t\tc.withdraw(request)\n\t\tif !request.completed && request.inFlight == 0 {", "\t\tc.withdraw(request)\n\t\tif !request.completed {"},
+			{"internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun && request.inFlight == 0, class", "case !request.mayHaveRun, class"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a successor runs no unsafe request again", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "case !request.mayHaveRun || class.Idempotency == policy.Idempotent:", "case !request.mayHaveRun || class.Idempotency != policy.KeyedIdempotent:"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun, class.Idempotency == policy.Idempotent:", "case !request.mayHaveRun, class.Idempotency != policy.KeyedIdempotent:"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return true || !request.mayHaveRun && request.inFlight == 0 ||"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun && request.inFlight == 0, class", "case true, !request.mayHaveRun && request.inFlight == 0, class"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, `	c.endOverdue()
-`, ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
+		Edits: edit(core, "\tc.endOverdue()\n", ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
 	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation):", "case msg.Epoch > cell.epoch:"),
+		Edits: edit("internal/controlplane/forwarder/promises.go", "case msg.Epoch > cell.epoch && (cell.expired(c.now) || ownClaim):", "case msg.Epoch > cell.epoch:"),
 		Runs:  []string{simTwo + "programs"}},
 	{Name: "a forwarder promises nothing right after its start", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "\t\tcell.promisedUntil = now + cfg.LeaseS // this", "\t\tcell.promisedUntil = now // this"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
+		Edits: edit(core, "\tc.resetPromises()\n\treturn c\n", "\tc.resetPromises()\n\tfor i := range c.cells {\n\t\tc.cells[i].until = now\n\t}\n\treturn c\n"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
 	{Name: "at a forwarder a reset may have run", Rule: "no effect twice",
-		Edits: edit(core, "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.ConnectFailed ||", "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.Reset || outcome.Status == policy.ConnectFailed ||"),
+		Edits: edit("internal/controlplane/forwarder/requests.go", "if notRun := status == policy.Rejected ||", "if notRun := status == policy.Rejected || status == policy.Reset ||"),
 		Runs:  []string{simTwo + "programs"}},
 	{Name: "a forwarder knows how long keys are remembered", Rule: "no effect twice",
-		Edits: edit(core, "return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS", "return class.KeyScope == policy.ScopeAll"),
+		Edits: edit("internal/controlplane/forwarder/actions.go", "return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS", "return class.KeyScope == policy.ScopeAll"),
 		Runs:  []string{simTwo + "keys"}},
 	{Name: "a forwarder remembers what was passed on", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, `			c.usage.record(request.Account, windowUsage{request.plan, msg.Epoch, msg.Round, msg.Units, c.now})
-`, ""), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "\t\t\tc.usage.record(request.Account, windowUsage{plan: request.plan, epoch: msg.Epoch, seq: msg.Round, debt: msg.Units, at: c.now})\n", ""), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a forwarder tells of what it has out", Rule: "caps kept", Unit: "./internal/controlplane/forwarder",
-		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit(core, `		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
-`, `		c.orphans[request.Account] = orphanCount{request.plan, 0}
-`),
-		Runs: []string{simTwo + "capped"}},
+		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Edits: edit("internal/controlplane/forwarder/orphans.go", "\t\tc.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}\n", "\t\tc.orphans[request.Account] = orphanCount{request.plan, 0}\n"),
+		Runs:  []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit("internal/controlplane/forwarder/usage.go", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt}", "byAccount: map[string]windowUsage{}, incompleteAt: startedAt - 1e6}"),
+		Edits: edit("internal/controlplane/forwarder/usage.go", "incompleteAt: startedAt}", "incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
 	// ---- Planners ----
 	{Name: "a lead ends before the promises that it rests on", Rule: "one leader",
-		Edits: edit("internal/controlplane/topology/fleet.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/topology/params.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
 	{Name: "a lead runs out", Rule: "one leader", Unit: "./internal/controlplane/planner",
-		Edits: []Edit{{leases, "return lease.leading && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)", "return lease.leading && lease.epoch == epoch"},
-			{leases, "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt && topology.Fenced {", "if lease := &m.cells[i]; lease.leading && now >= lease.expiresAt+1e9 && topology.Fenced {"}},
+		Edits: []Edit{{leases, "return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)", "return lease.role == leader && lease.epoch == epoch"},
+			{leases, "lease.role == leader && now >= lease.expiresAt && topology.Fenced {", "lease.role == leader && now >= lease.expiresAt+1e9 && topology.Fenced {"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a majority has to promise", Rule: "one leader", Unit: "./internal/controlplane/planner",
-		Edits: edit("internal/controlplane/topology/fleet.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
+		Edits: edit("internal/controlplane/topology/cells.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
 	{Name: "a successor takes windows for empty until all have told", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, `		if t.missingReports > 0 {
-			window.available = min(`, `		if false {
-			window.available = min(`), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "\t\tif t.missingReports > 0 {\n\t\t\twindow.available = min(", "\t\tif false {\n\t\t\twindow.available = min("), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a successor believes what was told of windows", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, "return min(p.Burst, p.Burst-window.debt+p.Rate*max(now-window.reportedAt, 0))", "return p.Burst"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "return min(plan.Burst, plan.Burst-window.debt+plan.Rate*max(now-window.reportedAt, 0))", "return plan.Burst"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "of several tales the latest pass holds", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, "if !window.reported || msg.Handle > window.epoch || msg.Handle == window.epoch && msg.Round > window.reportedSeq {", "if !window.reported || msg.Handle < window.epoch || msg.Handle == window.epoch && msg.Round < window.reportedSeq {"),
+		Edits: edit(windows, "!window.reported || epoch > window.epoch || epoch == window.epoch && seq > window.reportedSeq {", "!window.reported || epoch < window.epoch || epoch == window.epoch && seq < window.reportedSeq {"),
 		Runs:  []string{simTwo + "ceilings"}},
 	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(windows, `	window.available -= units
-	t.admissions++`, "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit(windows, "\twindow.available -= units\n\tt.admissions++", "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/controlplane/planner",
-		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit(host, `			c.reportCounts(request.cellID, cell.windows.setOrphans(now, forwarder, request.account, request.plan, inFlight[request.account]))
-`, ""), Runs: []string{simTwo + "lonely"}},
+		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Edits: edit("internal/controlplane/planner/requests.go", "\t\tc.applyCounts(request.cellID, cell.windows.setOrphans(c.now, forwarder, request.account, request.plan, attempts))\n", ""), Runs: []string{simTwo + "lonely"}},
 	{Name: "a planner tells its module of earlier passes", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
-		Edits: edit(host, `	c.reportCounts(int(msg.Cell), cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan)))
-`, `	cell.windows.initialCounts(c.now, msg.Name, int(msg.Plan))
-`), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit("internal/controlplane/planner/requests.go", "\tc.applyCounts(cellID, cell.windows.initialCounts(c.now, msg.Name, planIndex))\n", "\tcell.windows.initialCounts(c.now, msg.Name, planIndex)\n"), Runs: []string{simTwo + "ceilings"}},
 	// ---- Membership from etcd ----
 	{Name: "a stale source takes nothing back", Rule: "none on a stale word", Unit: "./internal/membership/merge",
 		Edits: edit("internal/membership/merge/merge.go", "if s.state != sourceCurrent && s.relaxes(n) {", "if false {"), Runs: []string{labEtcd}},
@@ -382,44 +367,34 @@
 `, ""), Runs: []string{labEtcd}},
 	// ---- Operators ----
 	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordontable",
-		Edits: edit("internal/controlplane/cordontable/held.go", `		if entry.State == stateInService {
-`, `		if false {
-`), Runs: []string{labOne + "operators"}},
+		Edits: edit("internal/controlplane/cordontable/table.go", "\t\tif endpoint.State == stateInService {\n", "\t\tif false {\n"), Runs: []string{labOne + "operators"}},
 	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"door.go", "store.ReadIfChanged(func(h cordontable.Cordons) { in.cordons.Replace(h) })", "store.ReadIfChanged(func(h cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
+		Edits: edit(in+"admin.go", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) { in.cordons.Replace(c) })", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
 	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Why:   "a client whose idle connection ends asks on another; it costs a dial and, at times, a request that crosses the end and is sent again",
-		Edits: edit(in+"handover.go", "if in.successor.stage != handoverActive || c.closing", "if true || c.closing"), Runs: []string{labOne + "operators -kinds replaced"}},
+		Edits: edit(in+"hot_restart_successor.go", "if in.successor.stage != handoverActive || c.state == connClosing", "if true || c.state == connClosing"), Runs: []string{labOne + "operators -kinds replaced"}},
 	{Name: "what was read of a command goes with its connection", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Why:   "the laboratory's clients write a command in one piece, so that a part of one is hardly ever read at that moment; the unit test sends halves",
-		Edits: edit(in+"handover.go", "body: bytes.Clone(c.input.data)}", "body: bytes.Clone(c.input.data[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
+		Edits: edit(in+"hot_restart_successor.go", "body: bytes.Clone(c.input.Bytes())}", "body: bytes.Clone(c.input.Bytes()[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
 	// ---- A forwarder replaced while it serves ----
 	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "c.cells[i] = cellState{holder: -1, requester: -1, promisedUntil: now + c.cfg.LeaseS, leaderlessSince: now}", "c.cells[i].requester, c.cells[i].leaderlessSince = -1, now"), Runs: []string{simTwo + "handed-torn"}},
+		Edits: edit(mover, "\tc.resetPromises()\n", "\tfor i := range c.cells {\n\t\tc.cells[i].requester, c.cells[i].leaderlessSince = noPlanner, now\n\t}\n"), Runs: []string{simTwo + "handed-torn"}},
 	{Name: "promises go over", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Incarnation, promise.PromisedUntil", "cell.epoch, cell.holder, cell.promisedUntil = promise.Epoch, -1, now"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "cell.promise = promise{epoch: saved.Epoch, holder: saved.Holder, incarnation: saved.Incarnation, until: saved.PromisedUntil}", "cell.promise = promise{epoch: saved.Epoch, holder: noPlanner, incarnation: cell.incarnation, until: now}"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "for _, report := range transferred.UsageReports {", "for _, report := range transferred.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, "for _, report := range state.UsageReports {", "for _, report := range state.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
 	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Why:   "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
-		Edits: edit(mover, "mayHaveRun: saved.MayHaveRun, firstRunAt: saved.FirstRunAt", "mayHaveRun: false, firstRunAt: saved.FirstRunAt"), Runs: []string{simTwo + "handed-keys"}},
+		Edits: edit(mover, "mayHaveRun:   saved.MayHaveRun,", "mayHaveRun:   false,"), Runs: []string{simTwo + "handed-keys"}},
 	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "request.inFlight += b2i(!done)", "request.inFlight += 0 * b2i(!done)"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "\t\tif !ended {\n\t\t\trequest.inFlight++", "\t\tif false {\n\t\t\trequest.inFlight++"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "what a successor sent is written down", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, `		if !request.completed {
-			request.sentAt, request.attemptDone`, `		if false {
-			request.sentAt, request.attemptDone`), Runs: []string{simTwo + "handed-queue"}},
+		Edits: edit(mover, "\t\tif !request.completed {\n\t\t\trequest.startAttempt(now)", "\t\tif false {\n\t\t\trequest.startAttempt(now)"), Runs: []string{simTwo + "handed-queue"}},
 	{Name: "tales are not complete after taking back", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, `	}
-	c.usage.incompleteAt = now
-	clear(c.planners)`, `	}
-	clear(c.planners)`), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, "\tc.usage.incompleteAt = now\n\tclear(c.planners)", "\tclear(c.planners)"), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
-		Why: "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
-		Edits: edit("internal/controlplane/transport/conn.go", `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
-`, `NewConn(c net.Conn, idleTimeout time.Duration) *Conn {
-	idleTimeout = time.Hour
-`),
-		Runs: []string{labTwo + "programs"}},
+		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
+		Edits: edit("internal/controlplane/transport/conn.go", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n\tidleTimeout = time.Hour\n"),
+		Runs:  []string{labTwo + "programs"}},
 }
