--- a/cmd/decisiontrace/overload.go
+++ b/cmd/decisiontrace/overload.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"strings"
 
-	"eiderspread/internal/observability/trace/plots"
+	"eiderspread/internal/testbed/loadplot"
 	"eiderspread/internal/testbed/oracle"
 )
 
@@ -33,7 +33,7 @@
 			return fmt.Errorf("%s: %w", path, err)
 		}
 		name := strings.TrimSuffix(path, ".json")
-		if err := plots.Overload(&l, filepath.Base(name), name+".svg"); err != nil {
+		if err := loadplot.Draw(&l, filepath.Base(name), name+".svg"); err != nil {
 			return err
 		}
 		fmt.Println(name + ".svg")
--- a/cmd/membershipagent/standin.go
+++ b/cmd/membershipagent/standin.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/testbed/etcdstandin"
 )
 
@@ -22,7 +22,7 @@
 	user := set.String("user", "", "want this user's password of clients")
 	password := set.String("password-file", "", "where that password is")
 	ttl := set.Duration("token-ttl", 5*time.Minute, "how long a token lasts")
-	var id transport.Identity
+	var id mutualtls.Identity
 	set.StringVar(&id.Cert, "cert", "", "certificate of the members: clients then need one of the same authority")
 	set.StringVar(&id.Key, "key", "", "its key")
 	set.StringVar(&id.CA, "ca", "", "its authority")
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -8,8 +8,8 @@
 	"io"
 	"os"
 
-	"eiderspread/internal/base/settings"
 	"eiderspread/internal/base/simprotocol"
+	"eiderspread/internal/dataplane/settings"
 	"eiderspread/policy"
 )
 
--- a/internal/controlplane/transport/tls.go
+++ b/internal/base/mutualtls/mutualtls.go
@@ -1,4 +1,5 @@
-package transport
+// Package mutualtls reads the files of mutual TLS, as operators name them for links between programs and to etcd.
+package mutualtls
 
 import (
 	"crypto/tls"
--- a/internal/controlplane/forwarder/config.go
+++ b/internal/controlplane/forwarder/config.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"net/netip"
 
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/base/operatorconfig"
 	"eiderspread/internal/controlplane/topology"
-	"eiderspread/internal/controlplane/transport"
 	"eiderspread/internal/dataplane/ingress"
 )
 
@@ -17,7 +17,7 @@
 	PlannerAddrs []string // by planner
 	PlannerNames []string // with TLS: the name in each planner's certificate
 	StatusAddr   string   // of the status page; empty: none
-	TLS          transport.Identity
+	TLS          mutualtls.Identity
 	Ingress      ingress.Config
 	IngressPath  string // where Ingress was read from
 }
@@ -59,7 +59,7 @@
 			return cfg, fmt.Errorf("planners_at: number %d: %w", planner, err)
 		}
 	}
-	if f.TLS != (transport.Identity{}) && len(f.PlannerNames) != f.Planners {
+	if f.TLS != (mutualtls.Identity{}) && len(f.PlannerNames) != f.Planners {
 		return cfg, fmt.Errorf("names: %d given for %d planners", len(f.PlannerNames), f.Planners)
 	}
 	if _, err := f.TLS.Config(); err != nil {
--- a/internal/controlplane/forwarder/gateway.go
+++ b/internal/controlplane/forwarder/gateway.go
@@ -6,9 +6,9 @@
 	"errors"
 	"math/rand/v2"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/controlplane/transport"
 	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/decision/snapshot"
 	"eiderspread/policy"
 )
 
--- a/internal/controlplane/forwarder/migrate.go
+++ b/internal/controlplane/forwarder/migrate.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/controlplane/cordon"
+	"eiderspread/internal/decision/snapshot"
 )
 
 // When a new process replaces this one, everything that decides goes over to it, and the requests' sockets stay until the requests have
--- a/internal/controlplane/forwarder/migrate_test.go
+++ b/internal/controlplane/forwarder/migrate_test.go
@@ -5,9 +5,9 @@
 	"slices"
 	"testing"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/controlplane/topology"
 	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/decision/snapshot"
 	"eiderspread/policy"
 )
 
--- a/internal/controlplane/planner/config.go
+++ b/internal/controlplane/planner/config.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"net/netip"
 
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/base/operatorconfig"
 	"eiderspread/internal/controlplane/topology"
-	"eiderspread/internal/controlplane/transport"
 	"eiderspread/internal/dataplane/ingress"
 	"eiderspread/internal/decision/loadshed"
 	"eiderspread/internal/observability/trace"
@@ -22,7 +22,7 @@
 	TraceFolder    string   // for traces of decisions; empty: none are written
 	TraceMB        int      // bound of each trace file
 	ForwarderNames []string // with TLS: the common name of each forwarder's certificate, by number
-	TLS            transport.Identity
+	TLS            mutualtls.Identity
 	Ingress        ingress.Config
 }
 
@@ -62,7 +62,7 @@
 	if f.Number < 0 || f.Number >= f.Planners {
 		return cfg, &topology.ParamError{Key: "number", Problem: fmt.Sprintf("is %d, want 0 to %d", f.Number, f.Planners-1)}
 	}
-	if f.TLS != (transport.Identity{}) && len(f.ForwarderNames) != f.Forwarders {
+	if f.TLS != (mutualtls.Identity{}) && len(f.ForwarderNames) != f.Forwarders {
 		return cfg, fmt.Errorf("allowed: %d names given for %d forwarders", len(f.ForwarderNames), f.Forwarders)
 	}
 	if _, err := f.TLS.Config(); err != nil {
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -9,10 +9,11 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/base/settings"
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/controlplane/topology"
 	"eiderspread/internal/controlplane/transport"
 	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/settings"
 	"eiderspread/internal/testbed/certs"
 	"eiderspread/policy"
 )
@@ -33,7 +34,7 @@
 	return &authority{t, a}
 }
 
-func (a *authority) issue(name string) transport.Identity {
+func (a *authority) issue(name string) mutualtls.Identity {
 	id, err := a.Issue(name)
 	if err != nil {
 		a.t.Fatal(err)
@@ -41,7 +42,7 @@
 	return id
 }
 
-func serve(t *testing.T, id transport.Identity) *Server {
+func serve(t *testing.T, id mutualtls.Identity) *Server {
 	t.Helper()
 	cfg := FileConfig{Number: 1, ListenAddr: "127.0.0.1:0", TLS: id, ForwarderNames: []string{"f-0", "f-1"}, Ingress: ingress.Config{Discovery: "127.0.0.1:1",
 		Settings: settings.Settings{Settings: policy.Settings{Gateways: 1, Classes: testClasses, Plans: testPlans, MaxAttempts: 5}}}}
@@ -87,7 +88,7 @@
 
 // A link of another version, fleet, size or number is closed, and so is one that does not begin with a hello.
 func TestServer_RejectsMismatchedHello(t *testing.T) {
-	s := serve(t, transport.Identity{})
+	s := serve(t, mutualtls.Identity{})
 	for name, change := range map[string]func(*transport.Message){
 		"a member":        func(*transport.Message) {},
 		"another version": func(msg *transport.Message) { msg.Plan++ },
@@ -113,7 +114,7 @@
 	good, other := newAuthority(t, "ca"), newAuthority(t, "other")
 	s := serve(t, good.issue("p-1"))
 	for name, tc := range map[string]struct {
-		id     transport.Identity
+		id     mutualtls.Identity
 		number uint32
 		want   bool
 	}{
@@ -121,10 +122,10 @@
 		"as another":           {good.issue("f-0"), 1, false},
 		"not on the list":      {good.issue("f-9"), 0, false},
 		"of another authority": {other.issue("f-0"), 0, false},
-		"without one":          {transport.Identity{}, 0, false},
+		"without one":          {mutualtls.Identity{}, 0, false},
 	} {
 		cfg := &tls.Config{MinVersion: tls.VersionTLS13}
-		if tc.id != (transport.Identity{}) {
+		if tc.id != (mutualtls.Identity{}) {
 			var err error
 			if cfg, err = tc.id.Config(); err != nil {
 				t.Fatal(err)
--- a/internal/controlplane/topology/file.go
+++ b/internal/controlplane/topology/file.go
@@ -3,8 +3,8 @@
 import (
 	"errors"
 
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/base/operatorconfig"
-	"eiderspread/internal/controlplane/transport"
 )
 
 // File is what the operators' files of forwarders and planners have in common; docs/operating-two-levels.md explains each key.
@@ -21,7 +21,7 @@
 	FailsafeMS    float64            `toml:"failsafe_ms"`
 	IngressPath   string             `toml:"base"`   // the configuration that an ingress would have
 	StatusAddr    string             `toml:"status"` // of the status page, on loopback; empty: none
-	TLS           transport.Identity `toml:"tls"`
+	TLS           mutualtls.Identity `toml:"tls"`
 }
 
 var errIncompleteTLS = errors.New("tls: cert, key and ca are needed together")
--- a/internal/dataplane/callprotocol/reply.go
+++ b/internal/dataplane/callprotocol/reply.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"eiderspread/internal/base/settings"
+	"eiderspread/internal/dataplane/settings"
 	"eiderspread/policy"
 )
 
--- a/internal/dataplane/ingress/admin.go
+++ b/internal/dataplane/ingress/admin.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"time"
 
-	"eiderspread/internal/controlplane/cordontable"
 	"eiderspread/internal/dataplane/admin"
+	"eiderspread/internal/membership/cordontable"
 	"eiderspread/internal/membership/discovery"
 )
 
--- a/internal/dataplane/ingress/admin_test.go
+++ b/internal/dataplane/ingress/admin_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/controlplane/cordontable"
+	"eiderspread/internal/membership/cordontable"
 	"eiderspread/policy"
 )
 
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/dataplane/callprotocol"
+	"eiderspread/internal/decision/snapshot"
 	"eiderspread/policy"
 )
 
--- a/internal/dataplane/ingress/config.go
+++ b/internal/dataplane/ingress/config.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"eiderspread/internal/base/settings"
+	"eiderspread/internal/dataplane/settings"
 	"eiderspread/internal/membership/discovery"
 )
 
--- a/internal/dataplane/ingress/cordon.go
+++ b/internal/dataplane/ingress/cordon.go
@@ -1,8 +1,8 @@
 package ingress
 
 import (
-	"eiderspread/internal/base/snapshot"
-	"eiderspread/internal/controlplane/cordontable"
+	"eiderspread/internal/decision/snapshot"
+	"eiderspread/internal/membership/cordontable"
 )
 
 // Cordon implements Host: what a fleet's planners were told by its operators. It lasts as long as this process; whoever asks for it asks the next
--- a/internal/dataplane/ingress/decider.go
+++ b/internal/dataplane/ingress/decider.go
@@ -1,8 +1,8 @@
 package ingress
 
 import (
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/decision/loadshed"
+	"eiderspread/internal/decision/snapshot"
 	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
 )
--- a/internal/dataplane/ingress/decider_migration.go
+++ b/internal/dataplane/ingress/decider_migration.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/decision/snapshot"
 	"eiderspread/policy"
 )
 
--- a/internal/dataplane/ingress/decider_migration_test.go
+++ b/internal/dataplane/ingress/decider_migration_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/decision/snapshot"
 	"eiderspread/policy"
 )
 
--- a/internal/dataplane/ingress/harness_test.go
+++ b/internal/dataplane/ingress/harness_test.go
@@ -17,7 +17,7 @@
 	"github.com/tidwall/redcon"
 	"golang.org/x/sys/unix"
 
-	"eiderspread/internal/base/settings"
+	"eiderspread/internal/dataplane/settings"
 	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
 )
--- a/internal/dataplane/ingress/hot_restart_predecessor.go
+++ b/internal/dataplane/ingress/hot_restart_predecessor.go
@@ -7,8 +7,8 @@
 	"net"
 	"os"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/decision/snapshot"
 )
 
 var errNoSnapshot = errors.New("nothing of what it knows came over")
--- a/internal/dataplane/ingress/hot_restart_successor.go
+++ b/internal/dataplane/ingress/hot_restart_successor.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"time"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/decision/snapshot"
 )
 
 const (
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"eiderspread/internal/base/monotime"
-	"eiderspread/internal/controlplane/cordontable"
 	"eiderspread/internal/dataplane/admin"
 	"eiderspread/internal/dataplane/callprotocol"
 	"eiderspread/internal/dataplane/hotrestart"
 	"eiderspread/internal/dataplane/inputbuffer"
+	"eiderspread/internal/membership/cordontable"
 	"eiderspread/internal/membership/discovery"
 	"eiderspread/internal/observability/trace"
 	"eiderspread/policy"
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -7,8 +7,8 @@
 
 	"github.com/tidwall/redcon"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/dataplane/callprotocol"
+	"eiderspread/internal/decision/snapshot"
 )
 
 // request is one that a client has sent and that is owed one final answer. It is known from its acceptance until it is completed and none of its
--- a/internal/membership/agent/config.go
+++ b/internal/membership/agent/config.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/base/operatorconfig"
-	"eiderspread/internal/controlplane/transport"
 	"eiderspread/internal/membership/etcdsource"
 	"eiderspread/internal/membership/merge"
 )
@@ -98,7 +98,7 @@
 		}
 	}
 	var err error
-	if cfg.Etcd.TLS, err = transport.Identity(f.TLS).Config(); err != nil {
+	if cfg.Etcd.TLS, err = mutualtls.Identity(f.TLS).Config(); err != nil {
 		return cfg, fmt.Errorf("tls: %w", err)
 	}
 	return cfg, nil
--- a/internal/observability/trace/plots/plots.go
+++ b/internal/observability/trace/plots/plots.go
@@ -1,4 +1,4 @@
-// Package plots draws what the traces of a run, or the figures of a run under overload, show.
+// Package plots draws what the traces of a run show.
 package plots
 
 import (
--- a/internal/observability/trace/plots/plots_test.go
+++ b/internal/observability/trace/plots/plots_test.go
@@ -7,13 +7,11 @@
 	"os"
 	"path/filepath"
 	"testing"
-	"time"
 
 	"eiderspread/internal/decision/config"
 	"eiderspread/internal/decision/reason"
 	"eiderspread/internal/observability/trace"
 	"eiderspread/internal/observability/trace/analyse"
-	"eiderspread/internal/testbed/oracle"
 )
 
 func everyRecord(analyse.Record) bool { return true }
@@ -66,15 +64,3 @@
 		t.Errorf("a file was written: %v", err)
 	}
 }
-
-func TestOverload_WritesAFile(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "overload.svg")
-	load := &oracle.Load{Second: []oracle.Second{{Asked: 3, Let: 2, Served: 1}, {Asked: 4, Let: 2, Served: 2}},
-		Levels: []oracle.Levels{{At: time.Second, Of: []float64{0.5, 0.4}}, {At: 2 * time.Second, Of: []float64{0.6, 0.5}}}}
-	if err := Overload(load, "a run", path); err != nil {
-		t.Fatal(err)
-	}
-	if st, err := os.Stat(path); err != nil || st.Size() == 0 {
-		t.Errorf("no drawing: %v", err)
-	}
-}
--- a/internal/testbed/certs/certs.go
+++ b/internal/testbed/certs/certs.go
@@ -14,7 +14,7 @@
 	"path/filepath"
 	"time"
 
-	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/base/mutualtls"
 )
 
 const valid = 24 * time.Hour
@@ -48,10 +48,10 @@
 }
 
 // Issue writes a certificate of a name, for servers on 127.0.0.1 and for clients, and tells where it lies.
-func (a *Authority) Issue(name string) (transport.Identity, error) {
+func (a *Authority) Issue(name string) (mutualtls.Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return transport.Identity{}, err
+		return mutualtls.Identity{}, err
 	}
 	a.serial++
 	c := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
@@ -59,15 +59,15 @@
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
 	if err != nil {
-		return transport.Identity{}, err
+		return mutualtls.Identity{}, err
 	}
 	text, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return transport.Identity{}, err
+		return mutualtls.Identity{}, err
 	}
 	if err := a.write(name+".crt", "CERTIFICATE", der); err != nil {
-		return transport.Identity{}, err
+		return mutualtls.Identity{}, err
 	}
-	return transport.Identity{Cert: filepath.Join(a.dir, name+".crt"), Key: filepath.Join(a.dir, name+".key"), CA: filepath.Join(a.dir, "ca.crt")},
+	return mutualtls.Identity{Cert: filepath.Join(a.dir, name+".crt"), Key: filepath.Join(a.dir, name+".key"), CA: filepath.Join(a.dir, "ca.crt")},
 		a.write(name+".key", "PRIVATE KEY", text)
 }
--- a/internal/observability/trace/plots/overload.go
+++ b/internal/testbed/loadplot/loadplot.go
@@ -1,4 +1,5 @@
-package plots
+// Package loadplot draws the figures of a run under overload.
+package loadplot
 
 import (
 	"errors"
@@ -9,15 +10,22 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
+	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Overload draws a run under overload as SVG: above the value that was requested, sent to backends and served in time, by
+// Size of the picture.
+const (
+	width  = 28 * vg.Centimeter
+	height = 14 * vg.Centimeter
+)
+
+// Draw draws a run under overload as SVG: above the value that was requested, sent to backends and served in time, by
 // second of the request; below the load-shedding level of each gateway, or cell.
-func Overload(load *oracle.Load, title, path string) error {
+func Draw(load *oracle.Load, title, path string) error {
 	values, err := valuePlot(load, title)
 	if err != nil {
 		return fmt.Errorf("plot: %w", err)
--- /dev/null
+++ b/internal/testbed/loadplot/loadplot_test.go
@@ -0,0 +1,22 @@
+package loadplot
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"eiderspread/internal/testbed/oracle"
+)
+
+func TestDraw_WritesAFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "overload.svg")
+	load := &oracle.Load{Second: []oracle.Second{{Asked: 3, Let: 2, Served: 1}, {Asked: 4, Let: 2, Served: 2}},
+		Levels: []oracle.Levels{{At: time.Second, Of: []float64{0.5, 0.4}}, {At: 2 * time.Second, Of: []float64{0.6, 0.5}}}}
+	if err := Draw(load, "a run", path); err != nil {
+		t.Fatal(err)
+	}
+	if st, err := os.Stat(path); err != nil || st.Size() == 0 {
+		t.Errorf("no drawing: %v", err)
+	}
+}
--- a/internal/testbed/simulation/replace.go
+++ b/internal/testbed/simulation/replace.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/controlplane/forwarder"
+	"eiderspread/internal/decision/snapshot"
 	"eiderspread/internal/testbed"
 	"eiderspread/internal/testbed/oracle"
 	"eiderspread/policy"
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/decision/quota"
+	"eiderspread/internal/decision/snapshot"
 	"eiderspread/internal/testbed/golden"
 )
 
--- a/policy/hard_limit_test.go
+++ b/policy/hard_limit_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"eiderspread/internal/base/peerprotocol"
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/decision/hardlimit"
+	"eiderspread/internal/decision/snapshot"
 )
 
 // With the whole quota available a request waits until a bucket of the hard limit pays for it, if that is in
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,10 +1,10 @@
 package policy
 
 import (
-	"eiderspread/internal/base/snapshot"
 	"eiderspread/internal/decision/quota"
 	"eiderspread/internal/decision/reason"
 	"eiderspread/internal/decision/slotlease"
+	"eiderspread/internal/decision/snapshot"
 )
 
 // The state that goes to a successor process. Numbers are stored by their order in the snapshotFields lists:
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -7,7 +7,7 @@
 	"math"
 	"testing"
 
-	"eiderspread/internal/base/snapshot"
+	"eiderspread/internal/decision/snapshot"
 )
 
 // A process and its successor together admit what one process would have, however the plan is limited; the
