--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -112,7 +112,7 @@
 }
 
 func TestPanicBecomesFault(t *testing.T) {
-	events["BOOM"] = func(*host, int) (func(*policy.Gateway), error) {
+	events["BOOM"] = func(*host, int) (delivery, error) {
 		return func(*policy.Gateway) { panic("broken\tmodule") }, nil
 	}
 	defer delete(events, "BOOM")
--- a/internal/base/simprotocol/wire.go
+++ b/internal/base/simprotocol/line.go
@@ -1,18 +1,18 @@
-// Package wire reads and writes the lines of the simulator's protocol. It knows
-// their form, not what to do about them.
 package simprotocol
 
 import (
-	"bufio"
-	"bytes"
 	"encoding/hex"
 	"fmt"
-	"io"
+	"math"
 	"strconv"
 	"strings"
 )
 
-// Line is one message: a name and its fields in the order in which they came.
+// maxNumber bounds the magnitude of numbers that are read.
+const maxNumber = 1e18
+
+// Line is one message: its name and its fields, in the order in which they came. Required fields that are missing, and fields that
+// can't be read, are errors that name the message and the field.
 type Line struct {
 	Name   string
 	fields []field
@@ -20,33 +20,7 @@
 
 type field struct{ name, value string }
 
-// Reader reads lines.
-type Reader struct {
-	r    *bufio.Reader
-	long []byte
-}
-
-// NewReader returns a Reader on r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 1<<20)} }
-
-// Next reads the next line into l. It returns io.EOF at the end of the input.
-func (r *Reader) Next(l *Line) error {
-	raw, err := r.r.ReadSlice('\n')
-	if err == bufio.ErrBufferFull {
-		r.long = append(r.long[:0], raw...)
-		for err == bufio.ErrBufferFull {
-			raw, err = r.r.ReadSlice('\n')
-			r.long = append(r.long, raw...)
-		}
-		raw = r.long
-	}
-	if err != nil && (err != io.EOF || len(raw) == 0) {
-		return err
-	}
-	return l.parse(string(bytes.TrimRight(raw, "\r\n")))
-}
-
-// parse splits a line; the fields named in textFields run to its end.
+// parse splits a line; a settings field runs to its end.
 func (l *Line) parse(s string) error {
 	l.fields = l.fields[:0]
 	name, rest, more := strings.Cut(s, "\t")
@@ -56,7 +30,7 @@
 	}
 	for more {
 		var part string
-		if k, v, ok := strings.Cut(rest, "="); ok && k == "settings" && !strings.Contains(k, "\t") {
+		if k, v, ok := strings.Cut(rest, "="); ok && k == FieldSettings && !strings.Contains(k, "\t") {
 			l.fields = append(l.fields, field{k, v})
 			return nil
 		}
@@ -70,7 +44,7 @@
 	return nil
 }
 
-// Has tells whether the field came with the line.
+// Has reports whether the line has the field.
 func (l *Line) Has(name string) bool { _, ok := l.get(name); return ok }
 
 func (l *Line) get(name string) (string, bool) {
@@ -146,7 +120,7 @@
 		return 0, nil
 	}
 	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || x != x || x > 1e18 || x < -1e18 {
+	if err != nil || math.IsNaN(x) || math.Abs(x) > maxNumber {
 		return 0, l.bad(name, v)
 	}
 	return x, nil
@@ -196,66 +170,3 @@
 	}
 	return true, nil
 }
-
-// Writer gathers the lines of one reply.
-type Writer struct {
-	w *bufio.Writer
-	b []byte
-}
-
-// NewWriter returns a Writer on w.
-func NewWriter(w io.Writer) *Writer { return &Writer{w: bufio.NewWriterSize(w, 1<<18)} }
-
-// Begin starts a line for an instance.
-func (w *Writer) Begin(name string, inst int) *Writer {
-	w.b = append(append(w.b[:0], name...), "\ti="...)
-	w.b = strconv.AppendInt(w.b, int64(inst), 10)
-	return w
-}
-
-func (w *Writer) key(name string) {
-	w.b = append(append(append(w.b, '\t'), name...), '=')
-}
-
-// Str adds a text field.
-func (w *Writer) Str(name, v string) *Writer {
-	w.key(name)
-	w.b = append(w.b, strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(v)...)
-	return w
-}
-
-// ID adds a field whose text came from the wire and goes back as it was.
-func (w *Writer) ID(name, v string) *Writer { w.key(name); w.b = append(w.b, v...); return w }
-
-// Int adds a whole number.
-func (w *Writer) Int(name string, v int64) *Writer {
-	w.key(name)
-	w.b = strconv.AppendInt(w.b, v, 10)
-	return w
-}
-
-// Num adds a number, to the microsecond.
-func (w *Writer) Num(name string, v float64) *Writer {
-	w.key(name)
-	w.b = strconv.AppendFloat(w.b, v, 'f', 6, 64)
-	return w
-}
-
-// Hex adds a field of bytes.
-func (w *Writer) Hex(name string, v []byte) *Writer {
-	w.key(name)
-	if len(v) == 0 {
-		w.b = append(w.b, '-')
-	}
-	w.b = hex.AppendEncode(w.b, v)
-	return w
-}
-
-// End ends the line.
-func (w *Writer) End() { w.w.Write(append(w.b, '\n')) }
-
-// Flush ends the reply.
-func (w *Writer) Flush() error {
-	w.w.WriteString("NEXT\n")
-	return w.w.Flush()
-}
