--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -206,12 +206,12 @@
 func (s *Server) startTrace(ctx context.Context) (*trace.Recorder, error) {
 	settings := s.cfg.Ingress.Settings
 	recorder, err := trace.Start(ctx, s.cfg.TraceFolder, s.cfg.TraceMB, trace.Header{
-		Name:     fmt.Sprint("planner-", s.cfg.Number),
-		Me:       s.cfg.Number,
-		Gateways: s.cfg.Planners,
-		Started:  s.clock.Now(),
-		Plans:    settings.Plans,
-		Classes:  settings.Classes,
+		Name:      fmt.Sprint("planner-", s.cfg.Number),
+		Gateway:   s.cfg.Number,
+		Gateways:  s.cfg.Planners,
+		StartedAt: s.clock.Now(),
+		Plans:     settings.Plans,
+		Classes:   settings.Classes,
 	}, s.log)
 	if err != nil {
 		return nil, err
--- /dev/null
+++ b/internal/testbed/loadplot/loadplot.go
@@ -0,0 +1,105 @@
+// Package loadplot draws the figures of a run under overload.
+package loadplot
+
+import (
+	"errors"
+	"fmt"
+	"image/color"
+	"os"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+	"gonum.org/v1/plot/vg/vgsvg"
+
+	"eiderspread/internal/testbed/oracle"
+)
+
+// Size of the picture.
+const (
+	width  = 28 * vg.Centimeter
+	height = 14 * vg.Centimeter
+)
+
+// Draw draws a run under overload as SVG: above the value that was requested, sent to backends and served in time, by
+// second of the request; below the load-shedding level of each gateway, or cell.
+func Draw(load *oracle.Load, title, path string) error {
+	values, err := valuePlot(load, title)
+	if err != nil {
+		return fmt.Errorf("plot: %w", err)
+	}
+	levels, err := levelPlot(load)
+	if err != nil {
+		return fmt.Errorf("plot: %w", err)
+	}
+	if err := saveStacked(path, values, levels); err != nil {
+		return fmt.Errorf("plot: %w", err)
+	}
+	return nil
+}
+
+func valuePlot(load *oracle.Load, title string) (*plot.Plot, error) {
+	p := plot.New()
+	p.Title.Text, p.Y.Label.Text, p.Legend.Top = title, "worth a second", true
+	var lines []any // name and points by turns, as plotutil.AddLines takes them
+	for _, series := range []struct {
+		name  string
+		value func(oracle.Second) float64
+	}{
+		{"asked for", func(s oracle.Second) float64 { return s.Asked }},
+		{"sent to nodes", func(s oracle.Second) float64 { return s.Let }},
+		{"served in time", func(s oracle.Second) float64 { return s.Served }},
+	} {
+		points := make(plotter.XYs, len(load.Second))
+		for i, s := range load.Second {
+			points[i] = plotter.XY{X: float64(i), Y: series.value(s)}
+		}
+		lines = append(lines, series.name, points)
+	}
+	return p, plotutil.AddLines(p, lines...)
+}
+
+func levelPlot(load *oracle.Load) (*plot.Plot, error) {
+	p := plot.New()
+	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "level of overload", 0, 1
+	p.X.Max = float64(len(load.Second))
+	gateways := 0
+	for _, l := range load.Levels {
+		gateways = max(gateways, len(l.Of))
+	}
+	for i := range gateways {
+		var points plotter.XYs
+		for _, l := range load.Levels {
+			if i < len(l.Of) {
+				points = append(points, plotter.XY{X: l.At.Seconds(), Y: l.Of[i]})
+			}
+		}
+		line, err := plotter.NewLine(points)
+		if err != nil {
+			return nil, err
+		}
+		line.Color = color.NRGBA{R: 30, G: 60, B: 140, A: 110}
+		p.Add(line)
+	}
+	return p, nil
+}
+
+// saveStacked writes plots as one SVG, one below the other.
+func saveStacked(path string, list ...*plot.Plot) error {
+	rows := make([][]*plot.Plot, len(list))
+	for i, p := range list {
+		rows[i] = []*plot.Plot{p}
+	}
+	canvas := vgsvg.New(width, height)
+	for i, tiles := range plot.Align(rows, draw.Tiles{Rows: len(list), Cols: 1}, draw.New(canvas)) {
+		list[i].Draw(tiles[0])
+	}
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	_, err = canvas.WriteTo(f)
+	return errors.Join(err, f.Close())
+}
