--- a/policy/adaptive_limit.go
+++ b/policy/adaptive_limit.go
@@ -26,13 +26,13 @@
 }
 
 // updateAdaptiveLimit adjusts the limit after an answer or a timeout.
-func (g *Gateway) updateAdaptiveLimit(class *classState, outcome Outcome) {
-	g.meanLatency += meanLatencyWeight * (outcome.LatencyS - g.meanLatency)
-	g.latencyRatio += meanLatencyWeight * (outcome.LatencyS/class.LatencyObjectiveS - g.latencyRatio)
+func (g *Gateway) updateAdaptiveLimit(class *classState, latencyS float64, timedOut bool) {
+	g.meanLatency += meanLatencyWeight * (latencyS - g.meanLatency)
+	g.latencyRatio += meanLatencyWeight * (latencyS/class.LatencyObjectiveS - g.latencyRatio)
 	utilization, known := g.meanUtilization()
 	underused := known && utilization < lowUtilization
 	step := min(1, initialLimit/g.adaptiveLimit) // an answer comes from one of the backends in use
-	if outcome.Status == Timeout && !underused {
+	if timedOut && !underused {
 		g.adaptiveLimit *= 1 - timeoutWeight*step
 	}
 	used := float64(g.inFlight)+limitHeadroom >= g.adaptiveLimit
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -179,7 +179,7 @@
 		g.recordRejection(backend)
 	}
 	if informative {
-		g.updateAdaptiveLimit(class, outcome)
+		g.updateAdaptiveLimit(class, outcome.LatencyS, outcome.Status == Timeout)
 	}
 }
 
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -46,6 +46,7 @@
 	preferred := g.backends.Preferred(g.settings.Self, size, g.settings.Zone, g.settings.CrossZoneCost > 0)
 	remaining := max(minCandidates, n*fullScanGateways/g.settings.Gateways)
 	start := g.rng.IntN(max(1, n))
+	limit := backendLimitWeight * g.adaptiveLimit / float64(n)
 	sharing := float64(g.settings.Gateways*len(preferred))/float64(max(1, n)) - 1
 
 	var best, bestUnhealthy *backendState
@@ -60,11 +61,14 @@
 			continue
 		}
 		usable++
-		errorScore := g.errorScore(req, backend)
+		errorScore := backend.ErrorScore(req.class.index, g.now)
+		if req.class.Idempotency == NonIdempotent {
+			errorScore = g.worstErrorScore(backend, errorScore)
+		}
 		if errorScore < unhealthyScore {
 			healthy++
 		}
-		if !g.canTake(req, backend) {
+		if !g.canTake(req, backend, limit) {
 			continue
 		}
 		cost := g.attemptCost(req, backend, errorScore, sharing)
@@ -83,28 +87,23 @@
 	return best
 }
 
-// canTake reports whether a backend can take the request's next attempt: within its slow-start budget and its
-// share of the adaptive limit, and inside the scope of the key if an attempt may have run.
-func (g *Gateway) canTake(req *request, backend *backendState) bool {
+// canTake reports whether a backend can take the request's next attempt: within its slow-start budget, within
+// limit attempts from here if its latency is the mean, and inside the scope of the key if an attempt may have
+// run.
+func (g *Gateway) canTake(req *request, backend *backendState, limit float64) bool {
 	if !g.slowStartAllows(backend, req.class.meanLatency) {
 		return false
 	}
-	limit := backendLimitWeight * g.adaptiveLimit / float64(len(g.backends.Listed)) / backend.relativeLatency
-	if float64(backend.inFlight) >= math.Ceil(limit) {
+	if float64(backend.inFlight) >= math.Ceil(limit/backend.relativeLatency) {
 		return false
 	}
 	return req.firstRan == nil || req.class.Idempotency != KeyedIdempotent ||
 		req.class.KeyScope.Same(req.firstRan.Backend, backend.Backend)
 }
 
-// errorScore is how sure it is, from 0 to 1, that the request fails at a backend. A request that isn't
-// idempotent keeps off backends that fail any class: an error there costs others an attempt, and it
-// everything.
-func (g *Gateway) errorScore(req *request, backend *backendState) float64 {
-	score := backend.ErrorScore(req.class.index, g.now)
-	if req.class.Idempotency != NonIdempotent {
-		return score
-	}
+// worstErrorScore is the error score for a request that isn't idempotent. It keeps off backends that fail any
+// class: an error there costs others an attempt, and it everything.
+func (g *Gateway) worstErrorScore(backend *backendState, score float64) float64 {
 	for _, class := range g.classList {
 		score = max(score, min(backend.ErrorScore(class.index, g.now), backend.ErrorRate(class.index)))
 	}
