--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -22,10 +22,11 @@
 	ceilings    = "internal/decision/hardlimit/hardlimit.go"
 	lender      = "internal/decision/slotlease/table.go"
 	core        = "internal/controlplane/forwarder/core.go"
-	mover       = "internal/controlplane/forwarder/move.go"
+	mover       = "internal/controlplane/forwarder/migrate.go"
 	windows     = "internal/controlplane/planner/windows.go"
 	leases      = "internal/controlplane/planner/leases.go"
 	in          = "internal/dataplane/ingress/"
+	replies     = "internal/dataplane/callprotocol/reply.go"
 )
 
 func edit(file, old, new string) []Edit { return []Edit{{file, old, new}} }
@@ -82,7 +83,7 @@
 	{Name: "a request has so many attempts", Rule: "attempts limited", Unit: "./policy",
 		Edits: edit(rules+"retry.go", "case len(req.attempts) >= max(1, g.settings.MaxAttempts):", "case len(req.attempts) >= 99:"), Runs: []string{simOne + "errors"}},
 	{Name: "and over a change of leaders too", Rule: "attempts limited", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "len(request.attemptDone) >= c.cfg.MaxAttempts", "len(request.attemptDone) >= 99"), Runs: []string{simTwo + "errors"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "len(request.attempts) >= c.cfg.MaxAttempts", "len(request.attempts) >= 99"), Runs: []string{simTwo + "errors"}},
 	{Name: "a key goes where it is remembered", Rule: "no effect twice", Unit: "./policy",
 		Edits: edit(rules+"selection.go", "\t\treq.class.KeyScope.Same(req.firstRan.Backend, backend.Backend)\n", "\t\tScopeAll.Same(req.firstRan.Backend, backend.Backend)\n"), Runs: []string{simOne + "zones"}},
 	// ---- The module: quotas, caps and ceilings ----
@@ -180,7 +181,7 @@
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
 		Edits: edit("internal/controlplane/cordon/coordinator.go", "op.phase, op.effectiveAt = awaiting, now+c.leaseS", "op.phase, op.effectiveAt = awaiting, now+1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
-		Edits: edit("internal/controlplane/forwarder/holds.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/forwarder/cordons.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
 		Edits: edit("internal/controlplane/planner/cordons.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
 	// ---- The module: servers ----
@@ -191,9 +192,9 @@
 		Edits: edit(rules+"slow_start.go", "min(g.admittedWork.Now(g.now, demandTauS), maxDemandToCompleted*g.completedWork.Now(g.now, demandTauS))", "g.admittedWork.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "no new work for a node that drains", Rule: "drains kept", // the module, the pool, the last check before a write and the guard at the write each hold it alone
 		Edits: []Edit{{rules + "selection.go", "if backend.State != Up || g.now < backend.ejectedUntil {", "if g.now < backend.ejectedUntil {"},
-			{in + "backends.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
+			{in + "attempt.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
 			{rules + "attempt_guard.go", "if a.Backend.State != Up {", "if false {"},
-			{in + "pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
+			{in + "backend_pool.go", "return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up &&", "return !c.closed && !c.unusable.Load() &&"}},
 		Runs: []string{labOne + "drains", labTwo + "drains"}},
 	{Name: "a node that drains is told from one that is up", Rule: "drains kept",
 		Edits: edit("internal/membership/discovery/list.go", "Terminating: policy.Draining", "Terminating: policy.Up"),
@@ -203,41 +204,41 @@
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
 	// ---- The ingress: what an attempt's end means ----
 	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"backends.go", "in.finishAttempt(a, attemptResult{status: policy.Timeout}, in.now)", "in.finishAttempt(a, attemptResult{status: policy.NotSent}, in.now)"),
+		Edits: edit(in+"attempt.go", "in.finishAttempt(a, callprotocol.Result{Status: policy.Timeout}, in.now)", "in.finishAttempt(a, callprotocol.Result{Status: policy.NotSent}, in.now)"),
 		Runs:  []string{labOne + "answers", labTwo + "answers"}},
 	{Name: "a connection lost after the last byte may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"pool.go", "status := policy.Reset\n", "status := policy.ConnectFailed\n"),
+		Edits: edit(in+"backend_reader.go", "status := policy.Reset\n", "status := policy.ConnectFailed\n"),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "a spoilt answer may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"reply.go", "return attemptResult{status: policy.Error, malformed: why}", "return attemptResult{status: policy.Rejected, malformed: why}"),
+		Edits: edit(replies, "return Result{Status: policy.Error, Err: cause}", "return Result{Status: policy.Rejected, Err: cause}"),
 		Runs:  []string{labOne + "answers"}},
 	{Name: "an error answer may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"reply.go", `res := attemptResult{status: policy.Error}
-`, `res := attemptResult{status: policy.Rejected}
+		Edits: edit(replies, `res := Result{Status: policy.Error}
+`, `res := Result{Status: policy.Rejected}
 `),
 		Runs: []string{labOne + "answers"}},
 	{Name: "an attempt that is given up ends", Rule: "one attempt out", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"backends.go", `		in.closeBackendConn(a.conn)
+		Edits: edit(in+"attempt.go", `		in.closeBackendConn(a.conn)
 		a.conn = nil
 `, `		a.conn.attempt = nil
 		a.conn = nil
 `),
 		Runs: []string{labOne + "answers", labOne + "snow"}},
 	{Name: "a copy of an answer is no answer", Rule: "one answer", Unit: "./internal/dataplane/ingress", // its bytes, what waits on a connection, and the rest before use each tell it
-		Edits: []Edit{{in + "pool.go", "if res.status == policy.OK && recent.seen(buf.data[:size], at, in.backends.duplicateWindowS) {", "if false {"},
-			{in + "pool.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
-			{in + "pool.go", `stray := len(buf.data) > size
-			buf.discard(len(buf.data))`, `stray := false
-			buf.discard(size)`},
-			{in + "pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !openAndSilent(c.rawConn) {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
+		Edits: []Edit{{in + "backend_reader.go", "if res.Status == policy.OK && r.recent.seen(r.input.Bytes()[:size], at, in.backends.duplicateWindowS) {", "if false {"},
+			{in + "backend_reader.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
+			{in + "backend_reader.go", `stray := r.input.Len() > size
+	r.input.Discard(r.input.Len())`, `stray := false
+	r.input.Discard(size)`},
+			{in + "backend_pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !c.silent() {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
 		Runs: []string{labOne + "answers", labTwo + "answers"}},
 	// ---- The ingress: clients ----
 	{Name: "an id that is open is not taken again", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"requests.go", "case in.requests[q.ID] != nil, in.predecessorRequests[q.ID] != nil:", "case false:"),
+		Edits: edit(in+"request.go", "case in.requests[call.ID] != nil, in.predecessorRequests[call.ID] != nil:", "case false:"),
 		Runs:  []string{labOne + "rude", labTwo + "rude"}},
 	{Name: "answers keep the order of their commands", Rule: "answers in order", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"clients.go", `	n, bytes := 0, len(c.pendingOutput)
-`, `	n, bytes := 0, len(c.pendingOutput)
+		Edits: edit(in+"client_writer.go", `	n, before := 0, len(c.pendingOutput)
+`, `	n, before := 0, len(c.pendingOutput)
 	for i, s := range c.answerSlots {
 		if s.answer != nil && c.answerSlots[0].answer == nil {
 			c.answerSlots[0], c.answerSlots[i] = s, c.answerSlots[0]
@@ -246,12 +247,12 @@
 `),
 		Runs: []string{labOne + "rude"}},
 	{Name: "a planned restart answers what was taken", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"clients.go", `		if c.fullyAnswered() && !c.transferring && !c.recentlyOpened(in) {
+		Edits: edit(in+"client_table.go", `		if c.fullyAnswered() && c.reader != readerTransferring && !c.recentlyOpened(in) {
 			in.closeGracefully(c, closeShutdown)`, `		if true {
 			in.closeClient(c, closeShutdown)`),
 		Runs: []string{"lab -forwarders 4 -planners 0 -nodes 6 -for 30s -scenario playoff -kinds roll,snow,snow -every 600ms"}}, // requests that last longer than the time in which new connections are taken
 	{Name: "a client's hang-up ends its own requests alone", Rule: "no request lost",
-		Edits: edit(in+"clients.go", `		if s.request != nil && !s.request.completed {
+		Edits: edit(in+"client_close.go", `		if s.request != nil && !s.request.completed {
 			in.completeRequest(s.request)
 			in.decider.HandleDisconnect(in.now, s.request.ID)
 		}
@@ -266,10 +267,10 @@
 `),
 		Runs: []string{labOne + "rude"}},
 	{Name: "a bad command ends no other's request", Rule: "no request lost",
-		Edits: edit(in+"clients.go", `	answer := errorReply(cause)
-	c.input.release()
+		Edits: edit(in+"client_reader.go", `	answer := errorReply(cause)
+	c.input.Release()
 `, `	answer := errorReply(cause)
-	c.input.release()
+	c.input.Release()
 	in.post(at, func() {
 		for x := range in.clients.conns {
 			in.closeClient(x, closeBadInput)
@@ -281,52 +282,46 @@
 		Edits: edit(rules+"drain.go", "if d.active && now-d.startedAt >= drainRejectS {", "if d.active && now-d.startedAt >= 1e9 {"),
 		Runs:  []string{drainOne}},
 	{Name: "a drained connection ends when all on it is answered", Rule: "no request lost",
-		Edits: edit(in+"clients.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
+		Edits: edit(in+"client_writer.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
 		Runs:  []string{drainOne}},
 	{Name: "what may be written is asked directly before the write", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Why:   "connections that come up late are the soak's alone, which counts it by the ingresses' own check; the unit test makes one",
-		Edits: edit(in+"guard.go", "case now > a.latestStart:", "case false:"),
+		Edits: edit(in+"send_guard.go", "case now > a.latestStart:", "case false:"),
 		Runs:  []string{labOne + "keys"}},
 	// ---- Forwarders ----
 	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // by epoch and promise, and by the handle of the telling
-		Edits: []Edit{{core, "ok := cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (c.now < cell.promisedUntil || !topology.Fenced)", "ok := true"},
-			{core, `	delete(c.submitted, request.handle)
-	if request.handle != 0`, "\tif request.handle != 0"},
-			{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"}},
+		Edits: []Edit{{"internal/controlplane/forwarder/promises.go", "return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.Fenced)", "return cell != nil"},
+			{"internal/controlplane/forwarder/requests.go", "\tdelete(c.submitted, request.handle)\n\tif request.handle != 0", "\tif request.handle != 0"},
+			{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"}},
 		Runs: []string{simTwo + "storm", simTwo + "programs"}},
 	{Name: "never two attempts out, whoever asks", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // a request waits for the end of its attempt, and a second one is not made
-		Edits: []Edit{{core, "\t\tif request.inFlight > 0 { // never two attempts out", "\t\tif request.inFlight > 9 { // never two attempts inFlight"},
-			{core, `		c.withdraw(request)
-		if !request.completed && request.inFlight == 0 {`, `		c.withdraw(request)
-		if !request.completed {`},
-			{core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return !request.mayHaveRun ||"}},
+		Edits: []Edit{{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"},
+			{"internal/controlplane/forwarder/promises.go", "\t\tc.withdraw(request)\n\t\tif !request.completed && request.inFlight == 0 {", "\t\tc.withdraw(request)\n\t\tif !request.completed {"},
+			{"internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun && request.inFlight == 0, class", "case !request.mayHaveRun, class"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a successor runs no unsafe request again", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "case !request.mayHaveRun || class.Idempotency == policy.Idempotent:", "case !request.mayHaveRun || class.Idempotency != policy.KeyedIdempotent:"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun, class.Idempotency == policy.Idempotent:", "case !request.mayHaveRun, class.Idempotency != policy.KeyedIdempotent:"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder refuses nothing that may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "return !request.mayHaveRun && request.inFlight == 0 ||", "return true || !request.mayHaveRun && request.inFlight == 0 ||"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "case !request.mayHaveRun && request.inFlight == 0, class", "case true, !request.mayHaveRun && request.inFlight == 0, class"), Runs: []string{simTwo + "programs"}},
 	{Name: "a forwarder ends what nobody answers", Rule: "no request lost", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(core, "\tc.endOverdue()\n", ""), Runs: []string{simTwo + "programs", simTwo + "storm"}},
 	{Name: "a promise runs out before another is given", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "case msg.Epoch > cell.epoch && (c.now >= cell.promisedUntil || cell.holder == planner && cell.incarnation == incarnation):", "case msg.Epoch > cell.epoch:"),
+		Edits: edit("internal/controlplane/forwarder/promises.go", "case msg.Epoch > cell.epoch && (cell.expired(c.now) || ownClaim):", "case msg.Epoch > cell.epoch:"),
 		Runs:  []string{simTwo + "programs"}},
 	{Name: "a forwarder promises nothing right after its start", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, "\t\tcell.promisedUntil = now + cfg.LeaseS // this", "\t\tcell.promisedUntil = now // this"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
+		Edits: edit(core, "\tc.resetPromises()\n\treturn c\n", "\tc.resetPromises()\n\tfor i := range c.cells {\n\t\tc.cells[i].until = now\n\t}\n\treturn c\n"), Runs: []string{"sim -shrink=false -schedules 100 -for 30s -planners 3 -scenario blinks"}},
 	{Name: "at a forwarder a reset may have run", Rule: "no effect twice",
-		Edits: edit(core, "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.ConnectFailed ||", "if notRun := outcome.Status == policy.Rejected || outcome.Status == policy.Reset || outcome.Status == policy.ConnectFailed ||"),
+		Edits: edit("internal/controlplane/forwarder/requests.go", "if notRun := status == policy.Rejected ||", "if notRun := status == policy.Rejected || status == policy.Reset ||"),
 		Runs:  []string{simTwo + "programs"}},
 	{Name: "a forwarder knows how long keys are remembered", Rule: "no effect twice",
-		Edits: edit(core, "return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS", "return class.KeyScope == policy.ScopeAll"),
+		Edits: edit("internal/controlplane/forwarder/actions.go", "return class.KeyScope == policy.ScopeAll && c.now < request.firstRunAt+class.KeyTTLS-keyTTLMarginS-class.LatencyObjectiveS", "return class.KeyScope == policy.ScopeAll"),
 		Runs:  []string{simTwo + "keys"}},
 	{Name: "a forwarder remembers what was passed on", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(core, `			c.usage.record(request.Account, windowUsage{request.plan, msg.Epoch, msg.Round, msg.Units, c.now})
-`, ""), Runs: []string{simTwo + "ceilings"}},
+		Edits: edit("internal/controlplane/forwarder/actions.go", "\t\t\tc.usage.record(request.Account, windowUsage{plan: request.plan, epoch: msg.Epoch, seq: msg.Round, debt: msg.Units, at: c.now})\n", ""), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a forwarder tells of what it has out", Rule: "caps kept", Unit: "./internal/controlplane/forwarder",
-		Why: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit(core, `		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
-`, `		c.orphans[request.Account] = orphanCount{request.plan, 0}
-`),
-		Runs: []string{simTwo + "capped"}},
+		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Edits: edit("internal/controlplane/forwarder/orphans.go", "\t\tc.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}\n", "\t\tc.orphans[request.Account] = orphanCount{request.plan, 0}\n"),
+		Runs:  []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit("internal/controlplane/forwarder/usage.go", "incompleteAt: startedAt}", "incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
@@ -371,39 +366,32 @@
 		Edits: edit("internal/membership/agent/agent.go", `	a.merger.Restore(saved.Merged)
 `, ""), Runs: []string{labEtcd}},
 	// ---- Operators ----
-	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordontable",
-		Edits: edit("internal/controlplane/cordontable/held.go", `		if entry.State == stateInService {
-`, `		if false {
-`), Runs: []string{labOne + "operators"}},
+	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/membership/cordontable",
+		Edits: edit("internal/membership/cordontable/table.go", "\t\tif endpoint.State == stateInService {\n", "\t\tif false {\n"), Runs: []string{labOne + "operators"}},
 	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/dataplane/ingress",
-		Edits: edit(in+"door.go", "store.ReadIfChanged(func(h cordontable.Cordons) { in.cordons.Replace(h) })", "store.ReadIfChanged(func(h cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
+		Edits: edit(in+"admin.go", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) { in.cordons.Replace(c) })", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
 	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Why:   "a client whose idle connection ends asks on another; it costs a dial and, at times, a request that crosses the end and is sent again",
-		Edits: edit(in+"handover.go", "if in.successor.stage != handoverActive || c.closing", "if true || c.closing"), Runs: []string{labOne + "operators -kinds replaced"}},
+		Edits: edit(in+"hot_restart_successor.go", "if in.successor.stage != handoverActive || c.state == connClosing", "if true || c.state == connClosing"), Runs: []string{labOne + "operators -kinds replaced"}},
 	{Name: "what was read of a command goes with its connection", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Why:   "the laboratory's clients write a command in one piece, so that a part of one is hardly ever read at that moment; the unit test sends halves",
-		Edits: edit(in+"handover.go", "body: bytes.Clone(c.input.data)}", "body: bytes.Clone(c.input.data[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
+		Edits: edit(in+"hot_restart_successor.go", "body: bytes.Clone(c.input.Bytes())}", "body: bytes.Clone(c.input.Bytes()[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
 	// ---- A forwarder replaced while it serves ----
 	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "c.cells[i] = cellState{holder: -1, requester: -1, promisedUntil: now + c.cfg.LeaseS, leaderlessSince: now}", "c.cells[i].requester, c.cells[i].leaderlessSince = -1, now"), Runs: []string{simTwo + "handed-torn"}},
+		Edits: edit(mover, "\tc.resetPromises()\n", "\tfor i := range c.cells {\n\t\tc.cells[i].requester, c.cells[i].leaderlessSince = noPlanner, now\n\t}\n"), Runs: []string{simTwo + "handed-torn"}},
 	{Name: "promises go over", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "cell.epoch, cell.holder, cell.incarnation, cell.promisedUntil = promise.Epoch, promise.Holder, promise.Incarnation, promise.PromisedUntil", "cell.epoch, cell.holder, cell.promisedUntil = promise.Epoch, -1, now"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "cell.promise = promise{epoch: saved.Epoch, holder: saved.Holder, incarnation: saved.Incarnation, until: saved.PromisedUntil}", "cell.promise = promise{epoch: saved.Epoch, holder: noPlanner, incarnation: cell.incarnation, until: now}"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "for _, report := range transferred.UsageReports {", "for _, report := range transferred.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, "for _, report := range state.UsageReports {", "for _, report := range state.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
 	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
 		Why:   "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
-		Edits: edit(mover, "mayHaveRun: saved.MayHaveRun, firstRunAt: saved.FirstRunAt", "mayHaveRun: false, firstRunAt: saved.FirstRunAt"), Runs: []string{simTwo + "handed-keys"}},
+		Edits: edit(mover, "mayHaveRun:   saved.MayHaveRun,", "mayHaveRun:   false,"), Runs: []string{simTwo + "handed-keys"}},
 	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, "request.inFlight += b2i(!done)", "request.inFlight += 0 * b2i(!done)"), Runs: []string{simTwo + "upgrades"}},
+		Edits: edit(mover, "\t\tif !ended {\n\t\t\trequest.inFlight++", "\t\tif false {\n\t\t\trequest.inFlight++"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "what a successor sent is written down", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, `		if !request.completed {
-			request.sentAt, request.attemptDone`, `		if false {
-			request.sentAt, request.attemptDone`), Runs: []string{simTwo + "handed-queue"}},
+		Edits: edit(mover, "\t\tif !request.completed {\n\t\t\trequest.startAttempt(now)", "\t\tif false {\n\t\t\trequest.startAttempt(now)"), Runs: []string{simTwo + "handed-queue"}},
 	{Name: "tales are not complete after taking back", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
-		Edits: edit(mover, `	}
-	c.usage.incompleteAt = now
-	clear(c.planners)`, `	}
-	clear(c.planners)`), Runs: []string{simTwo + "handed"}},
+		Edits: edit(mover, "\tc.usage.incompleteAt = now\n\tclear(c.planners)", "\tclear(c.planners)"), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
 		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
