--- a/internal/dataplane/ingress/attempt_test.go
+++ b/internal/dataplane/ingress/attempt_test.go
@@ -227,11 +227,7 @@
 
 // Guards the last byte of a command that goes out in parts: it stays back when the client has left meanwhile, which its reader does not see.
 func TestAttempt_LastByteNotSentAfterDisconnect(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
+	l, _ := narrow(t) // its connections have little room from the first byte on
 	r := startIngress(t, testConfig(l.Addr().String()), func(r *testIngress) {
 		sendTo(5)(r)
 		dial := r.ingress.backends.dial
@@ -252,7 +248,6 @@
 		t.Fatal(err)
 	}
 	defer backend.Close()
-	noError(t, backend.(*net.TCPConn).SetReadBuffer(1<<10))
 	r.onLoop(func() { r.ingress.requests["a"].client.stopReader() })
 	parts := false
 	r.waitFor("its reader has stopped, and the command is being written", func() bool {
