--- a/internal/membership/etcdsource/fuzz_test.go
+++ b/internal/membership/etcdsource/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Add("nodes/a/b", a1, false)
 	f.Fuzz(func(t *testing.T, key, value string, deleted bool) {
 		v := newFollower(1)
-		v.applyFull(header(1, 10, 1), []KV{put(5, "a", 1), {Key: key, Value: []byte(value), Revision: 6}})
+		v.applyFull(header(1, 10, 1), []keyValue{put(5, "a", 1), {Key: key, Value: []byte(value), Revision: 6}})
 		check := func() {
 			for _, n := range v.allNodes() {
 				if n.ID == "" || len(n.ID) > maxIDBytes {
@@ -38,7 +38,7 @@
 		if _, ok := v.nodes["a"]; !ok {
 			t.Error("a good node was lost to a bad value")
 		}
-		words, err := v.applyEvents(header(1, 12, 1), []KV{{Key: key, Value: []byte(value), Revision: 11, Deleted: deleted}, {Key: key, Value: []byte(value), Revision: 11, Deleted: deleted}})
+		words, err := v.applyEvents(header(1, 12, 1), []keyValue{{Key: key, Value: []byte(value), Revision: 11, Deleted: deleted}, {Key: key, Value: []byte(value), Revision: 11, Deleted: deleted}})
 		if err != nil || len(words) > 1 || v.header.Revision != 11 {
 			t.Errorf("%v, %v, at %d", words, err, v.header.Revision)
 		}
--- a/internal/membership/etcdsource/source.go
+++ b/internal/membership/etcdsource/source.go
@@ -1,64 +1,73 @@
+// Package etcdsource follows backends and their drain marks in etcd. A follower decides, without I/O, what to believe of etcd's answers; a
+// Source is the client around it, which reports to a Sink. docs/etcd-schema.md states keys and values, docs/membership.md the rules.
 package etcdsource
 
 import (
 	"context"
 	"crypto/tls"
 	"errors"
-	"fmt"
 	"math/rand/v2"
-	"strings"
 	"sync"
 	"time"
 
-	"go.etcd.io/etcd/api/v3/etcdserverpb"
-	"go.etcd.io/etcd/api/v3/mvccpb"
-	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 	clientv3 "go.etcd.io/etcd/client/v3"
 	"go.uber.org/zap"
 
 	"eiderspread/internal/membership/merge"
 )
 
+// firstDelayFraction is the part of Config.MaxRetryDelay that the delays after breaks begin with.
+const firstDelayFraction = 16
+
+// errMoved is reported when a source goes on with other endpoints.
+var errMoved = errors.New("moved to other endpoints")
+
 // Config says where etcd is and how it is followed.
 type Config struct {
 	Endpoints        []string
-	Prefix           string // ends with /
-	User             string
+	Prefix           string // of all keys; ends with /
+	User             string // empty: no log-in
 	Password         string
-	TLS              *tls.Config
-	ProgressInterval time.Duration // how often a watch is asked how far it is: silence for three times that ends it
-	ReadTimeout      time.Duration // of a read
-	MaxRetryDelay    time.Duration // between two tries, at most; the wait is drawn from half of it on
+	TLS              *tls.Config   // nil: none
+	ProgressInterval time.Duration // of requests for a watch's progress; after three without an answer the watch is given up
+	ReadTimeout      time.Duration
+	MaxRetryDelay    time.Duration // between two sessions; delays grow up to it, each drawn from its upper half
 }
 
-// Sink takes what the source learns, in order. It is called by one goroutine.
+// Sink gets what a source learns, in order, from one goroutine.
 type Sink interface {
-	ReplaceAll(nodes []merge.Node, why string) // all, at one revision; why it was read anew
-	Update(nodes []merge.Node)                 // what one answer changed: one revision or several, of which the last word on each node is told
-	Resumed()                                  // up to date, with nothing new
-	Interrupted(why error)                     // there may be gaps until the next Whole
-	InvalidValue(key, why string)              // a value that can't be read; its node keeps its last good one
-}
-
-// Status is how a source stands.
+	// ReplaceAll gets all nodes, at one revision, and why they were read anew.
+	ReplaceAll(nodes []merge.Node, reason string)
+	// Update gets the nodes that changed in one or several revisions, with the last report on each.
+	Update(nodes []merge.Node)
+	// Resumed says that everything up to now was reported.
+	Resumed()
+	// Interrupted says that changes may be missing until the next call of ReplaceAll or Resumed.
+	Interrupted(err error)
+	// InvalidValue names a key whose value can't be read; its node keeps the last valid one.
+	InvalidValue(key, reason string)
+}
+
+// Status is the state of a source. Reads and breaks are counted since its start.
 type Status struct {
-	Header
+	Header              // of the view
 	FullReads       int `json:"Reads"`
 	DuplicateEvents int `json:"Repeats"`
-	Compacted       int `json:"Compacted"`
-	Replaced        int `json:"Replaced"`
-	Rejected        int `json:"Refused"`
-	Breaks          int `json:"Breaks"`
-	InvalidValues   int `json:"Bad"`
+	Compacted       int `json:"Compacted"` // watches that ended as their next revision was compacted away
+	Replaced        int `json:"Replaced"`  // full reads by which another cluster or a restored state replaced the view
+	Rejected        int `json:"Refused"`   // full reads of an older state
+	Breaks          int `json:"Breaks"`    // sessions that ended by an error
+	InvalidValues   int `json:"Bad"`       // keys whose value can't be read now
 }
 
-// Source follows etcd. Run owns it but for Status.
+// Source follows etcd. Run's goroutine owns it; Reconfigure and Status are safe for concurrent use.
 type Source struct {
 	cfg             Config
 	sink            Sink
 	follower        *follower
-	reportedInvalid map[string]string // bad values that were told
-	configs         chan Config       // of one place: the newest that was asked for
+	reportedInvalid map[string]string // by key: the reason that the sink was given
+	resyncReason    string            // why the next session begins with a full read; empty: it goes on behind the view
+	configs         chan Config       // of one place: the newest that Reconfigure was given
 
 	mu     sync.Mutex
 	status Status
@@ -66,11 +75,22 @@
 
 // NewSource makes a source; Run starts it.
 func NewSource(cfg Config, sink Sink) *Source {
-	return &Source{cfg: cfg, sink: sink, follower: newFollower(min(len(cfg.Endpoints), confirmMembers)), reportedInvalid: map[string]string{}, configs: make(chan Config, 1)}
+	return &Source{cfg: cfg, sink: sink, follower: newFollower(requiredMembers(cfg)), reportedInvalid: map[string]string{}, resyncReason: "start",
+		configs: make(chan Config, 1)}
+}
+
+// requiredMembers is how many members must confirm an older state.
+func requiredMembers(cfg Config) int { return min(len(cfg.Endpoints), confirmMembers) }
+
+// NewClient connects to etcd; the caller closes the client.
+func (c Config) NewClient(ctx context.Context) (*clientv3.Client, error) {
+	return clientv3.New(clientv3.Config{Context: ctx, Endpoints: c.Endpoints, Username: c.User, Password: c.Password, TLS: c.TLS,
+		DialTimeout: c.ReadTimeout, DialKeepAliveTime: c.ProgressInterval, DialKeepAliveTimeout: c.ProgressInterval, PermitWithoutStream: true,
+		Logger: zap.NewNop()})
 }
 
-// Reconfigure has the source go on with other endpoints, user, password and certificates, from where it is: what it has told stays,
-// and only if the new endpoints are of another cluster, or lack what comes next, is the whole read again. Safe for concurrent use.
+// Reconfigure has the source go on with the endpoints, user, password and certificates of cfg. The view stays; it is read anew only if the
+// new endpoints are of another cluster, or lack the revisions behind it.
 func (s *Source) Reconfigure(cfg Config) {
 	for {
 		select {
@@ -78,181 +98,93 @@
 			return
 		default:
 		}
-		select { // an older one that nobody has taken yet
+		select { // an older one that wasn't taken yet
 		case <-s.configs:
 		default:
 		}
 	}
 }
 
-// applyConfig takes new endpoints over.
+// applyConfig takes over what Reconfigure may change.
 func (s *Source) applyConfig(cfg Config) {
 	s.cfg.Endpoints, s.cfg.User, s.cfg.Password, s.cfg.TLS = cfg.Endpoints, cfg.User, cfg.Password, cfg.TLS
-	s.follower.requiredMembers = min(len(cfg.Endpoints), confirmMembers)
+	s.follower.requiredMembers = requiredMembers(cfg)
 }
 
-// Status is safe for concurrent use.
+// Status is the state of the source.
 func (s *Source) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.status
 }
 
-func (s *Source) updateStatus(change func(*Status)) {
+// updateStatus brings the status up to the view, and changes it by f, which may be nil.
+func (s *Source) updateStatus(f func(*Status)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(&s.status)
-	s.status.Header, s.status.FullReads, s.status.DuplicateEvents, s.status.InvalidValues = s.follower.header, s.follower.fullReads, s.follower.duplicateEvents, len(s.follower.invalid)
-}
-
-// NewClient connects to etcd as a source does; it is the caller's to close.
-func (c Config) NewClient(ctx context.Context) (*clientv3.Client, error) {
-	return clientv3.New(clientv3.Config{Context: ctx, Endpoints: c.Endpoints, Username: c.User, Password: c.Password, TLS: c.TLS,
-		DialTimeout: c.ReadTimeout, DialKeepAliveTime: c.ProgressInterval, DialKeepAliveTimeout: c.ProgressInterval, PermitWithoutStream: true,
-		Logger: zap.NewNop()})
+	if f != nil {
+		f(&s.status)
+	}
+	s.status.Header, s.status.InvalidValues = s.follower.header, len(s.follower.invalid)
+	s.status.FullReads, s.status.DuplicateEvents = s.follower.fullReads, s.follower.duplicateEvents
 }
 
-// Run follows etcd until ctx ends. Each break is followed by a wait that grows and is drawn by chance, so that a fleet
-// does not come back all at once. After a break the watch goes on behind the last revision; only where that can't
-// be, the whole is read again.
+// Run follows etcd until ctx ends. After a session that ended by an error it waits, with a backoff that is drawn at random, so that the
+// agents of a fleet don't come back all at once.
 func (s *Source) Run(ctx context.Context) {
-	wait := s.cfg.MaxRetryDelay / 16
-	why := "start"
+	delay := s.cfg.MaxRetryDelay / firstDelayFraction
 	for ctx.Err() == nil {
-		began := time.Now()
-		round, end := context.WithCancel(ctx)
-		next := make(chan Config, 1)
-		watched := make(chan struct{})
-		go func() {
-			defer close(watched)
-			select {
-			case cfg := <-s.configs:
-				next <- cfg
-				end()
-			case <-round.Done():
-			}
-		}()
-		err := s.runSession(round, &why)
-		end()
-		<-watched
+		start := time.Now()
+		newConfig, err := s.runUntilReconfigured(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		select {
-		case cfg := <-next:
-			s.applyConfig(cfg)
-			wait = s.cfg.MaxRetryDelay / 16
-			s.sink.Interrupted(errors.New("moved to other endpoints"))
+		if newConfig != nil {
+			s.applyConfig(*newConfig)
+			delay = s.cfg.MaxRetryDelay / firstDelayFraction
+			s.sink.Interrupted(errMoved)
 			continue
-		default:
 		}
-		s.updateStatus(func(st *Status) { st.Breaks++ })
+		s.updateStatus(func(status *Status) { status.Breaks++ })
 		s.sink.Interrupted(err)
-		if time.Since(began) > s.cfg.MaxRetryDelay {
-			wait = s.cfg.MaxRetryDelay / 16
+		if time.Since(start) > s.cfg.MaxRetryDelay {
+			delay = s.cfg.MaxRetryDelay / firstDelayFraction
 		}
 		select {
-		case <-time.After(wait/2 + rand.N(wait/2+1)):
+		case <-time.After(delay/2 + rand.N(delay/2+1)):
 		case cfg := <-s.configs:
 			s.applyConfig(cfg)
 		case <-ctx.Done():
 		}
-		wait = min(2*wait, s.cfg.MaxRetryDelay)
+		delay = min(2*delay, s.cfg.MaxRetryDelay)
 	}
 }
 
-// runSession is one client's life: the whole, if it is needed, then the watch to its end.
-func (s *Source) runSession(ctx context.Context, why *string) error {
+// runUntilReconfigured runs one session to its end, or until there is another configuration, which it returns.
+func (s *Source) runUntilReconfigured(ctx context.Context) (*Config, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	client, err := s.cfg.NewClient(ctx)
-	if err != nil {
-		return err
-	}
-	defer client.Close()
-	target := int64(0) // up to date from there on
-	if *why == "" {
-		// A cluster that was replaced would let the watch wait for a revision that is far off.
-		h, _, err := s.fetch(ctx, client, true)
-		if err != nil {
-			return err
-		}
-		if was := s.follower.header; h.Cluster != was.Cluster || h.Revision < was.Revision || h.Term < was.Term {
-			*why = fmt.Sprintf("cluster %x at revision %d, term %d, in place of %x at %d, term %d", h.Cluster, h.Revision, h.Term,
-				was.Cluster, was.Revision, was.Term)
-		}
-		target = h.Revision
-	}
-	if *why != "" {
-		if err := s.syncFull(ctx, client, *why); err != nil {
-			return err
+	received := make(chan *Config, 1)
+	go func() {
+		select {
+		case cfg := <-s.configs:
+			received <- &cfg
+			cancel()
+		case <-ctx.Done():
+			received <- nil
 		}
-		*why = ""
-	}
-	err = s.watch(ctx, client, target)
-	switch {
-	case errors.Is(err, rpctypes.ErrCompacted):
-		s.updateStatus(func(st *Status) { st.Compacted++ })
-		*why = fmt.Sprintf("revision %d was compacted away", s.follower.header.Revision+1)
-	case errors.Is(err, errStaleState):
-		*why = err.Error()
-	}
-	return err
-}
-
-// fetch reads the whole, or only the header, with the cluster's agreement: a minority does not answer.
-func (s *Source) fetch(ctx context.Context, client *clientv3.Client, only bool) (Header, []KV, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.cfg.ReadTimeout)
-	defer cancel()
-	opts := []clientv3.OpOption{clientv3.WithPrefix()}
-	if only {
-		opts = append(opts, clientv3.WithCountOnly())
-	}
-	r, err := client.Get(ctx, s.cfg.Prefix, opts...)
-	if err != nil {
-		return Header{}, nil, err
-	}
-	var kvs []KV
-	for _, kv := range r.Kvs {
-		kvs = append(kvs, s.toKV(kv, false))
-	}
-	return headerOf(r.Header), kvs, nil
-}
-
-func headerOf(h *etcdserverpb.ResponseHeader) Header {
-	return Header{Cluster: h.ClusterId, Revision: h.Revision, Term: h.RaftTerm, Member: h.MemberId}
+	}()
+	err := s.runSession(ctx)
+	cancel()
+	return <-received, err
 }
 
-func (s *Source) toKV(kv *mvccpb.KeyValue, deleted bool) KV {
-	return KV{Key: strings.TrimPrefix(string(kv.Key), s.cfg.Prefix), Value: kv.Value, Revision: kv.ModRevision, Deleted: deleted}
-}
-
-// syncFull takes the whole in, and says so.
-func (s *Source) syncFull(ctx context.Context, client *clientv3.Client, why string) error {
-	h, kvs, err := s.fetch(ctx, client, false)
-	if err != nil {
-		return err
-	}
-	switch s.follower.applyFull(h, kvs) {
-	case ReadRejected:
-		s.updateStatus(func(st *Status) { st.Rejected++ })
-		return fmt.Errorf("%w: revision %d in place of %d", errStaleState, h.Revision, s.follower.header.Revision)
-	case ReadReplaced:
-		s.updateStatus(func(st *Status) { st.Replaced++ })
-		why = "another cluster, or an older state, was put in its place: " + why
-	}
-	s.updateStatus(func(*Status) {})
-	s.sink.ReplaceAll(s.follower.allNodes(), why)
-	s.reportInvalid()
-	return nil
-}
-
-// reportInvalid names values that can't be read, each once.
+// reportInvalid names keys whose value can't be read to the sink, each once a reason.
 func (s *Source) reportInvalid() {
-	for key, why := range s.follower.invalid {
-		if s.reportedInvalid[key] != why {
-			s.reportedInvalid[key] = why
-			s.sink.InvalidValue(key, why)
+	for key, reason := range s.follower.invalid {
+		if s.reportedInvalid[key] != reason {
+			s.reportedInvalid[key] = reason
+			s.sink.InvalidValue(key, reason)
 		}
 	}
 	for key := range s.reportedInvalid {
@@ -261,100 +193,3 @@
 		}
 	}
 }
-
-// agreementEveryTicks times the time between two questions for progress, a watch asks what revision the cluster agrees on.
-const agreementEveryTicks = 4
-
-// maxAgreementFailures of them in a row may fail.
-const maxAgreementFailures = 3
-
-// watch follows changes behind the view's revision. It ends with an error. From target on it is up to date. A member that lags tells
-// progress too, as far as it is: so the cluster is asked now and then how far it is, and a watch that does not come so far is ended.
-func (s *Source) watch(ctx context.Context, client *clientv3.Client, target int64) error {
-	ctx, cancel := context.WithCancel(clientv3.WithRequireLeader(ctx))
-	defer cancel()
-	events := client.Watch(ctx, s.cfg.Prefix, clientv3.WithPrefix(), clientv3.WithRev(s.follower.header.Revision+1),
-		clientv3.WithProgressNotify(), clientv3.WithFragment())
-	ask := time.NewTicker(s.cfg.ProgressInterval)
-	defer ask.Stop()
-	heard := time.Now()
-	agreed := make(chan error, 1) // one question at a time
-	var asked Header              // what it brought; set before agreed is sent to
-	asks, asking, failed := 0, false, 0
-	targetAt := heard // when the target was set that is not reached yet
-	for {
-		select {
-		case err := <-agreed:
-			asking = false
-			if err != nil { // the member that was asked may be the one that lags: the next one is asked next time
-				if failed++; failed == maxAgreementFailures {
-					return fmt.Errorf("the cluster does not agree: %w", err)
-				}
-				break
-			}
-			failed = 0
-			if asked.Cluster != s.follower.header.Cluster || asked.Revision < s.follower.header.Revision || asked.Term < s.follower.header.Term {
-				break // an older state, or another cluster's: the next session looks into it, if this watch ends
-			}
-			if s.follower.header.Revision >= target {
-				targetAt = time.Now()
-			}
-			target = max(target, asked.Revision)
-		case r, ok := <-events:
-			switch {
-			case !ok:
-				return errors.New("the watch has ended")
-			case r.CompactRevision > 0:
-				return rpctypes.ErrCompacted
-			case r.Err() != nil:
-				return r.Err()
-			}
-			heard = time.Now()
-			h := headerOf(r.Header)
-			if r.IsProgressNotify() {
-				if err := s.follower.applyProgress(h); err != nil {
-					return err
-				}
-				s.updateStatus(func(*Status) {})
-				if s.follower.header.Revision >= target {
-					s.sink.Resumed()
-				}
-				continue
-			}
-			kvs := make([]KV, 0, len(r.Events))
-			for _, e := range r.Events {
-				kvs = append(kvs, s.toKV(e.Kv, e.Type == mvccpb.DELETE))
-			}
-			words, err := s.follower.applyEvents(h, kvs)
-			if len(words) > 0 {
-				s.sink.Update(words)
-			}
-			s.updateStatus(func(*Status) {})
-			s.reportInvalid()
-			if err != nil {
-				return err
-			}
-			if s.follower.header.Revision >= target {
-				s.sink.Resumed()
-			}
-		case <-ask.C:
-			if silent := time.Since(heard); silent > 3*s.cfg.ProgressInterval {
-				return fmt.Errorf("the watch is silent for %v", silent.Round(time.Millisecond))
-			}
-			if behind := time.Since(targetAt); s.follower.header.Revision < target && behind > 3*s.cfg.ProgressInterval {
-				return fmt.Errorf("the watch is at revision %d, the cluster agreed on %d %v ago", s.follower.header.Revision, target, behind.Round(time.Millisecond))
-			}
-			if asks++; asks%agreementEveryTicks == 0 && !asking {
-				asking = true
-				go func() {
-					h, _, err := s.fetch(ctx, client, true)
-					asked = h
-					agreed <- err
-				}()
-			}
-			go client.RequestProgress(ctx) // its answer comes as an event; it may block, until the watch ends
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-	}
-}
--- a/internal/membership/etcdsource/standin_test.go
+++ b/internal/membership/etcdsource/standin_test.go
@@ -23,16 +23,24 @@
 	return etcdstandin.KV{Key: "/p/" + key, Value: value, Revision: rev}
 }
 
-// recorder takes what a source says.
+// recorder takes what a source reports, until its test has ended.
 type recorder struct {
+	ctx                        context.Context
 	whole, change, broken, bad chan string
 	alive                      chan struct{}
 }
 
-func (r *recorder) ReplaceAll(nodes []merge.Node, why string) { r.whole <- describe(nodes) }
-func (r *recorder) Update(nodes []merge.Node)                 { r.change <- describe(nodes) }
-func (r *recorder) Interrupted(why error)                     { r.broken <- why.Error() }
-func (r *recorder) InvalidValue(key, why string)              { r.bad <- key }
+func (r *recorder) put(reports chan<- string, text string) {
+	select {
+	case reports <- text:
+	case <-r.ctx.Done():
+	}
+}
+
+func (r *recorder) ReplaceAll(nodes []merge.Node, _ string) { r.put(r.whole, describe(nodes)) }
+func (r *recorder) Update(nodes []merge.Node)               { r.put(r.change, describe(nodes)) }
+func (r *recorder) Interrupted(err error)                   { r.put(r.broken, err.Error()) }
+func (r *recorder) InvalidValue(key, _ string)              { r.put(r.bad, key) }
 func (r *recorder) Resumed() {
 	select {
 	case r.alive <- struct{}{}:
@@ -40,6 +48,14 @@
 	}
 }
 
+// send writes an answer into a watch.
+func send(t *testing.T, w etcdserverpb.Watch_WatchServer, r *etcdserverpb.WatchResponse) {
+	t.Helper()
+	if err := w.Send(r); err != nil {
+		t.Error(err)
+	}
+}
+
 func get[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
@@ -77,11 +93,11 @@
 
 func followOf(t *testing.T, addrs []string) (*Source, *recorder) {
 	t.Helper()
-	r := &recorder{whole: make(chan string, 100), change: make(chan string, 100), broken: make(chan string, 100), bad: make(chan string, 100),
+	ctx, cancel := context.WithCancel(context.Background())
+	r := &recorder{ctx: ctx, whole: make(chan string, 100), change: make(chan string, 100), broken: make(chan string, 100), bad: make(chan string, 100),
 		alive: make(chan struct{}, 1)}
 	src := NewSource(Config{Endpoints: urls(addrs), Prefix: "/p/", ProgressInterval: 50 * time.Millisecond, ReadTimeout: 5 * time.Second,
 		MaxRetryDelay: 40 * time.Millisecond}, r)
-	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); src.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
@@ -157,7 +173,7 @@
 	s.SetScript(etcdstandin.Script{OnWatch: func(w etcdserverpb.Watch_WatchServer, _ int64) { // the connection breaks, and the next member is behind
 		s.Restore(etcdstandin.Head{Cluster: 1, Revision: 55, Term: 4}, a)
 		s.SetScript(etcdstandin.Script{AfterRead: lie})
-		w.Send(&etcdserverpb.WatchResponse{Header: &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 55, RaftTerm: 4}, Canceled: true,
+		send(t, w, &etcdserverpb.WatchResponse{Header: &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 55, RaftTerm: 4}, Canceled: true,
 			CancelReason: "gone"})
 	}})
 	src, r := follow(t, s)
@@ -181,10 +197,10 @@
 		s.SetScript(etcdstandin.Script{})
 		put := &mvccpb.Event{Kv: pbKV(11, "drain/a", "{}")}
 		head := &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 11, RaftTerm: 1}
-		w.Send(&etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{put}})
-		w.Send(&etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{put}})
+		send(t, w, &etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{put}})
+		send(t, w, &etcdserverpb.WatchResponse{Header: head, Events: []*mvccpb.Event{put}})
 		s.Restore(etcdstandin.Head{Cluster: 1, Revision: 3, Term: 1}, at(2, "nodes/b", a1))
-		w.Send(&etcdserverpb.WatchResponse{Header: &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 3, RaftTerm: 1}, WatchId: -1})
+		send(t, w, &etcdserverpb.WatchResponse{Header: &etcdserverpb.ResponseHeader{ClusterId: 1, Revision: 3, RaftTerm: 1}, WatchId: -1})
 	}})
 	src, r := follow(t, s)
 	get(t, r.whole)
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -352,16 +352,16 @@
 	{Name: "a stale source takes nothing back", Rule: "none on a stale word", Unit: "./internal/membership/merge",
 		Edits: edit("internal/membership/merge/merge.go", "if s.state != sourceCurrent && s.relaxes(n) {", "if false {"), Runs: []string{labEtcd}},
 	{Name: "what was compacted away is read anew", Rule: "views equal the truth", Unit: "./internal/membership/etcdsource",
-		Edits: edit("internal/membership/etcdsource/source.go", `		*why = fmt.Sprintf("revision %d was compacted away", s.follower.header.Revision+1)
+		Edits: edit("internal/membership/etcdsource/session.go", `		s.resyncReason = fmt.Sprintf("revision %d was compacted away", s.follower.header.Revision+1)
 `, ""), Runs: []string{labEtcd + " -troubles cut-and-compacted"}},
 	{Name: "an older state is told three times", Rule: "none on a stale word", Unit: "./internal/membership/etcdsource",
-		Edits: edit("internal/membership/etcdsource/follow.go", "if f.regressions++; f.regressions < confirmReads || len(f.regressedMembers) < f.requiredMembers {", "if false {"), Runs: []string{labEtcd + " -troubles a-liar"}},
+		Edits: edit("internal/membership/etcdsource/follower.go", "if f.regressions++; f.regressions < confirmReads || len(f.regressedMembers) < f.requiredMembers {", "if false {"), Runs: []string{labEtcd + " -troubles a-liar"}},
 	{Name: "what a read does not list is gone", Rule: "views equal the truth", Unit: "./internal/membership/merge",
 		Edits: edit("internal/membership/merge/merge.go", `		if !listed[id] {
 			n.State = Removed`, `		if false {
 			n.State = Removed`), Runs: []string{labEtcd}},
 	{Name: "the last word of an answer holds", Rule: "none on a stale word", Unit: "./internal/membership/etcdsource",
-		Edits: edit("internal/membership/etcdsource/follow.go", "\t\t\twords[i] = w\n", "\t\t\t_ = i\n"), Runs: []string{labEtcdLong + " -troubles cut"}},
+		Edits: edit("internal/membership/etcdsource/follower.go", "\t\t\treports[i] = report\n", "\t\t\t_ = i\n"), Runs: []string{labEtcdLong + " -troubles cut"}},
 	{Name: "an agent remembers what etcd told", Rule: "none on a stale word", Unit: "./internal/membership/agent",
 		Edits: edit("internal/membership/agent/agent.go", `	a.merger.Restore(saved.Merged)
 `, ""), Runs: []string{labEtcd}},
