--- a/cmd/membershipagent/lab.go
+++ b/cmd/membershipagent/lab.go
@@ -17,97 +17,147 @@
 	"eiderspread/internal/testbed/etcdfleet"
 )
 
-// runLab runs a fleet whose membership comes from the stand-in for etcd through agents, while etcd breaks, and has the auditor
-// judge. fleet and eiderspread must lie beside this program.
-func runLab(args []string, w io.Writer) error {
-	set := flag.NewFlagSet("lab", flag.ContinueOnError)
-	forwarders := set.Int("forwarders", 20, "forwarders, or one-program ingresses with -planners 0")
-	planners := set.Int("planners", 3, "planners; 0 for a fleet of one level")
-	nodes := set.Int("nodes", 6, "zone nodes")
-	members := set.Int("members", 3, "members of the etcd cluster")
-	length := set.Duration("for", time.Minute, "how long clients ask")
-	every := set.Duration("every", 600*time.Millisecond, "mean time between two faults")
-	seed := set.Uint64("seed", 1, "of accounts, traffic and faults")
-	scale := set.Float64("scale", 1, "of the number of accounts")
-	dir := set.String("dir", "", "where files and logs go (a new folder)")
-	troubles := set.String("troubles", "", "troubles of etcd to choose from, by commas; all of them: "+strings.Join(etcdfleet.Troubles(), ", "))
-	sizes := set.String("sizes", "", "in place of a run, measure agent and ingress at these numbers of nodes, by commas, -for each")
-	quiet := set.Bool("quiet", false, "do not print each fault")
-	if err := set.Parse(args); err != nil {
+// maxSize bounds the numbers of nodes that sizes are measured at.
+const maxSize = 50000
+
+// Accounts by class of plan in a fleet of scale 1, and how many gateways each has.
+const (
+	smallAccounts, mediumAccounts, largeAccounts = 20, 10, 3
+	gatewaysPerAccount                           = 4
+)
+
+// labFlags are the flags of the lab command.
+type labFlags struct {
+	forwarders, planners, nodes, members int
+	length, every                        time.Duration
+	seed                                 uint64
+	scale                                float64
+	dir, faults, sizes                   string
+	quiet                                bool
+}
+
+func parseLabFlags(args []string) (labFlags, error) {
+	var f labFlags
+	flags := flag.NewFlagSet("lab", flag.ContinueOnError)
+	flags.IntVar(&f.forwarders, "forwarders", 20, "forwarders, or one-program ingresses with -planners 0")
+	flags.IntVar(&f.planners, "planners", 3, "planners; 0 for a fleet of one level")
+	flags.IntVar(&f.nodes, "nodes", 6, "zone nodes")
+	flags.IntVar(&f.members, "members", 3, "members of the etcd cluster")
+	flags.DurationVar(&f.length, "for", time.Minute, "how long clients ask")
+	flags.DurationVar(&f.every, "every", 600*time.Millisecond, "mean time between two faults")
+	flags.Uint64Var(&f.seed, "seed", 1, "of accounts, traffic and faults")
+	flags.Float64Var(&f.scale, "scale", 1, "of the number of accounts")
+	flags.StringVar(&f.dir, "dir", "", "where files and logs go (a new folder)")
+	flags.StringVar(&f.faults, "troubles", "", "troubles of etcd to choose from, by commas; all of them: "+strings.Join(etcdfleet.Troubles(), ", "))
+	flags.StringVar(&f.sizes, "sizes", "", "in place of a run, measure agent and ingress at these numbers of nodes, by commas, -for each")
+	flags.BoolVar(&f.quiet, "quiet", false, "do not print each fault")
+	return f, flags.Parse(args)
+}
+
+// runLab runs a fleet whose endpoint list comes from the stand-in for etcd through agents, while etcd breaks, and returns the oracle's
+// verdict. The programs fleet and eiderspread must be in this program's folder.
+func runLab(args []string, out io.Writer) error {
+	f, err := parseLabFlags(args)
+	if err != nil {
 		return err
 	}
-	if *dir == "" {
-		var err error
-		if *dir, err = os.MkdirTemp("", "membershipagent"); err != nil {
+	if f.dir == "" {
+		if f.dir, err = os.MkdirTemp("", "membershipagent"); err != nil {
 			return err
 		}
 	}
-	if err := os.MkdirAll(*dir, 0o700); err != nil {
+	if err := os.MkdirAll(f.dir, 0o700); err != nil {
 		return err
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	if *sizes != "" {
-		var list []int
-		for _, text := range strings.Split(*sizes, ",") {
-			n, err := strconv.Atoi(text)
-			if err != nil || n < 1 || n > 50000 {
-				return fmt.Errorf("sizes: %q is no number of nodes, 1 to 50000", text)
-			}
-			list = append(list, n)
+	if f.sizes != "" {
+		sizes, err := parseSizes(f.sizes)
+		if err != nil {
+			return err
 		}
-		return etcdfleet.Sizes(list, *length, *seed, *dir, spawner(self), w)
+		return etcdfleet.Sizes(sizes, f.length, f.seed, f.dir, spawner(self), out)
 	}
-	n := func(x int) int { return max(1, int(float64(x)**scale)) }
-	sc := testbed.Scenario{Length: *length, Accounts: testbed.Accounts(n(20), n(10), n(3), *forwarders, 4, *seed),
-		FleetConfig: testbed.FleetConfig{Forwarders: *forwarders, Planners: *planners, Nodes: *nodes, Classes: testbed.LabClasses, Plans: testbed.LabPlans,
-			Node: testbed.LabNode, Seed: *seed, Dir: *dir, Spawn: spawner(self)}}
-	if err := testbed.Make("etcd", &sc, etcdfleet.Kinds, *every); err != nil {
+	scenario, err := f.scenario(self)
+	if err != nil {
 		return err
 	}
-	rig, err := etcdfleet.New(*dir, *members)
+	rig, err := etcdfleet.New(f.dir, f.members)
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
-	if *troubles != "" {
-		rig.Only = strings.Split(*troubles, ",")
-		for _, name := range rig.Only {
-			if !slices.Contains(etcdfleet.Troubles(), name) {
-				return fmt.Errorf("unknown trouble %q; known are %s", name, strings.Join(etcdfleet.Troubles(), ", "))
-			}
-		}
+	if err := selectFaults(rig, f.faults); err != nil {
+		return err
 	}
-	rig.Use(&sc.FleetConfig)
+	rig.Use(&scenario.FleetConfig)
 	etcdfleet.Play(rig)
-	fmt.Fprintf(w, "etcd: %d cores, %d members, %d forwarders, %d planners, %d nodes, %d accounts, %v, seed %d, %d faults; logs in %s\n", runtime.NumCPU(),
-		*members, *forwarders, *planners, sc.Nodes, len(sc.Accounts), *length, *seed, len(sc.Faults), *dir)
-	log := w
-	if *quiet {
+	fmt.Fprintf(out, "etcd: %d cores, %d members, %d forwarders, %d planners, %d nodes, %d accounts, %v, seed %d, %d faults; logs in %s\n",
+		runtime.NumCPU(), f.members, f.forwarders, f.planners, scenario.Nodes, len(scenario.Accounts), f.length, f.seed, len(scenario.Faults), f.dir)
+	log := out
+	if f.quiet {
 		log = io.Discard
 	}
-	f, rep, err := testbed.RunWith(sc, log, func() { rig.Print(w) })
+	fleet, report, err := testbed.RunWith(scenario, log, func() { rig.Print(out) })
 	if err != nil {
 		return err
 	}
-	rep.Print(w)
-	fmt.Fprintf(w, "the laboratory was %v late at worst\n", f.Hist.Late.Round(time.Millisecond))
-	return rep.Verdict()
+	report.Print(out)
+	fmt.Fprintf(out, "the laboratory was %v late at worst\n", fleet.Hist.Late.Round(time.Millisecond))
+	return report.Verdict()
+}
+
+// scenario is the run that the flags describe.
+func (f labFlags) scenario(self string) (testbed.Scenario, error) {
+	scaled := func(n int) int { return max(1, int(float64(n)*f.scale)) }
+	scenario := testbed.Scenario{Length: f.length,
+		Accounts: testbed.Accounts(scaled(smallAccounts), scaled(mediumAccounts), scaled(largeAccounts), f.forwarders, gatewaysPerAccount, f.seed),
+		FleetConfig: testbed.FleetConfig{Forwarders: f.forwarders, Planners: f.planners, Nodes: f.nodes, Classes: testbed.LabClasses,
+			Plans: testbed.LabPlans, Node: testbed.LabNode, Seed: f.seed, Dir: f.dir, Spawn: spawner(self)}}
+	return scenario, testbed.Make("etcd", &scenario, etcdfleet.Kinds, f.every)
+}
+
+// parseSizes reads numbers of nodes, by commas.
+func parseSizes(text string) ([]int, error) {
+	var sizes []int
+	for _, part := range strings.Split(text, ",") {
+		n, err := strconv.Atoi(part)
+		if err != nil || n < 1 || n > maxSize {
+			return nil, fmt.Errorf("sizes: %q is no number of nodes, 1 to %d", part, maxSize)
+		}
+		sizes = append(sizes, n)
+	}
+	return sizes, nil
+}
+
+// selectFaults has the rig play some faults alone, by commas; empty stands for all.
+func selectFaults(rig *etcdfleet.Rig, names string) error {
+	if names == "" {
+		return nil
+	}
+	rig.Only = strings.Split(names, ",")
+	for _, name := range rig.Only {
+		if !slices.Contains(etcdfleet.Troubles(), name) {
+			return fmt.Errorf("unknown trouble %q; known are %s", name, strings.Join(etcdfleet.Troubles(), ", "))
+		}
+	}
+	return nil
 }
 
-// spawner starts the programs under test: this one, and those that lie beside it.
+// spawner starts the programs under test: this one, and those in its folder.
 func spawner(self string) testbed.Spawn {
+	dir := filepath.Dir(self)
 	return func(kind, file string) *exec.Cmd {
 		switch kind {
 		case "agent":
 			return exec.Command(self, "run", file)
 		case "ingress":
-			c := exec.Command(filepath.Join(filepath.Dir(self), "eiderspread"))
+			c := exec.Command(filepath.Join(dir, "eiderspread"))
 			c.Env = append(os.Environ(), "EDGE_CONFIG="+file)
 			return c
 		}
-		return exec.Command(filepath.Join(filepath.Dir(self), "fleet"), kind, file)
+		return exec.Command(filepath.Join(dir, "fleet"), kind, file)
 	}
 }
--- a/cmd/membershipagent/main_test.go
+++ b/cmd/membershipagent/main_test.go
@@ -66,7 +66,7 @@
 		}
 	}
 	must("a drains from revision", "drain", "-why", "kernel", "a")
-	must("kernel", "list")
+	must(`"held":false,"why":"kernel"} (revision `, "list")
 	fails("marked already", "drain", "a")
 	must("drains no more", "undrain", "a")
 	fails("is not marked", "undrain", "a")
@@ -127,7 +127,9 @@
 			t.Fatal(err)
 		}
 		var got strings.Builder
-		run(ctx, []string{"nodes", file, "drain", "a"}, io.Discard)
+		if err := run(ctx, []string{"nodes", file, "drain", "a"}, io.Discard); (err != nil) != (want == "from revision 2 on") {
+			t.Errorf("%s: drain: %v", want, err) // the mark lasts across the restart
+		}
 		if err := run(ctx, []string{"nodes", file, "list"}, &got); err != nil || !strings.Contains(got.String(), "drain/a") {
 			t.Errorf("%q, %v", got.String(), err)
 		}
--- a/cmd/membershipagent/standin.go
+++ b/cmd/membershipagent/standin.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -14,49 +15,58 @@
 	"eiderspread/internal/testbed/etcdstandin"
 )
 
-// runStandin runs the project's stand-in for etcd by hand, so that the other commands can be tried with nothing else installed.
+// runStandin runs the project's stand-in for etcd until ctx ends, so that the other commands can be tried with nothing else installed.
 func runStandin(ctx context.Context, args []string, out io.Writer) error {
-	set := flag.NewFlagSet("standin", flag.ContinueOnError)
-	listen := set.String("listen", "127.0.0.1:2379", "addresses of the members, by commas; on loopback")
-	file := set.String("file", "", "keep what is committed in this file")
-	user := set.String("user", "", "want this user's password of clients")
-	password := set.String("password-file", "", "where that password is")
-	ttl := set.Duration("token-ttl", 5*time.Minute, "how long a token lasts")
-	var id transport.Identity
-	set.StringVar(&id.Cert, "cert", "", "certificate of the members: clients then need one of the same authority")
-	set.StringVar(&id.Key, "key", "", "its key")
-	set.StringVar(&id.CA, "ca", "", "its authority")
-	if err := set.Parse(args); err != nil {
+	cfg, err := parseStandinFlags(args)
+	if err != nil {
+		return err
+	}
+	cluster, err := etcdstandin.Open(cfg)
+	if err != nil {
 		return err
 	}
-	if set.NArg() != 0 {
-		return fmt.Errorf("standin wants flags alone, not %q", set.Arg(0))
+	fmt.Fprintf(out, "a stand-in for etcd, for trials and tests alone, serves at %s from revision %d on\n",
+		strings.Join(cluster.Addrs(), ", "), cluster.Head().Revision)
+	<-ctx.Done()
+	return cluster.Close()
+}
+
+// parseStandinFlags reads the flags and the files that they name.
+func parseStandinFlags(args []string) (etcdstandin.Config, error) {
+	var cfg etcdstandin.Config
+	var identity transport.Identity
+	flags := flag.NewFlagSet("standin", flag.ContinueOnError)
+	listen := flags.String("listen", "127.0.0.1:2379", "addresses of the members, by commas; on loopback")
+	flags.StringVar(&cfg.File, "file", "", "keep what is committed in this file")
+	user := flags.String("user", "", "want this user's password of clients")
+	passwordFile := flags.String("password-file", "", "where that password is")
+	flags.DurationVar(&cfg.TokenTTL, "token-ttl", 5*time.Minute, "how long a token lasts")
+	flags.StringVar(&identity.Cert, "cert", "", "certificate of the members: clients then need one of the same authority")
+	flags.StringVar(&identity.Key, "key", "", "its key")
+	flags.StringVar(&identity.CA, "ca", "", "its authority")
+	if err := flags.Parse(args); err != nil {
+		return cfg, err
+	}
+	if flags.NArg() != 0 {
+		return cfg, fmt.Errorf("standin wants flags alone, not %q", flags.Arg(0))
 	}
-	cfg := etcdstandin.Config{Listen: strings.Split(*listen, ","), File: *file, TokenTTL: *ttl}
-	for _, a := range cfg.Listen {
-		if p, err := netip.ParseAddrPort(a); err != nil || !p.Addr().IsLoopback() {
-			return fmt.Errorf("standin listens on loopback addresses alone, not on %q", a)
+	cfg.Listen = strings.Split(*listen, ",")
+	for _, addr := range cfg.Listen {
+		if p, err := netip.ParseAddrPort(addr); err != nil || !p.Addr().IsLoopback() {
+			return cfg, fmt.Errorf("standin listens on loopback addresses alone, not on %q", addr)
 		}
 	}
-	if (*user == "") != (*password == "") {
-		return fmt.Errorf("user and password-file go together")
+	if (*user == "") != (*passwordFile == "") {
+		return cfg, errors.New("user and password-file go together")
 	}
 	if *user != "" {
-		text, err := os.ReadFile(*password)
+		text, err := os.ReadFile(*passwordFile)
 		if err != nil {
-			return err
+			return cfg, err
 		}
 		cfg.Users = map[string]string{*user: strings.TrimSpace(string(text))}
 	}
 	var err error
-	if cfg.TLS, err = id.Config(); err != nil {
-		return err
-	}
-	c, err := etcdstandin.Open(cfg)
-	if err != nil {
-		return err
-	}
-	fmt.Fprintf(out, "a stand-in for etcd, for trials and tests alone, serves at %s from revision %d on\n", strings.Join(c.Addrs(), ", "), c.Head().Revision)
-	<-ctx.Done()
-	return c.Close()
+	cfg.TLS, err = identity.Config()
+	return cfg, err
 }
