--- a/cmd/membershipagent/standin.go
+++ b/cmd/membershipagent/standin.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"eiderspread/internal/controlplane/transport"
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/testbed/etcdstandin"
 )
 
@@ -34,7 +34,7 @@
 // parseStandinFlags reads the flags and the files that they name.
 func parseStandinFlags(args []string) (etcdstandin.Config, error) {
 	var cfg etcdstandin.Config
-	var identity transport.Identity
+	var identity mutualtls.Identity
 	flags := flag.NewFlagSet("standin", flag.ContinueOnError)
 	listen := flags.String("listen", "127.0.0.1:2379", "addresses of the members, by commas; on loopback")
 	flags.StringVar(&cfg.File, "file", "", "keep what is committed in this file")
