--- a/internal/dataplane/hotrestart/hotrestart_test.go
+++ b/internal/dataplane/hotrestart/hotrestart_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // pair is a link and its other side.
 func pair(t *testing.T) (a, b *Link, path string) {
@@ -40,7 +40,7 @@
 
 func setDeadline(t *testing.T, c net.Conn) {
 	t.Helper()
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -76,16 +76,16 @@
 		t.Fatal(err)
 	}
 	waits := dial("queued")
-	if err := b.Send(Client, []byte("rest"), patience, taken); err != nil {
+	if err := b.Send(Client, []byte("rest"), testTimeout, taken); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Send(Sockets, nil, patience, l); err != nil {
+	if err := b.Send(Sockets, nil, testTimeout, l); err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
 	taken.Close()
 	l.Close()
-	m, err := a.Expect(Client, 1, patience)
+	m, err := a.Expect(Client, 1, testTimeout)
 	if err != nil || string(m.Body) != "rest" {
 		t.Fatal(m, err)
 	}
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	m, err = a.Expect(Sockets, 1, patience)
+	m, err = a.Expect(Sockets, 1, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,22 +144,22 @@
 	}
 	send := func(kind Kind, conns ...syscall.Conn) {
 		t.Helper()
-		if err := b.Send(kind, nil, patience, conns...); err != nil {
+		if err := b.Send(kind, nil, testTimeout, conns...); err != nil {
 			t.Fatal(err)
 		}
 	}
 	before := open()
 	for range 20 {
 		send(Proceed, l, l)
-		if _, err := a.Expect(Sockets, 1, patience); !errors.Is(err, ErrUnexpected) {
+		if _, err := a.Expect(Sockets, 1, testTimeout); !errors.Is(err, ErrUnexpected) {
 			t.Fatal("another kind was taken:", err)
 		}
 		send(Sockets, l)
-		if _, err := a.Expect(Sockets, 2, patience); !errors.Is(err, ErrUnexpected) {
+		if _, err := a.Expect(Sockets, 2, testTimeout); !errors.Is(err, ErrUnexpected) {
 			t.Fatal("too few descriptors were taken:", err)
 		}
 		send(Sockets, l)
-		m, err := a.Expect(Sockets, 1, patience)
+		m, err := a.Expect(Sockets, 1, testTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -167,7 +167,7 @@
 			t.Fatal(err)
 		}
 		send(Client, l)
-		if m, err = a.Receive(patience); err != nil {
+		if m, err = a.Receive(testTimeout); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := TCPConn(m.Files[0]); !errors.Is(err, ErrWrongSocket) {
@@ -177,17 +177,17 @@
 	if after := open(); after > before {
 		t.Errorf("%d descriptors, %d before", after, before)
 	}
-	if err := b.Send(Client, make([]byte, MaxBodyBytes+1), patience); !errors.Is(err, ErrTooLarge) {
+	if err := b.Send(Client, make([]byte, MaxBodyBytes+1), testTimeout); !errors.Is(err, ErrTooLarge) {
 		t.Error("an overlong message was sent:", err)
 	}
-	if err := b.Send(Client, bytes.Repeat([]byte("x"), MaxBodyBytes), patience); err != nil {
+	if err := b.Send(Client, bytes.Repeat([]byte("x"), MaxBodyBytes), testTimeout); err != nil {
 		t.Error(err)
 	}
-	if m, err := a.Receive(patience); err != nil || len(m.Body) != MaxBodyBytes {
+	if m, err := a.Receive(testTimeout); err != nil || len(m.Body) != MaxBodyBytes {
 		t.Error(len(m.Body), err)
 	}
 	b.Close()
-	if _, err := a.Receive(patience); !errors.Is(err, io.EOF) {
+	if _, err := a.Receive(testTimeout); !errors.Is(err, io.EOF) {
 		t.Error("the end of the link is no error:", err)
 	}
 }
--- a/internal/membership/agent/agent.go
+++ b/internal/membership/agent/agent.go
@@ -183,7 +183,7 @@
 }
 
 // serveIfReady has the list served once all sources are current, or one is and the time to wait for the others is over. An ingress must
-// not be given an empty list by an agent that has just started, nor one that lacks what another source holds against it.
+// not be given an empty list by an agent that has just started, nor one without the stricter reports of another source.
 func (a *Agent) serveIfReady() {
 	all, some := true, false
 	for _, s := range a.merger.SourceStatuses() {
--- a/internal/membership/agent/etcd_test.go
+++ b/internal/membership/agent/etcd_test.go
@@ -26,7 +26,7 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 var (
 	etcdFor  = flag.Duration("etcd-for", 6*time.Second, "how long etcd is compacted, cut and restarted")
@@ -65,7 +65,7 @@
 
 func (e *etcd) do(f func(ctx context.Context) error) {
 	e.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(testTimeout)
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		err := f(ctx)
@@ -179,7 +179,7 @@
 	e.t.Helper()
 	began := time.Now()
 	want, rev := e.truth()
-	for time.Since(began) < patience {
+	for time.Since(began) < testTimeout {
 		if st := a.EtcdStatus(); st.Revision >= rev && describe(a.EndpointList()) == want {
 			return time.Since(began)
 		}
@@ -306,7 +306,7 @@
 	a := startAgent(t, link.Addr(), addr)
 	state := func(id, want string) {
 		t.Helper()
-		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			got := ""
 			for _, s := range a.EndpointList().Endpoints {
 				if s.ID == id {
--- a/internal/membership/agent/moves_test.go
+++ b/internal/membership/agent/moves_test.go
@@ -23,7 +23,7 @@
 // waitFor waits for what an agent serves to be so.
 func waitFor(t *testing.T, a *Agent, what string, ok func(l discovery.List) bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok(a.EndpointList()) {
 			return
 		}
@@ -282,7 +282,7 @@
 	go w.Run(ctx, nil)
 	<-lists
 	link.Cut()
-	for end := time.Now().Add(patience); w.Age().ReportedAgeS < 2; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); w.Age().ReportedAgeS < 2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%+v", w.Age())
 		}
--- a/internal/membership/cordontable/table.go
+++ b/internal/membership/cordontable/table.go
@@ -17,13 +17,6 @@
 	ErrTooMany        = errors.New("too many backends are held")
 )
 
-// States of a backend, as discovery names them.
-const (
-	stateInService   = "in_service"
-	stateTerminating = "terminating" // takes no new requests, as a cordoned one
-	stateTerminated  = "terminated"
-)
-
 // Cordon is what operators last did to one backend. Times are Unix times in milliseconds.
 type Cordon struct {
 	SinceMS      int64 `json:"since_ms"`          // when it was cordoned
@@ -54,7 +47,7 @@
 	applied := list
 	applied.Endpoints = make([]discovery.Endpoint, 0, len(list.Endpoints))
 	for _, endpoint := range list.Endpoints {
-		if endpoint.State == stateTerminated {
+		if endpoint.State == discovery.Terminated {
 			delete(t.listed, endpoint.ID)
 		} else {
 			t.listed[endpoint.ID] = endpoint
@@ -78,10 +71,10 @@
 func (t *Table) withCordon(endpoint discovery.Endpoint) discovery.Endpoint {
 	cordon, exists := t.cordons[endpoint.ID]
 	switch {
-	case !exists || endpoint.State == stateTerminated:
+	case !exists || endpoint.State == discovery.Terminated:
 	case cordon.active():
-		if endpoint.State == stateInService {
-			endpoint.State = stateTerminating
+		if endpoint.State == discovery.InService {
+			endpoint.State = discovery.Terminating
 		}
 	case endpoint.StartedMS <= cordon.SinceMS:
 		endpoint.StartedMS = cordon.UncordonedMS
--- a/internal/membership/cordontable/table_test.go
+++ b/internal/membership/cordontable/table_test.go
@@ -30,20 +30,20 @@
 // A cordoned backend stays out of use whatever discovery reports.
 func TestTable_CordonOutlastsDiscovery(t *testing.T) {
 	tab := New()
-	tab.ApplyList(fullList(target("a", stateInService, 0), target("b", stateInService, 0)))
+	tab.ApplyList(fullList(target("a", discovery.InService, 0), target("b", discovery.InService, 0)))
 	list, err := tab.Cordon(1000, "a")
-	if entry := onlyEntry(t, list); err != nil || entry.ID != "a" || entry.State != stateTerminating {
+	if entry := onlyEntry(t, list); err != nil || entry.ID != "a" || entry.State != discovery.Terminating {
 		t.Fatal(entry, err)
 	}
 	for _, step := range []struct {
 		told discovery.List
 		want string
 	}{
-		{partialList(target("a", stateInService, 0)), stateTerminating},
-		{fullList(target("a", stateInService, 0)), stateTerminating},
-		{partialList(target("a", stateTerminating, 0)), stateTerminating},
-		{partialList(target("a", stateTerminated, 0)), stateTerminated},
-		{partialList(target("a", stateInService, 2000)), stateTerminating}, // restarted under its id
+		{partialList(target("a", discovery.InService, 0)), discovery.Terminating},
+		{fullList(target("a", discovery.InService, 0)), discovery.Terminating},
+		{partialList(target("a", discovery.Terminating, 0)), discovery.Terminating},
+		{partialList(target("a", discovery.Terminated, 0)), discovery.Terminated},
+		{partialList(target("a", discovery.InService, 2000)), discovery.Terminating}, // restarted under its id
 	} {
 		if entry := onlyEntry(t, tab.ApplyList(step.told)); entry.State != step.want {
 			t.Fatalf("after %+v: %s, want %s", step.told, entry.State, step.want)
@@ -52,7 +52,7 @@
 	if list, err := tab.Cordon(1500, "a"); err != nil || len(list.Endpoints) != 0 {
 		t.Fatal("a second hold changes something", list, err)
 	}
-	if list, err = tab.Uncordon(3000, "a"); err != nil || onlyEntry(t, list) != target("a", stateInService, 2000) {
+	if list, err = tab.Uncordon(3000, "a"); err != nil || onlyEntry(t, list) != target("a", discovery.InService, 2000) {
 		t.Fatal(list, err)
 	}
 	if tab.Count() != 0 {
@@ -63,18 +63,18 @@
 // Operators may restart a cordoned backend faster than discovery reports it.
 func TestTable_UncordonedCountsAsJustStarted(t *testing.T) {
 	tab := New()
-	tab.ApplyList(fullList(target("a", stateInService, 500)))
+	tab.ApplyList(fullList(target("a", discovery.InService, 500)))
 	if _, err := tab.Cordon(1000, "a"); err != nil {
 		t.Fatal(err)
 	}
 	list, _ := tab.Uncordon(4000, "a")
-	if entry := onlyEntry(t, list); entry.State != stateInService || entry.StartedMS != 4000 {
+	if entry := onlyEntry(t, list); entry.State != discovery.InService || entry.StartedMS != 4000 {
 		t.Fatal("taken for warm", entry)
 	}
-	if entry := onlyEntry(t, tab.ApplyList(partialList(target("a", stateInService, 500)))); entry.StartedMS != 4000 {
+	if entry := onlyEntry(t, tab.ApplyList(partialList(target("a", discovery.InService, 500)))); entry.StartedMS != 4000 {
 		t.Fatal("an old word made it warm", entry)
 	}
-	if entry := onlyEntry(t, tab.ApplyList(partialList(target("a", stateInService, 1800)))); entry.StartedMS != 1800 {
+	if entry := onlyEntry(t, tab.ApplyList(partialList(target("a", discovery.InService, 1800)))); entry.StartedMS != 1800 {
 		t.Fatal("the start that was told does not count", entry)
 	}
 	if len(tab.Cordons()) != 0 {
@@ -84,7 +84,7 @@
 
 func TestTable_UnknownIDs(t *testing.T) {
 	tab := New()
-	tab.ApplyList(fullList(target("a", stateInService, 0)))
+	tab.ApplyList(fullList(target("a", discovery.InService, 0)))
 	if _, err := tab.Cordon(1, "x"); !errors.Is(err, ErrUnknownBackend) {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	if _, err := tab.Cordon(1, "a"); err != nil {
 		t.Fatal(err)
 	}
-	tab.ApplyList(partialList(target("a", stateTerminated, 0)))
+	tab.ApplyList(partialList(target("a", discovery.Terminated, 0)))
 	if _, err := tab.Uncordon(2, "a"); err != nil {
 		t.Fatal("held, though not listed now:", err)
 	}
@@ -108,7 +108,7 @@
 	tab := New()
 	for i := range MaxCordons + 1 {
 		id := fmt.Sprint("s", i)
-		tab.ApplyList(partialList(target(id, stateInService, 0)))
+		tab.ApplyList(partialList(target(id, discovery.InService, 0)))
 		if _, err := tab.Cordon(1, id); (err != nil) != (i == MaxCordons) {
 			t.Fatal(i, err)
 		}
@@ -121,7 +121,7 @@
 // After calls and lists in any order, no cordoned backend is in service, and all others are as discovery reports.
 func TestTable_AnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
-	ids, states := []string{"a", "b", "c"}, []string{stateInService, stateTerminating, stateTerminated}
+	ids, states := []string{"a", "b", "c"}, []string{discovery.InService, discovery.Terminating, discovery.Terminated}
 	occasions := 0
 	for range 200 {
 		tab, other := New(), New()
@@ -144,7 +144,7 @@
 				see(tab.ApplyList(partialList(target(id, state, rng.Int64N(now)))))
 			case 2:
 				list, err := tab.Cordon(now, id)
-				if known := discovered[id] == stateInService || discovered[id] == stateTerminating || cordoned[id]; known != (err == nil) {
+				if known := discovered[id] == discovery.InService || discovered[id] == discovery.Terminating || cordoned[id]; known != (err == nil) {
 					t.Fatal("hold", id, discovered[id], err)
 				} else if known {
 					cordoned[id] = true
@@ -161,12 +161,12 @@
 				see(tab.Replace(other.Cordons()))
 			}
 			for _, id := range ids {
-				if cordoned[id] && discovered[id] == stateInService {
+				if cordoned[id] && discovered[id] == discovery.InService {
 					occasions++
 				}
 				want := discovered[id]
-				if want == stateInService && cordoned[id] {
-					want = stateTerminating
+				if want == discovery.InService && cordoned[id] {
+					want = discovery.Terminating
 				}
 				if shown[id] != want {
 					t.Fatalf("%s is shown %q, want %q", id, shown[id], want)
--- a/internal/membership/discovery/list.go
+++ b/internal/membership/discovery/list.go
@@ -39,7 +39,7 @@
 	StartedMS int64   `json:"started_ms"` // Unix time in ms; 0: long ago
 }
 
-// EndpointError tells what is wrong with an endpoint.
+// EndpointError is an endpoint that can't be used, and why.
 type EndpointError struct {
 	ID  string
 	Err error
--- a/internal/membership/discovery/watcher.go
+++ b/internal/membership/discovery/watcher.go
@@ -17,7 +17,7 @@
 	// watchTimeout ends a watch that is silent. The service writes every 2 s: two lines are missing by then.
 	watchTimeout = 4500 * time.Millisecond
 	// answerTimeout is after how long an unanswered call is repeated beside the first. Together with maxBackoff it stays under the shortest
-	// grace of a drain, 250 ms: what a service that was silent holds back counts as told from the moment that it is back.
+	// grace of a drain, 250 ms: what a service that was silent has to report counts as reported from the moment that it is back.
 	answerTimeout = 150 * time.Millisecond
 	minBackoff    = 50 * time.Millisecond
 	maxBackoff    = 100 * time.Millisecond
@@ -158,7 +158,7 @@
 	err := list.Validate()
 	if err != nil {
 		list.Endpoints = w.dropInvalid(list.Endpoints)
-		list.Full = false // only a list without invalid endpoints tells which ones are gone
+		list.Full = false // an invalid endpoint may be one of those that it would remove
 	}
 	if list.Full || len(list.Endpoints) > 0 {
 		w.onUpdate(list)
--- a/internal/membership/discovery/watcher_test.go
+++ b/internal/membership/discovery/watcher_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func get[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing came")
 	}
 	return v
@@ -187,7 +187,7 @@
 	}
 	select {
 	case moves <- addr(last):
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no move from an address that is silent")
 	}
 	for i, want := range []string{"last ", "last watch=1&after=3", "last watch=1&after=3"} {
--- a/internal/membership/etcdsource/cluster_test.go
+++ b/internal/membership/etcdsource/cluster_test.go
@@ -124,7 +124,7 @@
 			if strings.Count(got, " up") == 1000 {
 				return
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("nothing came")
 		}
 	}
--- a/internal/membership/etcdsource/standin_test.go
+++ b/internal/membership/etcdsource/standin_test.go
@@ -13,7 +13,7 @@
 	"eiderspread/internal/testbed/etcdstandin"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func pbKV(rev int64, key, value string) *mvccpb.KeyValue {
 	return &mvccpb.KeyValue{Key: []byte("/p/" + key), Value: []byte(value), ModRevision: rev, CreateRevision: rev, Version: 1}
@@ -61,7 +61,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing came")
 		panic("unreachable")
 	}
--- a/internal/membership/merge/rules.go
+++ b/internal/membership/merge/rules.go
@@ -32,7 +32,7 @@
 	byCurrent bool // a current source knows the node
 }
 
-// mergeNode applies the rules to one node. changed tells whether its entry is new or has another state or identity.
+// mergeNode applies the rules to one node. changed reports whether its entry is new or has another state or identity.
 func (m *Merger) mergeNode(id string, anyCurrent bool) (_ Entry, changed bool) {
 	e := m.entries[id]
 	n, ok := m.identify(id, e)
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -367,7 +367,7 @@
 `, ""), Runs: []string{labEtcd}},
 	// ---- Operators ----
 	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/membership/cordontable",
-		Edits: edit("internal/membership/cordontable/table.go", "\t\tif endpoint.State == stateInService {\n", "\t\tif false {\n"), Runs: []string{labOne + "operators"}},
+		Edits: edit("internal/membership/cordontable/table.go", "\t\tif endpoint.State == discovery.InService {\n", "\t\tif false {\n"), Runs: []string{labOne + "operators"}},
 	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"admin.go", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) { in.cordons.Replace(c) })", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
 	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
