--- a/internal/controlplane/forwarder/migrate.go
+++ b/internal/controlplane/forwarder/migrate.go
@@ -29,7 +29,7 @@
 			PromisedUntil: cell.until})
 	}
 	c.cordons.Each(func(id string, register cordon.State) {
-		state.Cordons[id] = snapshot.Cordon{Version: register.Version, Held: register.Cordoned}
+		state.Cordons[id] = snapshot.Cordon{Version: register.Version, Cordoned: register.Cordoned}
 	})
 	c.usage.each(now, func(account string, usage windowUsage) {
 		state.UsageReports = append(state.UsageReports, snapshot.UsageReport{Account: account, Plan: usage.plan, Epoch: usage.epoch,
@@ -76,8 +76,8 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(state.Cordons)) {
 		saved := state.Cordons[id]
-		if _, changed := c.cordons.Merge(id, cordon.State{Version: saved.Version, Cordoned: saved.Held}); changed {
-			c.out.SetCordoned(id, saved.Held)
+		if _, changed := c.cordons.Merge(id, cordon.State{Version: saved.Version, Cordoned: saved.Cordoned}); changed {
+			c.out.SetCordoned(id, saved.Cordoned)
 		}
 	}
 	for _, saved := range state.Requests {
--- a/internal/decision/snapshot/forwarder.go
+++ b/internal/decision/snapshot/forwarder.go
@@ -24,8 +24,8 @@
 
 // Cordon is the latest register of a backend that operators have cordoned, or uncordoned.
 type Cordon struct {
-	Version uint64 `json:"Version"`
-	Held    bool   `json:"Held"` // cordoned
+	Version  uint64 `json:"Version"`
+	Cordoned bool   `json:"Held"` // cordoned
 }
 
 // UsageReport is what a leader last said of an account's quota window.
