--- a/internal/base/monotime/monotime.go
+++ b/internal/base/monotime/monotime.go
@@ -1,4 +1,4 @@
-// Package monotime tells the time of a program: Unix seconds at its start, advanced by the monotonic clock alone, so that a step of the
+// Package monotime is the clock of a program: Unix seconds at its start, advanced by the monotonic clock alone, so that a step of the
 // machine's clock moves nothing.
 package monotime
 
--- a/internal/dataplane/callprotocol/call.go
+++ b/internal/dataplane/callprotocol/call.go
@@ -87,8 +87,7 @@
 // Forget lets go of the arguments; the call can't be forwarded any more.
 func (c *Call) Forget() { c.Args = nil }
 
-// AppendCommand appends the command for a backend: all as it came, but the timeout is what remains of it, in seconds. A backend is told of 1 ms
-// at least.
+// AppendCommand appends the command for a backend: all as it came, but the timeout is what remains of it, in seconds. The least is 1 ms.
 func (c *Call) AppendCommand(b []byte, timeoutS float64) []byte {
 	fields := c.Args[argFields]
 	ms := strconv.AppendInt(make([]byte, 0, 8), max(1, int64(math.Ceil(timeoutS*1000))), 10)
--- a/internal/dataplane/callprotocol/reply.go
+++ b/internal/dataplane/callprotocol/reply.go
@@ -57,7 +57,7 @@
 	return res
 }
 
-// parseErrorReply reads BUSY, which promises that the request did not run, or any other error. The last word may be a load report.
+// parseErrorReply reads BUSY, which promises that the request did not run, or any other error. What stands behind the last space may be a load report.
 func parseErrorReply(text string) Result {
 	res := Result{Status: policy.Error}
 	if code, _, _ := strings.Cut(text, " "); code == "BUSY" {
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -16,7 +16,7 @@
 
 const (
 	attemptOut      attemptState = iota // it waits for a connection, is being written, or its answer is waited for
-	attemptEnded                        // its outcome is known; the decider is told once its current event method has returned
+	attemptEnded                        // its outcome is known; it is reported once the decider's current event method has returned
 	attemptReported                     // the decider has its outcome
 )
 
@@ -191,7 +191,7 @@
 	}
 }
 
-// reportOutcome answers the client, if this is what it waits for, and tells the decider.
+// reportOutcome answers the client, if this is what it waits for, and notifies the decider.
 func (in *Ingress) reportOutcome(a *attempt, res callprotocol.Result, at float64) {
 	if a.firstByteAt > 0 {
 		at = a.firstByteAt // how fast the client reads says nothing of the backend
--- a/internal/dataplane/ingress/backend_dial.go
+++ b/internal/dataplane/ingress/backend_dial.go
@@ -56,7 +56,7 @@
 		in.backends.openConns--
 		in.logFault("dial failed", "backend", be.ID, "error", err)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-			return policy.NotSent // for want of something here: it tells nothing of the backend
+			return policy.NotSent // for want of something here: it says nothing of the backend
 		}
 		return policy.ConnectFailed
 	}
--- a/internal/dataplane/ingress/backend_pool.go
+++ b/internal/dataplane/ingress/backend_pool.go
@@ -41,7 +41,7 @@
 	idleTimeoutS     float64
 	duplicateWindowS float64
 	dial             func(addr string) (net.Conn, error)
-	onLastByte       func() // for tests: the last byte of a command that did not go out at once is out, and nobody has been told
+	onLastByte       func() // for tests: the last byte of a command that did not go out at once is out, and that is not recorded yet
 }
 
 func (s *backendPool) init(cfg Config) {
--- a/internal/dataplane/ingress/client_conn.go
+++ b/internal/dataplane/ingress/client_conn.go
@@ -35,7 +35,7 @@
 
 const (
 	readerRunning      readerState = iota
-	readerStopping                 // it was told to stop between two commands
+	readerStopping                 // it has to stop between two commands
 	readerStopped                  // it has; the loop owns what it read and did not use
 	readerTransferring             // the connection is on its way to the process that replaces this one
 )
--- a/internal/dataplane/ingress/client_reader.go
+++ b/internal/dataplane/ingress/client_reader.go
@@ -34,7 +34,7 @@
 )
 
 // readLoop parses what the client sends, and posts each command with the time of its last byte. Its deadline runs while a command is
-// incomplete, and until there was one at all. It ends with the connection, or when it is told to stop.
+// incomplete, and until there was one at all. It ends with the connection, or when stopReader asks for it.
 func (c *clientConn) readLoop(in *Ingress) {
 	stopped := false
 	defer func() {
@@ -191,7 +191,7 @@
 	})
 }
 
-// stopReader tells the reader to stop between two commands. What it has read and not used, and what waits in the socket, is left for whoever
+// stopReader has the reader stop between two commands. What it has read and not used, and what waits in the socket, is left for whoever
 // goes on with the connection. Loop only.
 func (c *clientConn) stopReader() {
 	if c.reader != readerRunning || c.state == connClosed {
@@ -202,7 +202,7 @@
 	setReadDeadline(c.conn, expiredDeadline) // the reader looks at stopReading after each deadline of its own
 }
 
-// stopRequested reports whether the reader was told to stop. Of the reader.
+// stopRequested reports whether the reader has to stop. Of the reader.
 func (c *clientConn) stopRequested() bool {
 	select {
 	case <-c.stopReading:
--- a/internal/dataplane/ingress/config.go
+++ b/internal/dataplane/ingress/config.go
@@ -14,7 +14,7 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-// Config is what an ingress is told at its start.
+// Config is what an ingress is configured with at its start.
 type Config struct {
 	Name           string
 	Listen         string // address for clients
@@ -32,7 +32,7 @@
 	Settings         settings.Settings
 	keys             keySet         // of the file
 	OperatorConfig   OperatorConfig // of the operator's file, if there is one
-	FleetMember      bool           // of a fleet: its planners are told what is cordoned
+	FleetMember      bool           // of a fleet, whose planners operators call to cordon a backend
 
 	// Dial makes connections to backends in place of the system's own; nil: none does. Not of the file.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
--- a/internal/dataplane/ingress/cordon.go
+++ b/internal/dataplane/ingress/cordon.go
@@ -5,7 +5,7 @@
 	"eiderspread/internal/membership/cordontable"
 )
 
-// Cordon implements Host: what a fleet's planners were told by its operators. It lasts as long as this process; whoever asks for it asks the next
+// Cordon implements Host: what operators asked of a fleet's planners. It lasts as long as this process; whoever asks for it asks the next
 // process again.
 func (in *Ingress) Cordon(id string, cordoned bool) {
 	if in.predecessorRequests != nil && in.predecessor != nil { // the predecessor still writes to backends
--- a/internal/dataplane/ingress/decider.go
+++ b/internal/dataplane/ingress/decider.go
@@ -7,7 +7,7 @@
 	"eiderspread/policy"
 )
 
-// Decider is what the loop tells whoever decides: the decision module in this process, a *policy.Gateway, or what stands for a module
+// Decider is notified of all events and decides on them: the decision module in this process, a *policy.Gateway, or what stands for a module
 // elsewhere. Its methods are called by the loop alone, one at a time, with the times of events in Unix seconds that never go back.
 type Decider interface {
 	HandleRequest(now float64, q policy.Request)
@@ -19,7 +19,7 @@
 	HandleProbeResult(now float64, p policy.ProbeResult)
 }
 
-// StreamingDecider is a Decider that is told when an attempt's answer has begun to be streamed to the client: no other attempt may answer
+// StreamingDecider is a Decider that is notified when an attempt's answer has begun to be streamed to the client: no other attempt may answer
 // the request any more, and how that one ends is its outcome.
 type StreamingDecider interface {
 	HandleResponseStart(now float64, id string, attempt int)
@@ -44,8 +44,8 @@
 	Restore(now float64, part snapshot.Part)
 }
 
-// MigratingDecider is a Decider that hands all on, its requests too. From Migrate on it is told of the events of these requests, and asks for
-// nothing, until Reclaim; RecordOrder tells it what the decider in the new process had done to them.
+// MigratingDecider is a Decider that hands all on, its requests too. From Migrate on it is notified of the events of these requests, and asks for
+// nothing, until Reclaim; RecordOrder reports what the decider in the new process had done to them.
 type MigratingDecider interface {
 	Decider
 	Migrate(now float64) []snapshot.Part
--- a/internal/dataplane/ingress/decider_migration.go
+++ b/internal/dataplane/ingress/decider_migration.go
@@ -241,7 +241,7 @@
 	in.Post(func(now float64) { in.applyRelayedEvent(now, e, shiftS) })
 }
 
-// applyRelayedEvent tells the decider what has become of a request of the predecessor.
+// applyRelayedEvent notifies the decider of what has become of a request of the predecessor.
 func (in *Ingress) applyRelayedEvent(now float64, e snapshot.Event, shiftS float64) {
 	switch {
 	case in.predecessorRequests == nil:
--- a/internal/dataplane/ingress/discovery.go
+++ b/internal/dataplane/ingress/discovery.go
@@ -10,7 +10,7 @@
 // listAgeInterval is how often the age of the endpoint list is looked at, for the log alone.
 const listAgeInterval = 5 * time.Second
 
-// applyDiscoveryList applies a list of discovery's, which it told at notifiedAt, with what operators cordon laid over it.
+// applyDiscoveryList applies a list that discovery sent at notifiedAt, with what operators cordon laid over it.
 func (in *Ingress) applyDiscoveryList(list discovery.List, notifiedAt float64) {
 	if in.cordons != nil {
 		list = in.cordons.ApplyList(list)
@@ -21,7 +21,7 @@
 // applyList applies a list that changes now, by operators.
 func (in *Ingress) applyList(list discovery.List) { in.applyListAt(list, in.now) }
 
-// applyListAt applies a list to the pools, and tells the decider.
+// applyListAt applies a list to the pools, and notifies the decider.
 func (in *Ingress) applyListAt(list discovery.List, notifiedAt float64) {
 	if len(list.Endpoints) == 0 && !list.Full {
 		return
--- a/internal/dataplane/ingress/drain.go
+++ b/internal/dataplane/ingress/drain.go
@@ -28,8 +28,8 @@
 	d.sweptAt = now
 }
 
-// startDrain tells fronts no and lets go of all clients, by and by; a second call changes nothing. A process that is replaced, or shuts down, lets
-// go of them in its own way: an idle connection may be on its way to another process.
+// startDrain answers fronts that this ingress takes no clients, and closes the connections that it has, by and by; a second call changes
+// nothing. A process that is replaced, or shuts down, closes them in its own way: an idle connection may be on its way to another process.
 func (in *Ingress) startDrain() {
 	if in.drain.Active() || in.shutdown.closingClients || in.successor.stage != handoverNone {
 		return
--- a/internal/dataplane/ingress/hot_restart.go
+++ b/internal/dataplane/ingress/hot_restart.go
@@ -31,7 +31,7 @@
 type goMessage struct {
 	OpenClients int             `json:"Clients"`        // connections that it still has
 	BootTime    float64         `json:"Boot"`           // the machine's start by its clock, see monotime.Clock.BootTime
-	Endpoints   *discovery.List `json:"List,omitempty"` // as discovery told it; nil: too long for a message
+	Endpoints   *discovery.List `json:"List,omitempty"` // as discovery sent it; nil: too long for a message
 }
 
 // handoverStage is how far the hand-over to a successor is.
--- a/internal/dataplane/ingress/hot_restart_predecessor.go
+++ b/internal/dataplane/ingress/hot_restart_predecessor.go
@@ -88,7 +88,7 @@
 	return in.clock.BootTime() - p.bootTime
 }
 
-// announceReady tells the predecessor that this process is ready, and returns once that one accepts nothing more, or has ended. The endpoint list
+// announceReady notifies the predecessor that this process is ready, and returns once that one accepts nothing more, or has ended. The endpoint list
 // is the predecessor's, which is newer than the configuration's.
 //
 // A member of a fleet must have the whole snapshot and the member lock: else the predecessor goes on, or another process.
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// awaitGo says ready, and takes the snapshot and the word to go on.
+// awaitGo sends Ready, and receives the snapshot and the message with which this process goes on.
 func (p *predecessorState) awaitGo() (message goMessage, err error) {
 	err = p.link.Send(hotrestart.Ready, nil, linkTimeout)
 	var m hotrestart.Message
--- a/internal/dataplane/ingress/hot_restart_successor.go
+++ b/internal/dataplane/ingress/hot_restart_successor.go
@@ -104,7 +104,7 @@
 	setAcceptDeadline(in.listener, expiredDeadline)
 }
 
-// startTransfers tells the successor to go on, and transfers what is idle. pause is the channel by which the accepting goroutine was stopped.
+// startTransfers has the successor go on, and transfers what is idle. pause is the channel by which the accepting goroutine was stopped.
 func (in *Ingress) startTransfers(pause chan struct{}) {
 	s := &in.successor
 	if s.stage != handoverPausing || s.pauseAccept != pause {
@@ -163,7 +163,7 @@
 	return true
 }
 
-// sendToSuccessor sends the snapshot, the word to go on and then events and connections, until the link or this process ends. It is the one
+// sendToSuccessor sends the snapshot, the message to go on and then events and connections, until the link or this process ends. It is the one
 // goroutine that sends on the link; when that fails it closes it, and the goroutine that receives reports the end.
 func (in *Ingress) sendToSuccessor(link *hotrestart.Link, parts []snapshot.Part, goBody []byte, transfers <-chan transfer, events <-chan []byte) {
 	err := sendSnapshot(link, parts)
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -37,7 +37,7 @@
 	done   chan struct{} // closed when the loop has ended
 
 	decider Decider
-	now     float64 // the time that the decider was last told of; never goes back
+	now     float64 // of the current event; never goes back
 
 	timers        timerHeap
 	systemTimer   *time.Timer // set to the first of timers
--- a/internal/dataplane/ingress/large_value.go
+++ b/internal/dataplane/ingress/large_value.go
@@ -35,7 +35,7 @@
 	stream       *valueStream
 }
 
-// streamLargeValue streams a large value and reads what stands behind it, and tells the loop what came of it. It reports whether the connection
+// streamLargeValue streams a large value and reads what stands behind it, and posts what came of it to the loop. It reports whether the connection
 // may be read on. It runs on the backend's reader.
 func (c *backendConn) streamLargeValue(in *Ingress, input *inputbuffer.Buffer, large resp.LargeReply, at float64) bool {
 	arrived := min(input.Len(), large.ValueAt+large.ValueSize) // of the value and what stands before it
--- a/internal/dataplane/ingress/large_value_stream.go
+++ b/internal/dataplane/ingress/large_value_stream.go
@@ -35,7 +35,7 @@
 
 	// Loop only.
 	backendConn *backendConn // never changes
-	stopping    bool         // it was told to stop
+	stopping    bool         // it has to stop
 	resumed     bool         // the predecessor has begun it: no attempt stands for it here
 }
 
@@ -50,7 +50,7 @@
 	return (err == nil || errors.Is(err, os.ErrDeadlineExceeded)) && f.stopRequested.Load()
 }
 
-// streamToEnd streams the value for as long as it is this process's; errMigrating tells that it is another's.
+// streamToEnd streams the value for as long as it is this process's; errMigrating means that it is another's.
 func (v *largeValue) streamToEnd(in *Ingress, input *inputbuffer.Buffer) error {
 	for {
 		err := v.stream.run(in, v.stream.backendConn, input, v.client.conn)
--- a/internal/dataplane/ingress/peers.go
+++ b/internal/dataplane/ingress/peers.go
@@ -101,7 +101,7 @@
 	for i, a := range in.cfg.Peers {
 		numbers[a] = i
 	}
-	buf := make([]byte, maxDatagramBytes+1) // one byte more tells an overlong datagram
+	buf := make([]byte, maxDatagramBytes+1) // one byte more shows an overlong datagram
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -30,7 +30,7 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun() })
 }
 
-// answerPing tells a front whether this ingress can serve.
+// answerPing answers a front whether this ingress can serve.
 func (in *Ingress) answerPing(c *clientConn) {
 	if in.drain.Active() {
 		if in.drain.rejectedPings++; len(c.answerSlots) > 0 {
@@ -66,7 +66,7 @@
 
 // rejectOnArrival answers a request that the decider is not to have, if it is one, and reports whether it was.
 func (in *Ingress) rejectOnArrival(c *clientConn, call *callprotocol.Call, at float64) bool {
-	if c.state != connOpen { // the client was told of the end, and sends this again elsewhere
+	if c.state != connOpen { // the client sees the end, and sends this again elsewhere
 		return true
 	}
 	var reason rejectReason
@@ -142,7 +142,7 @@
 	}
 }
 
-// busyReply promises that the request had no effect, and tells when to send it again if that is above 0.
+// busyReply promises that the request had no effect, and says when to send it again if that is above 0.
 func (in *Ingress) busyReply(retryInS float64) []byte {
 	if retryInS <= 0 || !in.cfg.Settings.RetryAfterAllowed {
 		return redcon.AppendError(nil, "BUSY")
--- a/internal/dataplane/ingress/send_guard.go
+++ b/internal/dataplane/ingress/send_guard.go
@@ -96,7 +96,7 @@
 }
 
 // waitedAndDisconnected reports whether a request has waited and its client has disconnected meanwhile: nothing may be sent for it then. The
-// decider is told when its current event method has returned.
+// decider is notified when its current event method has returned.
 func (in *Ingress) waitedAndDisconnected(r *request) bool {
 	c := r.client
 	if in.now-r.receivedAt < disconnectCheckAfterS || !c.disconnected() {
--- a/internal/dataplane/ingress/shutdown.go
+++ b/internal/dataplane/ingress/shutdown.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// expireShutdown ends a shutdown that takes too long: what is unanswered fails while its client can be told, and what is written by then is
+// expireShutdown ends a shutdown that takes too long: what is unanswered fails while its client can read that, and what is written by then is
 // read.
 func (in *Ingress) expireShutdown() {
 	in.shutdown.expired = true
--- a/internal/dataplane/ingress/status.go
+++ b/internal/dataplane/ingress/status.go
@@ -12,7 +12,7 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-// Status is what an ingress tells people.
+// Status is what an ingress reports to people.
 type Status struct {
 	Kind              string           `json:"kind"` // "ingress"
 	Name              string           `json:"name"`
--- a/internal/dataplane/inputbuffer/inputbuffer.go
+++ b/internal/dataplane/inputbuffer/inputbuffer.go
@@ -62,7 +62,7 @@
 // Len is how many bytes that is.
 func (f *Buffer) Len() int { return len(f.data) }
 
-// Space is where to read into, nil if the budget does not reach; Advance tells how much came.
+// Space is where to read into, nil if the budget does not reach; Advance says how much came.
 func (f *Buffer) Space() []byte {
 	if cap(f.data)-len(f.data) < ReadSize/2 {
 		size := max(ReadSize, 2*len(f.data)+ReadSize/2)
--- a/internal/dataplane/resp/reply.go
+++ b/internal/dataplane/resp/reply.go
@@ -67,7 +67,7 @@
 }
 
 // ParseLargeReply reads the start of a reply. ok is false for any reply without a large value, and while too little of it has come.
-// A value above maxBytes is not large but wrong, which ReplyLen tells.
+// A value above maxBytes is not large but wrong, which ReplyLen reports.
 func ParseLargeReply(b []byte, maxBytes int) (r LargeReply, ok bool) {
 	if len(b) == 0 || b[0] != '*' {
 		return LargeReply{}, false
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -9,7 +9,7 @@
 	"eiderspread/policy"
 )
 
-// Settings is what the decision module is told, and beside it what only a real ingress has to know.
+// Settings is what the decision module needs, and beside it what only a real ingress has to know.
 type Settings struct {
 	policy.Settings
 	ConnIdleS       float64 // a backend closes a connection that has been idle for so many seconds
