--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -5,6 +5,7 @@
 	"flag"
 	"fmt"
 	"io"
+	"math"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -17,160 +18,247 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
+// costWarmUp is how long a fleet runs before what a request costs is measured.
+const costWarmUp = 3 * time.Second
+
+// labOptions are the flags of the lab command.
+type labOptions struct {
+	forwarders int
+	planners   int
+	nodes      int
+	length     time.Duration
+	scenario   string
+	every      time.Duration
+	upgrades   int
+	kinds      string
+	recordFile string
+	replayFile string
+	seed       uint64
+	scale      float64
+	spread     int
+	dir        string
+	cost       bool
+	sizes      string
+	failsafes  int
+	deaths     int
+	shedding   bool
+	rate       float64
+
+	set *flag.FlagSet // the flags as they were given, for a recorded run
+}
+
+func parseLabOptions(args []string) (o labOptions, err error) {
+	set := flag.NewFlagSet("lab", flag.ContinueOnError)
+	o.set = set
+	set.IntVar(&o.forwarders, "forwarders", 20, "forwarders, or one-program ingresses with -planners 0")
+	set.IntVar(&o.planners, "planners", 3, "planners; 0 for a fleet of one level")
+	set.IntVar(&o.nodes, "nodes", 10, "zone nodes")
+	set.DurationVar(&o.length, "for", time.Minute, "how long clients ask")
+	set.StringVar(&o.scenario, "scenario", "storm", "what goes wrong, one of:\n"+strings.Join(testbed.ScenarioNames(), "\n"))
+	set.DurationVar(&o.every, "every", 0, "mean time between two faults, in place of the scenario's")
+	set.IntVar(&o.upgrades, "upgrades", 0, "upgrade the whole fleet so many times meanwhile, program by program")
+	set.StringVar(&o.kinds, "kinds", "", "faults to choose from, by commas, in place of the scenario's:\n"+strings.Join(testbed.KindNames(), "\n"))
+	set.StringVar(&o.recordFile, "record", "", "keep the run in this file, for testbed judge, replay and shrink")
+	set.StringVar(&o.replayFile, "replay", "", "play the faults that this file of -record holds")
+	set.Uint64Var(&o.seed, "seed", 1, "of accounts, traffic and faults")
+	set.Float64Var(&o.scale, "scale", 2, "of the number of accounts")
+	set.IntVar(&o.spread, "spread", 4, "forwarders that an account comes through")
+	set.StringVar(&o.dir, "dir", "", "where files and logs go (a new folder)")
+	set.BoolVar(&o.cost, "cost", false, "measure what a request costs, without faults, at -sizes")
+	set.StringVar(&o.sizes, "sizes", "5/0,5/3", "with -cost: forwarders/planners, by commas; 0 planners for one level")
+	set.IntVar(&o.failsafes, "failsafes", 0, "stop all planners so many times, and measure the time into the fail-safe and back")
+	set.IntVar(&o.deaths, "deaths", 0, "kill a planner so many times, and measure the time until all cells are led again")
+	set.BoolVar(&o.shedding, "overload", false, "ingresses or planners shed load as one")
+	set.Float64Var(&o.rate, "rate", 1, "of what each account asks")
+	return o, set.Parse(args)
+}
+
 func runLab(args []string) error {
-	rep, err := labRun(args, os.Stdout)
-	if err != nil || rep == nil {
+	report, err := labRun(args, os.Stdout)
+	if err != nil || report == nil {
 		return err
 	}
-	return rep.Verdict()
+	return report.Verdict()
 }
 
 // playKept runs what a kept run's arguments say and returns its breaches by rule.
 func playKept(args []string) (map[string]int, error) {
-	rep, err := labRun(args, io.Discard)
-	if err != nil || rep == nil || rep.Void != "" {
+	report, err := labRun(args, io.Discard)
+	if err != nil || report == nil || report.Void != "" {
 		return nil, err
 	}
-	return rep.Counts, nil
+	return report.Counts, nil
 }
 
 // labRun does what testbed lab is asked for. Its report is nil where that was a measurement.
-func labRun(args []string, w io.Writer) (*oracle.Report, error) {
-	set := flag.NewFlagSet("lab", flag.ContinueOnError)
-	forwarders := set.Int("forwarders", 20, "forwarders, or one-program ingresses with -planners 0")
-	planners := set.Int("planners", 3, "planners; 0 for a fleet of one level")
-	nodes := set.Int("nodes", 10, "zone nodes")
-	length := set.Duration("for", time.Minute, "how long clients ask")
-	scenario := set.String("scenario", "storm", "what goes wrong, one of:\n"+strings.Join(testbed.ScenarioNames(), "\n"))
-	every := set.Duration("every", 0, "mean time between two faults, in place of the scenario's")
-	upgrades := set.Int("upgrades", 0, "upgrade the whole fleet so many times meanwhile, program by program")
-	kinds := set.String("kinds", "", "faults to choose from, by commas, in place of the scenario's:\n"+strings.Join(testbed.KindNames(), "\n"))
-	record := set.String("record", "", "keep the run in this file, for testbed judge, replay and shrink")
-	replay := set.String("replay", "", "play the faults that this file of -record holds")
-	seed := set.Uint64("seed", 1, "of accounts, traffic and faults")
-	scale := set.Float64("scale", 2, "of the number of accounts")
-	spread := set.Int("spread", 4, "forwarders that an account comes through")
-	dir := set.String("dir", "", "where files and logs go (a new folder)")
-	cost := set.Bool("cost", false, "measure what a request costs, without faults, at -sizes")
-	sizes := set.String("sizes", "5/0,5/3", "with -cost: forwarders/planners, by commas; 0 planners for one level")
-	failsafes := set.Int("failsafes", 0, "stop all planners so many times, and measure the time into the fail-safe and back")
-	deaths := set.Int("deaths", 0, "kill a planner so many times, and measure the time until all cells are led again")
-	shed := set.Bool("overload", false, "ingresses or planners decide on overload as one")
-	plan := set.Float64("rate", 1, "of what each account asks")
-	if err := set.Parse(args); err != nil {
+func labRun(args []string, out io.Writer) (*oracle.Report, error) {
+	o, err := parseLabOptions(args)
+	if err != nil {
 		return nil, err
 	}
-	if *dir == "" {
-		var err error
-		if *dir, err = os.MkdirTemp("", "testbed"); err != nil {
-			return nil, err
+	scenario, err := o.newScenario()
+	if err != nil {
+		return nil, err
+	}
+	switch {
+	case o.failsafes > 0:
+		return nil, o.measureFailsafes(scenario, out)
+	case o.deaths > 0:
+		return nil, o.measureDeaths(scenario, out)
+	case o.cost:
+		return nil, o.measureCost(scenario, out)
+	}
+	return o.play(scenario, out)
+}
+
+// newScenario returns a fleet of the size asked for, without faults, and makes its folder.
+func (o *labOptions) newScenario() (sc testbed.Scenario, err error) {
+	if o.dir == "" {
+		if o.dir, err = os.MkdirTemp("", "testbed"); err != nil {
+			return sc, err
 		}
 	}
-	if err := os.MkdirAll(*dir, 0o700); err != nil {
-		return nil, err
+	if err := os.MkdirAll(o.dir, 0o700); err != nil {
+		return sc, err
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return nil, err
+		return sc, err
 	}
-	if *upgrades > 0 && *planners == 0 {
-		return nil, errors.New("-upgrades is for fleets of two levels")
+	if o.upgrades > 0 && o.planners == 0 {
+		return sc, errors.New("-upgrades is for fleets of two levels")
 	}
-	n := func(x int) int { return max(1, int(float64(x)**scale)) }
-	sc := testbed.Scenario{Length: *length, Upgrades: *upgrades,
-		Accounts: testbed.Accounts(n(20), n(10), n(3), *forwarders, *spread, *seed),
-		FleetConfig: testbed.FleetConfig{Forwarders: *forwarders, Planners: *planners, Nodes: *nodes, Classes: testbed.LabClasses,
-			Plans: testbed.LabPlans, Node: testbed.LabNode, Seed: *seed, Dir: *dir, Params: topology.Params{},
-			Spawn: spawner(self)}}
-	for i := range sc.Accounts {
-		sc.Accounts[i].Rate *= *plan
+	return testbed.Scenario{
+		Length:   o.length,
+		Upgrades: o.upgrades,
+		Accounts: o.accounts(o.forwarders),
+		FleetConfig: testbed.FleetConfig{
+			Forwarders: o.forwarders,
+			Planners:   o.planners,
+			Nodes:      o.nodes,
+			Classes:    testbed.LabClasses,
+			Plans:      testbed.LabPlans,
+			Node:       testbed.LabNode,
+			Seed:       o.seed,
+			Dir:        o.dir,
+			Params:     topology.Params{},
+			Spawn:      spawner(self),
+		},
+	}, nil
+}
+
+// accounts returns the accounts of a fleet of so many forwarders.
+func (o *labOptions) accounts(forwarders int) []testbed.Account {
+	scaled := func(n int) int { return max(1, int(float64(n)*o.scale)) }
+	accounts := testbed.Accounts(scaled(20), scaled(10), scaled(3), forwarders, o.spread, o.seed)
+	for i := range accounts {
+		accounts[i].Rate *= o.rate
 	}
-	if *failsafes > 0 {
-		into, back, err := testbed.Failsafes(sc.FleetConfig, *failsafes)
-		if err != nil {
-			return nil, err
-		}
-		fmt.Fprintf(w, "%d cores, %d forwarders, %d planners, %d times: into the fail-safe median %v, worst %v; led again median %v, worst %v\n",
-			runtime.NumCPU(), *forwarders, *planners, len(into), into[len(into)/2].Round(time.Millisecond), into[len(into)-1].Round(time.Millisecond),
-			back[len(back)/2].Round(time.Millisecond), back[len(back)-1].Round(time.Millisecond))
-		return nil, nil
+	return accounts
+}
+
+func (o *labOptions) measureFailsafes(sc testbed.Scenario, out io.Writer) error {
+	into, back, err := testbed.Failsafes(sc.FleetConfig, o.failsafes)
+	if err != nil {
+		return err
 	}
-	if *deaths > 0 {
-		back, err := testbed.Deaths(sc.FleetConfig, *deaths)
-		if err != nil {
-			return nil, err
+	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d times: into the fail-safe %s; led again %s\n", runtime.NumCPU(), o.forwarders,
+		o.planners, len(into), medianAndWorst(into), medianAndWorst(back))
+	return nil
+}
+
+func (o *labOptions) measureDeaths(sc testbed.Scenario, out io.Writer) error {
+	back, err := testbed.Deaths(sc.FleetConfig, o.deaths)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d deaths: led again %s\n", runtime.NumCPU(), o.forwarders, o.planners, len(back),
+		medianAndWorst(back))
+	return nil
+}
+
+// medianAndWorst describes sorted times.
+func medianAndWorst(sorted []time.Duration) string {
+	return fmt.Sprintf("median %v, worst %v", sorted[len(sorted)/2].Round(time.Millisecond), sorted[len(sorted)-1].Round(time.Millisecond))
+}
+
+// measureCost plays a fleet of each size without faults and prints what a request costs.
+func (o *labOptions) measureCost(sc testbed.Scenario, out io.Writer) error {
+	fmt.Fprintf(out, "%d cores, %d nodes, %d accounts, %v, seed %d\n%s\n", runtime.NumCPU(), o.nodes, len(sc.Accounts), o.length, o.seed, testbed.CostHeader)
+	for size := range strings.SplitSeq(o.sizes, ",") {
+		if _, err := fmt.Sscanf(size, "%d/%d", &sc.Forwarders, &sc.Planners); err != nil {
+			return fmt.Errorf("size %q: %w", size, err)
 		}
-		fmt.Fprintf(w, "%d cores, %d forwarders, %d planners, %d deaths: led again median %v, worst %v\n", runtime.NumCPU(), *forwarders, *planners,
-			len(back), back[len(back)/2].Round(time.Millisecond), back[len(back)-1].Round(time.Millisecond))
-		return nil, nil
-	}
-	if *cost {
-		fmt.Fprintf(w, "%d cores, %d nodes, %d accounts, %v, seed %d\n%s\n", runtime.NumCPU(), *nodes, len(sc.Accounts), *length, *seed, testbed.CostHeader)
-		for _, size := range strings.Split(*sizes, ",") {
-			if _, err := fmt.Sscanf(size, "%d/%d", &sc.Forwarders, &sc.Planners); err != nil {
-				return nil, fmt.Errorf("size %q: %w", size, err)
-			}
-			sc.Accounts = testbed.Accounts(n(20), n(10), n(3), sc.Forwarders, *spread, *seed)
-			for i := range sc.Accounts {
-				sc.Accounts[i].Rate *= *plan
-			}
-			sc.Dir = filepath.Join(*dir, strings.ReplaceAll(size, "/", "-"))
-			if err := os.MkdirAll(sc.Dir, 0o700); err != nil {
-				return nil, err
-			}
-			c, rep, err := testbed.MeasureCost(sc, 3*time.Second)
-			if err != nil {
-				return nil, err
-			}
-			c.Print(w, size)
-			if len(rep.Breaches) > 0 {
-				rep.Print(w)
-			}
+		sc.Accounts = o.accounts(sc.Forwarders)
+		sc.Dir = filepath.Join(o.dir, strings.ReplaceAll(size, "/", "-"))
+		if err := os.MkdirAll(sc.Dir, 0o700); err != nil {
+			return err
 		}
-		return nil, nil
-	}
-	var chosen []string
-	if *kinds != "" {
-		chosen = strings.Split(*kinds, ",")
-		if err := testbed.CheckKinds(chosen); err != nil {
-			return nil, err
+		cost, report, err := testbed.MeasureCost(sc, costWarmUp)
+		if err != nil {
+			return err
+		}
+		cost.Print(out, size)
+		if len(report.Breaches) > 0 {
+			report.Print(out)
 		}
 	}
-	if *shed {
-		sc.Operator = "[overload]\non = true\n"
+	return nil
+}
+
+// play runs the fleet under the scenario's faults and prints the oracle's report.
+func (o *labOptions) play(sc testbed.Scenario, out io.Writer) (*oracle.Report, error) {
+	if err := o.addFaults(&sc); err != nil {
+		return nil, err
 	}
-	if err := testbed.Make(*scenario, &sc, chosen, *every); err != nil {
+	fmt.Fprintf(out, "%s: %d cores, %d forwarders, %d planners, %d nodes, %d accounts, %v, seed %d, %d faults; logs in %s\n", o.scenario,
+		runtime.NumCPU(), o.forwarders, o.planners, sc.Nodes, len(sc.Accounts), o.length, o.seed, len(sc.Faults), o.dir)
+	fleet, report, err := testbed.Run(sc, out)
+	if err != nil {
 		return nil, err
 	}
-	if *replay != "" {
-		was, err := readRun(*replay)
-		if err != nil {
+	if o.recordFile != "" {
+		if err := writeRun(o.recordFile, o.set, sc, fleet); err != nil {
 			return nil, err
 		}
-		sc.Faults = was.Faults
 	}
-	fmt.Fprintf(w, "%s: %d cores, %d forwarders, %d planners, %d nodes, %d accounts, %v, seed %d, %d faults; logs in %s\n", *scenario,
-		runtime.NumCPU(), *forwarders, *planners, sc.Nodes, len(sc.Accounts), *length, *seed, len(sc.Faults), *dir)
-	f, rep, err := testbed.Run(sc, w)
-	if err != nil {
-		return nil, err
+	report.Print(out)
+	microsecondsATry := func(list []*testbed.Proc) float64 {
+		var cpu time.Duration
+		for _, process := range list {
+			cpu += process.CPU()
+		}
+		return cpu.Seconds() * 1e6 / math.Max(float64(report.Tries), 1)
 	}
-	if *record != "" {
-		if err := writeRun(*record, set, sc, f); err != nil {
-			return nil, err
+	fmt.Fprintf(out, "CPU a try: forwarders %.0f us, planners %.0f us; the laboratory was %v late at worst\n", microsecondsATry(fleet.Forwarders),
+		microsecondsATry(fleet.Planners), fleet.Hist.Late.Round(time.Millisecond))
+	return report, nil
+}
+
+// addFaults gives the scenario its faults: those of its name and kinds, or those of a recorded run.
+func (o *labOptions) addFaults(sc *testbed.Scenario) error {
+	var kinds []string
+	if o.kinds != "" {
+		kinds = strings.Split(o.kinds, ",")
+		if err := testbed.CheckKinds(kinds); err != nil {
+			return err
 		}
 	}
-	rep.Print(w)
-	var fc, pc time.Duration
-	for _, p := range f.Forwarders {
-		fc += p.CPU()
+	if o.shedding {
+		sc.Operator = "[overload]\non = true\n"
+	}
+	if err := testbed.Make(o.scenario, sc, kinds, o.every); err != nil {
+		return err
 	}
-	for _, p := range f.Planners {
-		pc += p.CPU()
+	if o.replayFile == "" {
+		return nil
+	}
+	recorded, err := readRun(o.replayFile)
+	if err != nil {
+		return err
 	}
-	fmt.Fprintf(w, "CPU a try: forwarders %.0f us, planners %.0f us; the laboratory was %v late at worst\n", fc.Seconds()*1e6/float64(max(rep.Tries, 1)),
-		pc.Seconds()*1e6/float64(max(rep.Tries, 1)), f.Hist.Late.Round(time.Millisecond))
-	return rep, nil
+	sc.Faults = recorded.Faults
+	return nil
 }
 
 // spawner starts the programs under test, which lie beside this one.
