--- a/cmd/eiderspread/main.go
+++ b/cmd/eiderspread/main.go
@@ -17,6 +17,7 @@
 	"syscall"
 
 	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
 // maxProcs is 1: an ingress has one core.
@@ -53,7 +54,7 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("ingress", cfg.Name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	reread := make(chan ingress.Config)
+	reread := make(chan ingressconfig.Config)
 	done := make(chan struct{})
 	defer close(done)
 	go reloadOnSignal(hup, done, path, cfg, reread, log)
@@ -61,18 +62,18 @@
 }
 
 // readConfig reads the configuration, and the operator's file if EDGE_OPERATOR names one.
-func readConfig(path string) (ingress.Config, error) {
-	cfg, err := ingress.ReadConfig(path)
+func readConfig(path string) (ingressconfig.Config, error) {
+	cfg, err := ingressconfig.Read(path)
 	if cfg.AdminAddr == "" && err == nil {
-		cfg.AdminAddr, err = ingress.CheckAdminAddr(os.Getenv("EDGE_CONSOLE"))
+		cfg.AdminAddr, err = ingressconfig.CheckAdminAddr(os.Getenv("EDGE_CONSOLE"))
 	}
 	if file := os.Getenv("EDGE_OPERATOR"); file != "" && err == nil {
-		cfg.OperatorConfig, err = ingress.ReadOperatorConfig(file)
+		cfg.OperatorConfig, err = ingressconfig.ReadOperator(file)
 	}
 	return cfg, err
 }
 
 // reloadOnSignal reads the configuration again at each signal and hands it on, until done is closed.
-func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, path string, first ingress.Config, to chan<- ingress.Config, log *slog.Logger) {
-	ingress.Reload(hup, done, func() (ingress.Config, error) { return readConfig(path) }, first, to, log)
+func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, path string, first ingressconfig.Config, to chan<- ingressconfig.Config, log *slog.Logger) {
+	ingressconfig.Reload(hup, done, func() (ingressconfig.Config, error) { return readConfig(path) }, first, to, log)
 }
--- a/cmd/eiderspread/main_test.go
+++ b/cmd/eiderspread/main_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
 // Guards against a start that hangs or panics on a configuration that can't be used: it must be
@@ -58,10 +58,10 @@
 			t.Fatal(err)
 		}
 	}
-	hup, done, to := make(chan os.Signal), make(chan struct{}), make(chan ingress.Config, 2)
+	hup, done, to := make(chan os.Signal), make(chan struct{}), make(chan ingressconfig.Config, 2)
 	defer close(done)
 	logged, w := io.Pipe()
-	go reloadOnSignal(hup, done, path, ingress.Config{}, to, slog.New(slog.NewTextHandler(w, nil)))
+	go reloadOnSignal(hup, done, path, ingressconfig.Config{}, to, slog.New(slog.NewTextHandler(w, nil)))
 	lines := bufio.NewReader(logged)
 	write(`{"listen":`)
 	hup <- syscall.SIGHUP
--- a/internal/controlplane/forwarder/config.go
+++ b/internal/controlplane/forwarder/config.go
@@ -7,7 +7,7 @@
 	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/base/operatorconfig"
 	"eiderspread/internal/controlplane/topology"
-	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
 // FileConfig is a forwarder's operators' file, checked.
@@ -18,7 +18,7 @@
 	PlannerNames []string // with TLS: the name in each planner's certificate
 	StatusAddr   string   // of the status page; empty: none
 	TLS          mutualtls.Identity
-	Ingress      ingress.Config
+	Ingress      ingressconfig.Config
 	IngressPath  string // where Ingress was read from
 }
 
@@ -65,7 +65,7 @@
 	if _, err := f.TLS.Config(); err != nil {
 		return cfg, fmt.Errorf("tls: %w", err)
 	}
-	if cfg.Ingress, err = ingress.ReadConfig(f.IngressPath); err != nil {
+	if cfg.Ingress, err = ingressconfig.Read(f.IngressPath); err != nil {
 		return cfg, err
 	}
 	cfg.Ingress.FleetMember = true
--- a/internal/controlplane/planner/config.go
+++ b/internal/controlplane/planner/config.go
@@ -7,7 +7,7 @@
 	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/base/operatorconfig"
 	"eiderspread/internal/controlplane/topology"
-	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/decision/loadshed"
 	"eiderspread/internal/observability/trace"
 )
@@ -23,7 +23,7 @@
 	TraceMB        int      // bound of each trace file
 	ForwarderNames []string // with TLS: the common name of each forwarder's certificate, by number
 	TLS            mutualtls.Identity
-	Ingress        ingress.Config
+	Ingress        ingressconfig.Config
 }
 
 // operatorFile is deploy/planner.toml.
@@ -68,7 +68,7 @@
 	if _, err := f.TLS.Config(); err != nil {
 		return cfg, fmt.Errorf("tls: %w", err)
 	}
-	if cfg.Ingress, err = ingress.ReadConfig(f.IngressPath); err != nil {
+	if cfg.Ingress, err = ingressconfig.Read(f.IngressPath); err != nil {
 		return cfg, err
 	}
 	if cfg.AdminAddr, err = f.checkAdminAddr(cfg.LeaseS); err != nil {
@@ -83,7 +83,7 @@
 
 // checkAdminAddr checks the admin address and that a call there can end in time: it waits for a whole lease.
 func (f *operatorFile) checkAdminAddr(leaseS float64) (string, error) {
-	addr, err := ingress.CheckAdminAddr(f.AdminAddr)
+	addr, err := ingressconfig.CheckAdminAddr(f.AdminAddr)
 	if err == nil && addr != "" && leaseS > maxLeaseForCordonS {
 		err = fmt.Errorf("console: lease_ms must be %.0f at most with it", maxLeaseForCordonS*1e3)
 	}
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -12,7 +12,7 @@
 	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/controlplane/topology"
 	"eiderspread/internal/controlplane/transport"
-	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/dataplane/settings"
 	"eiderspread/internal/testbed/certs"
 	"eiderspread/policy"
@@ -44,7 +44,7 @@
 
 func serve(t *testing.T, id mutualtls.Identity) *Server {
 	t.Helper()
-	cfg := FileConfig{Number: 1, ListenAddr: "127.0.0.1:0", TLS: id, ForwarderNames: []string{"f-0", "f-1"}, Ingress: ingress.Config{Discovery: "127.0.0.1:1",
+	cfg := FileConfig{Number: 1, ListenAddr: "127.0.0.1:0", TLS: id, ForwarderNames: []string{"f-0", "f-1"}, Ingress: ingressconfig.Config{Discovery: "127.0.0.1:1",
 		Settings: settings.Settings{Settings: policy.Settings{Gateways: 1, Classes: testClasses, Plans: testPlans, MaxAttempts: 5}}}}
 	cfg.Params = topology.Params{Name: "t", Forwarders: 2, Planners: 2, LinkTimeoutS: 5}
 	if err := cfg.Check(); err != nil {
--- a/internal/controlplane/process/process.go
+++ b/internal/controlplane/process/process.go
@@ -15,6 +15,7 @@
 	"eiderspread/internal/controlplane/forwarder"
 	"eiderspread/internal/controlplane/planner"
 	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
 const (
@@ -86,7 +87,7 @@
 	}
 	applyLimits(cfg.Ingress.MemoryMB)
 	log := newLogger(kindForwarder, cfg.Number)
-	reread := make(chan ingress.Config)
+	reread := make(chan ingressconfig.Config)
 	onSIGHUP(ctx, func() {
 		next, err := forwarder.ReadFile(path)
 		if err != nil {
--- a/internal/dataplane/ingress/admin_test.go
+++ b/internal/dataplane/ingress/admin_test.go
@@ -9,12 +9,13 @@
 	"testing"
 	"time"
 
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/membership/cordontable"
 	"eiderspread/policy"
 )
 
 // adminConfig is a configuration with an admin address, in a folder of the test's own.
-func adminConfig(t *testing.T, backends ...string) Config {
+func adminConfig(t *testing.T, backends ...string) ingressconfig.Config {
 	t.Setenv("TMPDIR", t.TempDir())
 	cfg := testConfig(backends...)
 	cfg.AdminAddr = "127.0.0.1:0"
--- a/internal/dataplane/ingress/backend_pool.go
+++ b/internal/dataplane/ingress/backend_pool.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
 )
@@ -44,9 +45,9 @@
 	onLastByte       func() // for tests: the last byte of a command that did not go out at once is out, and that is not recorded yet
 }
 
-func (s *backendPool) init(cfg Config) {
+func (s *backendPool) init(cfg ingressconfig.Config) {
 	s.byID = map[string]*backend{}
-	s.maxConnsAlone = max(8, cfg.freeDescriptors()*3/8)
+	s.maxConnsAlone = max(8, freeDescriptors(cfg)*3/8)
 	s.maxConns = s.maxConnsAlone
 	s.duplicateWindowS = duplicateWindowS
 	s.onLastByte = func() {}
--- a/internal/dataplane/ingress/client_table.go
+++ b/internal/dataplane/ingress/client_table.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"eiderspread/internal/dataplane/admin"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
 const (
@@ -14,11 +15,11 @@
 )
 
 // freeDescriptors is how many file descriptors there are for connections of clients and to backends.
-func (c Config) freeDescriptors() int {
-	if c.AdminAddr != "" {
-		return c.MaxDescriptors - reservedFDs - adminFDs
+func freeDescriptors(cfg ingressconfig.Config) int {
+	if cfg.AdminAddr != "" {
+		return cfg.MaxDescriptors - reservedFDs - adminFDs
 	}
-	return c.MaxDescriptors - reservedFDs
+	return cfg.MaxDescriptors - reservedFDs
 }
 
 // clientTable bounds the connections of clients. Those on which something is open may be as many as descriptors allow; idle ones are kept up
@@ -35,11 +36,11 @@
 	commandTimeout time.Duration // for the first command of a connection, and for a whole one; never changes
 }
 
-func (s *clientTable) init(freeDescriptors int) {
+func (s *clientTable) init(descriptors int) {
 	s.conns = map[*clientConn]struct{}{}
-	s.maxOpen = max(8, freeDescriptors/2)
-	s.evictIdleFrom = max(8, freeDescriptors/4)
-	s.maxOverCapacity = max(2, freeDescriptors/8)
+	s.maxOpen = max(8, descriptors/2)
+	s.evictIdleFrom = max(8, descriptors/4)
+	s.maxOverCapacity = max(2, descriptors/8)
 	s.commandTimeout = commandTimeout
 	s.connPermits = make(chan struct{}, s.maxOpen+s.maxOverCapacity+acceptSlack)
 }
--- a/internal/dataplane/ingress/client_table_test.go
+++ b/internal/dataplane/ingress/client_table_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
 // Guards against usual clients that make room for those that have said nothing.
@@ -117,7 +119,7 @@
 	for _, sockets := range []int{64, 256, 384, 1024} {
 		for _, door := range []string{"", "127.0.0.1:1"} {
 			var s clientTable
-			s.init(Config{MaxDescriptors: sockets, AdminAddr: door}.freeDescriptors())
+			s.init(freeDescriptors(ingressconfig.Config{MaxDescriptors: sockets, AdminAddr: door}))
 			if s.evictIdleFrom > sockets/3*4/5 || s.evictIdleFrom >= s.maxOpen && s.maxOpen > 8 {
 				t.Errorf("%d descriptors: %d idle connections, %d at work", sockets, s.evictIdleFrom, s.maxOpen)
 			}
--- a/internal/dataplane/ingress/decider_migration_test.go
+++ b/internal/dataplane/ingress/decider_migration_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/decision/snapshot"
 	"eiderspread/policy"
 )
@@ -42,7 +43,7 @@
 func (m *fakeMigratingDecider) Reclaim(float64) { m.reclaimed <- struct{}{} }
 
 // fleetMemberConfig is a configuration of a forwarder with an admin address.
-func fleetMemberConfig(t *testing.T, backends ...string) Config {
+func fleetMemberConfig(t *testing.T, backends ...string) ingressconfig.Config {
 	cfg := adminConfig(t, backends...)
 	cfg.FleetMember = true
 	return cfg
--- a/internal/dataplane/ingress/discovery.go
+++ b/internal/dataplane/ingress/discovery.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/membership/discovery"
 )
 
@@ -31,14 +32,14 @@
 }
 
 // watchDiscovery follows discovery until ctx ends, from each configuration that comes on reread on at the address that it names.
-func (in *Ingress) watchDiscovery(ctx context.Context, reread <-chan Config) {
+func (in *Ingress) watchDiscovery(ctx context.Context, reread <-chan ingressconfig.Config) {
 	addrs := make(chan string)
 	go in.takeConfigs(ctx, reread, addrs)
 	in.watcher.Run(ctx, addrs)
 }
 
 // takeConfigs takes over what a running ingress can of each configuration, and hands on the address of discovery, until ctx ends.
-func (in *Ingress) takeConfigs(ctx context.Context, reread <-chan Config, addrs chan<- string) {
+func (in *Ingress) takeConfigs(ctx context.Context, reread <-chan ingressconfig.Config, addrs chan<- string) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/dataplane/ingress/doc.go
+++ b/internal/dataplane/ingress/doc.go
@@ -20,7 +20,7 @@
 //	request.go, attempt.go, send_guard.go  a request, its attempts, and the check right before each write to a backend
 //	backend_*.go, duplicate_filter.go      the pool of connections to backends
 //	large_value*.go                        values that are streamed
-//	drain.go, drain_log.go, shutdown.go    a drain by operators, SIGTERM
+//	drain.go, drain_log.go, shutdown.go    a drain by operators, SIGTERM; reload.go: SIGHUP
 //	hot_restart*.go, decider_migration.go  handing over to another process
 //	discovery.go, cordon.go, admin.go      the endpoint list and what operators change of it
 package ingress
--- a/internal/dataplane/ingress/golden_test.go
+++ b/internal/dataplane/ingress/golden_test.go
@@ -4,39 +4,19 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"net/netip"
 	"strings"
 	"testing"
 
 	"eiderspread/internal/dataplane/callprotocol"
-	"eiderspread/internal/decision/loadshed"
-	"eiderspread/internal/membership/discovery"
 	"eiderspread/internal/testbed/golden"
 	"eiderspread/policy"
 )
 
-// Guards the status, what goes with a hot restart's messages beside the snapshot, and the keys of the operator's file and of the configuration.
+// Guards the status, and what goes with a hot restart's messages beside the snapshot.
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "status.json", &Status{})
 	golden.JSON(t, "go.json", &goMessage{})
 	golden.JSON(t, "value.json", &valueTransfer{})
-	o, err := ReadOperatorConfig(golden.Path("ingress.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden.Same(t, "operator's file", o, OperatorConfig{Status: "127.0.0.1:8610", Trace: "testdata", TraceMB: 256, Overload: loadshed.Config{Enabled: true, Floor: 0.05}})
-	c, err := ReadConfig(golden.Path("config.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.keys = nil
-	set := c.Settings.Settings
-	golden.Same(t, "settings", []any{set.Gateways, c.Settings.DialTimeoutS, c.Settings.ConnIdleS}, []any{2, 0.25, 15.0})
-	c.Settings = Config{}.Settings
-	golden.Same(t, "configuration", c, Config{Name: "n3", Listen: "127.0.0.1:6379", Discovery: "127.0.0.1:8500", AdminAddr: "127.0.0.1:9920",
-		Seed: 0x8c1f30d27a5be964, MemoryMB: 192, MaxDescriptors: 1025, PeerListen: netip.MustParseAddrPort("127.0.0.1:7946"),
-		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.1.1:7946"), netip.MustParseAddrPort("127.0.1.2:7946")}, PeerBroadcast: netip.MustParseAddrPort("127.0.1.255:7946"),
-		InitialEndpoints: discovery.List{Version: 41, Full: true, Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", Zone: "z", Cell: 2, Weight: 3, StartedMS: 4}}}})
 }
 
 // Guards the names by which the status counts.
--- a/internal/dataplane/ingress/harness_test.go
+++ b/internal/dataplane/ingress/harness_test.go
@@ -17,6 +17,7 @@
 	"github.com/tidwall/redcon"
 	"golang.org/x/sys/unix"
 
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/dataplane/settings"
 	"eiderspread/internal/membership/discovery"
 	"eiderspread/policy"
@@ -96,12 +97,12 @@
 	ended     chan struct{}
 	terminate context.CancelFunc
 
-	reread       chan Config
+	reread       chan ingressconfig.Config
 	otherDecider Decider // nil: mod
 }
 
-func testConfig(backends ...string) Config {
-	c := Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", MaxDescriptors: 1024,
+func testConfig(backends ...string) ingressconfig.Config {
+	c := ingressconfig.Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", MaxDescriptors: 1024,
 		Settings: settings.Settings{ConnIdleS: 15, DialTimeoutS: 60, Settings: policy.Settings{Gateways: 2, MaxRequestUnits: 6,
 			MaxAttempts: 5, MaxRetryAfterS: 1, RetryAfterAllowed: true, CancelAllowed: true,
 			Classes: []policy.Class{
@@ -116,14 +117,14 @@
 	return c
 }
 
-func startIngress(t *testing.T, cfg Config, change func(*testIngress)) *testIngress {
+func startIngress(t *testing.T, cfg ingressconfig.Config, change func(*testIngress)) *testIngress {
 	t.Helper()
 	in, err := newIngress(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &testIngress{t: t, ingress: in, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan Config)}
+	r := &testIngress{t: t, ingress: in, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan ingressconfig.Config)}
 	in.backends.duplicateWindowS = 0 // the tests' answers are alike
 	if change != nil {
 		change(r)
--- a/internal/dataplane/ingress/hot_restart_predecessor.go
+++ b/internal/dataplane/ingress/hot_restart_predecessor.go
@@ -8,6 +8,7 @@
 	"os"
 
 	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/decision/snapshot"
 )
 
@@ -26,7 +27,7 @@
 }
 
 // connectPredecessor asks the process that this one replaces for its sockets; nil if there is none.
-func connectPredecessor(cfg Config) (*predecessorState, error) {
+func connectPredecessor(cfg ingressconfig.Config) (*predecessorState, error) {
 	path, err := hotrestart.SocketPath(os.TempDir(), cfg.Name)
 	if err != nil {
 		return nil, nil // listenForSuccessor logs it
@@ -44,7 +45,7 @@
 }
 
 // fetchSockets says hello and takes the sockets that come for it.
-func (p *predecessorState) fetchSockets(cfg Config) error {
+func (p *predecessorState) fetchSockets(cfg ingressconfig.Config) error {
 	fds := 1
 	if cfg.Settings.PeerMessages {
 		fds = 2
--- a/internal/dataplane/ingress/hot_restart_test.go
+++ b/internal/dataplane/ingress/hot_restart_test.go
@@ -212,7 +212,7 @@
 			most = r.ingress.backends.maxConns
 			return r.ingress.acceptingClients.Load() && r.ingress.successor.stage == handoverNone && (limit == nil || limit.index < 0) // else all ends by it
 		})
-		if want := r.ingress.cfg.freeDescriptors() * 3 / 8; most != want {
+		if want := freeDescriptors(r.ingress.cfg) * 3 / 8; most != want {
 			t.Errorf("%d connections to backends, want %d again", most, want)
 		}
 		late := r.client()
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -14,6 +14,7 @@
 	"eiderspread/internal/dataplane/admin"
 	"eiderspread/internal/dataplane/callprotocol"
 	"eiderspread/internal/dataplane/hotrestart"
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/dataplane/inputbuffer"
 	"eiderspread/internal/membership/cordontable"
 	"eiderspread/internal/membership/discovery"
@@ -30,7 +31,7 @@
 
 // Ingress is one gateway on real sockets. Its loop owns it, but for what says otherwise.
 type Ingress struct {
-	cfg    Config
+	cfg    ingressconfig.Config
 	log    *slog.Logger
 	clock  monotime.Clock // of any goroutine
 	events chan event
@@ -83,7 +84,7 @@
 
 // Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each configuration that comes on reread, which may be
 // nil, the address of discovery, the classes and the number of attempts are taken over.
-func Run(ctx context.Context, cfg Config, reread <-chan Config, log *slog.Logger) error {
+func Run(ctx context.Context, cfg ingressconfig.Config, reread <-chan ingressconfig.Config, log *slog.Logger) error {
 	var recorder *trace.Recorder
 	err := RunWithDecider(ctx, cfg, reread, log, func(serveCtx context.Context, h Host) (Decider, error) {
 		cfg.Settings.LoadShedding = cfg.OperatorConfig.Overload
@@ -102,7 +103,7 @@
 
 // RunWithDecider is Run with a decider that newDecider makes. What newDecider starts ends with the context that it gets, which ends when the
 // drain is complete.
-func RunWithDecider(ctx context.Context, cfg Config, reread <-chan Config, log *slog.Logger,
+func RunWithDecider(ctx context.Context, cfg ingressconfig.Config, reread <-chan ingressconfig.Config, log *slog.Logger,
 	newDecider func(context.Context, Host) (Decider, error)) error {
 	in, err := newIngress(cfg, log)
 	if err != nil {
@@ -125,13 +126,13 @@
 }
 
 // newIngress opens an ingress's sockets; nothing is read from them yet.
-func newIngress(cfg Config, log *slog.Logger) (*Ingress, error) {
+func newIngress(cfg ingressconfig.Config, log *slog.Logger) (*Ingress, error) {
 	in := &Ingress{cfg: cfg, log: log, clock: monotime.NewClock(), events: make(chan event, eventQueueSize),
 		done: make(chan struct{}), requests: map[string]*request{}, largeValues: map[*largeValue]struct{}{}, systemTimer: time.NewTimer(time.Hour),
 		acceptFor: acceptAfterSIGTERM}
 	in.now = in.clock.Now()
-	in.inputBudget.Reset(int64(float64(cmp.Or(cfg.MemoryMB, defaultMemoryMB)<<20) * inputMemoryFraction))
-	in.clients.init(cfg.freeDescriptors())
+	in.inputBudget.Reset(int64(float64(cmp.Or(cfg.MemoryMB, ingressconfig.DefaultMemoryMB)<<20) * inputMemoryFraction))
+	in.clients.init(freeDescriptors(cfg))
 	in.backends.init(cfg)
 	in.watcher = in.newWatcher()
 	in.classes, in.maxAttempts = cfg.Settings.Classes, cfg.Settings.MaxAttempts
@@ -230,7 +231,7 @@
 }
 
 // serve starts the readers and runs the loop to the end of the drain.
-func (in *Ingress) serve(ctx context.Context, reread <-chan Config, decider Decider) error {
+func (in *Ingress) serve(ctx context.Context, reread <-chan ingressconfig.Config, decider Decider) error {
 	defer in.closeSockets()
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/dataplane/ingress/tracing.go
+++ b/internal/dataplane/ingress/tracing.go
@@ -4,12 +4,13 @@
 	"context"
 	"log/slog"
 
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/observability/trace"
 	"eiderspread/policy"
 )
 
 // startTracing has the module's decisions written until ctx ends, if the operator's file asks for it; else it returns nil.
-func startTracing(ctx context.Context, cfg Config, now float64, gateway *policy.Gateway, log *slog.Logger) (*trace.Recorder, error) {
+func startTracing(ctx context.Context, cfg ingressconfig.Config, now float64, gateway *policy.Gateway, log *slog.Logger) (*trace.Recorder, error) {
 	if cfg.OperatorConfig.Trace == "" {
 		return nil, nil
 	}
--- a/internal/dataplane/ingress/config.go
+++ b/internal/dataplane/ingressconfig/config.go
@@ -1,4 +1,6 @@
-package ingress
+// Package ingressconfig reads the platform's configuration of an ingress and the operator's file beside it, and says what of a configuration that
+// is read again a running ingress can take over. The platform's names of the keys stand here alone.
+package ingressconfig
 
 import (
 	"encoding/json"
@@ -21,7 +23,7 @@
 	Discovery      string // address of discovery
 	AdminAddr      string // where operators call; empty: nowhere
 	Seed           uint64 // of the decider's randomness
-	MemoryMB       int    // 0: no limit, and buffers as for defaultMemoryMB
+	MemoryMB       int    // 0: no limit, and buffers as for DefaultMemoryMB
 	MaxDescriptors int    // file descriptors that the process may hold
 
 	PeerListen    netip.AddrPort   // not valid: no peers
@@ -30,18 +32,18 @@
 
 	InitialEndpoints discovery.List // until discovery's list has come
 	Settings         settings.Settings
-	keys             keySet         // of the file
-	OperatorConfig   OperatorConfig // of the operator's file, if there is one
-	FleetMember      bool           // of a fleet, whose planners operators call to cordon a backend
+	keys             keySet   // of the file
+	OperatorConfig   Operator // of the operator's file, if there is one
+	FleetMember      bool     // of a fleet, whose planners operators call to cordon a backend
 
 	// Dial makes connections to backends in place of the system's own; nil: none does. Not of the file.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
 }
 
-const (
-	defaultMaxDescriptors = 1024
-	defaultMemoryMB       = 192
-)
+// DefaultMemoryMB is what buffers are sized for where the configuration has no memory limit.
+const DefaultMemoryMB = 192
+
+const defaultMaxDescriptors = 1024
 
 var (
 	errNoSettings   = errors.New("settings are missing")
@@ -66,20 +68,20 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// ReadConfig reads the configuration file. An error names the file and the key.
-func ReadConfig(path string) (Config, error) {
+// Read reads the configuration file. An error names the file and the key.
+func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := parseConfig(text)
+	c, err := parse(text)
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return c, nil
 }
 
-func parseConfig(text []byte) (Config, error) {
+func parse(text []byte) (Config, error) {
 	var f fileConfig
 	if err := json.Unmarshal(text, &f); err != nil {
 		return Config{}, err
--- a/internal/dataplane/ingress/config_test.go
+++ b/internal/dataplane/ingressconfig/config_test.go
@@ -1,4 +1,4 @@
-package ingress
+package ingressconfig
 
 import (
 	"strings"
@@ -11,8 +11,8 @@
 "known":{"version":41,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"in_service"}]},
 "settings":{"balancers":2,"limits":{"peerMessages":true,"dialTimeoutS":0.25,"connIdleS":15}}}`
 
-func TestParseConfig(t *testing.T) {
-	c, err := parseConfig([]byte(goodConfig))
+func TestParse(t *testing.T) {
+	c, err := parse([]byte(goodConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 		"dialTimeoutS":            {"0.25", "0"},
 		"settings are missing":    {`"settings"`, `"set"`},
 	} {
-		if _, err := parseConfig([]byte(strings.Replace(goodConfig, change[0], change[1], 1))); err == nil ||
+		if _, err := parse([]byte(strings.Replace(goodConfig, change[0], change[1], 1))); err == nil ||
 			!strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
 		}
--- a/internal/dataplane/ingress/config_keys.go
+++ b/internal/dataplane/ingressconfig/keys.go
@@ -1,4 +1,4 @@
-package ingress
+package ingressconfig
 
 import (
 	"encoding/json"
--- a/internal/dataplane/ingress/operator_config.go
+++ b/internal/dataplane/ingressconfig/operator.go
@@ -1,4 +1,4 @@
-package ingress
+package ingressconfig
 
 import (
 	"fmt"
@@ -8,18 +8,18 @@
 	"eiderspread/internal/observability/trace"
 )
 
-// OperatorConfig is the operator's file of an ingress, deploy/ingress.toml: what the platform's configuration does not know. All of it is off
+// Operator is the operator's file of an ingress, deploy/ingress.toml: what the platform's configuration does not know. All of it is off
 // unless asked for.
-type OperatorConfig struct {
+type Operator struct {
 	Status   string          `toml:"status"`   // where the status is served, on loopback; empty: nowhere
 	Trace    string          `toml:"trace"`    // folder for traces of decisions; empty: none are written
 	TraceMB  int             `toml:"trace_mb"` // bounds each file; 0: trace.DefaultMostMB
 	Overload loadshed.Config `toml:"overload"` // how the fleet sheds load as one
 }
 
-// ReadOperatorConfig reads and checks the operator's file. An error names the file and the key.
-func ReadOperatorConfig(path string) (OperatorConfig, error) {
-	var o OperatorConfig
+// ReadOperator reads and checks the operator's file. An error names the file and the key.
+func ReadOperator(path string) (Operator, error) {
+	var o Operator
 	if err := operatorconfig.Decode(path, &o); err != nil {
 		return o, err
 	}
--- a/internal/testbed/etcdfleet/etcdfleet_test.go
+++ b/internal/testbed/etcdfleet/etcdfleet_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/membership/agent"
 	"eiderspread/internal/testbed"
 	"eiderspread/internal/testbed/node"
@@ -39,7 +40,7 @@
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	if kind == "ingress" {
-		cfg, err := ingress.ReadConfig(file)
+		cfg, err := ingressconfig.Read(file)
 		if err != nil {
 			return err
 		}
--- a/internal/testbed/oneingress.go
+++ b/internal/testbed/oneingress.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
 // Environment of an ingress that the laboratory runs.
@@ -32,13 +33,13 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, reloadSignal)
 	defer signal.Stop(hup)
-	read := func() (ingress.Config, error) { return ingress.ReadConfig(file) }
+	read := func() (ingressconfig.Config, error) { return ingressconfig.Read(file) }
 	cfg, err := read()
 	if err != nil {
 		return err
 	}
 	if path := os.Getenv(envOperator); path != "" {
-		if cfg.OperatorConfig, err = ingress.ReadOperatorConfig(path); err != nil {
+		if cfg.OperatorConfig, err = ingressconfig.ReadOperator(path); err != nil {
 			return err
 		}
 	}
@@ -46,9 +47,9 @@
 		cfg.Dial = lateDialer(share)
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("ingress", cfg.Name, "pid", os.Getpid())
-	reread, done := make(chan ingress.Config), make(chan struct{})
+	reread, done := make(chan ingressconfig.Config), make(chan struct{})
 	defer close(done)
-	go ingress.Reload(hup, done, read, cfg, reread, log)
+	go ingressconfig.Reload(hup, done, read, cfg, reread, log)
 	return ingress.Run(ctx, cfg, reread, log)
 }
 
