--- a/internal/dataplane/ingress/shutdown_test.go
+++ b/internal/dataplane/ingress/shutdown_test.go
@@ -163,9 +163,13 @@
 	}
 	c.send(lookCommand("mute")...)
 	text := strings.Repeat("x", resp.MaxValueBytes)
+	var backends []*testConn // each request has one of its own, as none is answered before all have come
 	for range answers {
 		b := receive(t, conns)
 		b.command()
+		backends = append(backends, b)
+	}
+	for _, b := range backends {
 		write(b, "*3\r\n$65536\r\n"+text+"\r\n$-1\r\n$-1\r\n")
 	}
 	r.waitFor("all but one are answered", func() bool { return len(r.ingress.requests) == 1 })
