--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -397,12 +397,12 @@
 	p.s.check()
 }
 
-// SendToForwarder implements planner.Out.
+// SendToForwarder implements planner.Output.
 func (p *simPlanner) SendToForwarder(f int, msgs ...transport.Message) {
 	p.s.links[p.n][f].send(true, msgs)
 }
 
-// Log implements planner.Out.
+// Log implements planner.Output.
 func (p *simPlanner) Log(string, ...any) {}
 
 // check is the heart of fencing: no cell has two planners that may decide now.
@@ -574,12 +574,12 @@
 	}
 }
 
-// SendToPlanner implements forward.Out.
+// SendToPlanner implements forwarder.Output.
 func (f *simForwarder) SendToPlanner(p int, msgs ...transport.Message) {
 	f.s.links[p][f.n].send(false, msgs)
 }
 
-// PlannerWritable implements forward.Out.
+// PlannerWritable implements forwarder.Output.
 func (f *simForwarder) PlannerWritable(p int) bool { return f.s.links[p][f.n].fUp }
 
 // answer gives a client its answer; the first of a request stands, as in the ingress.
@@ -637,7 +637,7 @@
 	})
 }
 
-// SetCordoned implements forward.Out.
+// SetCordoned implements forwarder.Output.
 func (f *simForwarder) SetCordoned(server string, held bool) {
 	f.lives[f.life][server] = held
 	if f.old != nil {
--- a/internal/testbed/upgrade.go
+++ b/internal/testbed/upgrade.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// CheckReadiness implements rollout.Out.
+// CheckReadiness implements rollout.Output.
 func (u *upgrader) CheckReadiness(i int) {
 	if u.asking[i] {
 		return
@@ -88,7 +88,7 @@
 	}()
 }
 
-// Drain implements rollout.Out.
+// Drain implements rollout.Output.
 func (u *upgrader) Drain(i int) {
 	go func() {
 		status, err := u.procs[i].Call(context.Background(), http.MethodPost, "/v1/ingress/drain")
@@ -99,7 +99,7 @@
 	}()
 }
 
-// Restart implements rollout.Out.
+// Restart implements rollout.Output.
 func (u *upgrader) Restart(i int) {
 	p, n := u.procs[i], u.number[i]
 	target := onPlanner(u.f, Fault{A: i})
