--- a/internal/controlplane/cordon/coordinator.go
+++ b/internal/controlplane/cordon/coordinator.go
@@ -11,8 +11,10 @@
 
 // Errors of a call.
 var (
-	ErrTooMany        = errors.New("too many backends are held, or too many calls are under way")
-	ErrNoMajority     = errors.New("too few forwarders answered in time: it may hold or not, call again")
+	ErrTooMany = errors.New("too many backends are held, or too many calls are under way")
+	// ErrNoMajority leaves the call's outcome unknown: its state may have reached planners and forwarders, and may bind later or be replaced.
+	// The same call, made again, settles it.
+	ErrNoMajority     = errors.New("too few forwarders answered in time: outcome unknown, call again")
 	ErrUnknownBackend = errors.New("no backend of this id is listed or held") // returned by callers of a Coordinator, which know the list
 )
 
@@ -22,7 +24,8 @@
 	ReadRegister(forwarder int, operationID uint64, id string)
 	// WriteRegister asks a forwarder to merge a state. Unless operationID is 0, the register's state then goes to HandleState.
 	WriteRegister(forwarder int, operationID uint64, id string, state State)
-	// RegisterChanged notifies the planner of a newer state, which binds from now on.
+	// RegisterChanged notifies the planner of a newer state, which binds this planner from now on: with a call of its own even before a
+	// majority has the state. Other planners are bound once the call has ended with nil; until then its outcome is unknown.
 	RegisterChanged(id string, state State)
 }
 
@@ -142,7 +145,8 @@
 	}
 }
 
-// startWriting proposes a version above all that a majority knows.
+// startWriting proposes a version above all that a majority knows. It binds this planner at once, so that nothing is sent to a backend that is
+// being cordoned; if the call then ends with ErrNoMajority, that stays so and its outcome elsewhere is unknown.
 func (c *Coordinator) startWriting(operationID uint64, op *operation) {
 	highest := max(op.highestVersion, c.registers.Get(op.backendID).Version)
 	op.phase, op.proposed = writing, State{Version: nextVersion(highest, c.planner), Cordoned: op.cordoned}
--- a/internal/controlplane/forwarder/gateway.go
+++ b/internal/controlplane/forwarder/gateway.go
@@ -45,7 +45,7 @@
 
 var errNotForwarderState = errors.New("the state of the process before is not a forwarder's")
 
-// NewGatewayFunc returns a function that makes a RemoteGateway, for ingress.RunWith.
+// NewGatewayFunc returns a function that makes a RemoteGateway, for ingress.RunWithDecider.
 func NewGatewayFunc(cfg FileConfig) func(context.Context, ingress.Host) (ingress.Decider, error) {
 	return func(ctx context.Context, host ingress.Host) (ingress.Decider, error) {
 		g := &RemoteGateway{Host: host, cfg: cfg, incarnation: rand.Uint64(), links: make([]*transport.Conn, len(cfg.PlannerAddrs)), ctx: ctx}
--- a/internal/controlplane/planner/cordons.go
+++ b/internal/controlplane/planner/cordons.go
@@ -28,7 +28,8 @@
 }
 
 // apply returns a backend as the modules are to see it: draining while it is cordoned. One that is uncordoned may have been restarted
-// meanwhile, so it counts as started at that moment until discovery reports a start after the cordon.
+// meanwhile, so it counts as started at that moment until discovery reports a start after the cordon. cordontable.Table has the same rule for an
+// ingress without planners: on discovery's list, in milliseconds, and with no entry left for a backend that is terminated.
 func (o *cordonOverlay) apply(backend policy.Backend) policy.Backend {
 	cordonedAt, known := o.cordonedAt[backend.ID]
 	uncordonedAt, uncordoned := o.uncordonedAt[backend.ID]
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -49,17 +49,18 @@
 	return a.state != attemptReported || a.status != policy.Rejected && a.status != policy.ConnectFailed && a.status != policy.NotSent
 }
 
-// Send implements policy.Actions.
-func (in *Ingress) Send(id, server string, timeoutS float64) {
+// Send implements policy.Actions. A timeoutS above 0 ends the attempt after that many seconds, at the request's deadline at the latest; with 0
+// the deadline alone ends it; below 0 nothing is written and the outcome is Timeout.
+func (in *Ingress) Send(id, backendID string, timeoutS float64) {
 	r := in.requests[id]
-	if r == nil && in.orderPredecessor(snapshot.Order{Kind: snapshot.OrderSend, ID: id, Backend: server, DelayS: timeoutS}) {
+	if r == nil && in.orderPredecessor(snapshot.Order{Kind: snapshot.OrderSend, ID: id, Backend: backendID, DelayS: timeoutS}) {
 		return
 	}
 	if r == nil {
 		in.logFault("send for a request that is not open", "id", id)
 		return
 	}
-	a := &attempt{request: r, backend: in.backends.byID[server], number: len(r.attempts), sentAt: in.now, expiresAt: r.DeadlineAt}
+	a := &attempt{request: r, backend: in.backends.byID[backendID], number: len(r.attempts), sentAt: in.now, expiresAt: r.DeadlineAt}
 	if timeoutS != 0 {
 		a.expiresAt = min(a.expiresAt, in.now+timeoutS)
 	}
@@ -98,10 +99,10 @@
 }
 
 // Probe implements policy.Actions.
-func (in *Ingress) Probe(server string) {
-	a := &attempt{backend: in.backends.byID[server], sentAt: in.now, expiresAt: in.now + probeTimeoutS}
+func (in *Ingress) Probe(backendID string) {
+	a := &attempt{backend: in.backends.byID[backendID], sentAt: in.now, expiresAt: in.now + probeTimeoutS}
 	if a.backend == nil {
-		in.logFault("health check of a backend that is not listed", "id", server)
+		in.logFault("health check of a backend that is not listed", "id", backendID)
 		return
 	}
 	in.startAttempt(a)
--- a/internal/dataplane/ingress/backend_dial.go
+++ b/internal/dataplane/ingress/backend_dial.go
@@ -23,38 +23,38 @@
 }
 
 // dialBackend makes one connection. Its goroutine ends with the dial's timeout at the latest.
-func (in *Ingress) dialBackend(be *backend, endpoint discovery.Endpoint) {
+func (in *Ingress) dialBackend(backend *backend, endpoint discovery.Endpoint) {
 	conn, err := in.backends.dial(endpoint.Addr)
 	var c *backendConn
 	if err == nil {
-		c = &backendConn{backend: be, dialedEndpoint: endpoint, conn: conn.(*net.TCPConn)}
+		c = &backendConn{backend: backend, dialedEndpoint: endpoint, conn: conn.(*net.TCPConn)}
 		if c.rawConn, err = c.conn.SyscallConn(); err != nil {
 			conn.Close()
 			c = nil
 		}
 	}
-	in.post(in.clock.Now(), func() { in.handleDialed(be, c, err) })
+	in.post(in.clock.Now(), func() { in.handleDialed(backend, c, err) })
 }
 
 // handleDialed gives a new connection to the attempt that has waited longest. Where there is none, attempts that no dial is left for end, or
 // take an idle connection.
-func (in *Ingress) handleDialed(be *backend, c *backendConn, err error) {
-	be.pendingDials--
-	status := in.takeDialed(be, c, err)
-	for len(be.waitingAttempts) > be.pendingDials {
-		if c := in.takeIdleConn(be); c != nil {
+func (in *Ingress) handleDialed(backend *backend, c *backendConn, err error) {
+	backend.pendingDials--
+	status := in.takeDialed(backend, c, err)
+	for len(backend.waitingAttempts) > backend.pendingDials {
+		if c := in.takeIdleConn(backend); c != nil {
 			in.assignConn(c)
 			continue
 		}
-		in.finishAttempt(be.waitingAttempts[0], callprotocol.Result{Status: status}, in.now)
+		in.finishAttempt(backend.waitingAttempts[0], callprotocol.Result{Status: status}, in.now)
 	}
 }
 
 // takeDialed puts a new connection to use. It returns how attempts end that waited for a connection in vain.
-func (in *Ingress) takeDialed(be *backend, c *backendConn, err error) policy.Status {
+func (in *Ingress) takeDialed(backend *backend, c *backendConn, err error) policy.Status {
 	if c == nil {
 		in.backends.openConns--
-		in.logFault("dial failed", "backend", be.ID, "error", err)
+		in.logFault("dial failed", "backend", backend.ID, "error", err)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
 			return policy.NotSent // for want of something here: it says nothing of the backend
 		}
@@ -66,7 +66,7 @@
 		return policy.ConnectFailed
 	}
 	in.closeBackendConn(c)
-	if !c.unusable.Load() || c.dialedEndpoint.Addr != be.Addr {
+	if !c.unusable.Load() || c.dialedEndpoint.Addr != backend.Addr {
 		return policy.NotSent
 	}
 	return policy.ConnectFailed
--- a/internal/dataplane/ingress/backend_pool.go
+++ b/internal/dataplane/ingress/backend_pool.go
@@ -45,24 +45,24 @@
 	onLastByte       func() // for tests: the last byte of a command that did not go out at once is out, and that is not recorded yet
 }
 
-func (s *backendPool) init(cfg ingressconfig.Config) {
-	s.byID = map[string]*backend{}
-	s.maxConnsAlone = max(8, freeDescriptors(cfg)*3/8)
-	s.maxConns = s.maxConnsAlone
-	s.duplicateWindowS = duplicateWindowS
-	s.onLastByte = func() {}
-	s.idleTimeoutS = cfg.Settings.ConnIdleS * idleRetireFraction
+func (p *backendPool) init(cfg ingressconfig.Config) {
+	p.byID = map[string]*backend{}
+	p.maxConnsAlone = max(8, freeDescriptors(cfg)*3/8)
+	p.maxConns = p.maxConnsAlone
+	p.duplicateWindowS = duplicateWindowS
+	p.onLastByte = func() {}
+	p.idleTimeoutS = cfg.Settings.ConnIdleS * idleRetireFraction
 	timeout := time.Duration(cfg.Settings.DialTimeoutS * float64(time.Second))
-	s.dial = func(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, timeout) }
+	p.dial = func(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, timeout) }
 	if cfg.Dial != nil {
-		s.dial = func(addr string) (net.Conn, error) { return cfg.Dial(addr, timeout) }
+		p.dial = func(addr string) (net.Conn, error) { return cfg.Dial(addr, timeout) }
 	}
 }
 
 // anyUp reports whether there is a backend that a request could be sent to.
-func (s *backendPool) anyUp() bool {
-	for _, be := range s.byID {
-		if be.state == policy.Up {
+func (p *backendPool) anyUp() bool {
+	for _, backend := range p.byID {
+		if backend.state == policy.Up {
 			return true
 		}
 	}
@@ -71,77 +71,77 @@
 
 // applyList takes in a full list, or changes of one. An attempt that waits for a dial to a backend that may get nothing new is given back to
 // the decider at once.
-func (s *backendPool) applyList(in *Ingress, list discovery.List, notifiedAt float64) {
+func (p *backendPool) applyList(in *Ingress, list discovery.List, notifiedAt float64) {
 	listed := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
 		listed[endpoint.ID] = true
-		s.applyEndpoint(in, endpoint, notifiedAt)
+		p.applyEndpoint(in, endpoint, notifiedAt)
 	}
-	for id, be := range s.byID {
+	for id, backend := range p.byID {
 		if list.Full && !listed[id] {
-			be.state = policy.Removed
-			in.checkBackendDrain(be, notifiedAt)
-			s.retireConns(in, be)
+			backend.state = policy.Removed
+			in.checkBackendDrain(backend, notifiedAt)
+			p.retireConns(in, backend)
 		}
-		if be.state == policy.Removed {
-			delete(s.byID, id) // its attempts keep it until they end
+		if backend.state == policy.Removed {
+			delete(p.byID, id) // its attempts keep it until they end
 		}
 	}
 }
 
 // applyEndpoint takes in one entry of a list.
-func (s *backendPool) applyEndpoint(in *Ingress, endpoint discovery.Endpoint, notifiedAt float64) {
-	be := s.byID[endpoint.ID]
-	if be == nil {
-		be = &backend{}
-		s.byID[endpoint.ID] = be
-	}
-	replaced := be.Addr != endpoint.Addr || be.StartedMS != endpoint.StartedMS
-	be.Endpoint, be.state = endpoint, discovery.StateByName[endpoint.State]
-	if be.state == policy.Up {
-		be.drainNotifiedAt = 0
-	} else if be.drainNotifiedAt == 0 {
-		be.drainNotifiedAt = notifiedAt
-		in.checkBackendDrain(be, notifiedAt)
-	}
-	if replaced || be.state != policy.Up {
-		s.retireConns(in, be)
+func (p *backendPool) applyEndpoint(in *Ingress, endpoint discovery.Endpoint, notifiedAt float64) {
+	known := p.byID[endpoint.ID]
+	if known == nil {
+		known = &backend{}
+		p.byID[endpoint.ID] = known
+	}
+	replaced := known.Addr != endpoint.Addr || known.StartedMS != endpoint.StartedMS
+	known.Endpoint, known.state = endpoint, discovery.StateByName[endpoint.State]
+	if known.state == policy.Up {
+		known.drainNotifiedAt = 0
+	} else if known.drainNotifiedAt == 0 {
+		known.drainNotifiedAt = notifiedAt
+		in.checkBackendDrain(known, notifiedAt)
+	}
+	if replaced || known.state != policy.Up {
+		p.retireConns(in, known)
 	}
 }
 
 // retireConns closes a backend's idle connections and, unless it is up, gives back what waits for a dial.
-func (s *backendPool) retireConns(in *Ingress, be *backend) {
-	in.closeIdleConns(be)
-	if be.state == policy.Up {
+func (p *backendPool) retireConns(in *Ingress, backend *backend) {
+	in.closeIdleConns(backend)
+	if backend.state == policy.Up {
 		return
 	}
-	for len(be.waitingAttempts) > 0 {
-		in.finishUnsent(be.waitingAttempts[0], unsentBackendState)
+	for len(backend.waitingAttempts) > 0 {
+		in.finishUnsent(backend.waitingAttempts[0], unsentBackendState)
 	}
 }
 
 // sweep closes the connections that have idled for too long.
-func (s *backendPool) sweep(in *Ingress) {
-	for _, be := range s.byID {
-		for len(be.idleConns) > 0 && in.now-be.idleConns[0].idleSince > s.idleTimeoutS {
-			in.closeBackendConn(be.idleConns[0])
+func (p *backendPool) sweep(in *Ingress) {
+	for _, backend := range p.byID {
+		for len(backend.idleConns) > 0 && in.now-backend.idleConns[0].idleSince > p.idleTimeoutS {
+			in.closeBackendConn(backend.idleConns[0])
 		}
 	}
 }
 
 // closeIdleConns closes all idle connections to a backend.
-func (in *Ingress) closeIdleConns(be *backend) {
-	for len(be.idleConns) > 0 {
-		in.closeBackendConn(be.idleConns[len(be.idleConns)-1])
+func (in *Ingress) closeIdleConns(backend *backend) {
+	for len(backend.idleConns) > 0 {
+		in.closeBackendConn(backend.idleConns[len(backend.idleConns)-1])
 	}
 }
 
 // evictIdleConn closes the connection that idles for longest, and reports whether there was one.
 func (in *Ingress) evictIdleConn() bool {
 	var oldest *backendConn
-	for _, be := range in.backends.byID {
-		if len(be.idleConns) > 0 && (oldest == nil || be.idleConns[0].idleSince < oldest.idleSince) {
-			oldest = be.idleConns[0]
+	for _, backend := range in.backends.byID {
+		if len(backend.idleConns) > 0 && (oldest == nil || backend.idleConns[0].idleSince < oldest.idleSince) {
+			oldest = backend.idleConns[0]
 		}
 	}
 	if oldest != nil {
@@ -153,24 +153,24 @@
 // takeIdleConn takes a connection out of the pool, nil if there is none of use: the one used last of those whose delay is over, else the one
 // that has idled for longest, unless its last answer was no value. One on which bytes wait that nobody asked for, or that has ended though its
 // reader has not come to it yet, must not get a command.
-func (in *Ingress) takeIdleConn(be *backend) *backendConn {
-	for len(be.idleConns) > 0 {
-		i := len(be.idleConns) - 1
-		for i >= 0 && in.now-be.idleConns[i].idleSince < be.idleConns[i].reuseDelayS {
+func (in *Ingress) takeIdleConn(backend *backend) *backendConn {
+	for len(backend.idleConns) > 0 {
+		i := len(backend.idleConns) - 1
+		for i >= 0 && in.now-backend.idleConns[i].idleSince < backend.idleConns[i].reuseDelayS {
 			i--
 		}
 		if i < 0 {
-			i = slices.IndexFunc(be.idleConns, func(c *backendConn) bool { return c.reuseDelayS <= reuseDelayS })
+			i = slices.IndexFunc(backend.idleConns, func(c *backendConn) bool { return c.reuseDelayS <= reuseDelayS })
 		}
 		if i < 0 {
 			return nil
 		}
-		c := be.idleConns[i]
+		c := backend.idleConns[i]
 		if c.unusable.Load() || in.now-c.idleSince > in.backends.idleTimeoutS || !c.silent() {
 			in.closeBackendConn(c)
 			continue
 		}
-		be.idleConns = slices.Delete(be.idleConns, i, i+1)
+		backend.idleConns = slices.Delete(backend.idleConns, i, i+1)
 		return c
 	}
 	return nil
@@ -178,10 +178,10 @@
 
 // assignConn gives a connection to the first attempt that waits and may still be written, else to the pool.
 func (in *Ingress) assignConn(c *backendConn) {
-	be := c.backend
-	for len(be.waitingAttempts) > 0 {
-		a := be.waitingAttempts[0]
-		be.waitingAttempts = be.waitingAttempts[1:]
+	backend := c.backend
+	for len(backend.waitingAttempts) > 0 {
+		a := backend.waitingAttempts[0]
+		backend.waitingAttempts = backend.waitingAttempts[1:]
 		if reason, unsendable := in.unsendable(a); unsendable {
 			in.finishUnsent(a, reason)
 			continue
--- a/internal/dataplane/ingress/client_table.go
+++ b/internal/dataplane/ingress/client_table.go
@@ -23,8 +23,8 @@
 }
 
 // clientTable bounds the connections of clients. Those on which something is open may be as many as descriptors allow; idle ones are kept up
-// to a bound well below the third of the descriptors that clients have for requests: a crowd that connects and asks nothing would else take
-// the capacity of those who ask, whose requests would not even get here. Loop only, but for connPermits and commandTimeout.
+// to a bound well below the third of the descriptors that clients have for requests: else many connections without requests could use up the
+// descriptors, and connections with requests would not be accepted. Loop only, but for connPermits and commandTimeout.
 type clientTable struct {
 	conns           map[*clientConn]struct{}
 	evictIdleFrom   int           // from so many connections on, idle ones are closed for new ones
@@ -36,16 +36,16 @@
 	commandTimeout time.Duration // for the first command of a connection, and for a whole one; never changes
 }
 
-func (s *clientTable) init(descriptors int) {
-	s.conns = map[*clientConn]struct{}{}
-	s.maxOpen = max(8, descriptors/2)
-	s.evictIdleFrom = max(8, descriptors/4)
-	s.maxOverCapacity = max(2, descriptors/8)
-	s.commandTimeout = commandTimeout
-	s.connPermits = make(chan struct{}, s.maxOpen+s.maxOverCapacity+acceptSlack)
+func (t *clientTable) init(descriptors int) {
+	t.conns = map[*clientConn]struct{}{}
+	t.maxOpen = max(8, descriptors/2)
+	t.evictIdleFrom = max(8, descriptors/4)
+	t.maxOverCapacity = max(2, descriptors/8)
+	t.commandTimeout = commandTimeout
+	t.connPermits = make(chan struct{}, t.maxOpen+t.maxOverCapacity+acceptSlack)
 }
 
-func (s *clientTable) open() int { return len(s.conns) }
+func (t *clientTable) open() int { return len(t.conns) }
 
 // addClient takes a new connection into the table. One beyond all bounds is rejected unread, but with an answer.
 func (in *Ingress) addClient(c *clientConn) {
@@ -63,8 +63,8 @@
 
 // sweep closes what has idled for long, so that clients that keep a connection for good hold none of the memory either. A connection that has
 // never sent a command is its reader's to answer.
-func (s *clientTable) sweep(in *Ingress) {
-	for c := range s.conns {
+func (t *clientTable) sweep(in *Ingress) {
+	for c := range t.conns {
 		if c.state == connClosing && c.idle() && in.now-c.lastUsedAt > discardTimeout.Seconds() {
 			in.closeClient(c, closeIdleTimeout)
 		} else if c.commandReceived && c.quiescent() && in.now-c.lastUsedAt > clientIdleTimeoutS && c.silent() {
@@ -74,8 +74,8 @@
 }
 
 // closeIdle ends each connection that waits for no answer, but for those whose first command is on its way.
-func (s *clientTable) closeIdle(in *Ingress) {
-	for c := range s.conns {
+func (t *clientTable) closeIdle(in *Ingress) {
+	for c := range t.conns {
 		if c.fullyAnswered() && c.reader != readerTransferring && !c.recentlyOpened(in) {
 			in.closeGracefully(c, closeShutdown)
 		}
@@ -83,19 +83,19 @@
 }
 
 // atCapacity reports whether more connections are open, the newcomer aside, than may be served, after idle ones were closed for it.
-func (s *clientTable) atCapacity(in *Ingress, newcomer *clientConn) bool {
+func (t *clientTable) atCapacity(in *Ingress, newcomer *clientConn) bool {
 	var excluded map[*clientConn]bool // commands wait on them that their readers have not come to
 	for {
-		others := len(s.conns) + s.openElsewhere
-		if _, counted := s.conns[newcomer]; counted {
+		others := len(t.conns) + t.openElsewhere
+		if _, counted := t.conns[newcomer]; counted {
 			others--
 		}
-		if others < s.evictIdleFrom {
+		if others < t.evictIdleFrom {
 			return false
 		}
-		candidate := s.evictionCandidate(in, newcomer, excluded)
+		candidate := t.evictionCandidate(in, newcomer, excluded)
 		if candidate == nil {
-			return others >= s.maxOpen
+			return others >= t.maxOpen
 		}
 		if candidate.state != connClosing && (!candidate.silent() || !in.halfCloseIfSilent(candidate)) {
 			if excluded == nil {
@@ -110,8 +110,8 @@
 
 // evictionCandidate is the connection to close first for another one: of the lowest rank, and of these unused for longest. It is nil if there
 // is none.
-func (s *clientTable) evictionCandidate(in *Ingress, newcomer *clientConn, excluded map[*clientConn]bool) (candidate *clientConn) {
-	for c := range s.conns {
+func (t *clientTable) evictionCandidate(in *Ingress, newcomer *clientConn, excluded map[*clientConn]bool) (candidate *clientConn) {
+	for c := range t.conns {
 		if c == newcomer || !c.quiescent() || c.recentlyOpened(in) || excluded[c] {
 			continue
 		}
--- a/internal/dataplane/ingress/client_writer.go
+++ b/internal/dataplane/ingress/client_writer.go
@@ -38,7 +38,7 @@
 		c.releasePipelinePermit()
 	}
 	if n == 0 {
-		in.leaseClient(c)
+		in.startNextLargeValue(c)
 		return
 	}
 	c.dropAnswerSlots(n)
@@ -133,6 +133,6 @@
 	case in.shutdown.closingClients && in.successor.stage == handoverNone && c.fullyAnswered(): // else what waits there is served before
 		in.closeGracefully(c, closeShutdown)
 	default:
-		in.leaseClient(c)
+		in.startNextLargeValue(c)
 	}
 }
--- a/internal/dataplane/ingress/decider.go
+++ b/internal/dataplane/ingress/decider.go
@@ -10,8 +10,8 @@
 // Decider is notified of all events and decides on them: the decision module in this process, a *policy.Gateway, or what stands for a module
 // elsewhere. Its methods are called by the loop alone, one at a time, with the times of events in Unix seconds that never go back.
 type Decider interface {
-	HandleRequest(now float64, q policy.Request)
-	HandleOutcome(now float64, o policy.Outcome)
+	HandleRequest(now float64, request policy.Request)
+	HandleOutcome(now float64, outcome policy.Outcome)
 	HandleDisconnect(now float64, id string)
 	UpdateBackends(now float64, list []policy.Backend, full bool)
 	HandleTimer(now float64, token uint64)
@@ -51,7 +51,7 @@
 	Migrate(now float64) []snapshot.Part
 	// Resume goes on with the state of another process, before the first event. shiftS is what has to be added to its times.
 	Resume(now, shiftS float64, parts []snapshot.Part) error
-	RecordOrder(now float64, o snapshot.Order)
+	RecordOrder(now float64, order snapshot.Order)
 	Reclaim(now float64)
 }
 
--- a/internal/dataplane/ingress/decider_migration.go
+++ b/internal/dataplane/ingress/decider_migration.go
@@ -76,15 +76,15 @@
 }
 
 // HandleRequest implements Decider.
-func (r *eventRelay) HandleRequest(now float64, q policy.Request) {
-	r.MigratingDecider.HandleRequest(now, q)
-	r.forwardEvent(snapshot.Event{Request: &q})
+func (r *eventRelay) HandleRequest(now float64, request policy.Request) {
+	r.MigratingDecider.HandleRequest(now, request)
+	r.forwardEvent(snapshot.Event{Request: &request})
 }
 
 // HandleOutcome implements Decider.
-func (r *eventRelay) HandleOutcome(now float64, o policy.Outcome) {
-	r.MigratingDecider.HandleOutcome(now, o)
-	r.forwardEvent(snapshot.Event{Outcome: &o})
+func (r *eventRelay) HandleOutcome(now float64, outcome policy.Outcome) {
+	r.MigratingDecider.HandleOutcome(now, outcome)
+	r.forwardEvent(snapshot.Event{Outcome: &outcome})
 }
 
 // HandleDisconnect implements Decider.
@@ -95,36 +95,36 @@
 
 // receiveOrder takes an order off the link to the new process.
 func (in *Ingress) receiveOrder(link *hotrestart.Link, body []byte) {
-	var o snapshot.Order
-	if err := json.Unmarshal(body, &o); err != nil {
+	var order snapshot.Order
+	if err := json.Unmarshal(body, &order); err != nil {
 		in.Post(func(float64) { in.logFault("order of the new process not decoded", "error", err) })
 		return
 	}
 	in.Post(func(now float64) {
 		if relay, ok := in.decider.(*eventRelay); ok && in.successor.link == link {
-			relay.RecordOrder(now, o)
-			in.executeOrder(relay, o)
+			relay.RecordOrder(now, order)
+			in.executeOrder(relay, order)
 		}
 	})
 }
 
 // executeOrder does what the new process's decider wants done to a request of this one.
-func (in *Ingress) executeOrder(relay *eventRelay, o snapshot.Order) {
-	switch o.Kind {
+func (in *Ingress) executeOrder(relay *eventRelay, order snapshot.Order) {
+	switch order.Kind {
 	case snapshot.OrderSend:
-		if in.requests[o.ID] == nil && in.predecessorRequests[o.ID] == nil { // it has ended while the order was on its way
-			relay.forwardEvent(snapshot.Event{Outcome: &policy.Outcome{ID: o.ID, Backend: o.Backend, Attempt: o.Attempt, Status: policy.NotSent, Completed: true}})
+		if in.requests[order.ID] == nil && in.predecessorRequests[order.ID] == nil { // it has ended while the order was on its way
+			relay.forwardEvent(snapshot.Event{Outcome: &policy.Outcome{ID: order.ID, Backend: order.Backend, Attempt: order.Attempt, Status: policy.NotSent, Completed: true}})
 			return
 		}
-		in.Send(o.ID, o.Backend, o.DelayS)
+		in.Send(order.ID, order.Backend, order.DelayS)
 	case snapshot.OrderReject:
-		in.Reject(o.ID, o.DelayS)
+		in.Reject(order.ID, order.DelayS)
 	case snapshot.OrderFail:
-		in.Fail(o.ID)
+		in.Fail(order.ID)
 	case snapshot.OrderCancel:
-		in.Cancel(o.ID, o.Attempt)
+		in.Cancel(order.ID, order.Attempt)
 	case snapshot.OrderCordon:
-		in.Cordon(o.ID, o.Cordoned)
+		in.Cordon(order.ID, order.Cordoned)
 	}
 }
 
@@ -141,7 +141,8 @@
 	return r.completed && !slices.Contains(r.attemptsDone, false)
 }
 
-// acquireMemberLock takes the lock of who speaks for this member of a fleet. The predecessor may let go of it a moment later than it says.
+// acquireMemberLock takes the lock of the process that acts for this member of a fleet. The predecessor may release it a moment after it has
+// announced that.
 func (in *Ingress) acquireMemberLock() (err error) {
 	for end := time.Now().Add(linkTimeout); ; time.Sleep(lockRetryInterval / 4) {
 		if err = in.memberLock.Take(); err == nil || time.Now().After(end) {
@@ -191,26 +192,26 @@
 }
 
 // orderPredecessor has the predecessor do something to a request that it holds; false if it has none of that id.
-func (in *Ingress) orderPredecessor(o snapshot.Order) bool {
-	r := in.predecessorRequests[o.ID]
+func (in *Ingress) orderPredecessor(order snapshot.Order) bool {
+	r := in.predecessorRequests[order.ID]
 	if r == nil || in.predecessor == nil {
 		return false
 	}
-	switch o.Kind {
+	switch order.Kind {
 	case snapshot.OrderSend:
-		o.Attempt = len(r.attemptsDone)
+		order.Attempt = len(r.attemptsDone)
 		r.attemptsDone = append(r.attemptsDone, false)
 	case snapshot.OrderReject, snapshot.OrderFail:
 		r.completed = true
 	}
-	in.queueOrder(o)
-	in.forgetPredecessorRequest(o.ID, r)
+	in.queueOrder(order)
+	in.forgetPredecessorRequest(order.ID, r)
 	return true
 }
 
 // queueOrder has an order sent; one that can't be queued ends the link.
-func (in *Ingress) queueOrder(o snapshot.Order) {
-	body, err := json.Marshal(o)
+func (in *Ingress) queueOrder(order snapshot.Order) {
+	body, err := json.Marshal(order)
 	if err == nil {
 		select {
 		case in.predecessor.orders <- body:
--- a/internal/dataplane/ingress/doc.go
+++ b/internal/dataplane/ingress/doc.go
@@ -23,4 +23,7 @@
 //	drain.go, drain_log.go, shutdown.go    a drain by operators, SIGTERM; reload.go: SIGHUP
 //	hot_restart*.go, decider_migration.go  handing over to another process
 //	discovery.go, cordon.go, admin.go      the endpoint list and what operators change of it
+//	peers.go                               datagrams to and from the other ingresses
+//	status.go, telemetry.go, tracing.go    what is reported: the status page, counters by reason, traces of decisions
+//	deadlines.go                           deadlines of sockets
 package ingress
--- a/internal/dataplane/ingress/drain_log.go
+++ b/internal/dataplane/ingress/drain_log.go
@@ -26,7 +26,7 @@
 	in.log.Warn("drain time is over", "connections", in.clients.open(), "requests", len(in.requests), "looks", in.drain.sweeps,
 		"longest_gap", roundToMillis(in.drain.longestSweepGapS), "pings", in.drain.rejectedPings, "pings_behind_answers", in.drain.rejectedPingsQueued)
 	for c := range in.clients.conns {
-		in.logClientConn("connection outlived the drain", c, "reader_stopped", c.reader != readerRunning, "parked", c.reader >= readerStopped,
+		in.logClientConn("connection outlived the drain", c, "reader_stopped", c.reader != readerRunning, "loop_owns_input", c.reader >= readerStopped,
 			"ending", c.state == connClosing, "writing", c.writing, "unread_bytes", sockets.UnreadBytes(c.rawConn))
 	}
 }
--- a/internal/dataplane/ingress/hot_restart_successor.go
+++ b/internal/dataplane/ingress/hot_restart_successor.go
@@ -123,8 +123,8 @@
 	go in.sendToSuccessor(s.link, s.snapshot, goBody, s.transfers, s.events)
 	in.shutdown.closingClients = true
 	in.halveBackendConns()
-	for _, be := range in.backends.byID {
-		in.closeIdleConns(be)
+	for _, backend := range in.backends.byID {
+		in.closeIdleConns(backend)
 	}
 	LimitMemory(in.cfg.MemoryMB, MemoryLimitFraction*coexistFraction)
 	for c := range in.clients.conns {
@@ -229,7 +229,7 @@
 	if s.link != link || s.stage == handoverNone {
 		return
 	}
-	in.log.Error("the new process has ended; this one goes on", "passed", s.transferred)
+	in.log.Error("the new process has ended; this one goes on", "transferred", s.transferred)
 	stageBefore := s.stage
 	in.stopTimer(s.endTimer)
 	if _, migrated := in.decider.(*eventRelay); migrated {
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -76,7 +76,7 @@
 	successor           successorState                 // toward a process that replaces this one
 	predecessor         *predecessorState              // toward the process that this one replaces; nil once that has ended
 	predecessorRequests map[string]*predecessorRequest // that it holds and the decider here decides on; nil: there are none
-	memberLock          *hotrestart.Lock               // of who speaks for a member of a fleet; nil without an admin address and elsewhere
+	memberLock          *hotrestart.Lock               // held by the process that acts for this member of a fleet; nil without an admin address and outside a fleet
 
 	counters    ingressCounters
 	guardCounts guardCounters
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// openMemberLock takes the lock of who speaks for this member of a fleet, unless a predecessor has it still.
+// openMemberLock takes the lock of the process that acts for this member of a fleet, unless a predecessor still holds it.
 func (in *Ingress) openMemberLock() error {
 	if in.cfg.AdminAddr == "" || !in.cfg.FleetMember {
 		return nil
--- a/internal/dataplane/ingress/large_value.go
+++ b/internal/dataplane/ingress/large_value.go
@@ -10,12 +10,12 @@
 	"eiderspread/policy"
 )
 
-// A value above resp.MaxValueBytes is streamed from its backend's connection to its client's: the backend's reader writes it, once the loop has
-// leased it the client's side. No more than a chunk of it is kept, so that a client that reads slowly slows its own backend down and nobody
+// A value above resp.MaxValueBytes is streamed from its backend's connection to its client's: the backend's reader writes it, once the loop
+// allows it to write there. No more than a chunk of it is kept, so that a client that reads slowly slows its own backend down and nobody
 // else.
 const (
 	maxLargeValue   = 4 << 20          // bytes of a value
-	minLargePrefix  = 2 << 10          // bytes of it that must have come: a length that lies brings less
+	minLargePrefix  = 2 << 10          // bytes of it that must have come: a wrong length is mostly followed by fewer
 	streamChunkSize = 16 << 10         // bytes, of the input budget; where that does not reach, inputbuffer.ReadSize at a time must do
 	stallTimeout    = 10 * time.Second // that either side may let pass without a byte
 )
@@ -26,13 +26,13 @@
 	errNoReceiver         = errors.New("a large value that nobody waits for")
 )
 
-// largeValue is one on its way to its client. The loop owns it, but for what the reader uses once clientLeased is closed.
+// largeValue is one on its way to its client. The loop owns it, but for what the reader uses once mayWrite is closed.
 type largeValue struct {
-	client       *clientConn
-	attempt      *attempt      // nil: the predecessor has begun it
-	clientLeased chan struct{} // closed once the reader may write to the client
-	started      bool          // and whether that is so
-	stream       *valueStream
+	client   *clientConn
+	attempt  *attempt      // nil: the predecessor has begun it
+	mayWrite chan struct{} // closed once the reader may write to the client
+	started  bool          // and whether that is so
+	stream   *valueStream
 }
 
 // streamLargeValue streams a large value and reads what stands behind it, and posts what came of it to the loop. It reports whether the connection
@@ -44,7 +44,7 @@
 		return false
 	}
 	select {
-	case <-v.clientLeased:
+	case <-v.mayWrite:
 	case <-v.client.done:
 		in.post(in.clock.Now(), func() {
 			in.handleLargeValueEnd(v, callprotocol.Result{Status: policy.Cancelled}, errClientDisconnected)
@@ -100,25 +100,25 @@
 	in.stopTimer(a.timer)
 	a.firstByteAt = in.now
 	r := a.request
-	v := &largeValue{client: r.client, attempt: a, clientLeased: make(chan struct{}), stream: stream}
+	v := &largeValue{client: r.client, attempt: a, mayWrite: make(chan struct{}), stream: stream}
 	in.largeValues[v] = struct{}{}
 	r.slot.value = v
 	in.completeRequest(r)
 	if d, ok := in.decider.(StreamingDecider); ok {
 		d.HandleResponseStart(in.now, r.ID, a.number)
 	}
-	in.leaseClient(r.client)
+	in.startNextLargeValue(r.client)
 	return v
 }
 
-// leaseClient gives the client's side to the reader of the large value that comes next, if nothing else is being written there.
-func (in *Ingress) leaseClient(c *clientConn) {
+// startNextLargeValue lets the reader of the large value that is next in order write to the client, if nothing else is being written there.
+func (in *Ingress) startNextLargeValue(c *clientConn) {
 	if c.state != connOpen || c.writing || len(c.pendingOutput) > 0 || len(c.answerSlots) == 0 {
 		return
 	}
 	if v := c.answerSlots[0].value; v != nil && !v.started {
 		v.started, c.writing = true, true
-		close(v.clientLeased)
+		close(v.mayWrite)
 	}
 }
 
--- a/internal/dataplane/ingress/peers.go
+++ b/internal/dataplane/ingress/peers.go
@@ -21,7 +21,7 @@
 	ingress *Ingress
 	conn    *net.UDPConn
 	queue   chan datagram // from the loop to sendLoop
-	paused  bool          // another process speaks for this ingress; loop only
+	paused  bool          // another process exchanges datagrams for this ingress; loop only
 }
 
 type datagram struct {
--- a/internal/dataplane/ingress/send_guard.go
+++ b/internal/dataplane/ingress/send_guard.go
@@ -5,7 +5,8 @@
 )
 
 // The send guard: what must hold when bytes go out or a connection ends is checked at that very moment, and the result is counted. The rules
-// are the decision module's (policy/attempt_guard.go); nothing else in this package writes to a backend or ends a client's connection.
+// are the decision module's (policy/attempt_guard.go). They bind two places: writeAttempt (backend_conn.go), by which all writes to backends
+// go, and client_close.go, where the ingress closes connections of clients.
 
 const (
 	// disconnectCheckAfterS: a request that has waited for longer is sent only after a look whether its client is still there.
@@ -108,9 +109,9 @@
 
 // checkBackendDrain checks that a backend was not sent to too long after discovery said that it drains or is removed, which may have waited
 // for the loop.
-func (in *Ingress) checkBackendDrain(be *backend, notifiedAt float64) {
-	if late := be.lastWriteAt - notifiedAt - drainSendGraceS; late > networkMarginS {
-		in.reportViolation(policy.SendToDraining, "backend", be.ID, "late", roundToMillis(late))
+func (in *Ingress) checkBackendDrain(backend *backend, notifiedAt float64) {
+	if late := backend.lastWriteAt - notifiedAt - drainSendGraceS; late > networkMarginS {
+		in.reportViolation(policy.SendToDraining, "backend", backend.ID, "late", roundToMillis(late))
 	}
 }
 
--- a/internal/dataplane/ingress/shutdown.go
+++ b/internal/dataplane/ingress/shutdown.go
@@ -11,7 +11,7 @@
 	acceptAfterSIGTERM = 500 * time.Millisecond
 	// closeIdleInterval is the time between two looks for connections that may close.
 	closeIdleInterval = 100 * time.Millisecond
-	// SIGKILL may follow SIGTERM after the longest deadline of the classes, but for what is above maxKillDeadlineS, and killMarginS more.
+	// SIGKILL may follow SIGTERM after min(longest deadline of the classes, maxKillDeadlineS) + killMarginS, all in seconds.
 	maxKillDeadlineS = 3.0
 	killMarginS      = 0.7
 	// expireBeforeKillS before that the shutdown is over: what is still unanswered fails.
--- a/internal/membership/agent/sources.go
+++ b/internal/membership/agent/sources.go
@@ -72,7 +72,8 @@
 	s.agent.post(func(now float64) { s.agent.publish(s.agent.merger.MarkResumed(now, etcdName)) })
 }
 
-// Interrupted implements etcdsource.Sink. The source stays current until its silence lasts too long: most interruptions are short.
+// Interrupted implements etcdsource.Sink. It only logs: most interruptions are short, so the source is not marked with
+// merge.Merger.MarkInterrupted but becomes stale by Tick, once its silence exceeds its StaleAfterS.
 func (s etcdSink) Interrupted(err error) { s.agent.log.Warn("etcd watch interrupted", "error", err) }
 
 // InvalidValue implements etcdsource.Sink.
--- a/internal/membership/cordontable/table.go
+++ b/internal/membership/cordontable/table.go
@@ -67,7 +67,7 @@
 }
 
 // withCordon returns an endpoint with its cordon applied. One whose cordon was lifted may have been restarted meanwhile: it counts as
-// started at that moment until discovery reports a start after the cordon.
+// started at that moment until discovery reports a start after the cordon. Planners have the same rule for the backends of their modules.
 func (t *Table) withCordon(endpoint discovery.Endpoint) discovery.Endpoint {
 	cordon, exists := t.cordons[endpoint.ID]
 	switch {
--- a/internal/membership/merge/merge.go
+++ b/internal/membership/merge/merge.go
@@ -151,7 +151,8 @@
 	return m.mergeAll()
 }
 
-// MarkInterrupted notes that the named source may miss changes from now on: it is stale.
+// MarkInterrupted makes the named source stale at once, as Tick does after a silence of more than its StaleAfterS. The agent does not call it
+// for an interrupted watch: most interruptions are shorter than that. Tests call it for a source that is stale at a given time.
 func (m *Merger) MarkInterrupted(now float64, name string) []Entry {
 	m.now = max(m.now, now)
 	m.markStale(m.sources[name])
--- a/internal/membership/merge/rules.go
+++ b/internal/membership/merge/rules.go
@@ -144,7 +144,7 @@
 	return !f.byCurrent || m.now < e.upNotBefore
 }
 
-// trackFlapping keeps the books of rule 5 for a node that is about to change.
+// trackFlapping updates the times and counts of rule 5 for a node whose state is about to change.
 func (m *Merger) trackFlapping(e *entry, identity Identity, state State) {
 	if state == Removed {
 		e.leftUpAt = m.now
