--- a/internal/controlplane/forwarder/core.go
+++ b/internal/controlplane/forwarder/core.go
@@ -116,7 +116,7 @@
 		return
 	}
 	c.planners[planner] = plannerLink{linked: true, incarnation: incarnation}
-	c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindDisconnected, Handle: transport.CordonCapableHandle})
+	c.out.SendToPlanner(planner, transport.NewForwarderCordonCapable())
 	c.sendViews(planner)
 }
 
@@ -142,22 +142,19 @@
 	if c.now = now; c.migrated {
 		return
 	}
-	switch msg.Kind {
+	switch msg.KindFromPlanner() {
 	case transport.KindClaim:
 		c.handleClaim(planner, msg)
 	case transport.KindLead:
 		c.handleLead(planner, msg)
 	case transport.KindCordonRead, transport.KindCordonWrite:
 		c.handleCordon(planner, msg)
+	case transport.KindCordonCapable:
+		c.handleCordonCapable(planner)
+	case transport.KindShedLevel:
+		c.relayShedLevel(planner, msg)
 	case transport.KindRelease:
-		switch msg.Cell {
-		case transport.CordonCapableCell:
-			c.handleCordonCapable(planner)
-		case transport.ShedLevelCell:
-			c.relayShedLevel(planner, msg)
-		default:
-			c.handleRelease(planner, msg)
-		}
+		c.handleRelease(planner, msg)
 	case transport.KindHandbackRequest:
 		c.handleHandbackRequest(planner, msg)
 	case transport.KindSend, transport.KindReject, transport.KindFail, transport.KindCancel, transport.KindProbe:
@@ -173,7 +170,7 @@
 func (c *Core) relayShedLevel(planner int, msg *transport.Message) {
 	for other := range c.planners {
 		if other != planner && c.planners[other].linked {
-			c.out.SendToPlanner(other, transport.Message{Kind: transport.KindDisconnected, Handle: msg.Epoch})
+			c.out.SendToPlanner(other, transport.RelayedShedLevel(msg))
 		}
 	}
 }
--- a/internal/controlplane/planner/core.go
+++ b/internal/controlplane/planner/core.go
@@ -187,7 +187,7 @@
 		c.incarnation[forwarder] = incarnation
 		c.clearOrphans(forwarder)
 	}
-	c.out.SendToForwarder(forwarder, transport.Message{Kind: transport.KindRelease, Cell: transport.CordonCapableCell})
+	c.out.SendToForwarder(forwarder, transport.NewPlannerCordonCapable())
 	c.leases.linkUp(now, forwarder)
 }
 
@@ -204,7 +204,7 @@
 // HandleMessage handles a message of a forwarder.
 func (c *Core) HandleMessage(now float64, forwarder int, msg *transport.Message) {
 	c.advanceTo(now)
-	switch msg.Kind {
+	switch msg.KindFromForwarder() {
 	case transport.KindView:
 		c.leases.handleView(now, forwarder, msg)
 	case transport.KindGrant:
@@ -217,8 +217,14 @@
 		c.handleOutcome(forwarder, msg)
 	case transport.KindCordonState:
 		c.cordons.coordinator.HandleState(now, forwarder, msg.Handle, msg.Name, cordon.State{Version: msg.Epoch, Cordoned: msg.Flag})
+	case transport.KindCordonCapable:
+		c.cordons.coordinator.LinkUp(forwarder)
+	case transport.KindShedLevel:
+		if cellID, level, phase, ok := msg.ShedLevel(); ok {
+			c.applyShedLevel(cellID, level, phase)
+		}
 	case transport.KindDisconnected:
-		c.handleDisconnected(forwarder, msg)
+		c.disconnectRequest(forwarder, msg.Handle)
 	case transport.KindWithdraw:
 		c.handleWithdraw(forwarder, msg)
 	case transport.KindProbeResult:
@@ -226,19 +232,6 @@
 	}
 }
 
-// handleDisconnected handles a client's disconnect, or one of the two messages that are sent as one so that older peers ignore them.
-func (c *Core) handleDisconnected(forwarder int, msg *transport.Message) {
-	if msg.Handle == transport.CordonCapableHandle {
-		c.cordons.coordinator.LinkUp(forwarder)
-		return
-	}
-	if cellID, level, phase, ok := msg.ShedLevel(); ok {
-		c.applyShedLevel(cellID, level, phase)
-		return
-	}
-	c.disconnectRequest(forwarder, msg.Handle)
-}
-
 func (c *Core) handleProbeResult(msg *transport.Message) {
 	cell := c.leadingCell(int(msg.Cell), msg.Epoch)
 	if cell == nil || msg.Class > uint8(policy.NotSent) {
--- a/internal/controlplane/transport/message.go
+++ b/internal/controlplane/transport/message.go
@@ -22,11 +22,11 @@
 	KindUsageReportEnd                  // F: Cell, Epoch, Flag (the report is complete)
 	KindRequest                         // F: submits a request. Cell, Epoch, Handle, Class, Plan, Name (account), DurationS (left), Units, Flag (client retry)
 	KindOutcome                         // F: an attempt's end. Handle, Number (attempt), Class (status), Flag (request completed), DurationS (latency), Load
-	KindDisconnected                    // F: the client has disconnected, or has its answer. Handle
+	KindDisconnected                    // F: the client has disconnected, or has its answer. Handle. See also KindFromForwarder
 	KindProbeResult                     // F: Cell, Epoch, Name (backend), Class (status), DurationS (latency), Load
 	KindClaim                           // P: asks for a promise, or for its renewal. Cell, Epoch, Round
 	KindLead                            // P: a majority has promised. Cell, Epoch
-	KindRelease                         // P: ends a promise. Cell, Epoch
+	KindRelease                         // P: ends a promise. Cell, Epoch. See also KindFromPlanner
 	KindHandbackRequest                 // P: asks for a cell that another planner leads. Cell
 	KindSend                            // P: starts an attempt. Cell, Epoch, Handle, Name (backend), DurationS (time-out; 0: none), Round (number of the admission under this lead), Units (the account's debt)
 	KindReject                          // P: a final answer. Cell, Epoch, Handle, DurationS (retry after)
@@ -42,16 +42,52 @@
 	kindCount
 )
 
-// Peers of the version before cordons end a link on a record that they don't know. Each side therefore first announces that it knows these by a
-// record that such a peer ignores: a forwarder by a KindDisconnected of this handle, a planner by a KindRelease of this cell.
+// Kinds without a value on the wire, which KindFromForwarder and KindFromPlanner return. A peer ends a link on a kind that it doesn't know, but
+// ignores a KindDisconnected of a handle and a KindRelease of a cell that it doesn't know. What a peer built before cordons or load shedding has
+// to ignore is therefore sent as one of these two, with a handle or cell that is reserved for it. Message.Kind is never one of these kinds.
 const (
-	CordonCapableHandle = 1<<63 | 1
-	CordonCapableCell   = 1<<16 - 1
+	KindCordonCapable Kind = math.MaxUint8 - iota // both: the sender knows the kinds of cordons; others must not be sent them
+	KindShedLevel                                 // P: a load-shedding level; F: one that it relays to another planner. See ShedLevel
 )
 
-// ShedLevelCell marks a KindRelease that carries a load-shedding level. A forwarder relays it to the other planners as a KindDisconnected
-// whose Handle is the release's Epoch. Peers of earlier versions ignore both.
-const ShedLevelCell = 1<<16 - 2
+// Reserved handles of KindDisconnected and cells of KindRelease. A level that is relayed has its own mark, see shedLevelMark.
+const (
+	CordonCapableHandle = 1<<63 | 1 // KindCordonCapable of a forwarder
+	CordonCapableCell   = 1<<16 - 1 // KindCordonCapable of a planner
+	ShedLevelCell       = 1<<16 - 2 // KindShedLevel of a planner; the release's Epoch is the handle of the relayed message
+)
+
+// NewForwarderCordonCapable returns a forwarder's KindCordonCapable as it is sent.
+func NewForwarderCordonCapable() Message {
+	return Message{Kind: KindDisconnected, Handle: CordonCapableHandle}
+}
+
+// NewPlannerCordonCapable returns a planner's KindCordonCapable as it is sent.
+func NewPlannerCordonCapable() Message { return Message{Kind: KindRelease, Cell: CordonCapableCell} }
+
+// KindFromForwarder returns the kind of a message that a forwarder has sent: KindCordonCapable, KindShedLevel or else Kind.
+func (m *Message) KindFromForwarder() Kind {
+	switch {
+	case m.Kind != KindDisconnected:
+	case m.Handle == CordonCapableHandle:
+		return KindCordonCapable
+	case m.Handle>>shedLevelMarkShift == shedLevelMark>>shedLevelMarkShift:
+		return KindShedLevel
+	}
+	return m.Kind
+}
+
+// KindFromPlanner returns the kind of a message that a planner has sent: KindCordonCapable, KindShedLevel or else Kind.
+func (m *Message) KindFromPlanner() Kind {
+	switch {
+	case m.Kind != KindRelease:
+	case m.Cell == CordonCapableCell:
+		return KindCordonCapable
+	case m.Cell == ShedLevelCell:
+		return KindShedLevel
+	}
+	return m.Kind
+}
 
 // A relayed level differs from requests by the upper bits of its handle, which no request has.
 const (
@@ -61,16 +97,21 @@
 	shedLevelShift     = 8
 )
 
-// NewShedLevel returns the message of a cell's load-shedding level, from 0 to 1 in steps of 1/255, and phase.
+// NewShedLevel returns a planner's KindShedLevel as it is sent: a cell's load-shedding level, from 0 to 1 in steps of 1/255, and phase.
 func NewShedLevel(cellID int, level float64, phase uint8) Message {
 	steps := uint64(math.Round(min(max(level, 0), 1) * math.MaxUint8))
 	encoded := uint64(uint16(cellID))<<shedLevelCellShift | steps<<shedLevelShift | uint64(phase)
 	return Message{Kind: KindRelease, Cell: ShedLevelCell, Epoch: shedLevelMark | encoded}
 }
 
+// RelayedShedLevel returns a planner's KindShedLevel as a forwarder relays it.
+func RelayedShedLevel(sent *Message) Message {
+	return Message{Kind: KindDisconnected, Handle: sent.Epoch}
+}
+
 // ShedLevel reads a relayed load-shedding level; ok is false if the message is none.
 func (m *Message) ShedLevel() (cellID int, level float64, phase uint8, ok bool) {
-	if m.Kind != KindDisconnected || m.Handle>>shedLevelMarkShift != shedLevelMark>>shedLevelMarkShift {
+	if m.KindFromForwarder() != KindShedLevel {
 		return 0, 0, 0, false
 	}
 	level = float64(uint8(m.Handle>>shedLevelShift)) / math.MaxUint8
