--- a/cmd/membershipagent/lab.go
+++ b/cmd/membershipagent/lab.go
@@ -105,7 +105,7 @@
 		return err
 	}
 	report.Print(out)
-	fmt.Fprintf(out, "the laboratory was %v late at worst\n", fleet.Hist.Late.Round(time.Millisecond))
+	fmt.Fprintf(out, "the laboratory was %v late at worst\n", fleet.Hist.MaxLateness.Round(time.Millisecond))
 	return report.Verdict()
 }
 
--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -31,7 +31,7 @@
 	if err != nil || rep == nil || rep.Void != "" {
 		return nil, err
 	}
-	return rep.Counts, nil
+	return rep.ViolationCounts, nil
 }
 
 // labRun does what testbed lab is asked for. Its report is nil where that was a measurement.
@@ -123,7 +123,7 @@
 				return nil, err
 			}
 			c.Print(w, size)
-			if len(rep.Breaches) > 0 {
+			if len(rep.Violations) > 0 {
 				rep.Print(w)
 			}
 		}
@@ -168,8 +168,8 @@
 	for _, p := range f.Planners {
 		pc += p.CPU()
 	}
-	fmt.Fprintf(w, "CPU a try: forwarders %.0f us, planners %.0f us; the laboratory was %v late at worst\n", fc.Seconds()*1e6/float64(max(rep.Tries, 1)),
-		pc.Seconds()*1e6/float64(max(rep.Tries, 1)), f.Hist.Late.Round(time.Millisecond))
+	fmt.Fprintf(w, "CPU a try: forwarders %.0f us, planners %.0f us; the laboratory was %v late at worst\n", fc.Seconds()*1e6/float64(max(rep.Requests, 1)),
+		pc.Seconds()*1e6/float64(max(rep.Requests, 1)), f.Hist.MaxLateness.Round(time.Millisecond))
 	return rep, nil
 }
 
--- a/cmd/testbed/overload.go
+++ b/cmd/testbed/overload.go
@@ -129,43 +129,43 @@
 
 // overloadRow prints the means of some runs.
 func overloadRow(w io.Writer, name string, n int, how string, reps []*oracle.Report) {
-	m, spreads := oracle.Load{Classes: map[string]float64{}, Spread: &oracle.Spread{}}, 0.0
+	m, spreads := oracle.Load{Classes: map[string]float64{}, LevelSpread: &oracle.LevelSpread{}}, 0.0
 	breaches, even, share := 0, 0.0, 0.0
 	k := 1 / float64(len(reps))
 	back := 0.0
 	for _, r := range reps {
-		for _, c := range r.Counts {
+		for _, c := range r.ViolationCounts {
 			breaches += c
 		}
 		l := r.Load
 		if l == nil {
 			continue
 		}
-		m.Asked, m.Goal, m.Whole, m.WorstSpan = m.Asked+k*l.Asked, m.Goal+k*l.Goal, m.Whole+k*l.Whole, m.WorstSpan+k*l.WorstSpan
-		m.Floor, m.Late, m.Gone, m.Again, m.Starved = m.Floor+k*l.Floor, m.Late+k*l.Late, m.Gone+k*l.Gone, m.Again+k*l.Again, m.Starved+l.Starved
-		m.Used += k * l.Used
-		if s := l.Spread; s != nil {
+		m.Demand, m.Goal, m.Overall, m.WorstInterval = m.Demand+k*l.Demand, m.Goal+k*l.Goal, m.Overall+k*l.Overall, m.WorstInterval+k*l.WorstInterval
+		m.WorstDecile, m.SlowFraction, m.WastedFraction, m.RequestsPerOriginal, m.StarvedAccounts = m.WorstDecile+k*l.WorstDecile, m.SlowFraction+k*l.SlowFraction, m.WastedFraction+k*l.WastedFraction, m.RequestsPerOriginal+k*l.RequestsPerOriginal, m.StarvedAccounts+l.StarvedAccounts
+		m.Utilization += k * l.Utilization
+		if s := l.LevelSpread; s != nil {
 			spreads++
-			m.Spread.Known, m.Spread.Spread, m.Spread.Swing = m.Spread.Known+s.Known, m.Spread.Spread+s.Spread, m.Spread.Swing+s.Swing
+			m.LevelSpread.DetectionS, m.LevelSpread.Spread, m.LevelSpread.Swing = m.LevelSpread.DetectionS+s.DetectionS, m.LevelSpread.Spread+s.Spread, m.LevelSpread.Swing+s.Swing
 		}
 		for name, x := range l.Classes {
 			m.Classes[name] += k * x
 		}
-		even, share = even+k*l.Even(), share+k*l.Goal/max(l.Bound, 1e-9)
-		if back = max(back, l.Back); l.Back < 0 {
+		even, share = even+k*l.Fairness(), share+k*l.Goal/max(l.UpperBound, 1e-9)
+		if back = max(back, l.RecoveryS); l.RecoveryS < 0 {
 			back = 99
 		}
 	}
 	held := " | | "
 	if spreads > 0 {
-		held = fmt.Sprintf("%.1f | %.2f | %.2f", m.Spread.Known/spreads, m.Spread.Spread/spreads, m.Spread.Swing/spreads)
+		held = fmt.Sprintf("%.1f | %.2f | %.2f", m.LevelSpread.DetectionS/spreads, m.LevelSpread.Spread/spreads, m.LevelSpread.Swing/spreads)
 	}
 	var classes []string
 	for _, name := range slices.Sorted(maps.Keys(m.Classes)) {
 		classes = append(classes, fmt.Sprintf("%.2f", m.Classes[name]))
 	}
-	fmt.Fprintf(w, "| %s | %d | %s | %.2f | %.3f | %.3f | %.3f | %.3f | %.2f | %.3f | %d | %.3f | %.3f | %.2f | %.2f | %s | %s | %.0f | %d |\n", name, n, how, m.Asked, m.Goal, share, m.Whole,
-		m.WorstSpan, even, m.Floor, m.Starved, m.Late, m.Gone, m.Again, m.Used, strings.Join(classes, " / "), held, back, breaches)
+	fmt.Fprintf(w, "| %s | %d | %s | %.2f | %.3f | %.3f | %.3f | %.3f | %.2f | %.3f | %d | %.3f | %.3f | %.2f | %.2f | %s | %s | %.0f | %d |\n", name, n, how, m.Demand, m.Goal, share, m.Overall,
+		m.WorstInterval, even, m.WorstDecile, m.StarvedAccounts, m.SlowFraction, m.WastedFraction, m.RequestsPerOriginal, m.Utilization, strings.Join(classes, " / "), held, back, breaches)
 }
 
 // keepOverload writes the figures of one run.
--- a/cmd/testbed/runs.go
+++ b/cmd/testbed/runs.go
@@ -44,8 +44,8 @@
 	}
 	defer out.Close()
 	rules := f.Rules()
-	rules.Floors = sc.Floors
-	return oracle.Write(out, f.Hist, rules)
+	rules.MinOccasions = sc.Floors
+	return oracle.WriteHistory(out, f.Hist, rules)
 }
 
 func readRun(path string) (k kept, err error) {
@@ -69,11 +69,11 @@
 		return err
 	}
 	defer in.Close()
-	h, rules, err := oracle.Read(in)
+	h, rules, err := oracle.ReadHistory(in)
 	if err != nil {
 		return err
 	}
-	rep := oracle.Audit(h, rules)
+	rep := oracle.Check(h, rules)
 	rep.Print(os.Stdout)
 	return rep.Verdict()
 }
@@ -97,16 +97,16 @@
 	if err != nil {
 		return err
 	}
-	h, rules, err := oracle.Read(in)
+	h, rules, err := oracle.ReadHistory(in)
 	in.Close()
 	if err != nil {
 		return err
 	}
-	rep := oracle.Audit(h, rules)
-	if len(rep.Breaches) == 0 {
+	rep := oracle.Check(h, rules)
+	if len(rep.Violations) == 0 {
 		return fmt.Errorf("%s holds no breach", args[0])
 	}
-	rule := rep.Breaches[0].Rule
+	rule := rep.Violations[0].Rule
 	dir, err := os.MkdirTemp("", "eidershrink")
 	if err != nil {
 		return err
--- a/cmd/testbed/sim.go
+++ b/cmd/testbed/sim.go
@@ -56,9 +56,9 @@
 // fails reports whether a schedule's report breaks a rule that counts.
 func (o simOptions) fails(report *oracle.Report) bool {
 	if o.rule == "" {
-		return len(report.Counts) > 0
+		return len(report.ViolationCounts) > 0
 	}
-	return report.Counts[o.rule] > 0
+	return report.ViolationCounts[o.rule] > 0
 }
 
 // simRun plays the schedules of one call. mu guards all below it.
@@ -170,8 +170,8 @@
 	for _, fault := range cfg.Faults {
 		fmt.Printf("  %8.3f %v\n", fault.At.Seconds(), fault)
 	}
-	if breaches := simulation.New(cfg).Run().Breaches; len(breaches) > 0 {
-		fmt.Printf("  %8.3f %s: %s\n", breaches[0].At.Seconds(), breaches[0].Rule, breaches[0].What)
+	if breaches := simulation.New(cfg).Run().Violations; len(breaches) > 0 {
+		fmt.Printf("  %8.3f %s: %s\n", breaches[0].At.Seconds(), breaches[0].Rule, breaches[0].Detail)
 	}
 }
 
--- a/cmd/testbed/sim_totals.go
+++ b/cmd/testbed/sim_totals.go
@@ -15,7 +15,7 @@
 	handshakes      int // connections opened to backends
 	service         float64
 	byPlan          map[string]float64 // service
-	cost            oracle.Cost
+	cost            oracle.OverQuotaCost
 
 	occasions, breaches map[string]int     // by rule
 	nearest             map[string]float64 // worst of all schedules, by bound
@@ -33,29 +33,29 @@
 }
 
 func (t *simTotals) add(report *oracle.Report) {
-	t.tries += report.Tries
+	t.tries += report.Requests
 	t.attempts += report.Attempts
 	t.handshakes += report.Handshakes
 	t.service += report.Service
-	t.cost.Real += report.Beyond.Real
-	t.cost.Late += report.Beyond.Late
-	t.ideal += report.Ideal
-	t.withheld += report.Withheld
+	t.cost.Actual += report.OverQuotaCost.Actual
+	t.cost.Delayed += report.OverQuotaCost.Delayed
+	t.ideal += report.IdealUnits
+	t.withheld += report.WithheldUnits
 	for _, overshoot := range report.Overshoots {
 		t.excess += overshoot.Units
 	}
-	t.messages += report.Messages
-	t.droppedMessages += report.Drowned
-	t.slotSeconds += report.PlaceS
-	t.excessSeconds += report.BeyondS
-	addEach(t.byPlan, report.ByPlan)
-	addEach(t.occasions, report.Seen)
-	addEach(t.breaches, report.Counts)
-	addEach(t.messageKinds, report.Kinds)
+	t.messages += report.PeerMessages
+	t.droppedMessages += report.DroppedPeerMessages
+	t.slotSeconds += report.SlotS
+	t.excessSeconds += report.ExcessSlotS
+	addEach(t.byPlan, report.ServiceByPlan)
+	addEach(t.occasions, report.Occasions)
+	addEach(t.breaches, report.ViolationCounts)
+	addEach(t.messageKinds, report.PeerMessageKinds)
 	for k, n := range report.Reasons {
 		t.rejections[reason.Reason(k)] += n
 	}
-	for bound, x := range report.Nearest {
+	for bound, x := range report.Utilization {
 		t.nearest[bound] = max(t.nearest[bound], x)
 	}
 }
@@ -80,7 +80,7 @@
 	for _, plan := range slices.Sorted(maps.Keys(t.byPlan)) {
 		fmt.Printf(" %s %.3f", plan, t.byPlan[plan]/schedules)
 	}
-	fmt.Printf("\n  beyond quotas: costs %.3f of the worth asked for inside, %.3f under a policy that sees all late", t.cost.Real/schedules, t.cost.Late/schedules)
+	fmt.Printf("\n  beyond quotas: costs %.3f of the worth asked for inside, %.3f under a policy that sees all late", t.cost.Actual/schedules, t.cost.Delayed/schedules)
 	fmt.Printf("\n  connections opened to nodes: %.2f an attempt\n", float64(t.handshakes)/float64(max(t.attempts, 1)))
 	if t.ideal > 0 {
 		t.printCounts(schedules*lengthS, gateways)
--- a/internal/membership/agent/etcd_test.go
+++ b/internal/membership/agent/etcd_test.go
@@ -291,7 +291,7 @@
 		t.Fatal(err)
 	}
 	defer link.Close()
-	hist := oracle.New()
+	hist := oracle.NewHistory()
 	ros := testbed.NewRoster(hist)
 	defer ros.Close()
 	addr, err := ros.For("a")
--- a/internal/membership/agent/outage_test.go
+++ b/internal/membership/agent/outage_test.go
@@ -103,7 +103,7 @@
 	cancel()
 	<-done
 	slices.Sort(delays)
-	tries := len(f.Hist.Tries)
+	tries := len(f.Hist.Requests)
 	t.Logf("%s: %d drains at %.0f requests a second (%d in all): last new work after %v in the median, %v at p99, %v at worst", by, len(delays),
 		*cutoffRate, tries, delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1])
 	if strings.Contains(by, "etcd") && delays[len(delays)-1] > 300*time.Millisecond {
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -60,7 +60,7 @@
 	open   map[*clientConn]bool  // all that are
 	rng    *rand.Rand
 	next   uint64
-	last   *oracle.Try
+	last   *oracle.Request
 	floods map[string]float64 // factor by account
 	wg     sync.WaitGroup     // bounded by the run's length and rates
 }
@@ -263,7 +263,7 @@
 			first = id
 		}
 		r, hint := c.try(a, class, c.front.Pick(a), id, first, key, left)
-		if r == oracle.Served || r == oracle.Alien || r == oracle.Left || (r == oracle.Failed || r == oracle.Broken) && class.Idempotency == policy.NonIdempotent {
+		if r == oracle.Served || r == oracle.ForeignReply || r == oracle.Disconnected || (r == oracle.Failed || r == oracle.ConnectionLost) && class.Idempotency == policy.NonIdempotent {
 			return
 		}
 		if a.Once {
@@ -346,10 +346,10 @@
 }
 
 // sent records a try as sent now.
-func (c *Clients) sent(t *oracle.Try, left time.Duration) {
-	t.Sent = c.hist.Now()
-	t.Deadline = t.Sent + left
-	c.hist.Sent(t)
+func (c *Clients) sent(t *oracle.Request, left time.Duration) {
+	t.SentAt = c.hist.Now()
+	t.Deadline = t.SentAt + left
+	c.hist.RequestSent(t)
 	c.mu.Lock()
 	c.last = t
 	c.mu.Unlock()
@@ -362,18 +362,18 @@
 		return oracle.Served, 0
 	case strings.HasPrefix(answer, "-BUSY"):
 		hint, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(answer, "-BUSY")))
-		return oracle.Refused, time.Duration(hint) * time.Millisecond
+		return oracle.Rejected, time.Duration(hint) * time.Millisecond
 	case strings.HasPrefix(answer, "-"):
 		return oracle.Failed, 0
 	}
-	return oracle.Alien, 0
+	return oracle.ForeignReply, 0
 }
 
 // try sends one request and reads its answer. On a connection that the forwarder closed between requests, while the same
 // program still runs, it is sent once more on a new one.
 func (c *Clients) try(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (oracle.Result, time.Duration) {
 	command := c.command(a, class, id, key, left)
-	t := &oracle.Try{ID: id, First: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
+	t := &oracle.Request{ID: id, OriginalID: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
 		Units: float64(c.cfg.Units[class.Name])}
 	c.sent(t, left)
 	hangUp := time.Duration(0)
@@ -383,7 +383,7 @@
 	for again := range 2 {
 		k, err := c.dial(f, again > 0)
 		if err != nil {
-			t.Untaken = true
+			t.NotAccepted = true
 			break
 		}
 		_ = k.SetDeadline(time.Now().Add(left + 2*time.Second))
@@ -396,25 +396,25 @@
 		answer, err := k.ask(command)
 		if err == nil {
 			r, hint := result(answer, id)
-			c.hist.Answer(t, r)
+			c.hist.RequestAnswered(t, r)
 			c.release(f, k)
 			return r, hint
 		}
 		k.Close()
 		if left.Load() {
-			c.hist.Answer(t, oracle.Left)
-			return oracle.Left, 0
+			c.hist.RequestAnswered(t, oracle.Disconnected)
+			return oracle.Disconnected, 0
 		}
 		if c.front.Unreached(k.LocalAddr().String()) {
-			t.Untaken = true
+			t.NotAccepted = true
 			break
 		}
 		if !k.used || !c.front.Whole(f, k.life, asked) || errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
 	}
-	c.hist.Answer(t, oracle.Broken)
-	return oracle.Broken, 0
+	c.hist.RequestAnswered(t, oracle.ConnectionLost)
+	return oracle.ConnectionLost, 0
 }
 
 // batch sends one request of each class at once on one connection and reads the answers, which must come in order.
@@ -426,14 +426,14 @@
 	}
 	defer k.Close()
 	var commands strings.Builder
-	var tries []*oracle.Try
+	var tries []*oracle.Request
 	most := time.Duration(0)
 	for i, class := range c.cfg.Classes {
 		id, left := c.newID(), seconds(class.DeadlineS)
 		most = max(most, left)
 		commands.WriteString(c.command(a, class, id, key, left))
-		t := &oracle.Try{ID: id, First: id, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f, Units: float64(c.cfg.Units[class.Name]),
-			Batch: i + 1}
+		t := &oracle.Request{ID: id, OriginalID: id, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f, Units: float64(c.cfg.Units[class.Name]),
+			BatchIndex: i + 1}
 		tries = append(tries, t)
 		c.sent(t, left)
 	}
@@ -446,12 +446,12 @@
 			answer, err = k.answer()
 		}
 		if err != nil {
-			t.Untaken = c.front.Unreached(k.LocalAddr().String())
-			c.hist.Answer(t, oracle.Broken)
+			t.NotAccepted = c.front.Unreached(k.LocalAddr().String())
+			c.hist.RequestAnswered(t, oracle.ConnectionLost)
 			continue
 		}
 		r, _ := result(answer, t.ID)
-		c.hist.Answer(t, r)
+		c.hist.RequestAnswered(t, r)
 	}
 }
 
--- a/internal/testbed/etcdfleet/etcdfleet_test.go
+++ b/internal/testbed/etcdfleet/etcdfleet_test.go
@@ -83,7 +83,7 @@
 	cfg := testbed.FleetConfig{Forwarders: 2, Nodes: 4, Classes: testbed.LabClasses, Plans: testbed.LabPlans, Seed: 1, Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1,
 		Node: node.Config{Cores: 8, Queue: 100, Speed: 1, KeyedS: 4, Work: map[string]float64{"zone-check": 0.005, "slot-hold": 0.005, "courier-send": 0.005}}}
 	rig.Use(&cfg)
-	sc := testbed.Scenario{FleetConfig: cfg, Length: 16 * time.Second, Accounts: testbed.Accounts(4, 3, 1, 2, 2, 1), Floors: map[string]int{oracle.Drains: 1, oracle.Stale: 4}}
+	sc := testbed.Scenario{FleetConfig: cfg, Length: 16 * time.Second, Accounts: testbed.Accounts(4, 3, 1, 2, 2, 1), Floors: map[string]int{oracle.RuleDrain: 1, oracle.RuleFreshMembership: 4}}
 	// The troubles come one after the other as the one before is over; marks beside them.
 	for i := range 400 {
 		kind := "mark"
@@ -112,8 +112,8 @@
 	}
 	rig.mu.Lock()
 	defer rig.mu.Unlock()
-	if played < 4 || len(f.Hist.Views) < played-1 {
-		t.Errorf("%d troubles played, %d times current again: the run shows too little", played, len(f.Hist.Views))
+	if played < 4 || len(f.Hist.ViewChecks) < played-1 {
+		t.Errorf("%d troubles played, %d times current again: the run shows too little", played, len(f.Hist.ViewChecks))
 	}
 	if i := slices.IndexFunc(inOrder, func(x namedTrouble) bool {
 		return rig.met[x.name] == 0
--- a/internal/testbed/etcdfleet/faults.go
+++ b/internal/testbed/etcdfleet/faults.go
@@ -133,7 +133,7 @@
 			parties = append(parties, a.party)
 		}
 	}
-	return r.hist.Blinded(oracle.EtcdSource, parties)
+	return r.hist.BeginSourceOutage(oracle.EtcdSource, parties)
 }
 
 // cut takes agents of one side, or all, from etcd without a word.
--- a/internal/testbed/etcdfleet/rig.go
+++ b/internal/testbed/etcdfleet/rig.go
@@ -155,7 +155,7 @@
 	if now := r.state(id); now != r.held[id] {
 		r.held[id] = now
 		if r.hist != nil {
-			r.hist.Holds(oracle.EtcdSource, id, now, r.starts[id])
+			r.hist.SourceChanged(oracle.EtcdSource, id, now, r.starts[id])
 		}
 	}
 }
@@ -276,7 +276,7 @@
 
 // discovery starts the agent of a party, and the relay that it asks.
 func (r *Rig) discovery(f *testbed.Fleet, party string) (string, error) {
-	ros, err := f.Roster.For(oracle.RosterSource(party))
+	ros, err := f.Roster.For(oracle.DiscoverySource(party))
 	if err != nil {
 		return "", err
 	}
@@ -406,7 +406,7 @@
 func (r *Rig) rosterTold() map[string]map[string]string {
 	defer r.hist.Lock()()
 	all := map[string]map[string]string{}
-	for _, t := range r.hist.Told {
+	for _, t := range r.hist.Notices {
 		if all[t.Party] == nil {
 			all[t.Party] = map[string]string{}
 		}
@@ -439,18 +439,18 @@
 				}
 			}
 			sort.Strings(up)
-			want := r.want(a.party, told[oracle.RosterSource(a.party)])
+			want := r.want(a.party, told[oracle.DiscoverySource(a.party)])
 			why = fmt.Sprintf("%s sees %v, the truth is %s", a.party, up, want)
 			return strings.Join(up, " ") == want
 		})
 		if len(left) == 0 {
-			r.hist.Compared(oracle.View{After: after, At: r.hist.Now(), Took: time.Since(began)})
+			r.hist.AddViewCheck(oracle.ViewCheck{Fault: after, At: r.hist.Now(), Convergence: time.Since(began)})
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if ctx.Err() == nil {
-		r.hist.Compared(oracle.View{After: after, At: r.hist.Now(), Took: time.Since(began), Wrong: why})
+		r.hist.AddViewCheck(oracle.ViewCheck{Fault: after, At: r.hist.Now(), Convergence: time.Since(began), Mismatch: why})
 	}
 }
 
@@ -493,9 +493,9 @@
 		sum.Etcd.Compacted, sum.Etcd.Replaced, sum.Etcd.Refused)
 	var took []time.Duration
 	unlock := r.hist.Lock()
-	for _, v := range r.hist.Views {
-		if v.Wrong == "" {
-			took = append(took, v.Took)
+	for _, v := range r.hist.ViewChecks {
+		if v.Mismatch == "" {
+			took = append(took, v.Convergence)
 		}
 	}
 	unlock()
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -99,13 +99,13 @@
 		f.cutPlanners(x, wait, func(_, i int) bool { return i == x.A%len(f.Forwarders) })
 	}},
 	"peers": {"ingresses are split in two halves", 1, 1, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		defer f.Hist.PeersTroubled(2, 0)()
+		defer f.Hist.BeginPeerFault(2, 0)()
 		f.Peers.All(Weather{Cut: true}, func(i, j int) bool { return i%2 != j%2 })
 		wait(x.For)
 		f.Peers.All(Weather{}, nil)
 	}},
 	"fog": {"messages between ingresses are lost, late and doubled", 1, 1, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		defer f.Hist.PeersTroubled(0, 0.3*x.X)()
+		defer f.Hist.BeginPeerFault(0, 0.3*x.X)()
 		f.Peers.All(Weather{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}, nil)
 		wait(x.For)
 		f.Peers.All(Weather{}, nil)
@@ -135,7 +135,7 @@
 		f.weather(Fault{For: x.For / 2}, wait, half, func(w *node.Weather) { w.Slow = 3 })
 	}},
 	"thick fog": {"half of all messages between ingresses are lost", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		defer f.Hist.PeersTroubled(0, 0.5)()
+		defer f.Hist.BeginPeerFault(0, 0.5)()
 		f.Peers.All(Weather{Loss: 0.5}, nil)
 		wait(x.For)
 		f.Peers.All(Weather{}, nil)
@@ -150,7 +150,7 @@
 		all.Wait()
 	}},
 	"heavy": {"every node is three times as slow", 0, 5, one("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		defer f.Hist.Slow(3)()
+		defer f.Hist.BeginSlowdown(3)()
 		f.weather(Fault{For: x.For / 2}, wait, f.Nodes(), func(w *node.Weather) { w.Slow = 3 })
 	}},
 	"forwarder": {"a forwarder or ingress is killed and comes back", 1, 0, onForwarder, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
@@ -161,7 +161,7 @@
 		p, from := f.Forwarders[i], f.Hist.Now()
 		p.Kill()
 		f.startAgain(i)
-		f.Hist.Outage(i, from, f.Hist.Now())
+		f.Hist.AddOutage(i, from, f.Hist.Now())
 	}},
 	"restart": {"a forwarder or ingress is ended and comes back", 1, 0, onForwarder, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		f.restart(x.A % len(f.Forwarders))
@@ -180,7 +180,7 @@
 		f.FrontLinks[i].Cut()
 		wait(x.For / 2)
 		f.FrontLinks[i].Heal()
-		f.Hist.Outage(i, from, f.Hist.Now()+50*time.Millisecond)
+		f.Hist.AddOutage(i, from, f.Hist.Now()+50*time.Millisecond)
 	}},
 	"drain": {"the roster tells that a node drains; another comes", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
@@ -385,7 +385,7 @@
 		}
 		all.Go(func() {
 			do := func() {
-				f.Hist.Fault(x.String())
+				f.Hist.AddFault(x.String())
 				note(x.String())
 				k.do(f, x, wait)
 			}
@@ -404,21 +404,21 @@
 	p.Kill()
 	wait(after)
 	f.startAgain(i)
-	f.Hist.Outage(i, from, f.Hist.Now())
+	f.Hist.AddOutage(i, from, f.Hist.Now())
 }
 
 // startAgain starts a forwarder's or an ingress's program for another life, with the list of nodes as it last had it, and waits until it is ready.
 func (f *Fleet) startAgain(i int) {
 	p := f.Forwarders[i]
 	if err := f.refreshKnown(i); err != nil {
-		f.Hist.Fault(p.Name + " starts with an old list: " + err.Error())
+		f.Hist.AddFault(p.Name + " starts with an old list: " + err.Error())
 	}
 	if err := p.Start(); err != nil {
-		f.Hist.Fault("not started: " + err.Error())
+		f.Hist.AddFault("not started: " + err.Error())
 		return
 	}
 	if err := p.Ready(10 * time.Second); err != nil {
-		f.Hist.Fault("after its start " + err.Error())
+		f.Hist.AddFault("after its start " + err.Error())
 	}
 }
 
@@ -428,7 +428,7 @@
 	if len(f.Planners) > 0 || p.doors[0].file == "" || f.cfg.Discovery != nil {
 		return nil
 	}
-	told := f.Hist.LastTold(f.Party(i))
+	told := f.Hist.LastStates(f.Party(i))
 	for _, d := range p.doors {
 		text, err := os.ReadFile(d.file)
 		if err != nil {
@@ -469,7 +469,7 @@
 	p.Term()
 	from := f.Hist.Now()
 	f.startAgain(i)
-	f.Hist.Restart(i, from, f.Hist.Now())
+	f.Hist.AddRestart(i, from, f.Hist.Now())
 }
 
 func (f *Fleet) cutPlanner(x Fault, wait func(time.Duration) bool, which func(i int) bool) {
@@ -542,6 +542,6 @@
 		wait(x.For)
 	}
 	if _, err := f.startNode(cmp.Or(id, n.ID), addr, links, true); err != nil {
-		f.Hist.Fault("node " + n.ID + " does not come back: " + err.Error())
+		f.Hist.AddFault("node " + n.ID + " does not come back: " + err.Error())
 	}
 }
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -55,9 +55,9 @@
 	Operator             string  // more of the operator's file of ingresses of one level, or of planners
 	Rush                 bool    // more is asked for than nodes can do: the auditor works out what that came to
 	Peak                 oracle.Peak
-	Stated               oracle.Stated // of a fleet that sheds as one, in such a run
-	Zones                int           // of nodes, in turn, each of which remembers keys for itself; 0: one, and all remember alike
-	Direct               bool          // no links between clients, ingresses and nodes: for measurements of cost
+	Stated               oracle.LoadSheddingBounds // of a fleet that sheds as one, in such a run
+	Zones                int                       // of nodes, in turn, each of which remembers keys for itself; 0: one, and all remember alike
+	Direct               bool                      // no links between clients, ingresses and nodes: for measurements of cost
 	// Discovery, if set, gives the address at which a party asks, in place of the stand-in roster.
 	Discovery func(f *Fleet, party string) (string, error)
 	// Source, if set, is told of each change of a node before the stand-in roster is, and says whether the roster is to be told too.
@@ -152,7 +152,7 @@
 
 // StartFleet starts stand-ins and programs and waits until every forwarder takes requests.
 func StartFleet(cfg FleetConfig) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, Hist: oracle.New(), nodeLinks: map[string][]*Link{}, taken: map[string]bool{}}
+	f := &Fleet{cfg: cfg, Hist: oracle.NewHistory(), nodeLinks: map[string][]*Link{}, taken: map[string]bool{}}
 	f.net = NewNodeNet(f.Hist)
 	f.Roster = NewRoster(f.Hist)
 	f.Roster.AddrFor = f.addrFor
@@ -257,7 +257,7 @@
 }
 
 // Party is the roster's name of a forwarder.
-func (f *Fleet) Party(i int) string { return oracle.Party(i) }
+func (f *Fleet) Party(i int) string { return oracle.PartyName(i) }
 
 // NewProc makes a program of the fleet that Stop does not know; what it says goes to a log in the fleet's folder.
 func (f *Fleet) NewProc(kind, name, file string) *Proc { return f.proc(kind, name, file, "", "") }
@@ -426,7 +426,7 @@
 	}
 	n.SetWeather(f.cfg.Weather)
 	for len(links) < 2 && !f.cfg.Direct {
-		k, err := NewLinkWith(n.Addr(), Hooks{NearEnd: f.Hist.ConnEnd})
+		k, err := NewLinkWith(n.Addr(), Hooks{NearEnd: f.Hist.ConnectionEnded})
 		if err != nil {
 			return nil, err
 		}
@@ -533,23 +533,23 @@
 }
 
 // Rules are those that the fleet's history is judged by.
-func (f *Fleet) Rules() oracle.Rules {
+func (f *Fleet) Rules() oracle.Config {
 	quota, caps := 0.0, 0.0
 	if len(f.Planners) > 0 {
 		quota, caps = QuotaSlack, 2
 	}
 	quota, caps = cmp.Or(f.cfg.Quota, quota), cmp.Or(f.cfg.CapX, caps)
-	var homes map[string]oracle.Home
+	var homes map[string]oracle.GatewayRange
 	if len(f.Planners) == 0 && f.cfg.Quota >= 0 {
 		homes = Homes(f.accounts)
 	}
-	var stated *oracle.Stated
+	var stated *oracle.LoadSheddingBounds
 	if f.cfg.Rush && f.cfg.Operator != "" {
 		stated = &f.cfg.Stated
 	}
-	return oracle.Rules{Shed: stated, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.Rush, Peak: f.cfg.Peak, Quota: quota, QuotaS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainS: 0.25 + f.cfg.SlowS, AnswerS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
-		HeldS: 0.03 + f.cfg.SlowS + f.cfg.StallS, OverlapS: 0.1 + f.cfg.SlowS + f.cfg.StallS, CeilingS: 0.15, SlackUnit: 6, CapX: caps, Attempts: MaxAttempts, FallMultiple: f.cfg.Node.FallMultiple, FallS: f.cfg.Node.FallS,
-		ColdSlack: ColdSlack, ColdChance: f.cfg.StallS > 0, StaleS: f.cfg.StaleS, LateMost: 90*time.Millisecond + seconds(f.cfg.SlowS)}
+	return oracle.Config{LoadShedding: stated, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.Rush, Peak: f.cfg.Peak, QuotaSlack: quota, QuotaSlackS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainGraceS: 0.25 + f.cfg.SlowS, AnswerGraceS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
+		LateRejectionS: 0.03 + f.cfg.SlowS + f.cfg.StallS, MaxOverlapS: 0.1 + f.cfg.SlowS + f.cfg.StallS, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: MaxAttempts, SlowStartFactor: f.cfg.Node.FallMultiple, SlowStartWindowS: f.cfg.Node.FallS,
+		SlowStartSlack: ColdSlack, SlowStartChance: f.cfg.StallS > 0, MembershipTTLS: f.cfg.StaleS, MaxLateness: 90*time.Millisecond + seconds(f.cfg.SlowS)}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -115,15 +115,15 @@
 	sc.Faults = []Fault{{At: 900 * ms, For: 3 * time.Second, Kind: "held", A: 1}, {At: 1500 * ms, Kind: "replaced", A: 0}, {At: 2000 * ms, Kind: "replaced", A: 1},
 		{At: 2200 * ms, For: 300 * ms, Kind: "forwarder", A: 2}, {At: 2500 * ms, Kind: "broken roster"}, {At: 4500 * ms, Kind: "replaced", A: 0},
 		{At: 5000 * ms, For: 2 * time.Second, Kind: "held", A: 2}, {At: 5500 * ms, Kind: "replaced", A: 2}}
-	sc.Floors = map[string]int{oracle.Held: 1, oracle.Replaced: 3, oracle.Lost: 5}
+	sc.Floors = map[string]int{oracle.RuleCordon: 1, oracle.RuleReplacement: 3, oracle.RuleNoRequestLost: 5}
 	var log strings.Builder
 	f, rep, err := Run(sc, &log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	holds(t, rep, &log)
-	if len(f.Hist.Replaced) != 4 {
-		t.Errorf("%d programs were replaced, want 4: %+v", len(f.Hist.Replaced), f.Hist.Faults)
+	if len(f.Hist.Replacements) != 4 {
+		t.Errorf("%d programs were replaced, want 4: %+v", len(f.Hist.Replacements), f.Hist.Faults)
 	}
 }
 
@@ -143,7 +143,7 @@
 	sc.Faults = []Fault{{At: 900 * ms, For: 2500 * ms, Kind: "fleet held", A: 1, B: 0}, {At: 2000 * ms, For: time.Second, Kind: "kill", A: 0},
 		{At: 2300 * ms, For: 400 * ms, Kind: "away", A: 1}, {At: 4600 * ms, For: 2 * time.Second, Kind: "fleet held", A: 2, B: 1},
 		{At: 5600 * ms, For: 400 * ms, Kind: "forwarder", A: 2}, {At: 6000 * ms, For: 500 * ms, Kind: "away", A: 2}}
-	sc.Floors = map[string]int{oracle.Held: 1}
+	sc.Floors = map[string]int{oracle.RuleCordon: 1}
 	var log strings.Builder
 	_, rep, err := Run(sc, &log)
 	if err != nil {
@@ -161,7 +161,7 @@
 	if err := Make("storm", &sc, []string{"kill", "cut", "term", "drain", "sick", "node half cut", "flood"}, 800*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	sc.Floors = map[string]int{oracle.Lost: 10, oracle.Out: 3, oracle.Twice: 2, oracle.Ceilings: 3, oracle.Quotas: 10} // a slow machine sees a part of what a quick one does
+	sc.Floors = map[string]int{oracle.RuleNoRequestLost: 10, oracle.RuleOneOpenAttempt: 3, oracle.RuleNoDuplicateEffect: 2, oracle.RuleHardLimit: 3, oracle.RuleQuota: 10} // a slow machine sees a part of what a quick one does
 	var log strings.Builder
 	f, rep, err := Run(sc, &log)
 	if err != nil {
--- a/internal/testbed/loadplot/loadplot.go
+++ b/internal/testbed/loadplot/loadplot.go
@@ -46,14 +46,14 @@
 	var lines []any // name and points by turns, as plotutil.AddLines takes them
 	for _, series := range []struct {
 		name  string
-		value func(oracle.Second) float64
+		value func(oracle.LoadSecond) float64
 	}{
-		{"asked for", func(s oracle.Second) float64 { return s.Asked }},
-		{"sent to nodes", func(s oracle.Second) float64 { return s.Let }},
-		{"served in time", func(s oracle.Second) float64 { return s.Served }},
+		{"asked for", func(s oracle.LoadSecond) float64 { return s.Demand }},
+		{"sent to nodes", func(s oracle.LoadSecond) float64 { return s.Admitted }},
+		{"served in time", func(s oracle.LoadSecond) float64 { return s.Served }},
 	} {
-		points := make(plotter.XYs, len(load.Second))
-		for i, s := range load.Second {
+		points := make(plotter.XYs, len(load.Seconds))
+		for i, s := range load.Seconds {
 			points[i] = plotter.XY{X: float64(i), Y: series.value(s)}
 		}
 		lines = append(lines, series.name, points)
@@ -64,16 +64,16 @@
 func levelPlot(load *oracle.Load) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "level of overload", 0, 1
-	p.X.Max = float64(len(load.Second))
+	p.X.Max = float64(len(load.Seconds))
 	gateways := 0
-	for _, l := range load.Levels {
-		gateways = max(gateways, len(l.Of))
+	for _, l := range load.LoadLevels {
+		gateways = max(gateways, len(l.Values))
 	}
 	for i := range gateways {
 		var points plotter.XYs
-		for _, l := range load.Levels {
-			if i < len(l.Of) {
-				points = append(points, plotter.XY{X: l.At.Seconds(), Y: l.Of[i]})
+		for _, l := range load.LoadLevels {
+			if i < len(l.Values) {
+				points = append(points, plotter.XY{X: l.At.Seconds(), Y: l.Values[i]})
 			}
 		}
 		line, err := plotter.NewLine(points)
--- a/internal/testbed/loadplot/loadplot_test.go
+++ b/internal/testbed/loadplot/loadplot_test.go
@@ -11,8 +11,8 @@
 
 func TestDraw_WritesAFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "overload.svg")
-	load := &oracle.Load{Second: []oracle.Second{{Asked: 3, Let: 2, Served: 1}, {Asked: 4, Let: 2, Served: 2}},
-		Levels: []oracle.Levels{{At: time.Second, Of: []float64{0.5, 0.4}}, {At: 2 * time.Second, Of: []float64{0.6, 0.5}}}}
+	load := &oracle.Load{Seconds: []oracle.LoadSecond{{Demand: 3, Admitted: 2, Served: 1}, {Demand: 4, Admitted: 2, Served: 2}},
+		LoadLevels: []oracle.LoadLevels{{At: time.Second, Values: []float64{0.5, 0.4}}, {At: 2 * time.Second, Values: []float64{0.6, 0.5}}}}
 	if err := Draw(load, "a run", path); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -67,17 +67,17 @@
 	b := f.snapshot()
 	ctx, end := context.WithTimeout(context.Background(), sc.Length)
 	defer end()
-	f.Hist.Again()
+	f.Hist.ResetClock()
 	NewClients(Traffic{Accounts: sc.Accounts, Classes: sc.Classes, Shares: LabShares, Units: LabUnits, Retries: 2, Seed: sc.Seed},
 		f.Hist, f.Front).Run(ctx)
 	c := f.snapshot()
-	rep := oracle.Audit(f.Hist, f.Rules())
-	n := float64(max(rep.Tries, 1))
+	rep := oracle.Check(f.Hist, f.Rules())
+	n := float64(max(rep.Requests, 1))
 	span, rest := c.at.Sub(b.at).Seconds(), b.at.Sub(a.at).Seconds()
 	share := func(d time.Duration, programs int, of float64) float64 {
 		return d.Seconds() / of / float64(max(programs, 1))
 	}
-	cost := Cost{Tries: rep.Tries, ForwarderCPU: time.Duration(float64(c.fwd-b.fwd) / n), PlannerCPU: time.Duration(float64(c.plan-b.plan) / n),
+	cost := Cost{Tries: rep.Requests, ForwarderCPU: time.Duration(float64(c.fwd-b.fwd) / n), PlannerCPU: time.Duration(float64(c.plan-b.plan) / n),
 		IdleForwarder: share(b.fwd-a.fwd, len(f.Forwarders), rest), IdlePlanner: share(b.plan-a.plan, len(f.Planners), rest),
 		LinkBytes: float64(c.bytes-b.bytes) / n, IdleLinkBytes: float64(b.bytes-a.bytes) / rest, Datagrams: (c.datagrams - b.datagrams) / n,
 		Service: rep.Service, Rate: n / sc.Length.Seconds(), ForwarderShare: share(c.fwd-b.fwd, len(f.Forwarders), span),
@@ -96,9 +96,9 @@
 		one[a.ID] = a
 	}
 	var list []time.Duration
-	for _, t := range h.Tries {
-		if a := one[t.ID]; t.Result == oracle.Served && a != nil && a.How == "served" {
-			list = append(list, t.Answered-t.Sent-(a.End-a.At))
+	for _, t := range h.Requests {
+		if a := one[t.ID]; t.Result == oracle.Served && a != nil && a.Outcome == "served" {
+			list = append(list, t.AnsweredAt-t.SentAt-(a.End-a.At))
 		}
 	}
 	if len(list) == 0 {
--- a/internal/testbed/net_test.go
+++ b/internal/testbed/net_test.go
@@ -179,7 +179,7 @@
 
 // Guards the roster's ways: late, broken and whole lists, and that what a party is told is known no later than it can act.
 func TestRosterWays(t *testing.T) {
-	hist := oracle.New()
+	hist := oracle.NewHistory()
 	r := NewRoster(hist)
 	defer r.Close()
 	addr, err := r.For("f0")
@@ -234,7 +234,7 @@
 			break
 		}
 	}
-	if list := slices.Collect(maps.Keys(hist.ToldOf("f0"))); !slices.Contains(list, "c") || slices.Contains(list, "a") {
+	if list := slices.Collect(maps.Keys(hist.KnownNodes("f0"))); !slices.Contains(list, "c") || slices.Contains(list, "a") {
 		t.Errorf("told of %v", list)
 	}
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -90,7 +90,7 @@
 		born -= 1e6
 		started = -1e6 * time.Second
 	}
-	n.life = w.hist.Life(oracle.Life{Node: id, Started: started, Capacity: float64(cfg.Cores) * cfg.Speed, ColdFrom: cfg.ColdFrom, ColdS: cfg.ColdS})
+	n.life = w.hist.AddIncarnation(oracle.Incarnation{Node: id, StartedAt: started, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.ColdFrom, WarmUpS: cfg.ColdS})
 	n.model = node.New(cfg, w.keys, seed, born, n)
 	n.timer = time.AfterFunc(time.Hour, n.ring)
 	go n.accept(l)
@@ -144,7 +144,7 @@
 
 // Began implements node.Out.
 func (n *Node) Began(_ float64, a *node.Attempt, work float64, repeat bool) {
-	n.hist.Began(n.attempts[a.Handle].rec, work, repeat)
+	n.hist.AttemptStarted(n.attempts[a.Handle].rec, work, repeat)
 }
 
 // Answer implements node.Out.
@@ -161,14 +161,14 @@
 		return
 	}
 	delete(n.attempts, a.Handle)
-	n.hist.Done(x.rec, how)
+	n.hist.AttemptEnded(x.rec, how)
 	close(x.reply)
 }
 
 // Fell implements node.Out.
 func (n *Node) Fell(float64) {
-	n.hist.Fell(n.life)
-	n.hist.Fault("node " + n.ID + " fell over")
+	n.hist.IncarnationCrashed(n.life)
+	n.hist.AddFault("node " + n.ID + " fell over")
 	n.stop()
 }
 
@@ -200,7 +200,7 @@
 	n.timer.Stop()
 	for h, x := range n.attempts {
 		delete(n.attempts, h)
-		n.hist.Done(x.rec, "crash")
+		n.hist.AttemptEnded(x.rec, "crash")
 		close(x.reply)
 	}
 }
@@ -339,14 +339,14 @@
 	f := fieldsOf(args[3])
 	units, _ := strconv.ParseFloat(f["units"], 64)
 	x := &nodeAttempt{reply: make(chan node.Fate, 1), rec: &oracle.Attempt{ID: args[2], Node: n.ID, Account: args[1], Class: f["c"], Plan: f["t"],
-		Units: units, Life: n.life, Conn: c.RemoteAddr().String()},
+		Units: units, Incarnation: n.life, Conn: c.RemoteAddr().String()},
 		Attempt: node.Attempt{Request: args[2], Account: args[1], Class: f["c"], Key: f["k"]}}
 	n.do(func(m *node.Model, now float64) {
 		n.handles++
 		x.Handle = n.handles
 		n.attempts[x.Handle] = x
-		n.hist.Came(x.rec)
-		n.hist.Weighed(x.rec, m.Arrive(now, &x.Attempt))
+		n.hist.AttemptReceived(x.rec)
+		n.hist.SetAttemptWork(x.rec, m.Arrive(now, &x.Attempt))
 	})
 	if x.Handle == 0 { // it had crashed
 		return false
@@ -356,7 +356,7 @@
 	select {
 	case fate, answers = <-x.reply:
 	case <-gone:
-		n.hist.ConnEnd(x.rec.Conn)
+		n.hist.ConnectionEnded(x.rec.Conn)
 		n.do(func(m *node.Model, now float64) {
 			if n.attempts[x.Handle] == x {
 				m.Leave(now, &x.Attempt)
@@ -378,7 +378,7 @@
 		}
 	}
 	if fate == node.Served || fate == node.Copy || fate == node.AbsurdLoad || fate == node.Late {
-		n.hist.Wrote(x.rec)
+		n.hist.AttemptAnswered(x.rec)
 	}
 	return goesOn
 }
--- a/internal/testbed/operators.go
+++ b/internal/testbed/operators.go
@@ -171,7 +171,7 @@
 		all.Go(func() {
 			if status, err := p.Call(context.Background(), http.MethodPost, "/v1/backends/"+n.ID+"/suspend"); err == nil && status == http.StatusOK {
 				held[i] = true
-				f.Hist.Hold(f.Party(i), n.ID, true)
+				f.Hist.SetCordon(f.Party(i), n.ID, true)
 			}
 		})
 	}
@@ -182,7 +182,7 @@
 			continue
 		}
 		all.Go(func() {
-			f.Hist.Hold(f.Party(i), n.ID, false)
+			f.Hist.SetCordon(f.Party(i), n.ID, false)
 			status := 0
 			for end := time.Now().Add(resumeMost); time.Now().Before(end); time.Sleep(callRetry) {
 				var err error
@@ -191,7 +191,7 @@
 				}
 			}
 			if status != http.StatusOK {
-				f.Hist.Fault(fmt.Sprintf("%s does not call %s back: status %d", p.Name, n.ID, status))
+				f.Hist.AddFault(fmt.Sprintf("%s does not call %s back: status %d", p.Name, n.ID, status))
 			}
 		})
 	}
@@ -209,15 +209,15 @@
 	}
 	if yes {
 		for i := range f.Forwarders {
-			f.Hist.Hold(f.Party(i), n.ID, true)
+			f.Hist.SetCordon(f.Party(i), n.ID, true)
 		}
 	} else {
-		f.Hist.Fault(fmt.Sprintf("planner %d does not hold %s: status %d, %v", at%len(f.Planners), n.ID, status, err))
+		f.Hist.AddFault(fmt.Sprintf("planner %d does not hold %s: status %d, %v", at%len(f.Planners), n.ID, status, err))
 	}
 	meanwhile()
 	for i := range f.Forwarders {
 		if yes {
-			f.Hist.Hold(f.Party(i), n.ID, false)
+			f.Hist.SetCordon(f.Party(i), n.ID, false)
 		}
 	}
 	for end := time.Now().Add(resumeMost); time.Now().Before(end); time.Sleep(callRetry) {
@@ -226,7 +226,7 @@
 			return
 		}
 	}
-	f.Hist.Fault(fmt.Sprintf("nobody calls %s back: status %d, %v", n.ID, status, err))
+	f.Hist.AddFault(fmt.Sprintf("nobody calls %s back: status %d, %v", n.ID, status, err))
 }
 
 func init() {
@@ -247,19 +247,19 @@
 		func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 			i, from := x.A%len(f.Forwarders), f.Hist.Now()
 			if err := f.Forwarders[i].Replace(); err != nil {
-				f.Hist.Fault("not replaced: " + err.Error())
+				f.Hist.AddFault("not replaced: " + err.Error())
 				return
 			}
-			f.Hist.Replace(i, from, f.Hist.Now())
+			f.Hist.AddReplacement(i, from, f.Hist.Now())
 		}}
 	kinds["fleet replaced"] = kind{"operators replace a forwarder's program beside itself", 2, 2, onForwarder, kinds["replaced"].do}
 	kinds["successor dies"] = kind{"operators replace a forwarder's program, and the new one dies of it", 1, 2, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			i, from := x.A%len(f.Forwarders), f.Hist.Now()
 			err := f.Forwarders[i].ReplaceInVain(func() { wait(time.Duration(0.4 * x.X * float64(time.Second))) })
-			f.Hist.Outage(i, from, f.Hist.Now()) // what the new one had taken is its clients' to try again
+			f.Hist.AddOutage(i, from, f.Hist.Now()) // what the new one had taken is its clients' to try again
 			if err != nil {
-				f.Hist.Fault("not replaced in vain: " + err.Error())
+				f.Hist.AddFault("not replaced in vain: " + err.Error())
 			}
 		}}
 	kinds["held"] = kind{"operators take a node out at every ingress, restart it at times, and call it back", 1, 4, one("held"),
@@ -278,5 +278,5 @@
 	scenarios["operators"] = scenario{what: "programs replaced beside themselves, nodes held and restarted, while nodes err, drain and crash and programs die",
 		kinds: []string{"replaced", "replaced", "replaced", "held", "held", "held", "drain", "crash", "sick", "forwarder", "broken roster", "silent roster", "late roster"},
 		every: 400 * time.Millisecond, weather: 0.05, hangUps: 0.03, batches: 0.2, rude: 1,
-		floors: map[string]int{oracle.Held: 20, oracle.Replaced: 20, oracle.Lost: 50}}
+		floors: map[string]int{oracle.RuleCordon: 20, oracle.RuleReplacement: 20, oracle.RuleNoRequestLost: 50}}
 }
--- a/internal/testbed/oracle/audit.go
+++ b/internal/testbed/oracle/audit.go
@@ -15,63 +15,64 @@
 
 // The rules, as a Report names them.
 const (
-	Lost     = "no request lost"
-	Answer   = "one answer"
-	Order    = "answers in order"
-	Out      = "one attempt out"
-	Limit    = "attempts limited"
-	Twice    = "no effect twice"
-	Drains   = "drains kept"
-	Held     = "nodes that operators hold left alone"
-	Replaced = "nothing lost when a program is replaced" // counts occasions; what is lost breaks the other rules
-	Cold     = "cold nodes stand"
-	Quotas   = "quotas kept"
-	Used     = "quotas can be used" // no more is refused for the count's sake than its error budget has
-	Caps     = "caps kept"
-	Ceilings = "ceilings kept"
-	Stale    = "none on a stale word"
-	Views    = "views equal the truth"
-	Shed     = "overload shed as one" // by what is stated of a fleet that does
-	Gone     = "nothing sent for who left"
-	DrainEnd = "a drained ingress lets go of its clients"
-	OwnCount = "no broken rule counted by an ingress"
+	RuleNoRequestLost      = "no request lost"
+	RuleOneAnswer          = "one answer"
+	RuleAnswerOrder        = "answers in order"
+	RuleOneOpenAttempt     = "one attempt out"
+	RuleAttemptLimit       = "attempts limited"
+	RuleNoDuplicateEffect  = "no effect twice"
+	RuleDrain              = "drains kept"
+	RuleCordon             = "nodes that operators hold left alone"
+	RuleReplacement        = "nothing lost when a program is replaced" // counts occasions; what is lost breaks the other rules
+	RuleSlowStart          = "cold nodes stand"
+	RuleQuota              = "quotas kept"
+	RuleQuotaUsable        = "quotas can be used" // no more is refused for the count's sake than its error budget has
+	RuleMaxConcurrency     = "caps kept"
+	RuleHardLimit          = "ceilings kept"
+	RuleFreshMembership    = "none on a stale word"
+	RuleViewsAgree         = "views equal the truth"
+	RuleLoadShedding       = "overload shed as one" // by what is stated of a fleet that does
+	RuleDisconnectedClient = "nothing sent for who left"
+	RuleDrainEnd           = "a drained ingress lets go of its clients"
+	RuleIngressSelfCheck   = "no broken rule counted by an ingress"
 )
 
 // RuleNames are all rules, in the order of a report.
-var RuleNames = []string{Lost, Answer, Order, Out, Limit, Twice, Drains, Cold, Quotas, Used, Caps, Ceilings, Stale, Views, Held, Replaced, Shed, Gone, DrainEnd, OwnCount}
-
-// Rules are the figures by which an Audit judges.
-type Rules struct {
-	Classes             []policy.Class
-	Plans               []policy.Plan
-	DrainS              float64         // grace after a drain was told; the network's 50 ms come on top
-	AnswerS             float64         // time past a try's deadline in which its answer still counts
-	HeldS               float64         // past its deadline, a refusal or failure of a try with nothing under way was held back; 0: not judged
-	Attempts            int             // of a try, that may reach nodes; 0: not judged
-	OverlapS            float64         // for which two attempts may seem to overlap, since nodes notice an end late
-	CeilingS            float64         // of a ceiling's rate, that its slack is wider by
-	SlackUnit           float64         // the largest request
-	Quota               float64         // units beyond a quota that are a breach; 0: none are
-	QuotaS              float64         // of a quota\'s rate, that its slack is wider by: what is counted waits in the module for a server
-	Homes               map[string]Home // of accounts, whose shared count is judged by the error budget of one level; none: it is not
-	Gateways            int             // that Homes speak of
-	CapX                float64         // times a cap on open attempts that may be out; 0: no bound is stated
-	Drift               float64         // what the fastest of the clocks makes of a second; 0 stands for 1
-	FallMultiple, FallS float64         // of the rule on cold nodes
-	StaleS              float64         // for which a word of membership counts as fresh; 0: not judged
-	ColdChance          bool            // the budget of a cold node has the operators' own slack for chance, in requests, in place of ColdSlack
-	ColdSlack           float64         // share of the budget that chance and the network's delays may add
-	Floors              map[string]int  // by rule: occasions under which a run shows nothing
-	Overload            bool            // whether a Load is worked out
-	Shed                *Stated         // what a fleet that sheds as one keeps to; nil: not judged
-	Peak                Peak            // when more was asked for than nodes can do; none: not known
-	LateMost            time.Duration   // lateness of the laboratory from which on a run is void; 0: no bound
+var RuleNames = []string{RuleNoRequestLost, RuleOneAnswer, RuleAnswerOrder, RuleOneOpenAttempt, RuleAttemptLimit, RuleNoDuplicateEffect, RuleDrain, RuleSlowStart, RuleQuota, RuleQuotaUsable, RuleMaxConcurrency, RuleHardLimit, RuleFreshMembership, RuleViewsAgree, RuleCordon, RuleReplacement, RuleLoadShedding, RuleDisconnectedClient, RuleDrainEnd, RuleIngressSelfCheck}
+
+// Config are the figures by which an Audit judges.
+type Config struct {
+	Classes           []policy.Class
+	Plans             []policy.Plan
+	DrainGraceS       float64                 `json:"DrainS"`    // grace after a drain was told; the network's 50 ms come on top
+	AnswerGraceS      float64                 `json:"AnswerS"`   // time past a try's deadline in which its answer still counts
+	LateRejectionS    float64                 `json:"HeldS"`     // past its deadline, a refusal or failure of a try with nothing under way was held back; 0: not judged
+	MaxAttempts       int                     `json:"Attempts"`  // of a try, that may reach nodes; 0: not judged
+	MaxOverlapS       float64                 `json:"OverlapS"`  // for which two attempts may seem to overlap, since nodes notice an end late
+	HardLimitSlackS   float64                 `json:"CeilingS"`  // of a ceiling's rate, that its slack is wider by
+	LargestRequest    float64                 `json:"SlackUnit"` // the largest request
+	QuotaSlack        float64                 `json:"Quota"`     // units beyond a quota that are a breach; 0: none are
+	QuotaSlackS       float64                 `json:"QuotaS"`    // of a quota\'s rate, that its slack is wider by: what is counted waits in the module for a server
+	Homes             map[string]GatewayRange // of accounts, whose shared count is judged by the error budget of one level; none: it is not
+	Gateways          int                     // that Homes speak of
+	ConcurrencyFactor float64                 `json:"CapX"`         // times a cap on open attempts that may be out; 0: no bound is stated
+	ClockRate         float64                 `json:"Drift"`        // what the fastest of the clocks makes of a second; 0 stands for 1
+	SlowStartFactor   float64                 `json:"FallMultiple"` // of the rule on cold nodes
+	SlowStartWindowS  float64                 `json:"FallS"`        // of the rule on cold nodes
+	MembershipTTLS    float64                 `json:"StaleS"`       // for which a word of membership counts as fresh; 0: not judged
+	SlowStartChance   bool                    `json:"ColdChance"`   // the budget of a cold node has the operators' own slack for chance, in requests, in place of SlowStartSlack
+	SlowStartSlack    float64                 `json:"ColdSlack"`    // share of the budget that chance and the network's delays may add
+	MinOccasions      map[string]int          `json:"Floors"`       // by rule: occasions under which a run shows nothing
+	Overload          bool                    // whether a Load is worked out
+	LoadShedding      *LoadSheddingBounds     `json:"Shed"` // what a fleet that sheds as one keeps to; nil: not judged
+	Peak              Peak                    // when more was asked for than nodes can do; none: not known
+	MaxLateness       time.Duration           `json:"LateMost"` // lateness of the laboratory from which on a run is void; 0: no bound
 }
 
-// Breach is one break of a rule.
-type Breach struct {
-	Rule, What string
-	At         time.Duration
+// Violation is one break of a rule.
+type Violation struct {
+	Rule, Detail string
+	At           time.Duration
 }
 
 // Overshoot is how far an account went beyond its bucket in any window.
@@ -87,228 +88,233 @@
 
 // Report is what an Audit found.
 type Report struct {
-	Breaches          []Breach
-	Counts            map[string]int     // of breaches, by rule
-	Seen              map[string]int     // occasions, by rule: times at which it could have been broken
-	Occasions         map[string]int     // the same in detail
-	Nearest           map[string]float64 // how near a run came to what a rule allows, 1: at it
-	Void              string             // why the run can't be judged, "" if it can
-	Tries             int
-	Results           map[Result]int
-	Attempts          int
-	Load              *Load       // nil: nothing was asked for inside quotas
-	Overshoots        []Overshoot // of accounts that went beyond, the worst first
-	Service           float64     // in-quota worth answered in time over worth asked for inside the quotas
-	Windows           []float64   // service by second of asking, of accounts that stay inside their quotas; -1: nothing asked
-	ByPlan            map[string]float64
-	ByClass           map[string]float64
-	Retries           map[string]int // further attempts, by class and by how the one before ended
-	Ideal             float64        // units that counts without fault would have let in, of accounts whose count is judged
-	Counted           map[int]Margin // the worst of any account, by the length of time in seconds: let in beyond rate and burst
-	Short             map[int]Margin // and withheld
-	Withheld          float64        // and of these, that were not let in
-	Beyond            Cost           // of what went out beyond rates
-	Handshakes        int            // connections to nodes that were opened, where they are counted
-	PlaceS, BeyondS   float64        // seconds of attempts out of accounts with a cap: within it, and beyond
-	Kinds             map[string]int // of messages between ingresses, where they are counted
-	Messages, Drowned int            // between ingresses, where they are counted; of these, lost since an ingress takes in no more
-	Reasons           map[int]int    // refusals by the module's why.Reason, where it was told
-	floors            map[string]int
+	Violations                        []Violation
+	ViolationCounts                   map[string]int     // of breaches, by rule
+	Occasions                         map[string]int     // occasions, by rule: times at which it could have been broken
+	OccasionDetails                   map[string]int     // the same in detail
+	Utilization                       map[string]float64 // how near a run came to what a rule allows, 1: at it
+	Void                              string             // why the run can't be judged, "" if it can
+	Requests                          int
+	Results                           map[Result]int
+	Attempts                          int
+	Load                              *Load       // nil: nothing was asked for inside quotas
+	Overshoots                        []Overshoot // of accounts that went beyond, the worst first
+	Service                           float64     // in-quota worth answered in time over worth asked for inside the quotas
+	ServiceBySecond                   []float64   // service by second of asking, of accounts that stay inside their quotas; -1: nothing asked
+	ServiceByPlan                     map[string]float64
+	ServiceByClass                    map[string]float64
+	Retries                           map[string]int // further attempts, by class and by how the one before ended
+	IdealUnits                        float64        // units that counts without fault would have let in, of accounts whose count is judged
+	QuotaExcess                       map[int]Margin // the worst of any account, by the length of time in seconds: let in beyond rate and burst
+	QuotaShortfall                    map[int]Margin // and withheld
+	WithheldUnits                     float64        // and of these, that were not let in
+	OverQuotaCost                     OverQuotaCost  // of what went out beyond rates
+	Handshakes                        int            // connections to nodes that were opened, where they are counted
+	SlotS, ExcessSlotS                float64        // seconds of attempts out of accounts with a cap: within it, and beyond
+	PeerMessageKinds                  map[string]int // of messages between ingresses, where they are counted
+	PeerMessages, DroppedPeerMessages int            // between ingresses, where they are counted; of these, lost since an ingress takes in no more
+	Reasons                           map[int]int    // refusals by the module's why.Reason, where it was told
+	minOccasions                      map[string]int
 }
 
 // Verdict is nil for a run that shows that the rules hold: no breach, and occasions enough.
-func (rep *Report) Verdict() error {
-	if rep.Void != "" {
-		return fmt.Errorf("void: %s", rep.Void)
+func (r *Report) Verdict() error {
+	if r.Void != "" {
+		return fmt.Errorf("void: %s", r.Void)
 	}
-	if len(rep.Breaches) > 0 {
-		return fmt.Errorf("%d breaches, first of %q: %s", rep.total(), rep.Breaches[0].Rule, rep.Breaches[0].What)
+	if len(r.Violations) > 0 {
+		return fmt.Errorf("%d breaches, first of %q: %s", r.violationTotal(), r.Violations[0].Rule, r.Violations[0].Detail)
 	}
 	for _, rule := range RuleNames {
-		if rep.Seen[rule] < rep.floors[rule] {
-			return fmt.Errorf("%q was not seen: %d occasions, %d wanted", rule, rep.Seen[rule], rep.floors[rule])
+		if r.Occasions[rule] < r.minOccasions[rule] {
+			return fmt.Errorf("%q was not seen: %d occasions, %d wanted", rule, r.Occasions[rule], r.minOccasions[rule])
 		}
 	}
 	return nil
 }
 
-func (rep *Report) total() (n int) {
-	for _, c := range rep.Counts {
+func (r *Report) violationTotal() (n int) {
+	for _, c := range r.ViolationCounts {
 		n += c
 	}
 	return n
 }
 
-// saw counts an occasion to break a rule.
-func (rep *Report) saw(rule, what string) {
-	rep.Seen[rule]++
-	rep.Occasions[rule+": "+what]++
+// occasion counts an occasion to break a rule.
+func (r *Report) occasion(rule, what string) {
+	r.Occasions[rule]++
+	r.OccasionDetails[rule+": "+what]++
 }
 
-func (rep *Report) near(what string, x float64) { rep.Nearest[what] = max(rep.Nearest[what], x) }
+func (r *Report) utilization(what string, x float64) {
+	r.Utilization[what] = max(r.Utilization[what], x)
+}
 
-const breachesKept = 50
+const maxViolations = 50
 
-func (rep *Report) breach(rule string, at time.Duration, format string, args ...any) {
-	rep.Counts[rule]++
-	if len(rep.Breaches) < breachesKept {
-		rep.Breaches = append(rep.Breaches, Breach{rule, fmt.Sprintf(format, args...), at})
+func (r *Report) violation(rule string, at time.Duration, format string, args ...any) {
+	r.ViolationCounts[rule]++
+	if len(r.Violations) < maxViolations {
+		r.Violations = append(r.Violations, Violation{rule, fmt.Sprintf(format, args...), at})
 	}
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func duration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // bucket is a store of units that starts full.
 type bucket struct {
-	rate, most, room float64
-	at               time.Duration
+	rate, burst, available float64
+	at                     time.Duration
 }
 
-func newBucket(rate, most float64) *bucket { return &bucket{rate: rate, most: most, room: most} }
+func newBucket(rate, most float64) *bucket { return &bucket{rate: rate, burst: most, available: most} }
 
-func (b *bucket) to(at time.Duration) {
-	b.room = min(b.most, b.room+b.rate*(at-b.at).Seconds())
+func (b *bucket) advance(at time.Duration) {
+	b.available = min(b.burst, b.available+b.rate*(at-b.at).Seconds())
 	b.at = at
 }
 
-// Audit judges a history.
-func Audit(h *History, rules Rules) *Report {
+// Check judges a history.
+func Check(h *History, cfg Config) *Report {
 	defer h.Lock()()
-	rep := &Report{Counts: map[string]int{}, Seen: map[string]int{}, Occasions: map[string]int{}, Nearest: map[string]float64{},
-		Results: map[Result]int{}, ByPlan: map[string]float64{}, ByClass: map[string]float64{}, Retries: map[string]int{}, floors: rules.Floors}
-	if rules.LateMost > 0 && h.Late > rules.LateMost {
-		rep.Void = fmt.Sprintf("the laboratory was %v late, %v at most", h.Late.Round(time.Millisecond), rules.LateMost)
+	rep := &Report{ViolationCounts: map[string]int{}, Occasions: map[string]int{}, OccasionDetails: map[string]int{}, Utilization: map[string]float64{},
+		Results: map[Result]int{}, ServiceByPlan: map[string]float64{}, ServiceByClass: map[string]float64{}, Retries: map[string]int{}, minOccasions: cfg.MinOccasions}
+	if cfg.MaxLateness > 0 && h.MaxLateness > cfg.MaxLateness {
+		rep.Void = fmt.Sprintf("the laboratory was %v late, %v at most", h.MaxLateness.Round(time.Millisecond), cfg.MaxLateness)
 	}
 	classes, plans := map[string]policy.Class{}, map[string]policy.Plan{}
-	for _, c := range rules.Classes {
+	for _, c := range cfg.Classes {
 		classes[c.Name] = c
 	}
-	for _, p := range rules.Plans {
-		if rules.Drift > 0 {
-			p.Rate, p.HardLimitRate = p.Rate*rules.Drift, p.HardLimitRate*rules.Drift
+	for _, plan := range cfg.Plans {
+		if cfg.ClockRate > 0 {
+			plan.Rate, plan.HardLimitRate = plan.Rate*cfg.ClockRate, plan.HardLimitRate*cfg.ClockRate
 		}
-		plans[p.Name] = p
+		plans[plan.Name] = plan
 	}
 	byID := map[string][]*Attempt{}
-	for _, a := range h.Attempts {
-		key := a.ID + "/" + a.Account
-		byID[key] = append(byID[key], a)
+	for _, attempt := range h.Attempts {
+		key := attempt.ID + "/" + attempt.Account
+		byID[key] = append(byID[key], attempt)
 	}
-	tries := map[string]*Try{}
-	for _, t := range h.Tries {
-		tries[t.key()] = t
+	requests := map[string]*Request{}
+	for _, request := range h.Requests {
+		requests[request.key()] = request
 	}
-	rep.Tries, rep.Attempts = len(h.Tries), len(h.Attempts)
+	rep.Requests, rep.Attempts = len(h.Requests), len(h.Attempts)
 	for key, list := range byID {
-		if tries[key] == nil {
+		if requests[key] == nil {
 			rep.Void = fmt.Sprintf("%s came to %s, which no client here has sent", list[0].ID, list[0].Node)
 		}
 	}
-	rep.answers(h, rules, classes, byID)
-	rep.emptied(h)
-	rep.counted(h)
+	rep.checkAnswers(h, cfg, classes, byID)
+	rep.checkDrainEnds(h)
+	rep.checkSelfReports(h)
 	for _, key := range slices.Sorted(maps.Keys(byID)) {
-		rep.attempts(h, rules, classes[byID[key][0].Class], byID[key], tries[key])
-	}
-	rep.drains(h, rules, tries)
-	rep.operators(h, rules, tries)
-	rep.stale(h, rules)
-	rep.cold(h, rules)
-	rep.caps(h, rules, plans)
-	inside := rep.quotas(h, rules, plans)
-	rep.counts(h, rules)
-	rep.beyond(h, rules, classes, plans)
-	rep.asked(h, plans)
-	rep.service(h, classes, plans, inside)
-	if rules.Overload {
-		rep.load(h, rules, classes, plans)
-	}
-	sort.SliceStable(rep.Breaches, func(i, j int) bool { return rep.Breaches[i].At < rep.Breaches[j].At })
+		rep.checkAttempts(h, cfg, classes[byID[key][0].Class], byID[key], requests[key])
+	}
+	rep.checkDrains(h, cfg, requests)
+	rep.checkCordons(h, cfg, requests)
+	rep.checkMembership(h, cfg)
+	rep.checkSlowStart(h, cfg)
+	rep.checkMaxConcurrency(h, cfg, plans)
+	inside := rep.checkQuotas(h, cfg, plans)
+	rep.checkSharedCounts(h, cfg)
+	rep.checkOverQuotaCost(h, cfg, classes, plans)
+	rep.countDemand(h, plans)
+	rep.measureService(h, classes, plans, inside)
+	if cfg.Overload {
+		rep.measureLoad(h, cfg, classes, plans)
+	}
+	sort.SliceStable(rep.Violations, func(i, j int) bool { return rep.Violations[i].At < rep.Violations[j].At })
 	return rep
 }
 
-// answers judges what clients got: each one answer, in time, of its own; and no refusal of what may have run.
-func (rep *Report) answers(h *History, rules Rules, classes map[string]policy.Class, byID map[string][]*Attempt) {
+// checkAnswers judges what clients got: each one answer, in time, of its own; and no refusal of what may have run.
+func (r *Report) checkAnswers(h *History, cfg Config, classes map[string]policy.Class, byID map[string][]*Attempt) {
 	now := h.Now()
-	out := func(t *Try, until time.Duration) bool {
+	out := func(request *Request, until time.Duration) bool {
 		return slices.ContainsFunc(h.Outages, func(o Outage) bool {
-			return o.Forwarder == t.Forwarder && o.From <= until && o.To >= t.Sent
+			return o.Forwarder == request.Forwarder && o.From <= until && o.To >= request.SentAt
 		})
 	}
-	for _, t := range h.Tries {
-		rep.Results[t.Result]++
-		due := t.Deadline + seconds(rules.AnswerS)
-		attempts := byID[t.key()]
-		if slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.How != "served" }) {
-			rep.saw(Lost, "tries that met trouble")
+	for _, request := range h.Requests {
+		r.Results[request.Result]++
+		due := request.Deadline + duration(cfg.AnswerGraceS)
+		attempts := byID[request.key()]
+		if slices.ContainsFunc(attempts, func(attempt *Attempt) bool { return attempt.Outcome != "served" }) {
+			r.occasion(RuleNoRequestLost, "tries that met trouble")
 		}
 		if len(attempts) > 1 {
-			rep.saw(Answer, "tries with several attempts")
+			r.occasion(RuleOneAnswer, "tries with several attempts")
 		}
-		if slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.How == "copy" || a.How == "late" }) {
-			rep.saw(Answer, "late answers and copies")
+		if slices.ContainsFunc(attempts, func(attempt *Attempt) bool { return attempt.Outcome == "copy" || attempt.Outcome == "late" }) {
+			r.occasion(RuleOneAnswer, "late answers and copies")
 		}
-		rep.left(t, attempts, rules)
-		if t.Batch > 1 && t.Answers > 0 {
-			rep.saw(Order, "answers behind others on a connection")
+		r.checkDisconnected(request, attempts, cfg)
+		if request.BatchIndex > 1 && request.Answers > 0 {
+			r.occasion(RuleAnswerOrder, "answers behind others on a connection")
 		}
 		switch {
-		case t.Answers > 1:
-			rep.breach(Answer, t.Answered, "%s has %d answers", t.ID, t.Answers)
-		case t.Result == Alien && t.Batch > 0:
-			rep.breach(Order, t.Answered, "%s, number %d of its connection, was served with another's value", t.ID, t.Batch)
-		case t.Result == Alien:
-			rep.breach(Answer, t.Answered, "%s was served with another's value", t.ID)
-		case t.Result == Left, t.Untaken:
-		case (t.Result == Open || t.Result == Broken) && due < now && !out(t, due):
-			rep.breach(Lost, t.Sent, "%s at forwarder %d has no answer", t.ID, t.Forwarder)
-		case (t.Result == Refused || t.Result == Failed) && t.Batch < 2 && rules.HeldS > 0 && t.Answered > t.Deadline+seconds(rules.HeldS) &&
-			!out(t, due) && !slices.ContainsFunc(attempts, func(a *Attempt) bool { end := h.end(a); return end == 0 || end > t.Answered-100*time.Millisecond }):
-			rep.breach(Lost, t.Answered, "%s got its final answer at its deadline, with nothing under way", t.ID)
-		case t.Answers == 1 && t.Answered > due && t.Batch < 2 && !out(t, due): // behind others it may have to wait for them
-			rep.breach(Lost, t.Answered, "%s was answered %v late", t.ID, t.Answered-t.Deadline)
-		}
-		if t.Result == Served && !slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.Answered > 0 }) {
-			rep.breach(Answer, t.Answered, "%s was served though no node has", t.ID)
-		}
-		if len(attempts) == 0 || classes[t.Class].Idempotency != policy.NonIdempotent || t.Result == Served || t.Result == Left {
+		case request.Answers > 1:
+			r.violation(RuleOneAnswer, request.AnsweredAt, "%s has %d answers", request.ID, request.Answers)
+		case request.Result == ForeignReply && request.BatchIndex > 0:
+			r.violation(RuleAnswerOrder, request.AnsweredAt, "%s, number %d of its connection, was served with another's value", request.ID, request.BatchIndex)
+		case request.Result == ForeignReply:
+			r.violation(RuleOneAnswer, request.AnsweredAt, "%s was served with another's value", request.ID)
+		case request.Result == Disconnected, request.NotAccepted:
+		case (request.Result == Pending || request.Result == ConnectionLost) && due < now && !out(request, due):
+			r.violation(RuleNoRequestLost, request.SentAt, "%s at forwarder %d has no answer", request.ID, request.Forwarder)
+		case (request.Result == Rejected || request.Result == Failed) && request.BatchIndex < 2 && cfg.LateRejectionS > 0 && request.AnsweredAt > request.Deadline+duration(cfg.LateRejectionS) &&
+			!out(request, due) && !slices.ContainsFunc(attempts, func(attempt *Attempt) bool {
+			end := h.endOf(attempt)
+			return end == 0 || end > request.AnsweredAt-100*time.Millisecond
+		}):
+			r.violation(RuleNoRequestLost, request.AnsweredAt, "%s got its final answer at its deadline, with nothing under way", request.ID)
+		case request.Answers == 1 && request.AnsweredAt > due && request.BatchIndex < 2 && !out(request, due): // behind others it may have to wait for them
+			r.violation(RuleNoRequestLost, request.AnsweredAt, "%s was answered %v late", request.ID, request.AnsweredAt-request.Deadline)
+		}
+		if request.Result == Served && !slices.ContainsFunc(attempts, func(attempt *Attempt) bool { return attempt.AnsweredAt > 0 }) {
+			r.violation(RuleOneAnswer, request.AnsweredAt, "%s was served though no node has", request.ID)
+		}
+		if len(attempts) == 0 || classes[request.Class].Idempotency != policy.NonIdempotent || request.Result == Served || request.Result == Disconnected {
 			continue
 		}
 		if mayHave := slices.IndexFunc(attempts, (*Attempt).MayHaveRun); mayHave >= 0 {
-			rep.saw(Twice, "final answers of unsafe tries that may have run, unserved")
-			if t.Result == Refused {
-				rep.breach(Twice, t.Answered, "%s was refused though it may have run: %s at %s", t.ID, attempts[mayHave].How, attempts[mayHave].Node)
+			r.occasion(RuleNoDuplicateEffect, "final answers of unsafe tries that may have run, unserved")
+			if request.Result == Rejected {
+				r.violation(RuleNoDuplicateEffect, request.AnsweredAt, "%s was refused though it may have run: %s at %s", request.ID, attempts[mayHave].Outcome, attempts[mayHave].Node)
 			}
 		}
 	}
 }
 
-// leftS is how long after its client has left a request that waits may still be sent on.
-const leftS = 0.3
+// disconnectGraceS is how long after its client has left a request that waits may still be sent on.
+const disconnectGraceS = 0.3
 
-// left judges what is sent for a client that has left while its request waited.
-func (rep *Report) left(t *Try, attempts []*Attempt, rules Rules) {
-	if t.Left == 0 {
+// checkDisconnected judges what is sent for a client that has left while its request waited.
+func (r *Report) checkDisconnected(request *Request, attempts []*Attempt, cfg Config) {
+	if request.DisconnectedAt == 0 {
 		return
 	}
-	if !slices.ContainsFunc(attempts, func(a *Attempt) bool { return a.At <= t.Left }) {
-		rep.saw(Gone, "clients that left while their request waited")
+	if !slices.ContainsFunc(attempts, func(attempt *Attempt) bool { return attempt.At <= request.DisconnectedAt }) {
+		r.occasion(RuleDisconnectedClient, "clients that left while their request waited")
 	}
-	for _, a := range attempts {
-		if a.At > t.Left+seconds(leftS+rules.OverlapS) {
-			rep.breach(Gone, a.At, "%s came to %s %v after its client had left", t.ID, a.Node, a.At-t.Left)
+	for _, attempt := range attempts {
+		if attempt.At > request.DisconnectedAt+duration(disconnectGraceS+cfg.MaxOverlapS) {
+			r.violation(RuleDisconnectedClient, attempt.At, "%s came to %s %v after its client had left", request.ID, attempt.Node, attempt.At-request.DisconnectedAt)
 		}
 	}
 }
 
-// end is when an attempt was over for whoever sent it, by the node or by the end of its connection; 0: it never was.
-func (h *History) end(a *Attempt) time.Duration {
-	end := a.End
-	if a.Answered > 0 && a.Answered < end { // answered whole; what the node does after that is its own matter
-		end = a.Answered
+// endOf is when an attempt was over for whoever sent it, by the node or by the end of its connection; 0: it never was.
+func (h *History) endOf(attempt *Attempt) time.Duration {
+	end := attempt.End
+	if attempt.AnsweredAt > 0 && attempt.AnsweredAt < end { // answered whole; what the node does after that is its own matter
+		end = attempt.AnsweredAt
 	}
-	for _, at := range h.ConnEnds[a.Conn] {
-		if at >= a.At {
+	for _, at := range h.ConnectionEnds[attempt.Conn] {
+		if at >= attempt.At {
 			if end == 0 || at < end {
 				end = at
 			}
@@ -320,58 +326,58 @@
 
 // givenUpBefore tells that whoever sent an attempt had ended its connection by a time before it came: its bytes were on their way, and overtaken by
 // those of the next attempt. On an open connection it never was out beside that one.
-func (h *History) givenUpBefore(a *Attempt, at time.Duration) bool {
-	ends := h.ConnEnds[a.Conn]
-	return len(ends) > 0 && ends[0] < a.At && ends[0] <= at
+func (h *History) givenUpBefore(attempt *Attempt, at time.Duration) bool {
+	ends := h.ConnectionEnds[attempt.Conn]
+	return len(ends) > 0 && ends[0] < attempt.At && ends[0] <= at
 }
 
-// attempts judges the attempts of one try, in the order of their coming.
-func (rep *Report) attempts(h *History, rules Rules, c policy.Class, list []*Attempt, t *Try) {
+// checkAttempts judges the attempts of one try, in the order of their coming.
+func (r *Report) checkAttempts(h *History, cfg Config, c policy.Class, list []*Attempt, request *Request) {
 	effects, began := 0, 0
-	for i, a := range list {
-		if a.Began {
-			if began++; !a.Repeat {
+	for i, attempt := range list {
+		if attempt.Started {
+			if began++; !attempt.KnownKey {
 				effects++
 			}
 		}
-		if a.MayHaveRun() && a.How != "served" && c.Idempotency != policy.Idempotent && (t == nil || t.Left == 0) {
-			rep.saw(Twice, c.Name+" that may have run, unserved")
+		if attempt.MayHaveRun() && attempt.Outcome != "served" && c.Idempotency != policy.Idempotent && (request == nil || request.DisconnectedAt == 0) {
+			r.occasion(RuleNoDuplicateEffect, c.Name+" that may have run, unserved")
 		}
 		if i == 0 {
 			continue
 		}
 		before := list[i-1]
-		rep.saw(Out, "further attempts")
-		rep.Retries[c.Name+" after "+before.How]++
-		if end := h.end(before); (end == 0 || end > a.At+seconds(rules.OverlapS)) && !h.givenUpBefore(a, before.At) {
-			rep.breach(Out, a.At, "%s came to %s while out at %s (%s, from %.3f to %.3f s)", a.ID, a.Node, before.Node, before.How, before.At.Seconds(), h.end(before).Seconds())
+		r.occasion(RuleOneOpenAttempt, "further attempts")
+		r.Retries[c.Name+" after "+before.Outcome]++
+		if end := h.endOf(before); (end == 0 || end > attempt.At+duration(cfg.MaxOverlapS)) && !h.givenUpBefore(attempt, before.At) {
+			r.violation(RuleOneOpenAttempt, attempt.At, "%s came to %s while out at %s (%s, from %.3f to %.3f s)", attempt.ID, attempt.Node, before.Node, before.Outcome, before.At.Seconds(), h.endOf(before).Seconds())
 		}
 		if c.Idempotency == policy.NonIdempotent && before.MayHaveRun() {
-			rep.breach(Twice, a.At, "%s came to %s though it may have run: %s at %s", a.ID, a.Node, before.How, before.Node)
+			r.violation(RuleNoDuplicateEffect, attempt.At, "%s came to %s though it may have run: %s at %s", attempt.ID, attempt.Node, before.Outcome, before.Node)
 		}
-		if t != nil && t.Answered > 0 && t.Result != Left && a.At > t.Answered+seconds(rules.OverlapS) {
-			rep.breach(Answer, a.At, "%s came to %s %v after its final answer", a.ID, a.Node, a.At-t.Answered)
+		if request != nil && request.AnsweredAt > 0 && request.Result != Disconnected && attempt.At > request.AnsweredAt+duration(cfg.MaxOverlapS) {
+			r.violation(RuleOneAnswer, attempt.At, "%s came to %s %v after its final answer", attempt.ID, attempt.Node, attempt.At-request.AnsweredAt)
 		}
 	}
-	if rules.Attempts > 0 {
-		if len(list) >= rules.Attempts {
-			rep.saw(Limit, "tries with as many attempts as are allowed")
+	if cfg.MaxAttempts > 0 {
+		if len(list) >= cfg.MaxAttempts {
+			r.occasion(RuleAttemptLimit, "tries with as many attempts as are allowed")
 		}
-		if len(list) > rules.Attempts {
-			rep.breach(Limit, list[rules.Attempts].At, "%s came to nodes %d times, %d are allowed", list[0].ID, len(list), rules.Attempts)
+		if len(list) > cfg.MaxAttempts {
+			r.violation(RuleAttemptLimit, list[cfg.MaxAttempts].At, "%s came to nodes %d times, %d are allowed", list[0].ID, len(list), cfg.MaxAttempts)
 		}
 	}
 	if c.Idempotency == policy.NonIdempotent && began > 1 {
-		rep.breach(Twice, list[0].At, "%s ran %d times", list[0].ID, began)
+		r.violation(RuleNoDuplicateEffect, list[0].At, "%s ran %d times", list[0].ID, began)
 	}
 	if c.Idempotency == policy.KeyedIdempotent && effects > 1 {
-		rep.breach(Twice, list[0].At, "%s had %d effects", list[0].ID, effects)
+		r.violation(RuleNoDuplicateEffect, list[0].At, "%s had %d effects", list[0].ID, effects)
 	}
 }
 
-// chance is a budget of work with the slack that the operators' standing test gives: of N requests of mean work, 2 x root of N + 2 more, of fewer than
+// withChanceSlack is a budget of work with the slack that the operators' standing test gives: of N requests of mean work, 2 x root of N + 2 more, of fewer than
 // 30 requests 3 x root of N + 3.
-func chance(budget, mean float64) float64 {
+func withChanceSlack(budget, mean float64) float64 {
 	n := budget / max(mean, 1e-9)
 	more := 2*math.Sqrt(n) + 2
 	if n < 30 {
@@ -380,69 +386,69 @@
 	return (n + more) * mean
 }
 
-// cold holds what was sent to each node that had just started against its budget, all senders together.
-func (rep *Report) cold(h *History, rules Rules) {
-	if rules.FallMultiple <= 0 {
+// checkSlowStart holds what was sent to each node that had just started against its budget, all senders together.
+func (r *Report) checkSlowStart(h *History, cfg Config) {
+	if cfg.SlowStartFactor <= 0 {
 		return
 	}
-	lives := make([][]*Attempt, len(h.Lives))
-	for _, a := range h.Attempts {
-		if l := h.Lives[a.Life]; (a.At - l.Started).Seconds() < l.ColdS {
-			lives[a.Life] = append(lives[a.Life], a)
-			rep.saw(Cold, "sends to cold nodes")
+	lives := make([][]*Attempt, len(h.Incarnations))
+	for _, attempt := range h.Attempts {
+		if l := h.Incarnations[attempt.Incarnation]; (attempt.At - l.StartedAt).Seconds() < l.WarmUpS {
+			lives[attempt.Incarnation] = append(lives[attempt.Incarnation], attempt)
+			r.occasion(RuleSlowStart, "sends to cold nodes")
 		}
 	}
-	span := seconds(rules.FallS)
+	span := duration(cfg.SlowStartWindowS)
 	for n, list := range lives {
-		l, from, sum, mean := h.Lives[n], 0, 0.0, 0.0
-		for _, a := range list {
-			mean += a.Work / float64(len(list))
+		l, from, sum, mean := h.Incarnations[n], 0, 0.0, 0.0
+		for _, attempt := range list {
+			mean += attempt.Work / float64(len(list))
 		}
-		for _, a := range list {
-			sum += a.Work
-			for list[from].At < a.At-span {
+		for _, attempt := range list {
+			sum += attempt.Work
+			for list[from].At < attempt.At-span {
 				sum -= list[from].Work
 				from++
 			}
-			share := l.ColdFrom + (1-l.ColdFrom)*(a.At-l.Started).Seconds()/l.ColdS
-			budget := rules.FallMultiple * l.Capacity * share * rules.FallS
-			allowed := budget * (1 + rules.ColdSlack)
-			if rules.ColdChance {
-				allowed = chance(budget, mean)
+			share := l.WarmUpFrom + (1-l.WarmUpFrom)*(attempt.At-l.StartedAt).Seconds()/l.WarmUpS
+			budget := cfg.SlowStartFactor * l.Capacity * share * cfg.SlowStartWindowS
+			allowed := budget * (1 + cfg.SlowStartSlack)
+			if cfg.SlowStartChance {
+				allowed = withChanceSlack(budget, mean)
 			}
-			rep.near("budget of a cold node", sum/budget)
+			r.utilization("budget of a cold node", sum/budget)
 			if sum > allowed {
-				rep.breach(Cold, a.At, "%s, %v old, was sent %.2f s of work within %v, %.2f at most", l.Node, (a.At - l.Started).Round(time.Millisecond), sum, span, budget)
+				r.violation(RuleSlowStart, attempt.At, "%s, %v old, was sent %.2f s of work within %v, %.2f at most", l.Node, (attempt.At - l.StartedAt).Round(time.Millisecond), sum, span, budget)
 				break
 			}
 		}
 	}
 }
 
-// caps measures how many attempts accounts had out at once, against their plans' caps.
-func (rep *Report) caps(h *History, rules Rules, plans map[string]policy.Plan) {
+// checkMaxConcurrency measures how many attempts accounts had out at once, against their plans' caps.
+func (r *Report) checkMaxConcurrency(h *History, cfg Config, plans map[string]policy.Plan) {
 	type edge struct {
 		at time.Duration
 		by int
 	}
 	edges := map[string][]edge{}
-	plan := map[string]policy.Plan{}
-	for _, a := range h.Attempts {
-		if p := plans[a.Plan]; p.MaxConcurrency > 0 {
-			end := h.end(a)
+	planOf := map[string]policy.Plan{}
+	for _, attempt := range h.Attempts {
+		if plan := plans[attempt.Plan]; plan.MaxConcurrency > 0 {
+			end := h.endOf(attempt)
 			if end == 0 {
 				end = h.Now()
 			}
-			plan[a.Account] = p
-			edges[a.Account] = append(edges[a.Account], edge{a.At, 1}, edge{end, -1})
+			planOf[attempt.Account] = plan
+			edges[attempt.Account] = append(edges[attempt.Account], edge{attempt.At, 1}, edge{end, -1})
 		}
 	}
-	one := len(rules.Homes) > 0 // of one level: by the error budget
-	asks, around := map[string][]pass{}, hashring.Ring{}
+	one := len(cfg.Homes) > 0 // of one level: by the error budget
+	asks, around := map[string][]sample{}, hashring.Ring{}
 	if one {
-		around = hashring.New(rules.Gateways, hashring.PointsPerGateway(rules.Gateways))
-		for _, t := range h.Tries {
-			asks[t.Account] = append(asks[t.Account], pass{t.Sent.Seconds(), 1})
+		around = hashring.New(cfg.Gateways, hashring.PointsPerGateway(cfg.Gateways))
+		for _, request := range h.Requests {
+			asks[request.Account] = append(asks[request.Account], sample{request.SentAt.Seconds(), 1})
 		}
 	}
 	for account, list := range edges {
@@ -450,153 +456,153 @@
 			return list[i].at < list[j].at || list[i].at == list[j].at && list[i].by < list[j].by
 		})
 		out, most, at, broken := 0, 0, time.Duration(0), false
-		cap, before := plan[account].MaxConcurrency, time.Duration(0)
-		a, troubles := errorbound.Account{}, []errorbound.Fault(nil)
+		cap, before := planOf[account].MaxConcurrency, time.Duration(0)
+		a, faults := errorbound.Account{}, []errorbound.Fault(nil)
 		if one {
-			a = errorbound.Account{Gateways: rules.Homes[account].Entries, MaxConcurrent: cap, RequestRate: most1(asks[account])}
-			troubles = troublesOf(h, rules, around, account)
+			a = errorbound.Account{Gateways: cfg.Homes[account].Count, MaxConcurrent: cap, RequestRate: peakRate(asks[account])}
+			faults = faultsOf(h, cfg, around, account)
 		}
 		for _, e := range list {
-			rep.PlaceS += float64(min(out, cap)) * (e.at - before).Seconds()
-			rep.BeyondS += float64(max(out-cap, 0)) * (e.at - before).Seconds()
+			r.SlotS += float64(min(out, cap)) * (e.at - before).Seconds()
+			r.ExcessSlotS += float64(max(out-cap, 0)) * (e.at - before).Seconds()
 			before = e.at
 			if out += e.by; out > most {
 				most, at = out, e.at
 			}
 			if one && out > cap && e.by > 0 {
-				allowed, met := errorbound.SlotExcessWithin(a, troubles, e.at.Seconds())
-				rep.near("budget of places", float64(out-cap)/max(allowed, 1))
+				allowed, met := errorbound.SlotExcessWithin(a, faults, e.at.Seconds())
+				r.utilization("budget of places", float64(out-cap)/max(allowed, 1))
 				if float64(out-cap) > max(allowed, 1) && !broken {
 					broken = true
-					rep.breach(Caps, e.at, "%s had %d attempts out, its cap is %d and %.1f beyond are allowed (%v)", account, out, cap, allowed, met)
+					r.violation(RuleMaxConcurrency, e.at, "%s had %d attempts out, its cap is %d and %.1f beyond are allowed (%v)", account, out, cap, allowed, met)
 				}
 			}
 		}
-		rep.near("cap on open attempts", float64(most)/float64(cap))
+		r.utilization("cap on open attempts", float64(most)/float64(cap))
 		if most >= cap {
-			rep.saw(Caps, "accounts at their cap")
+			r.occasion(RuleMaxConcurrency, "accounts at their cap")
 		}
-		if rules.CapX > 0 && float64(most) > rules.CapX*float64(cap) {
-			rep.breach(Caps, at, "%s had %d attempts out, its cap is %d", account, most, cap)
+		if cfg.ConcurrencyFactor > 0 && float64(most) > cfg.ConcurrencyFactor*float64(cap) {
+			r.violation(RuleMaxConcurrency, at, "%s had %d attempts out, its cap is %d", account, most, cap)
 		}
 	}
 }
 
-// asked counts what clients asked for beyond quotas and ceilings: the occasions to go beyond them.
-func (rep *Report) asked(h *History, plans map[string]policy.Plan) {
+// countDemand counts what clients asked for beyond quotas and ceilings: the occasions to go beyond them.
+func (r *Report) countDemand(h *History, plans map[string]policy.Plan) {
 	type stores struct{ quota, ceiling *bucket }
 	accounts := map[string]*stores{}
-	for _, t := range h.Tries { // in the order of their sending, nearly
-		p := plans[t.Plan]
-		s := accounts[t.Account]
+	for _, request := range h.Requests { // in the order of their sending, nearly
+		plan := plans[request.Plan]
+		s := accounts[request.Account]
 		if s == nil {
-			s = &stores{newBucket(p.Rate, p.Burst), newBucket(p.HardLimitRate, p.HardLimitBurst)}
-			accounts[t.Account] = s
+			s = &stores{newBucket(plan.Rate, plan.Burst), newBucket(plan.HardLimitRate, plan.HardLimitBurst)}
+			accounts[request.Account] = s
 		}
 		for _, x := range []struct {
 			b    *bucket
 			rule string
-		}{{s.quota, Quotas}, {s.ceiling, Ceilings}} {
+		}{{s.quota, RuleQuota}, {s.ceiling, RuleHardLimit}} {
 			if x.b.rate <= 0 {
 				continue
 			}
-			if x.b.to(t.Sent); x.b.room < t.Units {
-				rep.saw(x.rule, "tries asked beyond")
+			if x.b.advance(request.SentAt); x.b.available < request.Units {
+				r.occasion(x.rule, "tries asked beyond")
 			} else {
-				x.b.room -= t.Units
+				x.b.available -= request.Units
 			}
 		}
 	}
 }
 
-// drains looks for what came to a node too long after the forwarder was told that it drains or is gone.
-func (rep *Report) drains(h *History, rules Rules, tries map[string]*Try) {
+// checkDrains looks for what came to a node too long after the forwarder was told that it drains or is gone.
+func (r *Report) checkDrains(h *History, cfg Config, requests map[string]*Request) {
 	type key struct{ party, node string }
-	told := map[key][]Told{}
+	told := map[key][]Notice{}
 	back := map[string][]time.Duration{} // when a party came back from being killed, with nothing but its last list
 	for _, o := range append(slices.Clone(h.Outages), h.Restarts...) {
-		back[Party(o.Forwarder)] = append(back[Party(o.Forwarder)], o.To)
+		back[PartyName(o.Forwarder)] = append(back[PartyName(o.Forwarder)], o.To)
 	}
-	for _, t := range h.Told {
+	for _, t := range h.Notices {
 		k := key{t.Party, t.Node}
 		told[k] = append(told[k], t)
 	}
 	sentTo := map[key][]time.Duration{}
-	for _, a := range h.Attempts {
-		t := tries[a.ID+"/"+a.Account]
-		if t == nil {
+	for _, attempt := range h.Attempts {
+		request := requests[attempt.ID+"/"+attempt.Account]
+		if request == nil {
 			continue
 		}
-		sentTo[key{Party(t.Forwarder), a.Node}] = append(sentTo[key{Party(t.Forwarder), a.Node}], a.At)
-		last := Told{State: "in_service"}
-		for _, x := range told[key{Party(t.Forwarder), a.Node}] {
-			if x.At < a.At && !slices.ContainsFunc(back[x.Party], func(at time.Duration) bool { return x.At < at && at < a.At }) {
+		sentTo[key{PartyName(request.Forwarder), attempt.Node}] = append(sentTo[key{PartyName(request.Forwarder), attempt.Node}], attempt.At)
+		last := Notice{State: "in_service"}
+		for _, x := range told[key{PartyName(request.Forwarder), attempt.Node}] {
+			if x.At < attempt.At && !slices.ContainsFunc(back[x.Party], func(at time.Duration) bool { return x.At < at && at < attempt.At }) {
 				last = x
 			}
 		}
-		if grace := seconds(rules.DrainS) + 50*time.Millisecond; last.State != "in_service" && a.At > h.binds(t.Forwarder, last.At)+grace {
-			rep.breach(Drains, a.At, "%s came to %s %v after forwarder %d was told %q", a.ID, a.Node, a.At-last.At, t.Forwarder, last.State)
+		if grace := duration(cfg.DrainGraceS) + 50*time.Millisecond; last.State != "in_service" && attempt.At > h.bindingFrom(request.Forwarder, last.At)+grace {
+			r.violation(RuleDrain, attempt.At, "%s came to %s %v after forwarder %d was told %q", attempt.ID, attempt.Node, attempt.At-last.At, request.Forwarder, last.State)
 		}
 	}
-	for _, t := range h.Told {
+	for _, t := range h.Notices {
 		if t.State == "in_service" {
 			continue
 		}
 		if slices.ContainsFunc(sentTo[key{t.Party, t.Node}], func(at time.Duration) bool { return at < t.At && at > t.At-time.Second }) {
-			rep.saw(Drains, "told "+t.State+" with work in the second before")
+			r.occasion(RuleDrain, "told "+t.State+" with work in the second before")
 		}
 	}
 }
 
-// newsBinds is for how long after a replacement of a program news need not hold for both of its processes, one of which may
+// replacementGrace is for how long after a replacement of a program news need not hold for both of its processes, one of which may
 // have been told alone: the platform's own figure.
-const newsBinds = 2 * time.Second
+const replacementGrace = 2 * time.Second
 
-// binds is from when on a forwarder is held to what it was told.
-func (h *History) binds(forwarder int, told time.Duration) time.Duration {
+// bindingFrom is from when on a forwarder is held to what it was told.
+func (h *History) bindingFrom(forwarder int, told time.Duration) time.Duration {
 	from := told
-	for _, o := range h.Replaced {
-		if o.Forwarder == forwarder && told >= o.From && told < o.From+newsBinds {
-			from = max(from, o.From+newsBinds)
+	for _, o := range h.Replacements {
+		if o.Forwarder == forwarder && told >= o.From && told < o.From+replacementGrace {
+			from = max(from, o.From+replacementGrace)
 		}
 	}
 	return from
 }
 
-// operators judges nodes held by hand: neither discovery nor a new process of the ingress lets anything through to one.
-func (rep *Report) operators(h *History, rules Rules, tries map[string]*Try) {
-	sent := map[Hold][]*Attempt{} // by party and node
-	for _, a := range h.Attempts {
-		if t := tries[a.ID+"/"+a.Account]; t != nil {
-			k := Hold{Party: Party(t.Forwarder), Node: a.Node}
-			sent[k] = append(sent[k], a)
+// checkCordons judges nodes held by hand: neither discovery nor a new process of the ingress lets anything through to one.
+func (r *Report) checkCordons(h *History, cfg Config, requests map[string]*Request) {
+	sent := map[Cordon][]*Attempt{} // by party and node
+	for _, attempt := range h.Attempts {
+		if request := requests[attempt.ID+"/"+attempt.Account]; request != nil {
+			k := Cordon{Party: PartyName(request.Forwarder), Node: attempt.Node}
+			sent[k] = append(sent[k], attempt)
 		}
 	}
-	grace := seconds(rules.DrainS) + 50*time.Millisecond
-	for _, x := range h.HeldNodes {
+	grace := duration(cfg.DrainGraceS) + 50*time.Millisecond
+	for _, x := range h.Cordons {
 		before := false
-		for _, a := range sent[Hold{Party: x.Party, Node: x.Node}] {
-			before = before || a.At < x.From && a.At > x.From-time.Second
-			if a.At > x.From+grace && (x.To == 0 || a.At < x.To) {
-				rep.breach(Held, a.At, "%s came to %s %v after operators took it out at %s", a.ID, a.Node, a.At-x.From, x.Party)
+		for _, attempt := range sent[Cordon{Party: x.Party, Node: x.Node}] {
+			before = before || attempt.At < x.From && attempt.At > x.From-time.Second
+			if attempt.At > x.From+grace && (x.To == 0 || attempt.At < x.To) {
+				r.violation(RuleCordon, attempt.At, "%s came to %s %v after operators took it out at %s", attempt.ID, attempt.Node, attempt.At-x.From, x.Party)
 			}
 		}
 		if before {
-			rep.saw(Held, "held with work in the second before")
+			r.occasion(RuleCordon, "held with work in the second before")
 		}
 	}
-	for _, o := range h.Replaced {
-		for _, t := range h.Tries {
-			if t.Forwarder == o.Forwarder && t.Sent < o.To && t.Answered > o.From {
-				rep.saw(Replaced, "tries under way while their program was replaced")
+	for _, o := range h.Replacements {
+		for _, request := range h.Requests {
+			if request.Forwarder == o.Forwarder && request.SentAt < o.To && request.AnsweredAt > o.From {
+				r.occasion(RuleReplacement, "tries under way while their program was replaced")
 			}
 		}
 	}
 }
 
-// quotas replays what came to nodes, each try once, against each account's buckets. It returns the tries that
+// checkQuotas replays what came to nodes, each try once, against each account's buckets. It returns the tries that
 // were inside their quotas when they were passed on.
-func (rep *Report) quotas(h *History, rules Rules, plans map[string]policy.Plan) (inside map[string]bool) {
+func (r *Report) checkQuotas(h *History, cfg Config, plans map[string]policy.Plan) (inside map[string]bool) {
 	inside = map[string]bool{}
 	type account struct {
 		plan           policy.Plan
@@ -608,51 +614,51 @@
 	}
 	accounts := map[string]*account{}
 	seen := map[string]bool{}
-	for _, a := range h.Attempts { // in the order of their coming
-		if seen[a.ID+"/"+a.Account] {
+	for _, attempt := range h.Attempts { // in the order of their coming
+		if seen[attempt.ID+"/"+attempt.Account] {
 			continue
 		}
-		seen[a.ID+"/"+a.Account] = true
-		x := accounts[a.Account]
+		seen[attempt.ID+"/"+attempt.Account] = true
+		x := accounts[attempt.Account]
 		if x == nil {
-			p := plans[a.Plan]
-			x = &account{plan: p, quota: newBucket(p.Rate, p.Burst), ceiling: newBucket(p.HardLimitRate, p.HardLimitBurst),
-				store: newBucket(p.Rate, p.Burst)}
-			accounts[a.Account] = x
+			plan := plans[attempt.Plan]
+			x = &account{plan: plan, quota: newBucket(plan.Rate, plan.Burst), ceiling: newBucket(plan.HardLimitRate, plan.HardLimitBurst),
+				store: newBucket(plan.Rate, plan.Burst)}
+			accounts[attempt.Account] = x
 		}
 		if x.plan.Rate > 0 {
-			x.quota.to(a.At)
-			x.quota.room -= a.Units
-			if -x.quota.room > x.worst+1e-6 {
-				x.worst, x.at = -x.quota.room, a.At
+			x.quota.advance(attempt.At)
+			x.quota.available -= attempt.Units
+			if -x.quota.available > x.worst+1e-6 {
+				x.worst, x.at = -x.quota.available, attempt.At
 			}
-			rep.near("quota", (x.plan.Burst-x.quota.room)/x.plan.Burst)
-			if slack := rules.Quota + rules.QuotaS*x.plan.Rate; rules.Quota > 0 && x.worst > slack && !x.over {
+			r.utilization("quota", (x.plan.Burst-x.quota.available)/x.plan.Burst)
+			if slack := cfg.QuotaSlack + cfg.QuotaSlackS*x.plan.Rate; cfg.QuotaSlack > 0 && x.worst > slack && !x.over {
 				x.over = true
-				rep.breach(Quotas, a.At, "%s is %.1f units over its quota, slack %.1f", a.Account, x.worst, slack)
+				r.violation(RuleQuota, attempt.At, "%s is %.1f units over its quota, slack %.1f", attempt.Account, x.worst, slack)
 			}
 		}
-		if x.store.to(a.At); x.plan.Rate == 0 || x.store.room >= a.Units {
-			inside[a.ID+"/"+a.Account] = true
-			x.store.room -= a.Units
+		if x.store.advance(attempt.At); x.plan.Rate == 0 || x.store.available >= attempt.Units {
+			inside[attempt.ID+"/"+attempt.Account] = true
+			x.store.available -= attempt.Units
 		}
 		if x.plan.HardLimitRate > 0 {
-			x.ceiling.to(a.At)
-			x.ceiling.room -= a.Units
-			slack := max(x.plan.HardLimitSlack, 0.1*x.plan.HardLimitBurst, rules.SlackUnit) + rules.CeilingS*x.plan.HardLimitRate
-			rep.near("ceiling and slack", (x.plan.HardLimitBurst-x.ceiling.room)/(x.plan.HardLimitBurst+slack))
-			if x.ceiling.room < -slack && !x.broken {
+			x.ceiling.advance(attempt.At)
+			x.ceiling.available -= attempt.Units
+			slack := max(x.plan.HardLimitSlack, 0.1*x.plan.HardLimitBurst, cfg.LargestRequest) + cfg.HardLimitSlackS*x.plan.HardLimitRate
+			r.utilization("ceiling and slack", (x.plan.HardLimitBurst-x.ceiling.available)/(x.plan.HardLimitBurst+slack))
+			if x.ceiling.available < -slack && !x.broken {
 				x.broken = true
-				rep.breach(Ceilings, a.At, "%s is %.1f units over its ceiling, slack %.1f", a.Account, -x.ceiling.room, slack)
+				r.violation(RuleHardLimit, attempt.At, "%s is %.1f units over its ceiling, slack %.1f", attempt.Account, -x.ceiling.available, slack)
 			}
 		}
 	}
 	for name, x := range accounts {
 		if x.worst > 0 {
-			rep.Overshoots = append(rep.Overshoots, Overshoot{name, x.plan.Name, x.worst, 100 * x.worst / x.plan.Burst, x.at})
+			r.Overshoots = append(r.Overshoots, Overshoot{name, x.plan.Name, x.worst, 100 * x.worst / x.plan.Burst, x.at})
 		}
 	}
-	slices.SortFunc(rep.Overshoots, func(a, b Overshoot) int {
+	slices.SortFunc(r.Overshoots, func(a, b Overshoot) int {
 		switch {
 		case a.Percent > b.Percent:
 			return -1
@@ -664,18 +670,18 @@
 	return inside
 }
 
-// service weighs what was answered in time against what one gateway that saw all first tries would let in.
-func (rep *Report) service(h *History, classes map[string]policy.Class, plans map[string]policy.Plan, inside map[string]bool) {
+// measureService weighs what was answered in time against what one gateway that saw all first tries would let in.
+func (r *Report) measureService(h *History, classes map[string]policy.Class, plans map[string]policy.Plan, inside map[string]bool) {
 	inTime := map[string]bool{}
 	sent := map[string]time.Duration{}
-	for _, t := range h.Tries {
-		if t.ID == t.First {
-			sent[t.ID] = t.Sent
+	for _, request := range h.Requests {
+		if request.ID == request.OriginalID {
+			sent[request.ID] = request.SentAt
 		}
 	}
-	for _, t := range h.Tries {
-		if t.Result == Served && inside[t.key()] && t.Answered <= sent[t.First]+seconds(classes[t.Class].LatencyObjectiveS) {
-			inTime[t.First] = true
+	for _, request := range h.Requests {
+		if request.Result == Served && inside[request.key()] && request.AnsweredAt <= sent[request.OriginalID]+duration(classes[request.Class].LatencyObjectiveS) {
+			inTime[request.OriginalID] = true
 		}
 	}
 	type sum struct{ asked, got float64 }
@@ -684,55 +690,55 @@
 	over := map[string]bool{} // accounts that ask beyond their quotas: more served hides what is lost
 	windows := map[int]map[string]*sum{}
 	buckets := map[string]*bucket{}
-	firsts := make([]*Try, 0, len(h.Tries))
-	for _, t := range h.Tries {
-		if t.ID == t.First {
-			firsts = append(firsts, t)
-		}
-	}
-	sort.SliceStable(firsts, func(i, j int) bool { return firsts[i].Sent < firsts[j].Sent })
-	for _, t := range firsts {
-		p := plans[t.Plan]
-		b := buckets[t.Account]
-		if b == nil {
-			b = newBucket(p.Rate, p.Burst)
-			buckets[t.Account] = b
-		}
-		b.to(t.Sent)
-		worth := classes[t.Class].PriorityWeight * p.Weight * t.Units
-		if byAccount[t.Account] == nil {
-			byAccount[t.Account], planOf[t.Account] = &sum{}, t.Plan
-		}
-		w := int(t.Sent.Seconds())
+	originals := make([]*Request, 0, len(h.Requests))
+	for _, request := range h.Requests {
+		if request.ID == request.OriginalID {
+			originals = append(originals, request)
+		}
+	}
+	sort.SliceStable(originals, func(i, j int) bool { return originals[i].SentAt < originals[j].SentAt })
+	for _, request := range originals {
+		plan := plans[request.Plan]
+		window := buckets[request.Account]
+		if window == nil {
+			window = newBucket(plan.Rate, plan.Burst)
+			buckets[request.Account] = window
+		}
+		window.advance(request.SentAt)
+		worth := classes[request.Class].PriorityWeight * plan.Weight * request.Units
+		if byAccount[request.Account] == nil {
+			byAccount[request.Account], planOf[request.Account] = &sum{}, request.Plan
+		}
+		w := int(request.SentAt.Seconds())
 		if windows[w] == nil {
 			windows[w] = map[string]*sum{}
 		}
-		if windows[w][t.Account] == nil {
-			windows[w][t.Account] = &sum{}
+		if windows[w][request.Account] == nil {
+			windows[w][request.Account] = &sum{}
 		}
-		if p.Rate == 0 || b.room >= t.Units {
-			b.room -= t.Units
-			byAccount[t.Account].asked += worth
-			windows[w][t.Account].asked += worth
+		if plan.Rate == 0 || window.available >= request.Units {
+			window.available -= request.Units
+			byAccount[request.Account].asked += worth
+			windows[w][request.Account].asked += worth
 		} else {
-			over[t.Account] = true
+			over[request.Account] = true
 		}
-		if inTime[t.ID] {
-			byAccount[t.Account].got += worth
-			windows[w][t.Account].got += worth
+		if inTime[request.ID] {
+			byAccount[request.Account].got += worth
+			windows[w][request.Account].got += worth
 		}
 	}
 	classSums := map[string]*sum{}
-	for _, t := range firsts {
-		if over[t.Account] {
+	for _, request := range originals {
+		if over[request.Account] {
 			continue
 		}
-		if classSums[t.Class] == nil {
-			classSums[t.Class] = &sum{}
+		if classSums[request.Class] == nil {
+			classSums[request.Class] = &sum{}
 		}
-		classSums[t.Class].asked += t.Units
-		if inTime[t.ID] {
-			classSums[t.Class].got += t.Units
+		classSums[request.Class].asked += request.Units
+		if inTime[request.ID] {
+			classSums[request.Class].got += request.Units
 		}
 	}
 	var all sum // of each account no more counts than it may have
@@ -753,12 +759,12 @@
 		}
 		return s.got / s.asked
 	}
-	rep.Service = rate(all)
+	r.Service = rate(all)
 	for name, s := range classSums {
-		rep.ByClass[name] = rate(*s)
+		r.ServiceByClass[name] = rate(*s)
 	}
 	for name, s := range byPlan {
-		rep.ByPlan[name] = rate(*s)
+		r.ServiceByPlan[name] = rate(*s)
 	}
 	for w := range int(h.Now().Seconds()) + 1 {
 		var of sum
@@ -769,6 +775,6 @@
 				of.got += s.got
 			}
 		}
-		rep.Windows = append(rep.Windows, rate(of))
+		r.ServiceBySecond = append(r.ServiceBySecond, rate(of))
 	}
 }
--- a/internal/testbed/oracle/counts_test.go
+++ b/internal/testbed/oracle/counts_test.go
@@ -12,23 +12,23 @@
 // counted is a history of one account of 10 units a second and a burst of 20 through four gateways, of which units a second are asked for and a
 // share of the tries is let in.
 func counted(perS int, let func(i int, at time.Duration) bool) *History {
-	h := New()
+	h := NewHistory()
 	for i := range perS * 30 {
 		at := time.Second * time.Duration(i) / time.Duration(perS)
 		id := fmt.Sprint(i)
-		t := &Try{ID: id, First: id, Account: "a", Plan: "p", Class: "c", Units: 1, Sent: at, Answered: at, Answers: 1, Deadline: at + time.Second, Result: Served}
-		if h.Tries = append(h.Tries, t); let(i, at) {
-			h.Attempts = append(h.Attempts, &Attempt{ID: id, Account: "a", Plan: "p", Class: "c", Units: 1, At: at, End: at, Answered: at, How: "served"})
+		request := &Request{ID: id, OriginalID: id, Account: "a", Plan: "p", Class: "c", Units: 1, SentAt: at, AnsweredAt: at, Answers: 1, Deadline: at + time.Second, Result: Served}
+		if h.Requests = append(h.Requests, request); let(i, at) {
+			h.Attempts = append(h.Attempts, &Attempt{ID: id, Account: "a", Plan: "p", Class: "c", Units: 1, At: at, End: at, AnsweredAt: at, Outcome: "served"})
 			continue
 		}
-		t.Result, t.Why = Refused, int(reason.Denied)
+		request.Result, request.Reason = Rejected, int(reason.Denied)
 	}
 	h.Ended = 31 * time.Second
 	h.clock = nil
 	return h
 }
 
-func TestCountsAreJudged(t *testing.T) {
+func TestReport_CheckSharedCounts(t *testing.T) {
 	plan := policy.Plan{Name: "p", Rate: 10, Burst: 20, Weight: 1}
 	room := 20.0
 	exact := func(perS int) func(int, time.Duration) bool {
@@ -48,35 +48,35 @@
 	}{
 		{"an exact count", "", func() *History { return counted(40, exact(40)) }},
 		{"everything inside", "", func() *History { return counted(8, func(int, time.Duration) bool { return true }) }},
-		{"a half beyond the rate all the time", Quotas, func() *History { return counted(40, func(i int, _ time.Duration) bool { return i%8 < 3 }) }},
-		{"a burst of five times the burst", Quotas, func() *History {
+		{"a half beyond the rate all the time", RuleQuota, func() *History { return counted(40, func(i int, _ time.Duration) bool { return i%8 < 3 }) }},
+		{"a burst of five times the burst", RuleQuota, func() *History {
 			return counted(100, func(_ int, at time.Duration) bool { return at < time.Second })
 		}},
 		{"the same while its gateways are split in four sides", "", func() *History {
 			h := counted(100, func(_ int, at time.Duration) bool {
 				return at < time.Second || at > 4*time.Second && at.Milliseconds()%100 == 0
 			})
-			h.Peers = append(h.Peers, PeerTrouble{From: 0, To: 3 * time.Second, Sides: 4})
+			h.PeerFaults = append(h.PeerFaults, PeerFault{From: 0, To: 3 * time.Second, Sides: 4})
 			return h
 		}},
-		{"a half of what the quota holds", Used, func() *History { return counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 }) }},
+		{"a half of what the quota holds", RuleQuotaUsable, func() *History { return counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 }) }},
 		{"the same in a silence that goes on", "", func() *History {
 			h := counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 })
-			h.Peers = append(h.Peers, PeerTrouble{Loss: 1})
+			h.PeerFaults = append(h.PeerFaults, PeerFault{LossRate: 1})
 			return h
 		}},
 		{"a half refused for nodes' sake", "", func() *History {
 			h := counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 })
-			for _, x := range h.Tries {
-				x.Why = int(reason.AdaptiveLimit)
+			for _, x := range h.Requests {
+				x.Reason = int(reason.AdaptiveLimit)
 			}
 			return h
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rep := Audit(tc.h(), Rules{Plans: []policy.Plan{plan}, Homes: map[string]Home{"a": {0, 4}}, Gateways: 4})
-			if tc.rule != "" && rep.Counts[tc.rule] == 0 || tc.rule == "" && rep.Counts[Quotas]+rep.Counts[Used] > 0 {
-				t.Errorf("broken: %v (%v)", rep.Counts, rep.Breaches)
+			rep := Check(tc.h(), Config{Plans: []policy.Plan{plan}, Homes: map[string]GatewayRange{"a": {0, 4}}, Gateways: 4})
+			if tc.rule != "" && rep.ViolationCounts[tc.rule] == 0 || tc.rule == "" && rep.ViolationCounts[RuleQuota]+rep.ViolationCounts[RuleQuotaUsable] > 0 {
+				t.Errorf("broken: %v (%v)", rep.ViolationCounts, rep.Violations)
 			}
 		})
 	}
--- a/internal/testbed/oracle/overload.go
+++ b/internal/testbed/oracle/overload.go
@@ -14,203 +14,210 @@
 
 // The operators' goal weighs the whole run, its worst span and its worst plan; all three are shares of the worth asked for inside quotas.
 const (
-	wholeWeight = 0.55
-	spanWeight  = 0.20
-	planWeight  = 0.25
-	spanS       = 10.0 // the length of a span
-	slotS       = 0.1  // by which the bound cuts time
-	wellAgain   = 0.95 // service that counts as full
+	overallWeight     = 0.55
+	intervalWeight    = 0.20
+	planWeight        = 0.25
+	intervalS         = 10.0 // the length of a span
+	slotS             = 0.1  // by which the bound cuts time
+	recoveredFraction = 0.95 // service that counts as full
 )
 
-// Slowed is a time in which every node did its work slower by a factor.
-type Slowed struct {
+// Slowdown is a time in which every node did its work slower by a factor.
+type Slowdown struct {
 	From, To time.Duration // To 0: it goes on
-	X        float64
+	Factor   float64       `json:"X"`
 }
 
-// Slow records that every node is slower from now on, until the function that it returns is called.
-func (h *History) Slow(x float64) (end func()) {
+// BeginSlowdown records that every node is slower from now on, until the function that it returns is called.
+func (h *History) BeginSlowdown(x float64) (end func()) {
 	n := 0
-	h.do(func() {
-		n = len(h.Slows)
-		h.Slows = append(h.Slows, Slowed{From: h.Now(), X: x})
+	h.locked(func() {
+		n = len(h.Slowdowns)
+		h.Slowdowns = append(h.Slowdowns, Slowdown{From: h.Now(), Factor: x})
 	})
-	return func() { h.do(func() { h.Slows[n].To = h.Now() }) }
+	return func() { h.locked(func() { h.Slowdowns[n].To = h.Now() }) }
 }
 
 // Peak is a time in which more was asked for than nodes can do.
 type Peak struct{ From, To time.Duration }
 
-// Stated is what a fleet that decides on overload as one keeps to in a run under overload. docs/overload.md has the reasons.
-type Stated struct {
-	Share   float64 // of the bound that the goal comes to, at least
-	Even    float64 // the worst plan's share over the best one's, at least
-	Back    float64 // seconds from the end of the peak until service is full again, at most
-	Spread  float64 // of levels over the fleet, at most
-	Swing   float64 // of the median level, at most
-	Starved float64 // share of the accounts that asked often and were served nothing, at most
-	Gone    float64 // share of nodes' work that is in vain, at most
+// LoadSheddingBounds is what a fleet that decides on overload as one keeps to in a run under overload. docs/overload.md has the reasons.
+type LoadSheddingBounds struct {
+	MinBoundFraction float64 `json:"Share"`   // of the bound that the goal comes to, at least
+	MinFairness      float64 `json:"Even"`    // the worst plan's share over the best one's, at least
+	MaxRecoveryS     float64 `json:"Back"`    // seconds from the end of the peak until service is full again, at most
+	MaxSpread        float64 `json:"Spread"`  // of levels over the fleet, at most
+	MaxSwing         float64 `json:"Swing"`   // of the median level, at most
+	MaxStarved       float64 `json:"Starved"` // share of the accounts that asked often and were served nothing, at most
+	MaxWasted        float64 `json:"Gone"`    // share of nodes' work that is in vain, at most
 }
 
-// AsOne is what is stated, with room for chance in single runs of 25 s.
-var AsOne = Stated{Share: 0.78, Even: 0.75, Back: 5, Spread: 0.45, Swing: 0.7, Starved: 0.2, Gone: 0.1}
+// DefaultLoadSheddingBounds is what is stated, with room for chance in single runs of 25 s.
+var DefaultLoadSheddingBounds = LoadSheddingBounds{MinBoundFraction: 0.78, MinFairness: 0.75, MaxRecoveryS: 5, MaxSpread: 0.45, MaxSwing: 0.7, MaxStarved: 0.2, MaxWasted: 0.1}
 
-// shed holds a run against what is stated.
-func (rep *Report) shed(l *Load, s *Stated, peak Peak) {
+// checkLoadShedding holds a run against what is stated.
+func (r *Report) checkLoadShedding(l *Load, s *LoadSheddingBounds, peak Peak) {
 	for range int((peak.To - peak.From).Seconds()) {
-		rep.saw(Shed, "seconds of overload")
+		r.occasion(RuleLoadShedding, "seconds of overload")
 	}
 	hold := func(ok bool, format string, args ...any) {
 		if !ok {
-			rep.breach(Shed, peak.To, format, args...)
+			r.violation(RuleLoadShedding, peak.To, format, args...)
 		}
 	}
-	share := l.Goal / max(l.Bound, 1e-9)
-	hold(share >= s.Share, "the goal came to %.3f of its bound, %.2f is stated", share, s.Share)
-	hold(l.Even() >= s.Even, "the worst plan had %.2f of the best one's share, %.2f is stated", l.Even(), s.Even)
-	hold(l.Back >= 0 && l.Back <= s.Back, "service was full again %.0f s after the peak, %.0f is stated", l.Back, s.Back)
-	hold(float64(l.Starved) <= s.Starved*float64(l.Often), "%d of %d accounts that asked often were served nothing, a share of %.2f is stated", l.Starved, l.Often, s.Starved)
-	hold(l.Gone <= s.Gone, "%.3f of nodes' work was in vain, %.2f is stated", l.Gone, s.Gone)
-	if x := l.Spread; x != nil {
-		hold(x.Spread <= s.Spread, "levels lay %.2f apart, %.2f is stated", x.Spread, s.Spread)
-		hold(x.Swing <= s.Swing, "the level swung by %.2f, %.2f is stated", x.Swing, s.Swing)
+	share := l.Goal / max(l.UpperBound, 1e-9)
+	hold(share >= s.MinBoundFraction, "the goal came to %.3f of its bound, %.2f is stated", share, s.MinBoundFraction)
+	hold(l.Fairness() >= s.MinFairness, "the worst plan had %.2f of the best one's share, %.2f is stated", l.Fairness(), s.MinFairness)
+	hold(l.RecoveryS >= 0 && l.RecoveryS <= s.MaxRecoveryS, "service was full again %.0f s after the peak, %.0f is stated", l.RecoveryS, s.MaxRecoveryS)
+	hold(float64(l.StarvedAccounts) <= s.MaxStarved*float64(l.FrequentAccounts), "%d of %d accounts that asked often were served nothing, a share of %.2f is stated", l.StarvedAccounts, l.FrequentAccounts, s.MaxStarved)
+	hold(l.WastedFraction <= s.MaxWasted, "%.3f of nodes' work was in vain, %.2f is stated", l.WastedFraction, s.MaxWasted)
+	if x := l.LevelSpread; x != nil {
+		hold(x.Spread <= s.MaxSpread, "levels lay %.2f apart, %.2f is stated", x.Spread, s.MaxSpread)
+		hold(x.Swing <= s.MaxSwing, "the level swung by %.2f, %.2f is stated", x.Swing, s.MaxSwing)
 	}
 }
 
 // Load is what a run under overload came to. Its shares are of worth asked for inside quotas, by first tries; what a client got within the aim
 // of its first try counts.
 type Load struct {
-	Goal, Whole, WorstSpan, WorstPlan float64
-	Bound                             float64            // what no fleet can pass, of Goal: see bound
-	Asked                             float64            // work asked for inside quotas over what nodes can do, in the peak; in the run without one
-	Plans, Classes                    map[string]float64 // share by plan, by class
-	Used                              float64            // of what nodes can do, that was sent to them in the peak
-	Floor                             float64            // the share of the worst-served tenth of the accounts, of those that asked for something worth counting
-	Often                             int                // accounts that asked at least so often as starvedFrom
-	Starved                           int                // and of these, that were served nothing
-	Late                              float64            // share of the served tries that took more than half of their aim
-	Gone                              float64            // share of what was sent to nodes whose answer earned nothing
-	Again                             float64            // tries a request
-	Back                              float64            // seconds from the end of the peak until service is full, and stays so for a second; below 0: never
-	ServedPerS                        float64            // worth served in time a second, in the peak
-	Second                            []Second
-	Spread                            *Spread  // nil: levels of overload were not recorded
-	Levels                            []Levels // as recorded
+	Goal                float64
+	Overall             float64 `json:"Whole"`
+	WorstInterval       float64 `json:"WorstSpan"`
+	WorstPlan           float64
+	UpperBound          float64            `json:"Bound"` // what no fleet can pass, of Goal: see bound
+	Demand              float64            `json:"Asked"` // work asked for inside quotas over what nodes can do, in the peak; in the run without one
+	Plans, Classes      map[string]float64 // share by plan, by class
+	Utilization         float64            `json:"Used"`    // of what nodes can do, that was sent to them in the peak
+	WorstDecile         float64            `json:"Floor"`   // the share of the worst-served tenth of the accounts, of those that asked for something worth counting
+	FrequentAccounts    int                `json:"Often"`   // accounts that asked at least so often as frequentFrom
+	StarvedAccounts     int                `json:"Starved"` // and of these, that were served nothing
+	SlowFraction        float64            `json:"Late"`    // share of the served tries that took more than half of their aim
+	WastedFraction      float64            `json:"Gone"`    // share of what was sent to nodes whose answer earned nothing
+	RequestsPerOriginal float64            `json:"Again"`   // tries a request
+	RecoveryS           float64            `json:"Back"`    // seconds from the end of the peak until service is full, and stays so for a second; below 0: never
+	ServedPerS          float64            // worth served in time a second, in the peak
+	Seconds             []LoadSecond       `json:"Second"`
+	LevelSpread         *LevelSpread       `json:"Spread"` // nil: levels of overload were not recorded
+	LoadLevels          []LoadLevels       `json:"Levels"` // as recorded
 }
 
-// Second is one second of a run, by when things were first asked for. In worth.
-type Second struct{ Asked, Let, Served float64 }
+// LoadSecond is the weight of the original requests that clients sent within one second of a run.
+type LoadSecond struct {
+	Demand   float64 `json:"Asked"` // asked for inside quotas
+	Admitted float64 `json:"Let"`   // sent to a backend
+	Served   float64 // answered within the latency objective
+}
 
-const starvedFrom = 8
+const frequentFrom = 8
 
 // job is something that a client asked for inside its quota.
 type job struct {
-	from, to     float64 // sent, and by when an answer still earns
-	work, worth  float64 // work: the mean of its class, as nobody knows beforehand what one request will take
-	plan, span   int
-	class        string
-	account      string
-	let, inTime  bool
-	value, price float64 // in the goal, by the weights tried
+	start, deadline  float64 // sent, and by when an answer still earns
+	work, weight     float64 // work: the mean of its class, as nobody knows beforehand what one request will take
+	plan, interval   int
+	class            string
+	account          string
+	admitted, inTime bool
+	value, price     float64 // in the goal, by the weights tried
 }
 
-// load works out a run's figures under overload.
-func (rep *Report) load(h *History, rules Rules, classes map[string]policy.Class, plans map[string]policy.Plan) {
+// measureLoad works out a run's figures under overload.
+func (r *Report) measureLoad(h *History, cfg Config, classes map[string]policy.Class, plans map[string]policy.Plan) {
 	names := slices.Sorted(maps.Keys(plans))
 	seen, meanOf := map[string]int{}, map[string]float64{}
-	byTry := map[string]*Try{}
-	for _, t := range h.Tries {
-		byTry[t.key()] = t
+	byTry := map[string]*Request{}
+	for _, request := range h.Requests {
+		byTry[request.key()] = request
 	}
 	sentOn := map[string]bool{} // by first try
 	spent, wasted := 0.0, 0.0
 	inTime := map[string]bool{}
-	first := map[string]*Try{}
-	for _, t := range h.Tries {
-		if t.ID == t.First {
-			first[t.First] = t
+	first := map[string]*Request{}
+	for _, request := range h.Requests {
+		if request.ID == request.OriginalID {
+			first[request.OriginalID] = request
 		}
 	}
 	served, late := 0, 0
-	for _, t := range h.Tries {
-		f := first[t.First]
-		if t.Result != Served || f == nil {
+	for _, request := range h.Requests {
+		f := first[request.OriginalID]
+		if request.Result != Served || f == nil {
 			continue
 		}
-		aim := seconds(classes[t.Class].LatencyObjectiveS)
-		inTime[t.First] = inTime[t.First] || t.Answered <= f.Sent+aim
-		if served++; t.Answered-t.Sent > aim/2 {
+		aim := duration(classes[request.Class].LatencyObjectiveS)
+		inTime[request.OriginalID] = inTime[request.OriginalID] || request.AnsweredAt <= f.SentAt+aim
+		if served++; request.AnsweredAt-request.SentAt > aim/2 {
 			late++
 		}
 	}
-	for _, a := range h.Attempts {
-		t := byTry[a.ID+"/"+a.Account]
-		if t == nil {
+	for _, attempt := range h.Attempts {
+		request := byTry[attempt.ID+"/"+attempt.Account]
+		if request == nil {
 			continue
 		}
-		sentOn[t.First] = true
-		seen[a.Class]++
-		meanOf[a.Class] += (a.Work - meanOf[a.Class]) / float64(seen[a.Class])
-		if spent += a.Work; !inTime[t.First] {
-			wasted += a.Work
+		sentOn[request.OriginalID] = true
+		seen[attempt.Class]++
+		meanOf[attempt.Class] += (attempt.Work - meanOf[attempt.Class]) / float64(seen[attempt.Class])
+		if spent += attempt.Work; !inTime[request.OriginalID] {
+			wasted += attempt.Work
 		}
 	}
 	var jobs []*job
 	tries := 0
 	buckets := map[string]*bucket{}
 	end := 0.0
-	firsts := slices.SortedFunc(maps.Values(first), func(a, b *Try) int { return cmp.Or(cmp.Compare(a.Sent, b.Sent), cmp.Compare(a.ID, b.ID)) })
+	originals := slices.SortedFunc(maps.Values(first), func(a, b *Request) int { return cmp.Or(cmp.Compare(a.SentAt, b.SentAt), cmp.Compare(a.ID, b.ID)) })
 	asked := map[string]bool{}
-	for _, t := range firsts {
-		p := plans[t.Plan]
-		b := buckets[t.Account]
-		if b == nil {
-			b = newBucket(p.Rate, p.Burst)
-			buckets[t.Account] = b
-		}
-		if b.to(t.Sent); p.Rate > 0 {
-			if b.room < t.Units {
+	for _, request := range originals {
+		plan := plans[request.Plan]
+		window := buckets[request.Account]
+		if window == nil {
+			window = newBucket(plan.Rate, plan.Burst)
+			buckets[request.Account] = window
+		}
+		if window.advance(request.SentAt); plan.Rate > 0 {
+			if window.available < request.Units {
 				continue
 			}
-			b.room -= t.Units
+			window.available -= request.Units
 		}
-		asked[t.First] = true
-		at := t.Sent.Seconds()
+		asked[request.OriginalID] = true
+		at := request.SentAt.Seconds()
 		end = max(end, at)
-		jobs = append(jobs, &job{from: at, to: at + classes[t.Class].LatencyObjectiveS, work: meanOf[t.Class], account: t.Account,
-			worth: classes[t.Class].PriorityWeight * p.Weight * t.Units, plan: slices.Index(names, t.Plan), class: t.Class, let: sentOn[t.First], inTime: inTime[t.First]})
+		jobs = append(jobs, &job{start: at, deadline: at + classes[request.Class].LatencyObjectiveS, work: meanOf[request.Class], account: request.Account,
+			weight: classes[request.Class].PriorityWeight * plan.Weight * request.Units, plan: slices.Index(names, request.Plan), class: request.Class, admitted: sentOn[request.OriginalID], inTime: inTime[request.OriginalID]})
 	}
-	for _, t := range h.Tries {
-		if asked[t.First] {
+	for _, request := range h.Requests {
+		if asked[request.OriginalID] {
 			tries++
 		}
 	}
 	if len(jobs) == 0 {
 		return
 	}
-	l := &Load{Plans: map[string]float64{}, Classes: map[string]float64{}, Again: float64(tries) / float64(len(jobs)), Late: float64(late) / float64(max(served, 1)), Gone: wasted / max(spent, 1e-9)}
-	rep.Load = l
-	spans := max(int(end/spanS), 1) // the last one takes what is left
+	l := &Load{Plans: map[string]float64{}, Classes: map[string]float64{}, RequestsPerOriginal: float64(tries) / float64(len(jobs)), SlowFraction: float64(late) / float64(max(served, 1)), WastedFraction: wasted / max(spent, 1e-9)}
+	r.Load = l
+	intervals := max(int(end/intervalS), 1) // the last one takes what is left
 	planAsked, planGot := make([]float64, len(names)), make([]float64, len(names))
-	spanAsked, spanGot := make([]float64, spans), make([]float64, spans)
-	l.Second = make([]Second, int(end)+1)
+	spanAsked, spanGot := make([]float64, intervals), make([]float64, intervals)
+	l.Seconds = make([]LoadSecond, int(end)+1)
 	accounts := map[string]*[3]float64{}
 	for _, j := range jobs {
-		j.span = min(int(j.from/spanS), spans-1)
-		s, a := &l.Second[int(j.from)], accounts[j.account]
+		j.interval = min(int(j.start/intervalS), intervals-1)
+		s, a := &l.Seconds[int(j.start)], accounts[j.account]
 		if a == nil {
 			a = &[3]float64{}
 			accounts[j.account] = a
 		}
-		planAsked[j.plan], spanAsked[j.span], s.Asked, a[0], a[2] = planAsked[j.plan]+j.worth, spanAsked[j.span]+j.worth, s.Asked+j.worth, a[0]+j.worth, a[2]+1
-		if j.let {
-			s.Let += j.worth
+		planAsked[j.plan], spanAsked[j.interval], s.Demand, a[0], a[2] = planAsked[j.plan]+j.weight, spanAsked[j.interval]+j.weight, s.Demand+j.weight, a[0]+j.weight, a[2]+1
+		if j.admitted {
+			s.Admitted += j.weight
 		}
 		if j.inTime {
-			planGot[j.plan], spanGot[j.span], s.Served, a[1] = planGot[j.plan]+j.worth, spanGot[j.span]+j.worth, s.Served+j.worth, a[1]+j.worth
+			planGot[j.plan], spanGot[j.interval], s.Served, a[1] = planGot[j.plan]+j.weight, spanGot[j.interval]+j.weight, s.Served+j.weight, a[1]+j.weight
 		}
 	}
-	l.WorstPlan, l.WorstSpan = 1, 1
+	l.WorstPlan, l.WorstInterval = 1, 1
 	all, got := 0.0, 0.0
 	for p, name := range names {
 		if planAsked[p] > 0 {
@@ -221,51 +228,51 @@
 	}
 	classAsked := map[string]float64{}
 	for _, j := range jobs {
-		if classAsked[j.class] += j.worth; j.inTime {
-			l.Classes[j.class] += j.worth
+		if classAsked[j.class] += j.weight; j.inTime {
+			l.Classes[j.class] += j.weight
 		}
 	}
 	for name, x := range classAsked {
 		l.Classes[name] /= x
 	}
-	for s := range spans {
+	for s := range intervals {
 		if spanAsked[s] > 0 {
-			l.WorstSpan = min(l.WorstSpan, spanGot[s]/spanAsked[s])
+			l.WorstInterval = min(l.WorstInterval, spanGot[s]/spanAsked[s])
 		}
 	}
-	l.Whole = got / all
-	l.Goal = wholeWeight*l.Whole + spanWeight*l.WorstSpan + planWeight*l.WorstPlan
+	l.Overall = got / all
+	l.Goal = overallWeight*l.Overall + intervalWeight*l.WorstInterval + planWeight*l.WorstPlan
 	var shares []float64
 	for _, name := range slices.Sorted(maps.Keys(accounts)) {
-		if a := accounts[name]; a[2] >= starvedFrom {
+		if a := accounts[name]; a[2] >= frequentFrom {
 			shares = append(shares, a[1]/a[0])
-			l.Often++
+			l.FrequentAccounts++
 			if a[1] == 0 {
-				l.Starved++
+				l.StarvedAccounts++
 			}
 		}
 	}
 	slices.Sort(shares)
 	if tenth := shares[:min(len(shares), len(shares)/10+1)]; len(tenth) > 0 {
 		for _, x := range tenth {
-			l.Floor += x / float64(len(tenth))
+			l.WorstDecile += x / float64(len(tenth))
 		}
 	}
-	from, to := rules.Peak.From.Seconds(), rules.Peak.To.Seconds()
+	from, to := cfg.Peak.From.Seconds(), cfg.Peak.To.Seconds()
 	if to <= from {
 		from, to = 0, end
 	}
 	work, peakServed, can := 0.0, 0.0, 0.0
-	for _, a := range h.Attempts {
-		if at := a.At.Seconds(); at >= from && at < to {
-			l.Used += a.Work
+	for _, attempt := range h.Attempts {
+		if at := attempt.At.Seconds(); at >= from && at < to {
+			l.Utilization += attempt.Work
 		}
 	}
 	cap := capacity(h, end)
 	for _, j := range jobs {
-		if j.from >= from && j.from < to {
+		if j.start >= from && j.start < to {
 			if work += j.work; j.inTime {
-				peakServed += j.worth
+				peakServed += j.weight
 			}
 		}
 	}
@@ -274,67 +281,67 @@
 			can += c
 		}
 	}
-	l.Used /= max(can, 1e-9)
-	l.Asked, l.ServedPerS = work/max(can, 1e-9), peakServed/(to-from)
-	if l.Back = -1; rules.Peak.To > 0 {
-		for i := int(to); i+1 < len(l.Second); i++ { // seconds of asking, from the end on
-			a, b := l.Second[i], l.Second[i+1]
-			if a.Served >= wellAgain*a.Asked && b.Served >= wellAgain*b.Asked {
-				l.Back = float64(i) - to
+	l.Utilization /= max(can, 1e-9)
+	l.Demand, l.ServedPerS = work/max(can, 1e-9), peakServed/(to-from)
+	if l.RecoveryS = -1; cfg.Peak.To > 0 {
+		for i := int(to); i+1 < len(l.Seconds); i++ { // seconds of asking, from the end on
+			a, b := l.Seconds[i], l.Seconds[i+1]
+			if a.Served >= recoveredFraction*a.Demand && b.Served >= recoveredFraction*b.Demand {
+				l.RecoveryS = float64(i) - to
 				break
 			}
 		}
 	}
-	l.Levels, l.Spread = h.Levels, spread(h.Levels, rules.Peak)
-	l.Bound = bound(jobs, cap, planAsked, spanAsked)
-	if rules.Shed != nil {
-		rep.shed(l, rules.Shed, Peak{seconds(from), seconds(to)})
+	l.LoadLevels, l.LevelSpread = h.LoadLevels, measureSpread(h.LoadLevels, cfg.Peak)
+	l.UpperBound = upperBound(jobs, cap, planAsked, spanAsked)
+	if cfg.LoadShedding != nil {
+		r.checkLoadShedding(l, cfg.LoadShedding, Peak{duration(from), duration(to)})
 	}
 }
 
 // capacity is the work that all nodes together can do in each slot until the last aim, in seconds of a core.
 func capacity(h *History, end float64) []float64 {
 	slots := make([]float64, int((end+20)/slotS)+1)
-	for _, life := range h.Lives {
+	for _, life := range h.Incarnations {
 		for i := range slots {
 			at := (float64(i) + 0.5) * slotS
-			age := at - life.Started.Seconds()
-			if age < -slotS || life.FellAt > 0 && at > life.FellAt.Seconds() {
+			age := at - life.StartedAt.Seconds()
+			if age < -slotS || life.CrashedAt > 0 && at > life.CrashedAt.Seconds() {
 				continue
 			}
 			share := 1.0
-			if life.ColdS > 0 && age < life.ColdS {
-				share = life.ColdFrom + (1-life.ColdFrom)*max(age, 0)/life.ColdS
+			if life.WarmUpS > 0 && age < life.WarmUpS {
+				share = life.WarmUpFrom + (1-life.WarmUpFrom)*max(age, 0)/life.WarmUpS
 			}
 			slots[i] += life.Capacity * share * slotS
 		}
 	}
-	for _, s := range h.Slows {
+	for _, s := range h.Slowdowns {
 		for i := range slots {
-			if at := time.Duration((float64(i) + 0.5) * slotS * float64(time.Second)); at >= s.From && (s.To == 0 || at < s.To) && s.X > 1 {
-				slots[i] /= s.X
+			if at := time.Duration((float64(i) + 0.5) * slotS * float64(time.Second)); at >= s.From && (s.To == 0 || at < s.To) && s.Factor > 1 {
+				slots[i] /= s.Factor
 			}
 		}
 	}
 	return slots
 }
 
-// bound is what no fleet can pass, of the goal, that knows all that will be asked for but not how much work a single request turns out to be: the optimum of a relaxed problem, from above. Work may be cut up, spread over
+// upperBound is what no fleet can pass, of the goal, that knows all that will be asked for but not how much work a single request turns out to be: the optimum of a relaxed problem, from above. Work may be cut up, spread over
 // cores and put off up to its aim. For any prices of time that are not below 0, and any weights of plans and of spans that add up to 1, the
 // sum of what time is worth and of what each request earns beyond its dearest alternative is an upper bound (weak duality); prices and weights are
 // searched for, so that it is a tight one, and a poor search makes it looser, never wrong.
-func bound(jobs []*job, cap, planAsked, spanAsked []float64) float64 {
+func upperBound(jobs []*job, cap, planAsked, spanAsked []float64) float64 {
 	all := 0.0
 	for _, x := range planAsked {
 		all += x
 	}
-	plans, spans := weights(planAsked), weights(spanAsked)
+	plans, spans := uniformWeights(planAsked), uniformWeights(spanAsked)
 	best := math.Inf(1)
 	order := slices.Clone(jobs)
 	left, prices := make([]float64, len(cap)), make([]float64, len(cap))
 	for round := range 24 {
 		for _, j := range jobs {
-			j.value = j.worth * (wholeWeight/all + planWeight*plans[j.plan]/planAsked[j.plan] + spanWeight*spans[j.span]/spanAsked[j.span])
+			j.value = j.weight * (overallWeight/all + planWeight*plans[j.plan]/planAsked[j.plan] + intervalWeight*spans[j.interval]/spanAsked[j.interval])
 			j.price = j.value / max(j.work, 1e-9)
 		}
 		slices.SortStableFunc(order, func(a, b *job) int { return cmp.Compare(b.price, a.price) })
@@ -345,7 +352,7 @@
 		planGot, spanGot := make([]float64, len(plans)), make([]float64, len(spans))
 		for _, j := range order { // the dearest first, each as late as it may
 			need := j.work
-			for i := int(j.to / slotS); i >= int(j.from/slotS) && need > 0; i-- {
+			for i := int(j.deadline / slotS); i >= int(j.start/slotS) && need > 0; i-- {
 				take := min(left[i], need)
 				if left[i] -= take; take > 0 && left[i] <= 1e-12 {
 					prices[i] = j.price
@@ -353,19 +360,19 @@
 				need -= take
 			}
 			done := 1 - need/max(j.work, 1e-9)
-			planGot[j.plan] += done * j.worth
-			spanGot[j.span] += done * j.worth
+			planGot[j.plan] += done * j.weight
+			spanGot[j.interval] += done * j.weight
 		}
-		best = min(best, descend(jobs, cap, slices.Clone(prices)))
+		best = min(best, minimizeBound(jobs, cap, slices.Clone(prices)))
 		step := 4 / float64(1+round)
-		shift(plans, planGot, planAsked, step)
-		shift(spans, spanGot, spanAsked, step)
+		reweight(plans, planGot, planAsked, step)
+		reweight(spans, spanGot, spanAsked, step)
 	}
 	return min(best, 1)
 }
 
-// weights spreads 1 over what was asked for at all.
-func weights(asked []float64) []float64 {
+// uniformWeights spreads 1 over what was asked for at all.
+func uniformWeights(asked []float64) []float64 {
 	w, n := make([]float64, len(asked)), 0.0
 	for _, x := range asked {
 		if x > 0 {
@@ -380,8 +387,8 @@
 	return w
 }
 
-// shift moves weights towards what is served worst.
-func shift(w, got, asked []float64, step float64) {
+// reweight moves weights towards what is served worst.
+func reweight(w, got, asked []float64, step float64) {
 	sum := 0.0
 	for i := range w {
 		if asked[i] > 0 {
@@ -394,8 +401,8 @@
 	}
 }
 
-// descend lowers the bound that prices of time give by subgradients, and returns the lowest.
-func descend(jobs []*job, cap, prices []float64) float64 {
+// minimizeBound lowers the bound that prices of time give by subgradients, and returns the lowest.
+func minimizeBound(jobs []*job, cap, prices []float64) float64 {
 	best, scale := math.Inf(1), 0.0
 	for _, p := range prices {
 		scale = max(scale, p)
@@ -408,7 +415,7 @@
 			value += cap[i] * prices[i]
 		}
 		for _, j := range jobs {
-			from, to := int(j.from/slotS), int(j.to/slotS)
+			from, to := int(j.start/slotS), int(j.deadline/slotS)
 			low := from
 			for i := from; i <= to; i++ {
 				if prices[i] < prices[low] {
@@ -433,20 +440,20 @@
 // Print writes the figures of a run under overload, one line.
 func (l *Load) Print(w io.Writer) {
 	fmt.Fprintf(w, "overload: asked %.2f of what nodes can do; goal %.3f (whole %.3f, worst span %.3f, worst plan %.3f of best %.3f), bound %.3f, share of it %.3f; %s\n",
-		l.Asked, l.Goal, l.Whole, l.WorstSpan, l.WorstPlan, l.best(), l.Bound, l.Goal/max(l.Bound, 1e-9), sorted(l.Plans, "%s %.3f")+"; "+sorted(l.Classes, "%s %.3f"))
+		l.Demand, l.Goal, l.Overall, l.WorstInterval, l.WorstPlan, l.bestPlan(), l.UpperBound, l.Goal/max(l.UpperBound, 1e-9), formatMap(l.Plans, "%s %.3f")+"; "+formatMap(l.Classes, "%s %.3f"))
 	fmt.Fprintf(w, "  work sent to nodes %.2f of what they can do; worst tenth of accounts %.3f, %d starved; served past half of the aim %.3f; work in vain %.3f; tries a request %.2f; worth a second %.0f; full service after %.0f s\n",
-		l.Used, l.Floor, l.Starved, l.Late, l.Gone, l.Again, l.ServedPerS, l.Back)
-	if s := l.Spread; s != nil {
-		fmt.Fprintf(w, "  level of overload %.2f, known after %.1f s, spread over the fleet %.2f, swing %.2f, %.1f turns a minute\n", s.Level, s.Known, s.Spread, s.Swing, s.Turns)
+		l.Utilization, l.WorstDecile, l.StarvedAccounts, l.SlowFraction, l.WastedFraction, l.RequestsPerOriginal, l.ServedPerS, l.RecoveryS)
+	if s := l.LevelSpread; s != nil {
+		fmt.Fprintf(w, "  level of overload %.2f, known after %.1f s, spread over the fleet %.2f, swing %.2f, %.1f turns a minute\n", s.Median, s.DetectionS, s.Spread, s.Swing, s.ReversalsPerMinute)
 	}
 }
 
-func (l *Load) best() (x float64) {
+func (l *Load) bestPlan() (x float64) {
 	for _, s := range l.Plans {
 		x = max(x, s)
 	}
 	return x
 }
 
-// Even is the worst-served plan's share over the best-served one's.
-func (l *Load) Even() float64 { return l.WorstPlan / max(l.best(), 1e-9) }
+// Fairness is the worst-served plan's share over the best-served one's.
+func (l *Load) Fairness() float64 { return l.WorstPlan / max(l.bestPlan(), 1e-9) }
--- a/internal/testbed/oracle/overload_test.go
+++ b/internal/testbed/oracle/overload_test.go
@@ -24,28 +24,28 @@
 }
 
 func loadHistory(end float64, list []askedFor) *History {
-	h := NewAt(func() time.Duration { return seconds(end) })
-	h.Lives = []Life{{Node: "z1", Started: -time.Hour, Capacity: 1}}
+	h := NewHistoryWithClock(func() time.Duration { return duration(end) })
+	h.Incarnations = []Incarnation{{Node: "z1", StartedAt: -time.Hour, Capacity: 1}}
 	for i, x := range list {
-		t := &Try{ID: fmt.Sprint(i), Account: x.account, Class: loadClasses[x.class].Name, Plan: loadPlans[x.plan].Name, Units: 1, Sent: seconds(x.at),
-			Deadline: seconds(x.at + 4), Result: Refused, Answers: 1, Answered: seconds(x.at)}
-		t.First = t.ID
+		request := &Request{ID: fmt.Sprint(i), Account: x.account, Class: loadClasses[x.class].Name, Plan: loadPlans[x.plan].Name, Units: 1, SentAt: duration(x.at),
+			Deadline: duration(x.at + 4), Result: Rejected, Answers: 1, AnsweredAt: duration(x.at)}
+		request.OriginalID = request.ID
 		if x.served > 0 {
-			t.Result, t.Answered = Served, seconds(x.at+x.served)
-			h.Attempts = append(h.Attempts, &Attempt{ID: t.ID, Account: t.Account, Class: t.Class, Plan: t.Plan, Units: 1, At: t.Sent, End: t.Answered, Answered: t.Answered,
-				Began: true, How: "served", Work: 0.1})
+			request.Result, request.AnsweredAt = Served, duration(x.at+x.served)
+			h.Attempts = append(h.Attempts, &Attempt{ID: request.ID, Account: request.Account, Class: request.Class, Plan: request.Plan, Units: 1, At: request.SentAt, End: request.AnsweredAt, AnsweredAt: request.AnsweredAt,
+				Started: true, Outcome: "served", Work: 0.1})
 		}
-		h.Tries = append(h.Tries, t)
+		h.Requests = append(h.Requests, request)
 	}
 	return h
 }
 
 func loadOf(h *History, peak Peak) *Load {
-	return Audit(h, Rules{Classes: loadClasses, Plans: loadPlans, Overload: true, Peak: peak}).Load
+	return Check(h, Config{Classes: loadClasses, Plans: loadPlans, Overload: true, Peak: peak}).Load
 }
 
 // No schedule on one core that starts requests in the order of their coming, or the dearest first, passes the bound.
-func TestNoScheduleIsBeyondTheBound(t *testing.T) {
+func TestUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(5, 120).Draw(t, "n")
 		byWorth := rapid.Bool().Draw(t, "dearest first")
@@ -77,14 +77,14 @@
 			}
 			free = list[later].at
 		}
-		if l := loadOf(loadHistory(at+5, list), Peak{}); l.Goal > l.Bound+1e-9 {
-			t.Fatalf("goal %.4f, bound %.4f", l.Goal, l.Bound)
+		if l := loadOf(loadHistory(at+5, list), Peak{}); l.Goal > l.UpperBound+1e-9 {
+			t.Fatalf("goal %.4f, bound %.4f", l.Goal, l.UpperBound)
 		}
 	})
 }
 
 // Where twice as much is asked for as can be done, of one class and plan, the bound is about a half; and it tells apart who is served.
-func TestLoadFigures(t *testing.T) {
+func TestReport_MeasureLoad(t *testing.T) {
 	var list []askedFor
 	for i := range 400 { // 20 s, 20 a second at 0.1 s of work each on one core
 		x := askedFor{at: 0.05 * float64(i), class: 1, account: "even"}
@@ -96,7 +96,7 @@
 		list = append(list, x)
 	}
 	l := loadOf(loadHistory(30, list), Peak{From: 0, To: 15 * time.Second})
-	if math.Abs(l.Bound-0.5) > 0.06 || math.Abs(l.Goal-0.5) > 1e-6 || math.Abs(l.Asked-2) > 0.1 || l.Starved != 1 || l.Floor != 0 || l.Back != -1 || l.Late != 0 {
+	if math.Abs(l.UpperBound-0.5) > 0.06 || math.Abs(l.Goal-0.5) > 1e-6 || math.Abs(l.Demand-2) > 0.1 || l.StarvedAccounts != 1 || l.WorstDecile != 0 || l.RecoveryS != -1 || l.SlowFraction != 0 {
 		t.Errorf("%+v", l)
 	}
 	for i := range list {
@@ -105,7 +105,7 @@
 		}
 	}
 	l = loadOf(loadHistory(30, list), Peak{From: 0, To: 15 * time.Second})
-	if l.Back != 0 || l.Starved != 0 || l.Late < 0.3 {
+	if l.RecoveryS != 0 || l.StarvedAccounts != 0 || l.SlowFraction < 0.3 {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/testbed/oracle/stale.go
+++ b/internal/testbed/oracle/stale.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// EtcdSource and RosterSource name the sources of membership; a roster tells each party at its own time, so that its source is
+// EtcdSource and DiscoverySource name the sources of membership; a roster tells each party at its own time, so that its source is
 // named with the party.
 const EtcdSource = "etcd"
 
-// RosterSource is the roster as one party hears it.
-func RosterSource(party string) string { return rosterPrefix + party }
+// DiscoverySource is the roster as one party hears it.
+func DiscoverySource(party string) string { return discoveryPrefix + party }
 
-const rosterPrefix = "roster "
+const discoveryPrefix = "roster "
 
-// staleSlack is for the way of a word from its source to a party, and for what the laboratory notes a moment late.
-const staleSlack = 100 * time.Millisecond
+// propagationSlack is for the way of a word from its source to a party, and for what the laboratory notes a moment late.
+const propagationSlack = 100 * time.Millisecond
 
-// stale looks for nodes that were told as up although no source held that, by what the party could have heard of it: a word
-// counts for StaleS, and for as long as the party can hear nothing newer. Sources join by the strictest word: up if one says
+// checkMembership looks for nodes that were told as up although no source held that, by what the party could have heard of it: a word
+// counts for MembershipTTLS, and for as long as the party can hear nothing newer. Sources join by the strictest word: up if one says
 // so and none says otherwise.
-func (rep *Report) stale(h *History, rules Rules) {
-	for _, v := range h.Views {
-		rep.saw(Views, "views compared")
-		if v.Wrong != "" {
-			rep.breach(Views, v.At, "after %s: %s", v.After, v.Wrong)
+func (r *Report) checkMembership(h *History, cfg Config) {
+	for _, v := range h.ViewChecks {
+		r.occasion(RuleViewsAgree, "views compared")
+		if v.Mismatch != "" {
+			r.violation(RuleViewsAgree, v.At, "after %s: %s", v.Fault, v.Mismatch)
 		}
 	}
-	if rules.StaleS <= 0 {
+	if cfg.MembershipTTLS <= 0 {
 		return
 	}
-	held := map[string]map[string][]Told{} // by source and node, in order of time
-	truths := slices.Clone(h.True)
-	for _, t := range h.Told {
-		if strings.HasPrefix(t.Party, rosterPrefix) {
+	held := map[string]map[string][]Notice{} // by source and node, in order of time
+	truths := slices.Clone(h.SourceStates)
+	for _, t := range h.Notices {
+		if strings.HasPrefix(t.Party, discoveryPrefix) {
 			truths = append(truths, t)
 		}
 	}
 	for _, t := range truths {
 		if held[t.Party] == nil {
-			held[t.Party] = map[string][]Told{}
+			held[t.Party] = map[string][]Notice{}
 		}
 		held[t.Party][t.Node] = append(held[t.Party][t.Node], t)
 	}
-	blind := map[string][]Blind{}
-	for _, b := range h.Blind {
+	blind := map[string][]SourceOutage{}
+	for _, b := range h.SourceOutages {
 		blind[b.Party+"/"+b.Source] = append(blind[b.Party+"/"+b.Source], b)
 	}
 	// words are the states that a source held of one start of a node between two moments, the one before the first included. A
 	// word on another start says nothing of it.
-	words := func(list []Told, start int64, from, to time.Duration) (states []string) {
-		say := func(t Told) {
-			if t.Start != 0 && start != 0 && t.Start != start {
+	words := func(list []Notice, start int64, from, to time.Duration) (states []string) {
+		say := func(t Notice) {
+			if t.StartMS != 0 && start != 0 && t.StartMS != start {
 				t.State = ""
 			}
 			states = append(states, t.State)
@@ -71,14 +71,14 @@
 	}
 	// fresh are the states that a party may take from a source at a moment.
 	fresh := func(party, source, node string, start int64, at time.Duration) (states []string) {
-		list, from := held[source][node], at-seconds(rules.StaleS)
-		to := at + staleSlack
+		list, from := held[source][node], at-duration(cfg.MembershipTTLS)
+		to := at + propagationSlack
 		for _, b := range blind[party+"/"+source] { // in order of time
 			if b.From > at || b.To != 0 && b.To < from {
 				continue
 			}
 			// What was held at the break stays the party's last word until it hears again.
-			states = append(states, words(list, start, b.From-staleSlack, b.From+staleSlack)...)
+			states = append(states, words(list, start, b.From-propagationSlack, b.From+propagationSlack)...)
 			if b.To == 0 || b.To > at {
 				return append(states, words(list, start, min(from, b.From), b.From)...)
 			}
@@ -88,30 +88,30 @@
 	}
 	type key struct{ party, node string }
 	last := map[key]string{}
-	for _, t := range h.Told {
+	for _, t := range h.Notices {
 		k := key{t.Party, t.Node}
 		was, known := last[k]
 		last[k] = t.State
-		if t.State != "in_service" || was == t.State || held[RosterSource(t.Party)] == nil {
+		if t.State != "in_service" || was == t.State || held[DiscoverySource(t.Party)] == nil {
 			continue
 		}
 		if known {
-			rep.saw(Stale, "a node came back")
+			r.occasion(RuleFreshMembership, "a node came back")
 		} else {
-			rep.saw(Stale, "a node came in")
+			r.occasion(RuleFreshMembership, "a node came in")
 		}
-		etcd, roster := fresh(t.Party, EtcdSource, t.Node, t.Start, t.At), fresh(t.Party, RosterSource(t.Party), t.Node, t.Start, t.At)
+		etcd, roster := fresh(t.Party, EtcdSource, t.Node, t.StartMS, t.At), fresh(t.Party, DiscoverySource(t.Party), t.Node, t.StartMS, t.At)
 		ok := slices.ContainsFunc(etcd, func(e string) bool {
-			return slices.ContainsFunc(roster, func(r string) bool { return joined(e, r) })
+			return slices.ContainsFunc(roster, func(r string) bool { return inServiceByBoth(e, r) })
 		})
 		if !ok {
-			rep.breach(Stale, t.At, "%s was told that %s is up; etcd held %q, its roster %q", t.Party, t.Node, etcd, roster)
+			r.violation(RuleFreshMembership, t.At, "%s was told that %s is up; etcd held %q, its roster %q", t.Party, t.Node, etcd, roster)
 		}
 	}
 }
 
-// joined tells whether a node is up by two sources' words; "" stands for none.
-func joined(a, b string) bool {
+// inServiceByBoth tells whether a node is up by two sources' words; "" stands for none.
+func inServiceByBoth(a, b string) bool {
 	up := func(s string) bool { return s == "in_service" }
 	return (up(a) || up(b)) && (up(a) || a == "") && (up(b) || b == "")
 }
--- a/internal/testbed/oracle/stale_test.go
+++ b/internal/testbed/oracle/stale_test.go
@@ -6,18 +6,20 @@
 )
 
 // Guards the rule on stale words: what a party can have heard is excused, what nobody held any more is a breach.
-func TestStaleWords(t *testing.T) {
+func TestReport_CheckMembership(t *testing.T) {
 	s := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 	base := func() *History {
-		h := NewAt(func() time.Duration { return time.Hour })
-		h.True = []Told{{EtcdSource, "z", "in_service", 0, 0}}
-		h.Told = []Told{{RosterSource("f0"), "z", "in_service", 0, 0}, {"f0", "z", "in_service", s(0.1), 0}}
+		h := NewHistoryWithClock(func() time.Duration { return time.Hour })
+		h.SourceStates = []Notice{{EtcdSource, "z", "in_service", 0, 0}}
+		h.Notices = []Notice{{DiscoverySource("f0"), "z", "in_service", 0, 0}, {"f0", "z", "in_service", s(0.1), 0}}
 		return h
 	}
 	etcd := func(h *History, state string, at float64) {
-		h.True = append(h.True, Told{EtcdSource, "z", state, s(at), 0})
+		h.SourceStates = append(h.SourceStates, Notice{EtcdSource, "z", state, s(at), 0})
+	}
+	told := func(h *History, state string, at float64) {
+		h.Notices = append(h.Notices, Notice{"f0", "z", state, s(at), 0})
 	}
-	told := func(h *History, state string, at float64) { h.Told = append(h.Told, Told{"f0", "z", state, s(at), 0}) }
 	for name, tc := range map[string]struct {
 		bad  int
 		seen int
@@ -36,7 +38,7 @@
 			told(h, "in_service", 20)
 		}},
 		"back although its roster says that it drains": {1, 2, func(h *History) {
-			h.Told = append(h.Told, Told{RosterSource("f0"), "z", "terminating", s(10), 0})
+			h.Notices = append(h.Notices, Notice{DiscoverySource("f0"), "z", "terminating", s(10), 0})
 			told(h, "terminating", 10.1)
 			told(h, "in_service", 20)
 		}},
@@ -55,17 +57,17 @@
 			told(h, "in_service", 24)
 		}},
 		"what was held when etcd fell silent still counts": {0, 2, func(h *History) {
-			h.Told = append(h.Told, Told{RosterSource("f0"), "z", "terminating", s(10), 0})
+			h.Notices = append(h.Notices, Notice{DiscoverySource("f0"), "z", "terminating", s(10), 0})
 			told(h, "terminating", 10.1)
-			h.Blind = []Blind{{"f0", EtcdSource, s(15), s(40)}}
+			h.SourceOutages = []SourceOutage{{"f0", EtcdSource, s(15), s(40)}}
 			etcd(h, "terminating", 16)
-			h.Told = append(h.Told, Told{RosterSource("f0"), "z", "in_service", s(30), 0})
+			h.Notices = append(h.Notices, Notice{DiscoverySource("f0"), "z", "in_service", s(30), 0})
 			told(h, "in_service", 30.1)
 		}},
 		"what came and went meanwhile does not": {1, 2, func(h *History) {
 			etcd(h, "terminating", 10)
 			told(h, "terminating", 10.1)
-			h.Blind = []Blind{{"f0", EtcdSource, s(15), s(20)}}
+			h.SourceOutages = []SourceOutage{{"f0", EtcdSource, s(15), s(20)}}
 			etcd(h, "in_service", 18)
 			etcd(h, "terminating", 19)
 			told(h, "in_service", 20.1)
@@ -76,19 +78,19 @@
 			told(h, "in_service", 20)
 		}},
 		"nobody ever held it": {1, 2, func(h *History) {
-			h.Told = append(h.Told, Told{"f0", "y", "in_service", s(5), 0})
+			h.Notices = append(h.Notices, Notice{"f0", "y", "in_service", s(5), 0})
 		}},
 		"another party's roster": {1, 2, func(h *History) {
-			h.Told = append(h.Told, Told{RosterSource("f1"), "y", "in_service", s(1), 0}, Told{"f0", "y", "in_service", s(5), 0})
+			h.Notices = append(h.Notices, Notice{DiscoverySource("f1"), "y", "in_service", s(1), 0}, Notice{"f0", "y", "in_service", s(5), 0})
 		}},
 	} {
 		h := base()
 		tc.play(h)
-		rules := testRules()
-		rules.StaleS = 2.5
-		rep := Audit(h, rules)
-		if rep.Counts[Stale] != tc.bad || rep.Seen[Stale] != tc.seen {
-			t.Errorf("%s: %d breaches, %d occasions, want %d and %d: %+v", name, rep.Counts[Stale], rep.Seen[Stale], tc.bad, tc.seen, rep.Breaches)
+		cfg := testConfig()
+		cfg.MembershipTTLS = 2.5
+		rep := Check(h, cfg)
+		if rep.ViolationCounts[RuleFreshMembership] != tc.bad || rep.Occasions[RuleFreshMembership] != tc.seen {
+			t.Errorf("%s: %d breaches, %d occasions, want %d and %d: %+v", name, rep.ViolationCounts[RuleFreshMembership], rep.Occasions[RuleFreshMembership], tc.bad, tc.seen, rep.Violations)
 		}
 	}
 }
--- a/internal/testbed/overload_test.go
+++ b/internal/testbed/overload_test.go
@@ -21,9 +21,9 @@
 		t.Fatal(err)
 	}
 	sc.Faults = []Fault{{At: 5 * time.Second, For: 2 * time.Second, Kind: "peers"}}
-	sc.Floors = map[string]int{oracle.Lost: 1}
+	sc.Floors = map[string]int{oracle.RuleNoRequestLost: 1}
 	// A peak of five seconds and a handful of large accounts: lots alone move the worst plan by a third. The full figures are testbed overload's.
-	sc.Stated = oracle.Stated{Share: 0.5, Even: 0.4, Back: 60, Spread: 1, Swing: 1, Starved: 0.6, Gone: 0.5}
+	sc.Stated = oracle.LoadSheddingBounds{MinBoundFraction: 0.5, MinFairness: 0.4, MaxRecoveryS: 60, MaxSpread: 1, MaxSwing: 1, MaxStarved: 0.6, MaxWasted: 0.5}
 	var log strings.Builder
 	doors := 0
 	_, rep, err := RunSeen(sc, &log, sc.Peak.To-500*time.Millisecond, func(f *Fleet) {
@@ -49,7 +49,7 @@
 	if doors < 4 {
 		t.Errorf("%d of 4 ingresses turn requests away at the door", doors)
 	}
-	if l := rep.Load; l == nil || l.Asked < 1.8 || l.Goal > l.Bound {
+	if l := rep.Load; l == nil || l.Demand < 1.8 || l.Goal > l.UpperBound {
 		t.Errorf("%+v", rep.Load)
 	}
 }
@@ -75,8 +75,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := rep.Counts[oracle.Quotas] > 0; got != lost {
-			t.Errorf("%q: %d breaches of quotas (%v)", kind, rep.Counts[oracle.Quotas], rep.Breaches)
+		if got := rep.ViolationCounts[oracle.RuleQuota] > 0; got != lost {
+			t.Errorf("%q: %d breaches of quotas (%v)", kind, rep.ViolationCounts[oracle.RuleQuota], rep.Violations)
 		}
 	}
 }
--- a/internal/testbed/roster.go
+++ b/internal/testbed/roster.go
@@ -207,7 +207,7 @@
 func TellUp(hist *oracle.History, party string, l discovery.List) {
 	for _, t := range l.Endpoints {
 		if t.State == "in_service" {
-			hist.TellOf(party, t.ID, t.State, t.StartedMS)
+			hist.NodeStartNotified(party, t.ID, t.State, t.StartedMS)
 		}
 	}
 }
@@ -218,13 +218,13 @@
 	for _, t := range l.Endpoints {
 		listed[t.ID] = true
 		if t.State != "in_service" {
-			hist.TellOf(party, t.ID, t.State, t.StartedMS)
+			hist.NodeStartNotified(party, t.ID, t.State, t.StartedMS)
 		}
 	}
 	if l.Full {
-		for id, start := range hist.ToldOf(party) {
+		for id, start := range hist.KnownNodes(party) {
 			if !listed[id] {
-				hist.TellOf(party, id, "terminated", start)
+				hist.NodeStartNotified(party, id, "terminated", start)
 			}
 		}
 	}
--- a/internal/testbed/rude.go
+++ b/internal/testbed/rude.go
@@ -58,7 +58,7 @@
 			c.mu.Lock()
 			last := c.last
 			c.mu.Unlock()
-			if last != nil && last.Account != rudeAccount && c.hist.Is(last, oracle.Open) {
+			if last != nil && last.Account != rudeAccount && c.hist.HasResult(last, oracle.Pending) {
 				a := Account{Name: rudeAccount, Plan: last.Plan, First: last.Forwarder, Spread: 1}
 				c.wg.Add(1)
 				go func() {
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -130,10 +130,10 @@
 }
 
 // Homes is where accounts come in.
-func Homes(list []Account) map[string]oracle.Home {
-	homes := map[string]oracle.Home{}
+func Homes(list []Account) map[string]oracle.GatewayRange {
+	homes := map[string]oracle.GatewayRange{}
 	for _, a := range list {
-		homes[a.Name] = oracle.Home{First: a.First, Entries: a.Spread}
+		homes[a.Name] = oracle.GatewayRange{First: a.First, Count: a.Spread}
 	}
 	return homes
 }
@@ -234,8 +234,8 @@
 	time.Sleep(500 * time.Millisecond) // for nodes to notice what was given up
 	f.readCounts()
 	rules := f.Rules()
-	rules.Floors = sc.Floors
-	return f, oracle.Audit(f.Hist, rules), nil
+	rules.MinOccasions = sc.Floors
+	return f, oracle.Check(f.Hist, rules), nil
 }
 
 const lateEvery = 20 * time.Millisecond
@@ -261,12 +261,12 @@
 	for ctx.Err() == nil {
 		due := time.Now().Add(lateEvery)
 		time.Sleep(lateEvery)
-		f.Hist.Lateness(time.Since(due))
+		f.Hist.ObserveLateness(time.Since(due))
 		began := time.Now()
 		if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 			<-accepted
 			c.Close()
-			f.Hist.Lateness(time.Since(began))
+			f.Hist.ObserveLateness(time.Since(began))
 		}
 	}
 }
@@ -327,6 +327,6 @@
 				}
 			}
 		}
-		f.Hist.LevelsAre(of)
+		f.Hist.AddLoadLevels(of)
 	}
 }
--- a/internal/testbed/rush.go
+++ b/internal/testbed/rush.go
@@ -89,10 +89,14 @@
 }
 
 // partOfThem is what is stated while many ingresses are down: what is asked of those is no fleet's to serve, and the level is learned anew.
-func partOfThem(s *oracle.Stated) { s.Share, s.Swing, s.Spread = 0.6, 1, 0.6 }
+func partOfThem(s *oracle.LoadSheddingBounds) {
+	s.MinBoundFraction, s.MaxSwing, s.MaxSpread = 0.6, 1, 0.6
+}
 
 // comesAndGoes is what is stated where the cause lasts for a part of the peak.
-func comesAndGoes(s *oracle.Stated) { s.Swing, s.Share, s.Spread = 1, 0.75, 0.6 }
+func comesAndGoes(s *oracle.LoadSheddingBounds) {
+	s.MaxSwing, s.MinBoundFraction, s.MaxSpread = 1, 0.75, 0.6
+}
 
 // muchInVain is what is stated where most of what is asked for is refused, or most of it is cheap: tries that come late are many.
-func muchInVain(s *oracle.Stated) { s.Gone = 0.15 }
+func muchInVain(s *oracle.LoadSheddingBounds) { s.MaxWasted = 0.15 }
--- a/internal/testbed/simulation/counts_test.go
+++ b/internal/testbed/simulation/counts_test.go
@@ -31,10 +31,10 @@
 					t.Fatal(err)
 				}
 				r := New(cfg).Run()
-				if r.Counts[oracle.Quotas]+r.Counts[oracle.Ceilings]+r.Counts[oracle.Caps] > 0 || r.Seen[oracle.Quotas] < 1000 || r.Seen[oracle.Ceilings] < 30 {
-					t.Errorf("seed %d: %v, %v occasions: %v", seed+1, r.Counts, r.Seen, r.Breaches)
+				if r.ViolationCounts[oracle.RuleQuota]+r.ViolationCounts[oracle.RuleHardLimit]+r.ViolationCounts[oracle.RuleMaxConcurrency] > 0 || r.Occasions[oracle.RuleQuota] < 1000 || r.Occasions[oracle.RuleHardLimit] < 30 {
+					t.Errorf("seed %d: %v, %v occasions: %v", seed+1, r.ViolationCounts, r.Occasions, r.Violations)
 				}
-				ideal, withheld = ideal+r.Ideal, withheld+r.Withheld
+				ideal, withheld = ideal+r.IdealUnits, withheld+r.WithheldUnits
 				for _, o := range r.Overshoots {
 					beyond += o.Units
 				}
--- a/internal/testbed/simulation/erring_test.go
+++ b/internal/testbed/simulation/erring_test.go
@@ -30,8 +30,8 @@
 	})
 	bad := s.nodes[int(seed)%len(s.nodes)].id
 	rep := s.Run()
-	if len(rep.Counts) > 0 {
-		t.Errorf("%v", rep.Counts)
+	if len(rep.ViolationCounts) > 0 {
+		t.Errorf("%v", rep.ViolationCounts)
 	}
 	all, there, unsafe, lost := 0.0, 0.0, 0.0, 0.0
 	for _, a := range s.Hist.Attempts {
@@ -43,7 +43,7 @@
 		}
 		if a.Class == "courier-send" {
 			unsafe++
-			if a.How != "served" {
+			if a.Outcome != "served" {
 				lost++
 			}
 		}
--- a/internal/testbed/simulation/failures.go
+++ b/internal/testbed/simulation/failures.go
@@ -60,7 +60,7 @@
 			return nil, nil, err
 		}
 		r := New(cfg).Run()
-		for _, x := range []struct{ of, to map[int]oracle.Margin }{{r.Counted, beyond}, {r.Short, short}} {
+		for _, x := range []struct{ of, to map[int]oracle.Margin }{{r.QuotaExcess, beyond}, {r.QuotaShortfall, short}} {
 			for length, m := range x.of {
 				if m.Units > x.to[length].Units {
 					x.to[length] = m
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -87,7 +87,7 @@
 	from := s.Hist.Now()
 	s.after(down, func() {
 		f.start()
-		s.Hist.Outage(n, from, s.Hist.Now())
+		s.Hist.AddOutage(n, from, s.Hist.Now())
 	})
 }
 
@@ -221,12 +221,12 @@
 	},
 	"peers": func(s *Sim, x testbed.Fault) {
 		s.peerWay.Cut = true
-		end := s.Hist.PeersTroubled(2, 0)
+		end := s.Hist.BeginPeerFault(2, 0)
 		s.after(x.For.Seconds(), func() { s.peerWay.Cut = false; end() })
 	},
 	"fog": func(s *Sim, x testbed.Fault) {
 		s.fog = testbed.Weather{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}
-		end := s.Hist.PeersTroubled(0, s.fog.Loss)
+		end := s.Hist.BeginPeerFault(0, s.fog.Loss)
 		s.after(x.For.Seconds(), func() { s.fog = testbed.Weather{}; end() })
 	},
 	"liar": func(s *Sim, x testbed.Fault) {
@@ -245,7 +245,7 @@
 	},
 	"thick fog": func(s *Sim, x testbed.Fault) {
 		s.fog = testbed.Weather{Loss: 0.5}
-		end := s.Hist.PeersTroubled(0, s.fog.Loss)
+		end := s.Hist.BeginPeerFault(0, s.fog.Loss)
 		s.after(x.For.Seconds(), func() { s.fog = testbed.Weather{}; end() })
 	},
 	"mass kill": func(s *Sim, x testbed.Fault) {
@@ -256,7 +256,7 @@
 		}
 	},
 	"heavy": func(s *Sim, x testbed.Fault) {
-		end := s.Hist.Slow(3)
+		end := s.Hist.BeginSlowdown(3)
 		x.For /= 2
 		s.weather(x, s.nodes, func(w *node.Weather) { w.Slow = 3 })
 		s.after(2*x.For.Seconds(), end)
@@ -349,7 +349,7 @@
 // fault does one thing, if the shape has what it is done to.
 func (s *Sim) fault(x testbed.Fault) {
 	if do := kinds[x.Kind]; do != nil && testbed.Plays(x.Kind, len(s.planners) > 0) {
-		s.Hist.Fault(x.String())
+		s.Hist.AddFault(x.String())
 		do(s, x)
 	}
 }
--- a/internal/testbed/simulation/flood_test.go
+++ b/internal/testbed/simulation/flood_test.go
@@ -37,7 +37,7 @@
 		}
 		cfg.Trace = func(i int, d reason.Decision) { files[i].Decisions = append(files[i].Decisions, d) }
 		rep := New(cfg).Run()
-		if len(rep.Counts) > 0 {
+		if len(rep.ViolationCounts) > 0 {
 			t.Fatalf("seed %d: %v", seed, rep.Verdict())
 		}
 		asked := 0.0
--- a/internal/testbed/simulation/places_test.go
+++ b/internal/testbed/simulation/places_test.go
@@ -25,13 +25,13 @@
 				t.Fatal(err)
 			}
 			r := New(cfg).Run()
-			beyond, connects := r.BeyondS/r.PlaceS, float64(r.Handshakes)/float64(r.Attempts)
-			t.Logf("resto %.3f, %.1f%% of the time of attempts beyond caps, %d accounts at their cap, %.2f connections an attempt", r.ByPlan["resto"], 100*beyond,
-				r.Seen[oracle.Caps], connects)
-			if r.Counts[oracle.Caps]+r.Counts[oracle.Ceilings]+r.Counts[oracle.Quotas] > 0 {
-				t.Errorf("%v: %v", r.Counts, r.Breaches)
+			beyond, connects := r.ExcessSlotS/r.SlotS, float64(r.Handshakes)/float64(r.Attempts)
+			t.Logf("resto %.3f, %.1f%% of the time of attempts beyond caps, %d accounts at their cap, %.2f connections an attempt", r.ServiceByPlan["resto"], 100*beyond,
+				r.Occasions[oracle.RuleMaxConcurrency], connects)
+			if r.ViolationCounts[oracle.RuleMaxConcurrency]+r.ViolationCounts[oracle.RuleHardLimit]+r.ViolationCounts[oracle.RuleQuota] > 0 {
+				t.Errorf("%v: %v", r.ViolationCounts, r.Violations)
 			}
-			if r.ByPlan["resto"] < tc.resto || beyond > tc.beyond || float64(r.Seen[oracle.Caps]) < tc.full || connects > tc.connects {
+			if r.ServiceByPlan["resto"] < tc.resto || beyond > tc.beyond || float64(r.Occasions[oracle.RuleMaxConcurrency]) < tc.full || connects > tc.connects {
 				t.Error("out of its bounds")
 			}
 		})
--- a/internal/testbed/simulation/replace.go
+++ b/internal/testbed/simulation/replace.go
@@ -172,7 +172,7 @@
 				tell(f.core)
 			}
 		})
-		s.Hist.Replace(n, from, s.Hist.Now())
+		s.Hist.AddReplacement(n, from, s.Hist.Now())
 	})
 	var ends func()
 	ends = func() {
@@ -225,8 +225,8 @@
 	for _, r := range list {
 		over := r.over
 		if !r.over { // its client's connection ends, and the try is the client's to make again
-			r.over, r.try.Untaken = true, true
-			f.s.Hist.Answer(r.try, oracle.Broken)
+			r.over, r.try.NotAccepted = true, true
+			f.s.Hist.RequestAnswered(r.try, oracle.ConnectionLost)
 		}
 		if !over {
 			f.relay(func(g gateway) { g.HandleDisconnect(f.now(), r.ID) })
@@ -263,8 +263,8 @@
 			continue
 		}
 		if !r.over {
-			r.over, r.try.Untaken = true, true
-			s.Hist.Answer(r.try, oracle.Broken)
+			r.over, r.try.NotAccepted = true, true
+			s.Hist.RequestAnswered(r.try, oracle.ConnectionLost)
 		}
 		for _, a := range r.attempts {
 			if !a.done {
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -73,11 +73,11 @@
 }
 
 // again has the client of a refused try come once more, if it has time left.
-func (s *Sim) again(t *oracle.Try) {
+func (s *Sim) again(t *oracle.Request) {
 	class := s.class(t.Class)
-	x := s.asks[t.First]
+	x := s.asks[t.OriginalID]
 	if x == nil || x.tries > retries {
-		delete(s.asks, t.First)
+		delete(s.asks, t.OriginalID)
 		return
 	}
 	left := class.DeadlineS - (s.Hist.Now() - x.sent).Seconds()
@@ -85,7 +85,7 @@
 		return
 	}
 	if a, ok := s.accounts[t.Account]; ok && !a.Once {
-		s.ask(a, class, t.First, left)
+		s.ask(a, class, t.OriginalID, left)
 	}
 }
 
@@ -114,26 +114,26 @@
 			}
 		}
 	}
-	rep := oracle.Audit(s.Hist, s.Rules())
-	rep.Messages, rep.Drowned, rep.Kinds = s.Messages, s.Drowned, s.Kinds
+	rep := oracle.Check(s.Hist, s.Rules())
+	rep.PeerMessages, rep.DroppedPeerMessages, rep.PeerMessageKinds = s.Messages, s.Drowned, s.Kinds
 	rep.Handshakes = s.Handshakes
 	for rule, n := range s.breach {
-		rep.Counts[rule] += n
+		rep.ViolationCounts[rule] += n
 	}
 	if s.first != "" {
-		rep.Breaches = append(rep.Breaches, oracle.Breach{Rule: strings.SplitN(s.first, ":", 2)[0], What: s.first})
+		rep.Violations = append(rep.Violations, oracle.Violation{Rule: strings.SplitN(s.first, ":", 2)[0], Detail: s.first})
 	}
 	return rep
 }
 
 // Rules are those that a run is judged by. Of one level no slack of quotas is stated.
-func (s *Sim) Rules() oracle.Rules {
+func (s *Sim) Rules() oracle.Config {
 	quota, caps := 0.0, 0.0
 	if s.cfg.Planners > 0 {
 		quota, caps = testbed.QuotaSlack, 2
 	}
 	quota, caps = cmp.Or(s.cfg.Quota, quota), cmp.Or(s.cfg.CapX, caps)
-	var homes map[string]oracle.Home
+	var homes map[string]oracle.GatewayRange
 	if s.cfg.Planners == 0 && s.cfg.Quota >= 0 {
 		homes = testbed.Homes(s.cfg.Accounts)
 	}
@@ -141,12 +141,12 @@
 	if peak.To > 0 { // clients begin after a second
 		peak.From, peak.To = peak.From+time.Second, peak.To+time.Second
 	}
-	var stated *oracle.Stated
+	var stated *oracle.LoadSheddingBounds
 	if s.cfg.Rush && s.cfg.Overload.Enabled && s.cfg.Peak.To > 0 {
 		stated = &s.cfg.Stated
 	}
-	return oracle.Rules{Shed: stated, Overload: s.cfg.Rush, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainS: 0.25, AnswerS: 0.1, OverlapS: 0.005, CeilingS: 0.15, SlackUnit: 6, CapX: caps, Attempts: testbed.MaxAttempts, Quota: quota, QuotaS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
-		Drift: Drift, FallMultiple: s.cfg.Node.FallMultiple, FallS: s.cfg.Node.FallS, ColdSlack: testbed.ColdSlack, Floors: s.cfg.Floors}
+	return oracle.Config{LoadShedding: stated, Overload: s.cfg.Rush, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
+		ClockRate: Drift, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.ColdSlack, MinOccasions: s.cfg.Floors}
 }
 
 const levelsEveryS = 0.25
@@ -164,7 +164,7 @@
 			of = append(of, p.host.ShedLevels(p.now())...)
 		}
 	}
-	s.Hist.LevelsAre(of)
+	s.Hist.AddLoadLevels(of)
 	if s.t < s.cfg.LengthS {
 		s.after(levelsEveryS, s.watchLevels)
 	}
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -49,7 +49,7 @@
 	Overload                           loadshed.Config // of ingresses
 	Rush                               bool            // see lab.FleetConfig
 	Peak                               oracle.Peak
-	Stated                             oracle.Stated
+	Stated                             oracle.LoadSheddingBounds
 	Trace                              func(decider int, d reason.Decision) // told of each decision of an ingress, in two levels of a planner, if not nil; true times
 }
 
@@ -131,7 +131,7 @@
 	for _, a := range cfg.Accounts {
 		s.accounts[a.Name] = a
 	}
-	s.Hist = oracle.NewAt(func() time.Duration { return time.Duration(s.t * float64(time.Second)) })
+	s.Hist = oracle.NewHistoryWithClock(func() time.Duration { return time.Duration(s.t * float64(time.Second)) })
 	if cfg.Planners > 0 {
 		s.p = topology.Params{Name: "sim", Forwarders: cfg.Forwarders, Planners: cfg.Planners, Cells: cfg.Cells}
 		if err := s.p.Check(); err != nil {
@@ -204,7 +204,7 @@
 	}
 	cfg := s.cfg.Node
 	cfg.Zone = testbed.ZoneOf(n.id, s.cfg.Zones)
-	n.life = s.Hist.Life(oracle.Life{Node: n.id, Started: started, Capacity: float64(cfg.Cores) * cfg.Speed, ColdFrom: cfg.ColdFrom, ColdS: cfg.ColdS})
+	n.life = s.Hist.AddIncarnation(oracle.Incarnation{Node: n.id, StartedAt: started, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.ColdFrom, WarmUpS: cfg.ColdS})
 	n.open, n.wakeAt, n.listed = map[uint64]*simAttempt{}, math.Inf(1), true
 	n.model = node.New(cfg, s.keys, s.rng.Uint64(), born, n)
 	n.model.SetWeather(s.cfg.Weather)
@@ -220,7 +220,7 @@
 	for _, h := range slices.Sorted(maps.Keys(n.open)) {
 		a := n.open[h]
 		delete(n.open, h)
-		n.s.Hist.Done(a.rec, how)
+		n.s.Hist.AttemptEnded(a.rec, how)
 		n.s.after(n.s.hop(), func() { a.f.finish(a, policy.Reset) })
 	}
 }
@@ -248,7 +248,7 @@
 
 // Began implements node.Out.
 func (n *simNode) Began(_ float64, a *node.Attempt, work float64, repeat bool) {
-	n.s.Hist.Began(n.open[a.Handle].rec, work, repeat)
+	n.s.Hist.AttemptStarted(n.open[a.Handle].rec, work, repeat)
 }
 
 // Answer implements node.Out.
@@ -258,7 +258,7 @@
 	switch f {
 	case node.Served, node.Late, node.Copy, node.AbsurdLoad:
 		status = policy.OK
-		n.s.Hist.Wrote(x.rec)
+		n.s.Hist.AttemptAnswered(x.rec)
 	case node.Full:
 		status = policy.Rejected
 	case node.ResetUnrun, node.ResetRan, node.ResetMid:
@@ -278,7 +278,7 @@
 		return
 	}
 	delete(n.open, a.Handle)
-	n.s.Hist.Done(x.rec, how)
+	n.s.Hist.AttemptEnded(x.rec, how)
 	if how == "down" {
 		n.s.after(n.s.hop(), func() { x.f.finish(x, policy.Reset) })
 	}
@@ -287,8 +287,8 @@
 // Fell implements node.Out.
 func (n *simNode) Fell(float64) {
 	s := n.s
-	s.Hist.Fell(n.life)
-	s.Hist.Fault("node " + n.id + " fell over")
+	s.Hist.IncarnationCrashed(n.life)
+	s.Hist.AddFault("node " + n.id + " fell over")
 	n.listed = false
 	s.after(2, func() { n.tell(policy.Removed) })
 }
@@ -462,7 +462,7 @@
 // simRequest is one try that a forwarder has taken.
 type simRequest struct {
 	policy.Request
-	try      *oracle.Try
+	try      *oracle.Request
 	life     int // of the process that holds it
 	attempts []*simAttempt
 	over     bool
@@ -520,7 +520,7 @@
 		if r := f.open[d.ID]; r != nil {
 			r.try.Queued = r.try.Queued || d.Step == reason.StepQueued
 			if d.Step == reason.StepRejected {
-				r.try.Why = int(d.Reason)
+				r.try.Reason = int(d.Reason)
 			}
 		}
 		if d.At = s.t; s.cfg.Trace != nil {
@@ -567,7 +567,7 @@
 	if !f.runs() {
 		return
 	}
-	f.s.Hist.Tell(oracle.Party(f.n), n.id, stateNames[state])
+	f.s.Hist.NodeNotified(oracle.PartyName(f.n), n.id, stateNames[state])
 	f.up[n.id] = state
 	if f.gate != nil {
 		f.do(func() { f.gate.UpdateBackends(f.now(), []policy.Backend{n.entry(f.clock, state)}, false) })
@@ -586,17 +586,17 @@
 func (f *simForwarder) answer(id string, how oracle.Result) {
 	r := f.open[id]
 	if r == nil {
-		f.s.breaks(oracle.Answer, "%v for %s, which is not open", how, id)
+		f.s.breaks(oracle.RuleOneAnswer, "%v for %s, which is not open", how, id)
 		return
 	}
 	if r.over && how == oracle.Served {
 		return
 	}
 	if r.over {
-		f.s.breaks(oracle.Answer, "%s has a second answer", id)
+		f.s.breaks(oracle.RuleOneAnswer, "%s has a second answer", id)
 	}
 	r.over = true
-	f.s.Hist.Answer(r.try, how)
+	f.s.Hist.RequestAnswered(r.try, how)
 }
 
 // Reject implements policy.Actions.
@@ -617,7 +617,7 @@
 		}
 		s.after(wait, func() { s.again(try) })
 	}
-	f.answer(id, oracle.Refused)
+	f.answer(id, oracle.Rejected)
 }
 
 // Fail implements policy.Actions.
@@ -706,14 +706,14 @@
 func (f *simForwarder) write(id, server string, timeoutS float64) {
 	s, r := f.s, f.open[id]
 	if r == nil || r.over {
-		s.breaks(oracle.Answer, "%s is sent after its end", id)
+		s.breaks(oracle.RuleOneAnswer, "%s is sent after its end", id)
 		return
 	}
 	class := s.class(r.Class)
 	a := &simAttempt{f: f, r: r, number: len(r.attempts), n: s.node(server), at: f.now(),
 		Attempt: node.Attempt{Request: id, Account: r.Account, Class: r.Class}}
 	if class.Idempotency == policy.KeyedIdempotent {
-		a.Key = r.try.First
+		a.Key = r.try.OriginalID
 	}
 	r.attempts = append(r.attempts, a)
 	if a.n == nil || f.up[server] != policy.Up || f.lives[r.life][server] {
@@ -771,11 +771,11 @@
 	}
 	n.handles++
 	a.Handle = n.handles
-	a.rec = &oracle.Attempt{ID: a.r.ID, Node: n.id, Account: a.r.Account, Class: a.r.Class, Plan: a.r.Plan, Units: a.r.Units, Life: n.life,
+	a.rec = &oracle.Attempt{ID: a.r.ID, Node: n.id, Account: a.r.Account, Class: a.r.Class, Plan: a.r.Plan, Units: a.r.Units, Incarnation: n.life,
 		Conn: fmt.Sprintf("%d/%s/%d", a.f.n, a.r.ID, a.number)}
 	n.open[a.Handle] = a
-	s.Hist.Came(a.rec)
-	n.do(func(m *node.Model) { s.Hist.Weighed(a.rec, m.Arrive(s.t, &a.Attempt)) })
+	s.Hist.AttemptReceived(a.rec)
+	n.do(func(m *node.Model) { s.Hist.SetAttemptWork(a.rec, m.Arrive(s.t, &a.Attempt)) })
 	if a.done { // given up on the way
 		a.leave()
 	}
@@ -787,7 +787,7 @@
 		return
 	}
 	s, n := a.f.s, a.n
-	s.Hist.ConnEnd(a.rec.Conn)
+	s.Hist.ConnectionEnded(a.rec.Conn)
 	if n.isCut(a.f.n) {
 		return
 	}
@@ -837,12 +837,12 @@
 // request has a forwarder take a try.
 func (f *simForwarder) request(q policy.Request, first string, left float64) {
 	s := f.s
-	try := &oracle.Try{ID: q.ID, First: first, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.n, Units: q.Units,
-		Sent: s.Hist.Now(), Deadline: s.Hist.Now() + time.Duration(left*float64(time.Second))}
-	s.Hist.Sent(try)
+	try := &oracle.Request{ID: q.ID, OriginalID: first, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.n, Units: q.Units,
+		SentAt: s.Hist.Now(), Deadline: s.Hist.Now() + time.Duration(left*float64(time.Second))}
+	s.Hist.RequestSent(try)
 	if !f.runs() {
-		try.Untaken = true
-		s.Hist.Answer(try, oracle.Broken)
+		try.NotAccepted = true
+		s.Hist.RequestAnswered(try, oracle.ConnectionLost)
 		return
 	}
 	q.DeadlineAt = f.clock.at(s.t + left)
@@ -856,7 +856,7 @@
 		}
 		if !r.over {
 			r.over = true
-			s.Hist.Answer(try, oracle.Broken)
+			s.Hist.RequestAnswered(try, oracle.ConnectionLost)
 			f.happen(r, func(g gateway) { g.HandleDisconnect(f.now(), q.ID) })
 		}
 		s.after(6, func() {
--- a/internal/testbed/simulation/sim_test.go
+++ b/internal/testbed/simulation/sim_test.go
@@ -41,24 +41,24 @@
 		two  bool
 		seen []string
 	}{
-		{"storm", true, []string{oracle.Lost, oracle.Answer, oracle.Out, oracle.Twice, oracle.Drains, oracle.Cold, oracle.Quotas, oracle.Ceilings}},
-		{"storm", false, []string{oracle.Lost, oracle.Answer, oracle.Out, oracle.Twice, oracle.Drains, oracle.Cold, oracle.Quotas, oracle.Ceilings}},
-		{"programs", true, []string{oracle.Twice, oracle.Out}},
-		{"ceilings", true, []string{oracle.Quotas, oracle.Ceilings}},
-		{"ceilings", false, []string{oracle.Quotas, oracle.Ceilings}},
-		{"capped", true, []string{oracle.Caps}},
-		{"keys", true, []string{oracle.Twice}},
-		{"cold", false, []string{oracle.Cold}},
+		{"storm", true, []string{oracle.RuleNoRequestLost, oracle.RuleOneAnswer, oracle.RuleOneOpenAttempt, oracle.RuleNoDuplicateEffect, oracle.RuleDrain, oracle.RuleSlowStart, oracle.RuleQuota, oracle.RuleHardLimit}},
+		{"storm", false, []string{oracle.RuleNoRequestLost, oracle.RuleOneAnswer, oracle.RuleOneOpenAttempt, oracle.RuleNoDuplicateEffect, oracle.RuleDrain, oracle.RuleSlowStart, oracle.RuleQuota, oracle.RuleHardLimit}},
+		{"programs", true, []string{oracle.RuleNoDuplicateEffect, oracle.RuleOneOpenAttempt}},
+		{"ceilings", true, []string{oracle.RuleQuota, oracle.RuleHardLimit}},
+		{"ceilings", false, []string{oracle.RuleQuota, oracle.RuleHardLimit}},
+		{"capped", true, []string{oracle.RuleMaxConcurrency}},
+		{"keys", true, []string{oracle.RuleNoDuplicateEffect}},
+		{"cold", false, []string{oracle.RuleSlowStart}},
 	} {
 		t.Run(fmt.Sprint(tc.name, " two levels ", tc.two), func(t *testing.T) {
 			t.Parallel()
 			seen, leads := map[string]int{}, 0
 			for seed := range uint64(*schedules) {
 				s, r := play(t, tc.name, tc.two, seed+1, 12)
-				if len(r.Counts) > 0 {
-					t.Errorf("seed %d: %v\n%s%v", seed+1, r.Counts, words(r), s.cfg.Faults)
+				if len(r.ViolationCounts) > 0 {
+					t.Errorf("seed %d: %v\n%s%v", seed+1, r.ViolationCounts, words(r), s.cfg.Faults)
 				}
-				for rule, n := range r.Seen {
+				for rule, n := range r.Occasions {
 					seen[rule] += n
 				}
 				leads += s.Leads
@@ -81,7 +81,7 @@
 		var was string
 		for range 2 {
 			s, r := play(t, "storm", two, 7, 8)
-			got := fmt.Sprint(s.Leads, s.seq, r.Tries, r.Attempts, r.Results, r.Service, r.Nearest, r.Seen)
+			got := fmt.Sprint(s.Leads, s.seq, r.Requests, r.Attempts, r.Results, r.Service, r.Utilization, r.Occasions)
 			if was != "" && got != was {
 				t.Fatalf("one seed, two runs:\n%s\n%s", was, got)
 			}
@@ -94,7 +94,7 @@
 func TestCalm(t *testing.T) {
 	for _, two := range []bool{true, false} {
 		_, r := play(t, "calm", two, 1, 20)
-		if len(r.Counts) > 0 || r.Tries < 500 || r.Service < 0.9 || r.Results[oracle.Failed] > r.Tries/50 {
+		if len(r.ViolationCounts) > 0 || r.Requests < 500 || r.Service < 0.9 || r.Results[oracle.Failed] > r.Requests/50 {
 			t.Errorf("two levels %v:\n%s", two, words(r))
 		}
 	}
@@ -113,10 +113,10 @@
 		}
 		cfg.Exact = true // nothing is slow
 		r := New(cfg).Run()
-		if r.Counts["one leader"] > 0 {
+		if r.ViolationCounts["one leader"] > 0 {
 			leaders++
 		}
-		if r.Counts[oracle.Quotas] > 0 {
+		if r.ViolationCounts[oracle.RuleQuota] > 0 {
 			windows++
 		}
 	}
--- a/internal/testbed/simulation/trace_test.go
+++ b/internal/testbed/simulation/trace_test.go
@@ -25,8 +25,8 @@
 		}
 	}
 	rep := New(cfg).Run()
-	if rep.Attempts != was.Attempts || rep.Tries != was.Tries {
-		t.Errorf("%d attempts of %d tries with a trace, %d of %d without", rep.Attempts, rep.Tries, was.Attempts, was.Tries)
+	if rep.Attempts != was.Attempts || rep.Requests != was.Requests {
+		t.Errorf("%d attempts of %d tries with a trace, %d of %d without", rep.Attempts, rep.Requests, was.Attempts, was.Requests)
 	}
 	if sends < rep.Attempts || len(by) != cfg.Planners || len(refusals) < 3 || refusals[reason.None] > 0 {
 		t.Errorf("%d sends decided, %d attempts seen, by %v, refusals by reason %v", sends, rep.Attempts, by, refusals)
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -76,7 +76,7 @@
 func init() {
 	scenarios["soak"] = scenario{what: "operators drain, reload, replace and hold, processes stand still and die, nodes, ways and the roster fail, all at once; testbed soak draws it",
 		kinds: soakKinds, every: 400 * time.Millisecond, weather: soakWeather, hangUps: 0.05, batches: 0.2, rude: 2, quota: -1,
-		floors: map[string]int{oracle.Lost: 50, oracle.Answer: 20, oracle.Out: 20, oracle.Twice: 10, oracle.Drains: 2, oracle.DrainEnd: 1, oracle.OwnCount: 1, oracle.Gone: 1}}
+		floors: map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleOneAnswer: 20, oracle.RuleOneOpenAttempt: 20, oracle.RuleNoDuplicateEffect: 10, oracle.RuleDrain: 2, oracle.RuleDrainEnd: 1, oracle.RuleIngressSelfCheck: 1, oracle.RuleDisconnectedClient: 1}}
 }
 
 // String tells what was drawn, in a line.
--- a/internal/testbed/soakfaults.go
+++ b/internal/testbed/soakfaults.go
@@ -35,7 +35,7 @@
 		return p.Call(context.Background(), http.MethodPost, "/v1/ingress/"+what)
 	}
 	if status, err := call("drain"); err != nil || status != http.StatusOK {
-		f.Hist.Fault(fmt.Sprintf("%s is not drained: status %d, %v", p.Name, status, err))
+		f.Hist.AddFault(fmt.Sprintf("%s is not drained: status %d, %v", p.Name, status, err))
 		return
 	}
 	life := p.Life()
@@ -45,23 +45,23 @@
 		held := f.clients.heldConns(i, drainRecent)
 		wait(drainSlack)
 		still := f.clients.heldConns(i, drainRecent+drainSlack)
-		e := oracle.Emptied{Forwarder: i}
+		e := oracle.DrainResult{Forwarder: i}
 		for k, how := range held {
 			if still[k] != "" {
-				e.Held = append(e.Held, how)
+				e.OpenConnections = append(e.OpenConnections, how)
 			}
 		}
 		if life >= 0 && p.Life() == life {
-			f.Hist.Empty(e)
+			f.Hist.AddDrainResult(e)
 		}
 		wait(stays)
 	}
 	if status, err := call("activate"); err != nil || status != http.StatusOK {
-		f.Hist.Fault(fmt.Sprintf("%s is not activated: status %d, %v", p.Name, status, err))
+		f.Hist.AddFault(fmt.Sprintf("%s is not activated: status %d, %v", p.Name, status, err))
 		return
 	}
 	if err := p.Ready(activeMost); err != nil {
-		f.Hist.Fault("after its drain " + err.Error())
+		f.Hist.AddFault("after its drain " + err.Error())
 	}
 }
 
@@ -85,7 +85,7 @@
 	path := p.door().file
 	own, err := os.ReadFile(path)
 	if err != nil {
-		f.Hist.Fault("not reloaded: " + err.Error())
+		f.Hist.AddFault("not reloaded: " + err.Error())
 		return
 	}
 	put := func(text []byte) {
@@ -95,7 +95,7 @@
 			err = os.Rename(next, path)
 		}
 		if err != nil {
-			f.Hist.Fault("not reloaded: " + err.Error())
+			f.Hist.AddFault("not reloaded: " + err.Error())
 		}
 		p.HUP()
 	}
@@ -106,7 +106,7 @@
 	}
 	var c map[string]any
 	if err := json.Unmarshal(own, &c); err != nil {
-		f.Hist.Fault("not reloaded: " + err.Error())
+		f.Hist.AddFault("not reloaded: " + err.Error())
 		return
 	}
 	c["settings"].(map[string]any)["limits"].(map[string]any)["maxAttempts"] = 2 + x.B%(MaxAttempts-1)
@@ -121,16 +121,16 @@
 	for _, p := range f.Forwarders {
 		text, err := os.ReadFile(p.log)
 		if err != nil {
-			f.Hist.Fault("log of " + p.Name + ": " + err.Error())
+			f.Hist.AddFault("log of " + p.Name + ": " + err.Error())
 			continue
 		}
-		c := oracle.Count{Party: p.Name}
+		c := oracle.IngressViolations{Party: p.Name}
 		for line := range bytes.Lines(text) {
 			if bytes.Contains(line, []byte(`msg="rule broken"`)) {
-				c.Broken = append(c.Broken, strings.TrimSpace(string(line)))
+				c.Lines = append(c.Lines, strings.TrimSpace(string(line)))
 			}
 		}
-		f.Hist.Counts(c)
+		f.Hist.AddIngressViolations(c)
 	}
 }
 
--- a/internal/testbed/upgrade.go
+++ b/internal/testbed/upgrade.go
@@ -110,7 +110,7 @@
 		var err error
 		if from := u.f.Hist.Now(); n >= 0 {
 			if err = p.Replace(); err == nil {
-				u.f.Hist.Replace(n, from, u.f.Hist.Now())
+				u.f.Hist.AddReplacement(n, from, u.f.Hist.Now())
 			}
 		} else {
 			p.Term()
