--- a/internal/testbed/etcdfleet/rig.go
+++ b/internal/testbed/etcdfleet/rig.go
@@ -407,10 +407,10 @@
 	defer r.hist.Lock()()
 	all := map[string]map[string]string{}
 	for _, t := range r.hist.Notices {
-		if all[t.Party] == nil {
-			all[t.Party] = map[string]string{}
+		if all[t.Observer] == nil {
+			all[t.Observer] = map[string]string{}
 		}
-		all[t.Party][t.Node] = t.State
+		all[t.Observer][t.Node] = t.State
 	}
 	return all
 }
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -257,7 +257,7 @@
 }
 
 // Party is the roster's name of a forwarder.
-func (f *Fleet) Party(i int) string { return oracle.PartyName(i) }
+func (f *Fleet) Party(i int) string { return oracle.IngressName(i) }
 
 // NewProc makes a program of the fleet that Stop does not know; what it says goes to a log in the fleet's folder.
 func (f *Fleet) NewProc(kind, name, file string) *Proc { return f.proc(kind, name, file, "", "") }
--- /dev/null
+++ b/internal/testbed/oracle/check.go
@@ -0,0 +1,73 @@
+package oracle
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"sort"
+	"time"
+
+	"eiderspread/policy"
+)
+
+// deliveryGrace is for what was on its way when a notice or a cordon arrived.
+const deliveryGrace = 50 * time.Millisecond
+
+// epsilon keeps quotients finite where the divisor may be 0.
+const epsilon = 1e-9
+
+func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+
+// Check holds the rules against a history, which it locks.
+func Check(h *History, cfg Config) *Report {
+	defer h.Lock()()
+	r := newReport(cfg.MinOccasions)
+	if cfg.MaxLateness > 0 && h.MaxLateness > cfg.MaxLateness {
+		r.Void = fmt.Sprintf("the laboratory was %v late, %v at most", h.MaxLateness.Round(time.Millisecond), cfg.MaxLateness)
+	}
+	classes, plans := map[string]policy.Class{}, map[string]policy.Plan{}
+	for _, class := range cfg.Classes {
+		classes[class.Name] = class
+	}
+	for _, plan := range cfg.Plans {
+		if cfg.ClockRate > 0 {
+			plan.Rate, plan.HardLimitRate = plan.Rate*cfg.ClockRate, plan.HardLimitRate*cfg.ClockRate
+		}
+		plans[plan.Name] = plan
+	}
+	attempts := map[string][]*Attempt{} // by request
+	for _, attempt := range h.Attempts {
+		attempts[attempt.key()] = append(attempts[attempt.key()], attempt)
+	}
+	requests := map[string]*Request{}
+	for _, request := range h.Requests {
+		requests[request.key()] = request
+	}
+	r.Requests, r.Attempts = len(h.Requests), len(h.Attempts)
+	for key, list := range attempts {
+		if requests[key] == nil {
+			r.Void = fmt.Sprintf("%s came to %s, which no client here has sent", list[0].ID, list[0].Node)
+		}
+	}
+	r.checkAnswers(h, cfg, classes, attempts)
+	r.checkDrainEnds(h)
+	r.checkSelfReports(h)
+	for _, key := range slices.Sorted(maps.Keys(attempts)) {
+		r.checkAttempts(h, cfg, classes[attempts[key][0].Class], attempts[key], requests[key])
+	}
+	r.checkDrains(h, cfg, requests)
+	r.checkCordons(h, cfg, requests)
+	r.checkMembership(h, cfg)
+	r.checkSlowStart(h, cfg)
+	r.checkMaxConcurrency(h, cfg, plans)
+	inside := r.checkQuotas(h, cfg, plans)
+	r.checkSharedCounts(h, cfg)
+	r.checkOverQuotaCost(h, classes, plans)
+	r.countDemand(h, plans)
+	r.measureService(h, classes, plans, inside)
+	if cfg.Overload {
+		r.measureLoad(h, cfg, classes, plans)
+	}
+	sort.SliceStable(r.Violations, func(i, j int) bool { return r.Violations[i].At < r.Violations[j].At })
+	return r
+}
--- a/internal/testbed/oracle/audit_test.go
+++ b/internal/testbed/oracle/check_test.go
@@ -45,7 +45,7 @@
 	return h
 }
 
-// The auditor must find each planted breach, by its rule, and nothing in a clean history.
+// Guards that each planted violation is found, by its rule, and nothing in a clean history.
 func TestCheck_Violations(t *testing.T) {
 	if rep := Check(cleanHistory(30), testConfig()); len(rep.Violations) != 0 || rep.Service != 1 || len(rep.Overshoots) != 0 {
 		t.Fatalf("a clean history: %+v", rep)
@@ -167,7 +167,7 @@
 	}
 }
 
-// What is no breach must not be reported as one.
+// Guards against reports of what is no violation.
 func TestCheck_NoViolation(t *testing.T) {
 	for name, plant := range map[string]func(h *History){
 		"forwarder killed": func(h *History) {
@@ -242,7 +242,7 @@
 	}
 }
 
-// Guards the figures: overshoot in units and percent, and service of what was asked inside quotas.
+// Guards the figures: overshoot in units and percent, and service of what was requested inside quotas.
 func TestCheck_Figures(t *testing.T) {
 	h := cleanHistory(0)
 	for i := range 12 { // 9 units fit comptoir's window
@@ -268,7 +268,7 @@
 	}
 }
 
-// Guards against verdicts that rest on nothing: a rule without its floor of occasions loses it, and so does a late laboratory.
+// Guards that too few occasions to break a rule, and a testbed that was late, fail the verdict.
 func TestReport_VerdictNeedsOccasions(t *testing.T) {
 	cfg := testConfig()
 	cfg.MinOccasions = map[string]int{RuleNoDuplicateEffect: 1}
@@ -288,7 +288,7 @@
 	}
 }
 
-// Guards kept runs: judged again they give the same report.
+// Guards stored runs: they give the same report when they are checked again.
 func TestReadHistory_SameReport(t *testing.T) {
 	h, cfg := cleanHistory(30), testConfig()
 	h.Requests[5].Answers = 2
@@ -310,8 +310,8 @@
 	}
 }
 
-// News that came while a program was replaced binds 2 s after that began, and neither sooner nor later; what operators hold binds
-// at once, and over restarts.
+// Guards that a notice during a hot restart binds replacementGrace after its begin, neither sooner nor later, and that a cordon
+// binds at once, and across restarts.
 func TestReport_CheckCordons(t *testing.T) {
 	h := NewHistory()
 	h.Replacements = []Outage{{Forwarder: 1, From: 10 * time.Second, To: 10200 * time.Millisecond}}
@@ -324,7 +324,7 @@
 	if h.bindingFrom(0, 11*time.Second) != 11*time.Second {
 		t.Error("another forwarder was replaced")
 	}
-	h.Cordons = []Cordon{{Party: PartyName(1), Node: "z", From: 20 * time.Second, To: 25 * time.Second}}
+	h.Cordons = []Cordon{{Ingress: IngressName(1), Node: "z", From: 20 * time.Second, To: 25 * time.Second}}
 	h.Restarts = []Outage{{Forwarder: 1, From: 21 * time.Second, To: 22 * time.Second}}
 	requests := map[string]*Request{}
 	for id, at := range map[string]time.Duration{"before": 19500 * time.Millisecond, "grace": 20200 * time.Millisecond, "held": 23 * time.Second, "after": 26 * time.Second} {
@@ -338,8 +338,8 @@
 	}
 }
 
-// Guards an attempt that was given up, and whose bytes came behind those of the next one: on open connections there was one at a time. One that is
-// given up later than the next one came is a breach.
+// Guards an abandoned attempt whose bytes arrive after those of the next one: only one was open at a time. An attempt that is
+// abandoned later than the next one arrived is a violation.
 func TestCheck_OvertakenAttempt(t *testing.T) {
 	for name, x := range map[string]struct {
 		endedAt  time.Duration // the overtaken one's connection
@@ -359,7 +359,7 @@
 	}
 }
 
-// Guards the slack of a cold node's budget by the operators' page.
+// Guards the slack of a starting backend's budget, by the operators' documentation.
 func TestWithChanceSlack(t *testing.T) {
 	for _, x := range []struct{ budget, mean, want float64 }{{100, 1, 122}, {25, 1, 43}, {10, 0.1, 12.2}} {
 		if got := withChanceSlack(x.budget, x.mean); got < x.want-0.01 || got > x.want+0.01 {
--- a/internal/testbed/oracle/counts.go
+++ b/internal/testbed/oracle/counts.go
@@ -13,100 +13,113 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// GatewayRange is the gateways through which an account's requests come in: Count of them from First on, around the ring.
-type GatewayRange struct {
-	First int
-	Count int `json:"Entries"`
-}
+// quotaWindowsS are the lengths of time over which admissions are checked, in seconds.
+var quotaWindowsS = []float64{1, 10, 60}
 
-// PeerFault is a time in which messages between ingresses were lost.
-type PeerFault struct {
-	From, To time.Duration // To 0: it goes on
-	Sides    int           // into which they were split, 0: they were not
-	LossRate float64       `json:"Loss"` // share of messages lost
-}
+const (
+	// hardLimitMargin is how many times rate and burst a hard limit must have so that it does not hold back what the quota admits.
+	hardLimitMargin = 1.5
+	// peakWindowS is the window of peakRate, in seconds.
+	peakWindowS = 1.0
+	// sendDelayS is how many seconds an admitted request may take to its backend, beyond its time in the queue.
+	sendDelayS = 0.1
+)
 
-// BeginPeerFault records that messages between ingresses are in trouble from now on, until the function that it returns is called.
-func (h *History) BeginPeerFault(sides int, loss float64) (end func()) {
-	n := 0
-	h.locked(func() {
-		n = len(h.PeerFaults)
-		h.PeerFaults = append(h.PeerFaults, PeerFault{From: h.Now(), Sides: sides, LossRate: loss})
-	})
-	return func() { h.locked(func() { h.PeerFaults[n].To = h.Now() }) }
-}
+// sample is an amount of units at a time in seconds.
+type sample struct{ at, units float64 }
 
-// The lengths of time over which a count is judged, in seconds.
-var quotaWindowsS = []float64{1, 10, 60}
+// accountCount is what was requested and admitted of one account.
+type accountCount struct {
+	plan      string
+	requests  []*Request
+	requested []sample
+	admitted  []sample // the first attempt of each request
+	largest   float64  // units of the largest request
+}
 
-// sample is what was let in, or asked for, of an account.
-type sample struct{ at, units float64 }
+// countsOf returns the counts of all accounts.
+func countsOf(h *History) map[string]*accountCount {
+	counts := map[string]*accountCount{}
+	of := func(account string) *accountCount {
+		if counts[account] == nil {
+			counts[account] = &accountCount{}
+		}
+		return counts[account]
+	}
+	seen := map[string]bool{}
+	for _, attempt := range h.Attempts { // in the order of their arrival
+		if key := attempt.key(); !seen[key] {
+			seen[key] = true
+			c := of(attempt.Account)
+			c.admitted = append(c.admitted, sample{attempt.At.Seconds(), attempt.Units})
+		}
+	}
+	for _, request := range h.Requests {
+		c := of(request.Account)
+		c.plan, c.largest = request.Plan, max(c.largest, request.Units)
+		c.requests = append(c.requests, request)
+		c.requested = append(c.requested, sample{request.SentAt.Seconds(), request.Units})
+	}
+	return counts
+}
 
-// checkSharedCounts judges the shared count of one level by the error budget: what came to nodes of each account over 1, 10 and 60 s against what rate,
-// burst and the failures under way allow; and what was refused for the count's sake though the account's quota held it.
+// checkSharedCounts holds the admissions of accounts against the error bound of the shared count: what was sent to backends over
+// each of quotaWindowsS against what rate, burst and the faults in effect allow; and what was rejected although the quota held
+// it.
 func (r *Report) checkSharedCounts(h *History, cfg Config) {
 	if len(cfg.Homes) == 0 {
 		return
 	}
-	passed, asked, seen := map[string][]sample{}, map[string][]sample{}, map[string]bool{}
-	largest, counted := map[string]float64{}, map[string][]*Request{}
-	plans := map[string]string{}
-	for _, attempt := range h.Attempts { // in the order of their coming
-		if key := attempt.ID + "/" + attempt.Account; !seen[key] {
-			seen[key] = true
-			passed[attempt.Account] = append(passed[attempt.Account], sample{attempt.At.Seconds(), attempt.Units})
-		}
-	}
 	r.Reasons, r.QuotaExcess, r.QuotaShortfall = map[int]int{}, map[int]Margin{}, map[int]Margin{}
 	for _, request := range h.Requests {
 		if request.Reason > 0 {
 			r.Reasons[request.Reason]++
 		}
-		counted[request.Account] = append(counted[request.Account], request)
-		asked[request.Account] = append(asked[request.Account], sample{request.SentAt.Seconds(), request.Units})
-		largest[request.Account] = max(largest[request.Account], request.Units)
-		plans[request.Account] = request.Plan
 	}
-	around := hashring.New(cfg.Gateways, hashring.PointsPerGateway(cfg.Gateways))
+	counts := countsOf(h)
+	ring := hashring.New(cfg.Gateways, hashring.PointsPerGateway(cfg.Gateways))
 	for _, plan := range cfg.Plans {
-		if plan.Rate <= 0 || plan.MaxConcurrency > 0 { // a cap may hold back what the quota lets in
+		if plan.Rate <= 0 || plan.MaxConcurrency > 0 { // a concurrency limit may hold back what the quota admits
 			continue
 		}
-		drift := max(cfg.ClockRate, 1)
-		for _, name := range slices.Sorted(maps.Keys(passed)) {
-			if plans[name] != plan.Name {
+		limited := plan.HardLimitRate > 0 && (plan.HardLimitRate < hardLimitMargin*plan.Rate || plan.HardLimitBurst < hardLimitMargin*plan.Burst)
+		for _, name := range slices.Sorted(maps.Keys(counts)) {
+			count := counts[name]
+			if len(count.admitted) == 0 || count.plan != plan.Name {
 				continue
 			}
-			home := cfg.Homes[name]
-			a := errorbound.Account{Gateways: home.Count, Rate: plan.Rate * drift, Burst: plan.Burst, LargestRequest: largest[name], Demand: peakRate(asked[name])}
-			list := faultsOf(h, cfg, around, name)
-			r.checkExcess(cfg, name, a, passed[name], list)
-			if told := len(r.Reasons) > 0; told && (plan.HardLimitRate <= 0 || plan.HardLimitRate >= 1.5*plan.Rate && plan.HardLimitBurst >= 1.5*plan.Burst) { // else a ceiling may hold back what the quota lets in
-				r.checkShortfall(cfg, name, a, counted[name], passed[name], list)
+			account := errorbound.Account{Gateways: cfg.Homes[name].Count, Rate: plan.Rate * max(cfg.ClockRate, 1), Burst: plan.Burst,
+				LargestRequest: count.largest, Demand: peakRate(count.requested)}
+			faults := faultsOf(h, cfg, ring, name)
+			r.checkExcess(cfg, name, account, count.admitted, faults)
+			if len(r.Reasons) > 0 && !limited {
+				r.checkShortfall(cfg, name, account, count, faults)
 			}
 		}
 	}
 }
 
-// peakRate is the most units within any second.
+// peakRate returns the most units per second over any peakWindowS.
 func peakRate(list []sample) (rate float64) {
-	const length = 1.0
 	sum, from := 0.0, 0
-	for _, x := range list {
-		for sum += x.units; list[from].at < x.at-length; from++ {
+	for _, s := range list {
+		for sum += s.units; list[from].at < s.at-peakWindowS; from++ {
 			sum -= list[from].units
 		}
-		rate = max(rate, sum/length)
+		rate = max(rate, sum/peakWindowS)
 	}
 	return rate
 }
 
-// faultsOf are the failures that an account's count had: lives of its gateways, by their place on its ring, and messages between them.
-func faultsOf(h *History, cfg Config, around hashring.Ring, name string) (list []errorbound.Fault) {
-	home := cfg.Homes[name]
-	order := around.Successors(peerprotocol.HashPoint(name), func(gw int) bool { return (gw-home.First+cfg.Gateways)%cfg.Gateways < home.Count })
-	down := func(gw int, at time.Duration) bool {
-		return slices.ContainsFunc(h.Outages, func(o Outage) bool { return o.Forwarder == gw && o.From <= at && at < o.To })
+// faultsOf returns the faults that affected an account's count: ends of its gateways, by their position on the ring for the
+// account, and lost messages between ingresses.
+func faultsOf(h *History, cfg Config, ring hashring.Ring, account string) (faults []errorbound.Fault) {
+	home := cfg.Homes[account]
+	order := ring.Successors(peerprotocol.HashPoint(account), func(gateway int) bool {
+		return (gateway-home.First+cfg.Gateways)%cfg.Gateways < home.Count
+	})
+	down := func(gateway int, at time.Duration) bool {
+		return slices.ContainsFunc(h.Outages, func(o Outage) bool { return o.Forwarder == gateway && o.From <= at && at < o.To })
 	}
 	for _, o := range append(slices.Clone(h.Outages), h.Restarts...) {
 		i := slices.Index(order, o.Forwarder)
@@ -114,132 +127,149 @@
 			continue
 		}
 		from, to := o.From.Seconds(), o.To.Seconds()
-		if first := !slices.ContainsFunc(order[:i], func(gw int) bool { return !down(gw, o.From) || !down(gw, o.To) }); first {
-			list = append(list, errorbound.Fault{Kind: errorbound.OwnerLost, From: from, To: to}, errorbound.Fault{Kind: errorbound.OwnerRestarted, From: to, To: to})
+		// The gateway owned the count if all before it were down at the begin and at the end.
+		owner := !slices.ContainsFunc(order[:i], func(gateway int) bool { return !down(gateway, o.From) || !down(gateway, o.To) })
+		if owner {
+			faults = append(faults, errorbound.Fault{Kind: errorbound.OwnerLost, From: from, To: to}, errorbound.Fault{Kind: errorbound.OwnerRestarted, From: to, To: to})
 		} else {
-			list = append(list, errorbound.Fault{Kind: errorbound.MemberLost, From: from, To: to})
+			faults = append(faults, errorbound.Fault{Kind: errorbound.MemberLost, From: from, To: to})
 		}
 	}
-	for _, x := range h.PeerFaults {
-		to := x.To
+	for _, p := range h.PeerFaults {
+		to := p.To
 		if to == 0 {
 			to = h.Now()
 		}
-		t := errorbound.Fault{Kind: errorbound.MessageLoss, From: x.From.Seconds(), To: to.Seconds(), LossRate: x.LossRate, Sides: x.Sides}
-		if x.Sides > 0 {
-			t.Kind = errorbound.Partition
+		fault := errorbound.Fault{Kind: errorbound.MessageLoss, From: p.From.Seconds(), To: to.Seconds(), LossRate: p.LossRate, Sides: p.Sides}
+		if p.Sides > 0 {
+			fault.Kind = errorbound.Partition
 		}
-		list = append(list, t)
+		faults = append(faults, fault)
 	}
-	return list
+	return faults
 }
 
-// checkExcess holds what came to nodes against the budget. What the module has let in waits for a server for QuotaSlackS at most.
-func (r *Report) checkExcess(cfg Config, name string, a errorbound.Account, list []sample, faults []errorbound.Fault) {
-	for _, length := range quotaWindowsS {
-		sum, from, broken := 0.0, 0, false
-		for _, x := range list {
-			for sum += x.units; list[from].at < x.at-length; from++ {
-				sum -= list[from].units
+// checkExcess holds what was sent to backends of one account against the error bound. An admitted request may be queued for
+// cfg.QuotaSlackS. It reports the first violation of each window.
+func (r *Report) checkExcess(cfg Config, name string, account errorbound.Account, admitted []sample, faults []errorbound.Fault) {
+	for _, window := range quotaWindowsS {
+		sum, from, violated := 0.0, 0, false
+		for _, s := range admitted {
+			for sum += s.units; admitted[from].at < s.at-window; from++ {
+				sum -= admitted[from].units
 			}
-			beyond := sum - a.Burst - a.Rate*length
-			if beyond <= 0 {
+			excess := sum - account.Burst - account.Rate*window
+			if excess <= 0 {
 				continue
 			}
-			allowed, met := errorbound.ExcessWithin(a, faults, x.at-length, x.at)
-			allowed += a.Rate * cfg.QuotaSlackS
-			if x := r.QuotaExcess[int(length)]; beyond > x.Units {
-				r.QuotaExcess[int(length)] = Margin{beyond, allowed}
+			allowed, effective := errorbound.ExcessWithin(account, faults, s.at-window, s.at)
+			allowed += account.Rate * cfg.QuotaSlackS
+			if excess > r.QuotaExcess[int(window)].Units {
+				r.QuotaExcess[int(window)] = Margin{excess, allowed}
 			}
-			what := "budget of a count in calm"
-			if len(met) > 0 {
-				what = fmt.Sprintf("budget of a count, %v", met[0].Kind)
-				if len(met) > 1 {
-					what = "budget of a count, several failures"
-				}
-			}
-			r.utilization(what, beyond/allowed)
-			r.occasion(RuleQuota, fmt.Sprintf("sent on beyond rate and burst within %.0f s", length))
-			if beyond > allowed && !broken {
-				broken = true
-				r.violation(RuleQuota, duration(x.at), "%s was let in %.1f units beyond rate and burst within %.0f s, %.1f allowed (%v)", name, beyond, length, allowed, met)
+			r.utilization(excessBoundName(effective), excess/allowed)
+			r.occasion(RuleQuota, fmt.Sprintf("sent on beyond rate and burst within %.0f s", window))
+			if excess > allowed && !violated {
+				violated = true
+				r.violation(RuleQuota, duration(s.at), "%s was let in %.1f units beyond rate and burst within %.0f s, %.1f allowed (%v)", name, excess, window, allowed, effective)
 			}
 		}
 	}
 }
 
-// quotaReasons are the reasons that a request is refused for when the count, not a node or a ceiling, has no place for it.
-var quotaReasons = map[reason.Reason]bool{reason.WindowExhausted: true, reason.PriorityReserve: true, reason.OwnerBackoff: true, reason.ReplyExhausted: true, reason.Denied: true, reason.LocalWindowExhausted: true, reason.OwnerSilent: true}
-
-// checkShortfall plays the account's window as a count without fault would have it: each thing asked for is let in once, when a try for it comes and the
-// window holds it. It compares what that lets in with what was let in. Tries that were turned away for other reasons are no part of it.
-func (r *Report) checkShortfall(cfg Config, name string, a errorbound.Account, requests []*Request, passed []sample, faults []errorbound.Fault) {
-	rate := a.Rate / math.Pow(max(cfg.ClockRate, 1), 2) // by the slowest clock
-	room, at := a.Burst, 0.0
-	let := map[string]bool{}
-	var ideal, held []sample // held: let in, and given back as no server was found in time
-	for _, request := range requests {
-		if request.Queued && request.Result == Rejected {
-			held = append(held, sample{request.SentAt.Seconds(), request.Units})
-		}
+// excessBoundName names the error bound under the faults in effect, for Report.Utilization.
+func excessBoundName(effective []errorbound.Fault) string {
+	switch len(effective) {
+	case 0:
+		return "budget of a count in calm"
+	case 1:
+		return fmt.Sprintf("budget of a count, %v", effective[0].Kind)
 	}
+	return "budget of a count, several failures"
+}
+
+// quotaReasons are the reasons of rejections that the count, not a backend or a hard limit, led to.
+var quotaReasons = map[reason.Reason]bool{
+	reason.WindowExhausted: true, reason.PriorityReserve: true, reason.OwnerBackoff: true, reason.ReplyExhausted: true,
+	reason.Denied: true, reason.LocalWindowExhausted: true, reason.OwnerSilent: true,
+}
+
+// idealAdmissions replays requests, in the order of their sending, against an exact count: each is admitted once, with the first
+// of its client's attempts that finds enough units. Those that were rejected for reasons other than the count are left out.
+func idealAdmissions(account errorbound.Account, clockRate float64, requests []*Request) (ideal []sample) {
+	rate := account.Rate / math.Pow(max(clockRate, 1), 2) // by the slowest clock
+	available, last := account.Burst, 0.0
+	admitted := map[string]bool{}
 	for _, request := range requests {
-		if request.Result == Rejected && !quotaReasons[reason.Reason(request.Reason)] {
-			continue
-		}
-		if let[request.OriginalID] {
+		if request.Result == Rejected && !quotaReasons[reason.Reason(request.Reason)] || admitted[request.OriginalID] {
 			continue
 		}
 		now := request.SentAt.Seconds()
-		room, at = min(a.Burst, room+rate*(now-at)), now
-		if room >= request.Units {
-			room -= request.Units
-			let[request.OriginalID] = true
+		available, last = min(account.Burst, available+rate*(now-last)), now
+		if available >= request.Units {
+			available -= request.Units
+			admitted[request.OriginalID] = true
 			ideal = append(ideal, sample{now, request.Units})
 		}
 	}
-	ideals, reals, helds := newPrefixSums(ideal), newPrefixSums(passed), newPrefixSums(held)
-	r.IdealUnits += ideals.through(math.Inf(1))
-	r.WithheldUnits += max(ideals.through(math.Inf(1))-reals.through(math.Inf(1)), 0)
-	for _, length := range quotaWindowsS[1:] {
-		broken := false
-		for _, x := range ideal {
-			// What is let in may wait for a server a little before it is sent. Who let in more before owes it.
-			before := max(ideals.through(x.at-length)-reals.through(x.at-length), 0)
-			short := ideals.through(x.at) - reals.through(x.at+cfg.QuotaSlackS+0.1) - before
-			inside := ideals.through(x.at) - ideals.through(x.at-length)
-			if short <= 0 {
+	return ideal
+}
+
+// checkShortfall compares what was admitted of one account with what an exact count would have admitted, over all but the
+// shortest of quotaWindowsS. It reports the first violation of each window.
+func (r *Report) checkShortfall(cfg Config, name string, account errorbound.Account, count *accountCount, faults []errorbound.Fault) {
+	var returned []sample // admitted, and given back as no backend was found in time
+	for _, request := range count.requests {
+		if request.Queued && request.Result == Rejected {
+			returned = append(returned, sample{request.SentAt.Seconds(), request.Units})
+		}
+	}
+	list := idealAdmissions(account, cfg.ClockRate, count.requests)
+	ideal, actual, unused := newPrefixSums(list), newPrefixSums(count.admitted), newPrefixSums(returned)
+	total := ideal.through(math.Inf(1))
+	r.IdealUnits += total
+	r.WithheldUnits += max(total-actual.through(math.Inf(1)), 0)
+	for _, window := range quotaWindowsS[1:] {
+		violated := false
+		for _, s := range list {
+			from := s.at - window
+			// What was admitted beyond the exact count before the window is no shortfall within it, and a request may be
+			// queued after its admission.
+			before := max(ideal.through(from)-actual.through(from), 0)
+			shortfall := ideal.through(s.at) - actual.through(s.at+cfg.QuotaSlackS+sendDelayS) - before
+			inside := ideal.through(s.at) - ideal.through(from)
+			if shortfall <= 0 {
 				continue
 			}
-			allowed := errorbound.RejectionsWithin(a, faults, x.at-length, x.at) + errorbound.RejectedFraction*inside + helds.through(x.at) - helds.through(x.at-length)
-			if x := r.QuotaShortfall[int(length)]; short > x.Units {
-				r.QuotaShortfall[int(length)] = Margin{short, allowed}
+			allowed := errorbound.RejectionsWithin(account, faults, from, s.at) + errorbound.RejectedFraction*inside + unused.through(s.at) - unused.through(from)
+			if shortfall > r.QuotaShortfall[int(window)].Units {
+				r.QuotaShortfall[int(window)] = Margin{shortfall, allowed}
 			}
-			r.utilization("budget of what a count withholds", short/allowed)
-			r.occasion(RuleQuotaUsable, fmt.Sprintf("less let in than the quota holds within %.0f s", length))
-			if short > allowed && !broken {
-				broken = true
-				r.violation(RuleQuotaUsable, duration(x.at), "%s was let in %.1f units less than a count without fault lets in within %.0f s, %.1f allowed", name, short, length, allowed)
+			r.utilization("budget of what a count withholds", shortfall/allowed)
+			r.occasion(RuleQuotaUsable, fmt.Sprintf("less let in than the quota holds within %.0f s", window))
+			if shortfall > allowed && !violated {
+				violated = true
+				r.violation(RuleQuotaUsable, duration(s.at), "%s was let in %.1f units less than a count without fault lets in within %.0f s, %.1f allowed", name, shortfall, window, allowed)
 			}
 		}
 	}
 }
 
-// prefixSums is a running sum over time.
+// prefixSums are the running sums of samples in order of time.
 type prefixSums struct{ at, sum []float64 }
 
-func newPrefixSums(list []sample) (r prefixSums) {
+func newPrefixSums(list []sample) (p prefixSums) {
 	sum := 0.0
-	for _, x := range list {
-		sum += x.units
-		r.at, r.sum = append(r.at, x.at), append(r.sum, sum)
+	for _, s := range list {
+		sum += s.units
+		p.at, p.sum = append(p.at, s.at), append(p.sum, sum)
 	}
-	return r
+	return p
 }
 
-// through is the sum of all that came no later.
-func (r prefixSums) through(at float64) float64 {
-	i, _ := slices.BinarySearchFunc(r.at, at, func(x, y float64) int {
+// through returns the sum of all samples up to and including a time in seconds.
+func (p prefixSums) through(at float64) float64 {
+	i, _ := slices.BinarySearchFunc(p.at, at, func(x, y float64) int {
 		if x <= y {
 			return -1
 		}
@@ -248,5 +278,5 @@
 	if i == 0 {
 		return 0
 	}
-	return r.sum[i-1]
+	return p.sum[i-1]
 }
--- a/internal/testbed/oracle/counts_test.go
+++ b/internal/testbed/oracle/counts_test.go
@@ -9,15 +9,15 @@
 	"eiderspread/policy"
 )
 
-// counted is a history of one account of 10 units a second and a burst of 20 through four gateways, of which units a second are asked for and a
-// share of the tries is let in.
-func counted(perS int, let func(i int, at time.Duration) bool) *History {
+// counted returns a history of one account, of 10 units per second and a burst of 20, through four gateways: perS requests per
+// second of one unit each, of which admit selects those that are admitted.
+func counted(perS int, admit func(i int, at time.Duration) bool) *History {
 	h := NewHistory()
 	for i := range perS * 30 {
 		at := time.Second * time.Duration(i) / time.Duration(perS)
 		id := fmt.Sprint(i)
 		request := &Request{ID: id, OriginalID: id, Account: "a", Plan: "p", Class: "c", Units: 1, SentAt: at, AnsweredAt: at, Answers: 1, Deadline: at + time.Second, Result: Served}
-		if h.Requests = append(h.Requests, request); let(i, at) {
+		if h.Requests = append(h.Requests, request); admit(i, at) {
 			h.Attempts = append(h.Attempts, &Attempt{ID: id, Account: "a", Plan: "p", Class: "c", Units: 1, At: at, End: at, AnsweredAt: at, Outcome: "served"})
 			continue
 		}
--- a/internal/testbed/oracle/history.go
+++ b/internal/testbed/oracle/history.go
@@ -1,5 +1,6 @@
-// Package oracle is the testbed's invariant checker: a History of what backends, clients and discovery saw, and an Audit that
-// holds the rules against it. It knows nothing of how forwarders, planners and ingresses work, nor whether time was real.
+// Package oracle is the testbed's invariant checker: a History records what backends, clients and discovery observed, and Check
+// holds the rules against it. It knows nothing of the internals of forwarders, planners and ingresses, nor whether time was
+// real or virtual.
 package oracle
 
 import (
@@ -10,136 +11,51 @@
 	"time"
 )
 
-// Attempt is one command that came whole to a node, as the node recorded it.
-type Attempt struct {
-	ID, Node, Account, Class, Plan string
-	Units                          float64
-	At, End                        time.Duration // since the start of the history; End 0: still open
-	Started                        bool          `json:"Began"`  // its work was begun; its key was known, so that it had no effect
-	KnownKey                       bool          `json:"Repeat"` // its work was begun; its key was known, so that it had no effect
-	Outcome                        string        `json:"How"`    // served, full, gone, ... : a node.Fate, or how it ended without
-	Work                           float64       // seconds of a core that it stands for
-	Incarnation                    int           `json:"Life"` // of the node: place in History.Lives
-	Conn                           string        // it came on, for ConnectionEnds
-	AnsweredAt                     time.Duration `json:"Answered"` // the node's answer was written; 0: none was
-}
-
-// MayHaveRun tells what whoever sent it must take for possible, whatever the node knows.
-func (a *Attempt) MayHaveRun() bool { return a.Outcome != "full" }
-
-// Request is one request of a client.
-type Request struct {
-	ID, Account, Class, Plan string
-	Forwarder                int
-	OriginalID               string `json:"First"` // the first try's ID, its own for a first one
-	Units                    float64
-	SentAt                   time.Duration `json:"Sent"`
-	Deadline                 time.Duration
-	AnsweredAt               time.Duration `json:"Answered"` // 0: never
-	Answers                  int           // whole answers that were read for it
-	Result                   Result
-	DisconnectedAt           time.Duration `json:"Left"`    // the client hung up, 0: it did not
-	BatchIndex               int           `json:"Batch"`   // place in a batch on one connection, from 1; 0: it was alone
-	NotAccepted              bool          `json:"Untaken"` // nobody took its connection
-	Queued                   bool          // it was let in and waited for a server, where the laboratory was told
-	Reason                   int           `json:"Why"` // the module's why.Reason for a refusal, where the laboratory was told
-}
-
-func (t *Request) key() string { return t.ID + "/" + t.Account }
-
-// Result is how a try ended for its client.
-type Result int
-
-// The ways in which a try ends.
-const (
-	Pending        Result = iota
-	Served                // with its own value
-	Rejected              // -BUSY
-	Failed                // any other error
-	ConnectionLost        // the connection ended without an answer
-	ForeignReply          // a value that is not its own
-	Disconnected          // its client had hung up
-)
-
-// Notice is one change of a node's state as it was written to one party.
-type Notice struct {
-	Party, Node, State string
-	At                 time.Duration
-	StartMS            int64 `json:"Start"` // of the node, Unix milliseconds; 0: not said, or any
-}
-
-// Outage is a time in which a forwarder was killed or paused: what it held is its clients' to try again.
-type Outage struct {
-	Forwarder int
-	From, To  time.Duration
-}
-
-// Cordon is a time in which operators held a node at a party, from that one's yes to the call back.
-type Cordon struct {
-	Party, Node string
-	From, To    time.Duration // To 0: it goes on
-}
-
-// Incarnation is one life of a node.
-type Incarnation struct {
-	Node       string
-	StartedAt  time.Duration `json:"Started"` // below 0: long ago
-	Capacity   float64       // seconds of a core that it does in a second when warm
-	WarmUpFrom float64       `json:"ColdFrom"`
-	WarmUpS    float64       `json:"ColdS"`
-	CrashedAt  time.Duration `json:"FellAt"` // 0: it did not
-}
-
-// Fault is something that the laboratory did.
-type Fault struct {
-	At   time.Duration
-	What string
-}
-
-// History is what nodes, clients and the roster saw. All of it is kept: a run is bounded in time.
+// History is all that backends, clients and sources of membership observed in a run. Its methods may be called concurrently;
+// its fields may be read after the run, or under Lock.
 type History struct {
 	mu                sync.Mutex
 	clock             func() time.Duration
-	Attempts          []*Attempt
+	Attempts          []*Attempt     // in order of arrival
 	Requests          []*Request     `json:"Tries"`
 	Notices           []Notice       `json:"Told"`
-	SourceStates      []Notice       `json:"True"`  // what sources of membership hold, by source in place of the party
-	ViewChecks        []ViewCheck    `json:"Views"` // comparisons of what parties see with what sources hold
-	SourceOutages     []SourceOutage `json:"Blind"` // when parties could hear nothing of a source
+	SourceStates      []Notice       `json:"True"` // what sources of membership hold; Observer is the source
+	ViewChecks        []ViewCheck    `json:"Views"`
+	SourceOutages     []SourceOutage `json:"Blind"`
 	Outages           []Outage
-	Restarts          []Outage
+	Restarts          []Outage    // orderly ends of forwarders, until they were back
 	PeerFaults        []PeerFault `json:"Peers"`
-	Replacements      []Outage    `json:"Replaced"`  // programs replaced beside themselves: nothing may be lost by it
-	Cordons           []Cordon    `json:"HeldNodes"` // of nodes by operators
+	Replacements      []Outage    `json:"Replaced"` // hot restarts: nothing may be lost
+	Cordons           []Cordon    `json:"HeldNodes"`
 	Faults            []Fault
 	Incarnations      []Incarnation              `json:"Lives"`
-	ConnectionEnds    map[string][]time.Duration `json:"ConnEnds"` // when whoever sent on a connection ended it, which the node may not see; by its address, in order
-	Ended             time.Duration              // when recording ended, 0: it goes on
-	LoadLevels        []LoadLevels               `json:"Levels"`  // of overload
-	Slowdowns         []Slowdown                 `json:"Slows"`   // of all nodes
-	DrainResults      []DrainResult              `json:"Emptied"` // drains of ingresses by operators
-	IngressViolations []IngressViolations        `json:"Counted"` // by ingresses, of rules that they broke
-	MaxLateness       time.Duration              `json:"Late"`    // the worst lateness of the laboratory itself
+	ConnectionEnds    map[string][]time.Duration `json:"ConnEnds"` // when the sender ended a connection, which the backend may not notice; by its address, in order
+	Ended             time.Duration              // end of the recording; 0: it goes on
+	LoadLevels        []LoadLevels               `json:"Levels"`
+	Slowdowns         []Slowdown                 `json:"Slows"`
+	DrainResults      []DrainResult              `json:"Emptied"`
+	IngressViolations []IngressViolations        `json:"Counted"`
+	MaxLateness       time.Duration              `json:"Late"` // of the testbed itself
 }
 
-// NewHistory starts an empty history by the machine's clock.
+// NewHistory returns an empty history that starts now, by the machine's clock.
 func NewHistory() *History {
 	start := time.Now()
 	return NewHistoryWithClock(func() time.Duration { return time.Since(start) })
 }
 
-// ResetClock counts time from 0 again, before anything but lives of nodes was recorded.
+// NewHistoryWithClock returns an empty history with another clock, which counts from 0.
+func NewHistoryWithClock(clock func() time.Duration) *History {
+	return &History{clock: clock, ConnectionEnds: map[string][]time.Duration{}}
+}
+
+// ResetClock starts the machine's clock at 0 again. Nothing but incarnations may have been recorded.
 func (h *History) ResetClock() {
 	start := time.Now()
 	h.locked(func() { h.clock = func() time.Duration { return time.Since(start) } })
 }
 
-// NewHistoryWithClock starts an empty history by another clock, which counts from 0.
-func NewHistoryWithClock(clock func() time.Duration) *History {
-	return &History{clock: clock, ConnectionEnds: map[string][]time.Duration{}}
-}
-
-// Now is the time since the history's start.
+// Now returns the time since the history's start; of a history that was read, the time of its end.
 func (h *History) Now() time.Duration {
 	if h.clock == nil {
 		return h.Ended
@@ -147,27 +63,33 @@
 	return h.clock()
 }
 
+// Lock stops the recording until the function that it returns is called.
+func (h *History) Lock() (unlock func()) {
+	h.mu.Lock()
+	return h.mu.Unlock
+}
+
 func (h *History) locked(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
 }
 
-// AddIncarnation records the start of a node and returns its place.
-func (h *History) AddIncarnation(l Incarnation) (n int) {
+// AddIncarnation records the start of a backend and returns its index.
+func (h *History) AddIncarnation(incarnation Incarnation) (index int) {
 	h.locked(func() {
-		n = len(h.Incarnations)
-		h.Incarnations = append(h.Incarnations, l)
+		index = len(h.Incarnations)
+		h.Incarnations = append(h.Incarnations, incarnation)
 	})
-	return n
+	return index
 }
 
-// IncarnationCrashed records that a node fell over.
-func (h *History) IncarnationCrashed(life int) {
-	h.locked(func() { h.Incarnations[life].CrashedAt = h.Now() })
+// IncarnationCrashed records that a backend crashed under load.
+func (h *History) IncarnationCrashed(index int) {
+	h.locked(func() { h.Incarnations[index].CrashedAt = h.Now() })
 }
 
-// AttemptReceived records an attempt whose last byte has come now.
+// AttemptReceived records an attempt whose last byte has arrived.
 func (h *History) AttemptReceived(attempt *Attempt) {
 	h.locked(func() {
 		attempt.At = h.Now()
@@ -175,201 +97,221 @@
 	})
 }
 
-// AttemptStarted records that an attempt's work was begun.
-func (h *History) AttemptStarted(attempt *Attempt, work float64, repeat bool) {
-	h.locked(func() { attempt.Started, attempt.KnownKey, attempt.Work = true, repeat, work })
+// AttemptStarted records that the backend began an attempt's work, in core seconds.
+func (h *History) AttemptStarted(attempt *Attempt, work float64, knownKey bool) {
+	h.locked(func() { attempt.Started, attempt.KnownKey, attempt.Work = true, knownKey, work })
 }
 
-// SetAttemptWork records the work that an attempt stands for.
+// SetAttemptWork records the work that an attempt stands for, in core seconds.
 func (h *History) SetAttemptWork(attempt *Attempt, work float64) {
 	h.locked(func() { attempt.Work = work })
 }
 
-// AttemptAnswered records that a node has written its answer.
+// AttemptAnswered records that the backend has written its answer.
 func (h *History) AttemptAnswered(attempt *Attempt) {
 	h.locked(func() { attempt.AnsweredAt = h.Now() })
 }
 
-// AttemptEnded records the end of an attempt at its node.
-func (h *History) AttemptEnded(attempt *Attempt, how string) {
-	h.locked(func() { attempt.End, attempt.Outcome = h.Now(), how })
+// AttemptEnded records the end of an attempt at its backend.
+func (h *History) AttemptEnded(attempt *Attempt, outcome string) {
+	h.locked(func() { attempt.End, attempt.Outcome = h.Now(), outcome })
 }
 
-// ConnectionEnded records that whoever sent on a connection has ended it.
+// ConnectionEnded records that the sender on a connection has ended it.
 func (h *History) ConnectionEnded(conn string) {
 	h.locked(func() { h.ConnectionEnds[conn] = append(h.ConnectionEnds[conn], h.Now()) })
 }
 
-// NodeNotified records that a party was told of a node's state.
-func (h *History) NodeNotified(party, node, state string) { h.NodeStartNotified(party, node, state, 0) }
-
-// NodeStartNotified is Tell of one start of a node.
-func (h *History) NodeStartNotified(party, node, state string, start int64) {
-	h.locked(func() { h.Notices = append(h.Notices, Notice{party, node, state, h.Now(), start}) })
+// RequestSent records a request.
+func (h *History) RequestSent(request *Request) {
+	h.locked(func() { h.Requests = append(h.Requests, request) })
 }
 
-// SetCordon records that operators hold a node at a party from now on, or do not any more.
-func (h *History) SetCordon(party, node string, on bool) {
+// RequestAnswered records a complete answer; with ConnectionLost the end of the connection, with Disconnected that the client
+// closed it. The first result counts.
+func (h *History) RequestAnswered(request *Request, result Result) {
 	h.locked(func() {
-		if on {
-			h.Cordons = append(h.Cordons, Cordon{Party: party, Node: node, From: h.Now()})
-			return
+		if result != ConnectionLost && result != Disconnected {
+			request.Answers++
 		}
-		for i := range h.Cordons {
-			if x := &h.Cordons[i]; x.Party == party && x.Node == node && x.To == 0 {
-				x.To = h.Now()
+		if request.Result == Pending {
+			request.Result = result
+			request.AnsweredAt = h.Now()
+			if result == Disconnected {
+				request.DisconnectedAt = request.AnsweredAt
 			}
 		}
 	})
 }
 
-// AddReplacement records that a forwarder's program was replaced beside itself.
-func (h *History) AddReplacement(f int, from, to time.Duration) {
-	h.locked(func() { h.Replacements = append(h.Replacements, Outage{f, from, to}) })
+// HasResult reports whether a request has that result by now.
+func (h *History) HasResult(request *Request, result Result) (has bool) {
+	h.locked(func() { has = request.Result == result })
+	return has
 }
 
-// ViewCheck is one comparison of all parties' views with the truth, after a fault was mended.
-type ViewCheck struct {
-	Fault       string        `json:"After"` // the fault
-	At          time.Duration // of its end
-	Convergence time.Duration `json:"Took"`  // until all were equal
-	Mismatch    string        `json:"Wrong"` // what did not come to be equal in time, "" if all did
+// NodeNotified records that an observer was notified of a node's state.
+func (h *History) NodeNotified(observer, node, state string) {
+	h.NodeStartNotified(observer, node, state, 0)
 }
 
-// AddViewCheck records a comparison.
-func (h *History) AddViewCheck(v ViewCheck) {
-	h.locked(func() { h.ViewChecks = append(h.ViewChecks, v) })
+// NodeStartNotified records that an observer was notified of the state of one incarnation of a node, by its start in Unix
+// milliseconds.
+func (h *History) NodeStartNotified(observer, node, state string, startMS int64) {
+	h.locked(func() { h.Notices = append(h.Notices, Notice{observer, node, state, h.Now(), startMS}) })
 }
 
-// SourceOutage is a time in which a party could hear nothing of a source.
-type SourceOutage struct {
-	Party, Source string
-	From, To      time.Duration // To 0: it goes on
+// KnownNodes returns the nodes that an observer was notified of and that are not terminated as far as it knows, with the start
+// of each in Unix milliseconds.
+func (h *History) KnownNodes(observer string) map[string]int64 {
+	last := map[string]int64{}
+	h.locked(func() {
+		for _, notice := range h.Notices {
+			if notice.Observer != observer {
+				continue
+			}
+			if last[notice.Node] = notice.StartMS; notice.State == stateTerminated {
+				delete(last, notice.Node)
+			}
+		}
+	})
+	return last
+}
+
+// LastStates returns the last state of each node that an observer was notified of.
+func (h *History) LastStates(observer string) map[string]string {
+	last := map[string]string{}
+	h.locked(func() {
+		for _, notice := range h.Notices {
+			if notice.Observer == observer {
+				last[notice.Node] = notice.State
+			}
+		}
+	})
+	return last
 }
 
-// SourceChanged records that a source holds a node to stand so from now on.
-func (h *History) SourceChanged(source, node, state string, start int64) {
-	h.locked(func() { h.SourceStates = append(h.SourceStates, Notice{source, node, state, h.Now(), start}) })
+// SourceChanged records the state of a node that a source of membership holds from now on; startMS as in NodeStartNotified.
+func (h *History) SourceChanged(source, node, state string, startMS int64) {
+	h.locked(func() { h.SourceStates = append(h.SourceStates, Notice{source, node, state, h.Now(), startMS}) })
 }
 
-// BeginSourceOutage records that parties can hear nothing of a source from now on, until the function that it returns is called.
-func (h *History) BeginSourceOutage(source string, parties []string) (end func()) {
+// BeginSourceOutage records that observers can't reach a source from now on, until end is called.
+func (h *History) BeginSourceOutage(source string, observers []string) (end func()) {
 	from := 0
 	h.locked(func() {
 		from = len(h.SourceOutages)
-		for _, p := range parties {
-			h.SourceOutages = append(h.SourceOutages, SourceOutage{p, source, h.Now(), 0})
+		for _, observer := range observers {
+			h.SourceOutages = append(h.SourceOutages, SourceOutage{observer, source, h.Now(), 0})
 		}
 	})
 	return func() {
 		h.locked(func() {
-			for i := range parties {
+			for i := range observers {
 				h.SourceOutages[from+i].To = h.Now()
 			}
 		})
 	}
 }
 
-// KnownNodes are the nodes that a party was told of and that are not gone as far as it knows, with the start of each.
-func (h *History) KnownNodes(party string) map[string]int64 {
-	last := map[string]int64{}
-	h.locked(func() {
-		for _, t := range h.Notices {
-			if t.Party != party {
-				continue
-			}
-			if last[t.Node] = t.StartMS; t.State == "terminated" {
-				delete(last, t.Node)
-			}
-		}
-	})
-	return last
+// AddViewCheck records a comparison of views.
+func (h *History) AddViewCheck(v ViewCheck) {
+	h.locked(func() { h.ViewChecks = append(h.ViewChecks, v) })
 }
 
-// LastStates is the state of each node as a party was last told it.
-func (h *History) LastStates(party string) map[string]string {
-	last := map[string]string{}
+// SetCordon records that operators cordon a node at an ingress from now on, or uncordon it.
+func (h *History) SetCordon(ingress, node string, on bool) {
 	h.locked(func() {
-		for _, t := range h.Notices {
-			if t.Party == party {
-				last[t.Node] = t.State
+		if on {
+			h.Cordons = append(h.Cordons, Cordon{Ingress: ingress, Node: node, From: h.Now()})
+			return
+		}
+		for i := range h.Cordons {
+			if c := &h.Cordons[i]; c.Ingress == ingress && c.Node == node && c.To == 0 {
+				c.To = h.Now()
 			}
 		}
 	})
-	return last
 }
 
-// RequestSent records a try.
-func (h *History) RequestSent(request *Request) {
-	h.locked(func() { h.Requests = append(h.Requests, request) })
+// AddReplacement records a hot restart of a forwarder.
+func (h *History) AddReplacement(forwarder int, from, to time.Duration) {
+	h.locked(func() { h.Replacements = append(h.Replacements, Outage{forwarder, from, to}) })
+}
+
+// AddRestart records an orderly end and start of a forwarder: it has to answer what it had accepted, and is notified of all
+// nodes anew.
+func (h *History) AddRestart(forwarder int, from, to time.Duration) {
+	h.locked(func() { h.Restarts = append(h.Restarts, Outage{forwarder, from, to}) })
 }
 
-// RequestAnswered records a whole answer, or with Broken the end of the connection, with Left that the client hung up.
-func (h *History) RequestAnswered(request *Request, r Result) {
+// AddOutage records that a forwarder was killed or paused.
+func (h *History) AddOutage(forwarder int, from, to time.Duration) {
+	h.locked(func() { h.Outages = append(h.Outages, Outage{forwarder, from, to}) })
+}
+
+// AddFault records a fault that the testbed injected.
+func (h *History) AddFault(what string) {
+	h.locked(func() { h.Faults = append(h.Faults, Fault{h.Now(), what}) })
+}
+
+// BeginPeerFault records that messages between ingresses are lost from now on, until end is called.
+func (h *History) BeginPeerFault(sides int, lossRate float64) (end func()) {
+	n := 0
 	h.locked(func() {
-		if r != ConnectionLost && r != Disconnected {
-			request.Answers++
-		}
-		if request.Result == Pending {
-			request.Result = r
-			request.AnsweredAt = h.Now()
-			if r == Disconnected {
-				request.DisconnectedAt = request.AnsweredAt
-			}
-		}
+		n = len(h.PeerFaults)
+		h.PeerFaults = append(h.PeerFaults, PeerFault{From: h.Now(), Sides: sides, LossRate: lossRate})
 	})
+	return func() { h.locked(func() { h.PeerFaults[n].To = h.Now() }) }
 }
 
-// HasResult tells whether a try stands so by now.
-func (h *History) HasResult(request *Request, r Result) (is bool) {
-	h.locked(func() { is = request.Result == r })
-	return is
+// BeginSlowdown records that every backend is slower by a factor from now on, until end is called.
+func (h *History) BeginSlowdown(factor float64) (end func()) {
+	n := 0
+	h.locked(func() {
+		n = len(h.Slowdowns)
+		h.Slowdowns = append(h.Slowdowns, Slowdown{From: h.Now(), Factor: factor})
+	})
+	return func() { h.locked(func() { h.Slowdowns[n].To = h.Now() }) }
 }
 
-// AddRestart records that a forwarder was ended in order and came back: it owes what it had taken all the same, but is told
-// the list of nodes anew.
-func (h *History) AddRestart(f int, from, to time.Duration) {
-	h.locked(func() { h.Restarts = append(h.Restarts, Outage{f, from, to}) })
+// AddLoadLevels records the load-shedding levels as they are now.
+func (h *History) AddLoadLevels(values []float64) {
+	h.locked(func() { h.LoadLevels = append(h.LoadLevels, LoadLevels{h.Now(), values}) })
 }
 
-// AddFault records something that the laboratory did.
-func (h *History) AddFault(what string) {
-	h.locked(func() { h.Faults = append(h.Faults, Fault{h.Now(), what}) })
+// AddDrainResult records the state of a drain whose allowed time ends now.
+func (h *History) AddDrainResult(d DrainResult) {
+	h.locked(func() {
+		d.At = h.Now()
+		h.DrainResults = append(h.DrainResults, d)
+	})
 }
 
-// AddOutage records that a forwarder was down.
-func (h *History) AddOutage(f int, from, to time.Duration) {
-	h.locked(func() { h.Outages = append(h.Outages, Outage{f, from, to}) })
+// AddIngressViolations records the broken rules that an ingress counted itself.
+func (h *History) AddIngressViolations(v IngressViolations) {
+	h.locked(func() { h.IngressViolations = append(h.IngressViolations, v) })
 }
 
-// ObserveLateness records how late the laboratory itself was.
+// ObserveLateness records how late the testbed itself was.
 func (h *History) ObserveLateness(d time.Duration) {
 	h.locked(func() { h.MaxLateness = max(h.MaxLateness, d) })
 }
 
-// Lock stops the recording for as long as an auditor reads.
-func (h *History) Lock() func() {
-	h.mu.Lock()
-	return h.mu.Unlock
-}
-
-// PartyName is the roster's name of a forwarder.
-func PartyName(forwarder int) string { return fmt.Sprint("f", forwarder) }
-
-// record is what a file holds: all that it takes to judge a run again.
+// record is the stored form of a run: all that Check needs.
 type record struct {
 	Rules   Config
 	History *History
 }
 
-// WriteHistory keeps a run for Read.
+// WriteHistory stores a run for ReadHistory, and ends the recording.
 func WriteHistory(w io.Writer, h *History, cfg Config) error {
 	defer h.Lock()()
 	h.Ended = h.Now()
 	return json.NewEncoder(w).Encode(record{cfg, h})
 }
 
-// ReadHistory takes back what Write kept.
+// ReadHistory reads what WriteHistory stored.
 func ReadHistory(r io.Reader) (*History, Config, error) {
 	rec := record{History: &History{}}
 	if err := json.NewDecoder(r).Decode(&rec); err != nil {
--- a/internal/testbed/oracle/levels.go
+++ b/internal/testbed/oracle/levels.go
@@ -3,77 +3,74 @@
 import (
 	"math"
 	"slices"
-	"time"
 )
 
-// LoadLevels are what ingresses, or cells, hold of overload at one time: 0 to 1 each, below 0 where it is not known.
-type LoadLevels struct {
-	At     time.Duration
-	Values []float64 `json:"Of"`
-}
-
-// AddLoadLevels records levels as they are now.
-func (h *History) AddLoadLevels(of []float64) {
-	h.locked(func() { h.LoadLevels = append(h.LoadLevels, LoadLevels{h.Now(), of}) })
-}
+const (
+	settlingS    = 3.0 // seconds after the begin of a peak until levels are expected to agree
+	reversalStep = 0.1 // change of the median level that counts in LevelSpread.ReversalsPerMinute
+)
 
-// LevelSpread is how well a fleet holds one level, from settlingS after the beginning of a peak to its end.
+// LevelSpread is how well the load-shedding levels of a fleet agree, from settlingS after the begin of a peak to its end.
 type LevelSpread struct {
-	DetectionS         float64 `json:"Known"` // seconds from the peak's beginning until nine in ten hold at least half of the level that it comes to; below 0: never
-	Median             float64 `json:"Level"` // the median, in the mean over time
-	Spread             float64 // between the tenth and the ninetieth in a hundred, in the mean over time
+	DetectionS         float64 `json:"Known"` // seconds from the begin of the peak until 9 of 10 have at least half of Median; below 0: never
+	Median             float64 `json:"Level"` // mean over time
+	Spread             float64 // between the 10th and the 90th percentile, mean over time
 	Swing              float64 // between the lowest and the highest median
-	ReversalsPerMinute float64 `json:"Turns"` // a minute, by which the median changes its direction by more than a tenth
+	ReversalsPerMinute float64 `json:"Turns"` // changes of direction of the median, by more than reversalStep
 }
 
-const settlingS = 3.0
-
-func quantile(list []float64, q float64) float64 {
-	return list[min(int(q*float64(len(list))), len(list)-1)]
+// quantile returns a quantile, 0 to 1, of a sorted list that is not empty.
+func quantile(sorted []float64, q float64) float64 {
+	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// measureSpread works out how one the fleet's levels were; nil where none were recorded in the peak.
-func measureSpread(levels []LoadLevels, peak Peak) *LevelSpread {
-	type moment struct{ at, low, middle, high float64 }
-	var list []moment
-	for _, x := range levels {
-		known := slices.DeleteFunc(slices.Clone(x.Values), func(l float64) bool { return l < 0 })
-		if len(known) == 0 || x.At < peak.From || x.At > peak.To {
+// levelQuantiles are the 10th, 50th and 90th percentiles of the known levels, at a time in seconds after the begin of the peak.
+type levelQuantiles struct{ at, low, median, high float64 }
+
+// quantilesOf returns the quantiles of the levels that were recorded in the peak.
+func quantilesOf(levels []LoadLevels, peak Peak) (list []levelQuantiles) {
+	for _, l := range levels {
+		known := slices.DeleteFunc(slices.Clone(l.Values), func(level float64) bool { return level < 0 })
+		if len(known) == 0 || l.At < peak.From || l.At > peak.To {
 			continue
 		}
 		slices.Sort(known)
-		list = append(list, moment{(x.At - peak.From).Seconds(), quantile(known, 0.1), quantile(known, 0.5), quantile(known, 0.9)})
+		list = append(list, levelQuantiles{(l.At - peak.From).Seconds(), quantile(known, 0.1), quantile(known, 0.5), quantile(known, 0.9)})
 	}
+	return list
+}
+
+// measureSpread returns how well levels agree in the peak; nil if none were recorded in it after settlingS.
+func measureSpread(levels []LoadLevels, peak Peak) *LevelSpread {
+	list := quantilesOf(levels, peak)
 	s := LevelSpread{DetectionS: -1}
-	n, low, high := 0.0, math.Inf(1), math.Inf(-1)
-	from, turns := math.NaN(), 0.0
-	up := 0.0
-	for _, m := range list {
-		if m.at < settlingS {
+	n, lowest, highest := 0.0, math.Inf(1), math.Inf(-1)
+	last, lastChange, reversals := math.NaN(), 0.0, 0.0
+	for _, q := range list {
+		if q.at < settlingS {
 			continue
 		}
 		n++
-		s.Median += m.middle
-		s.Spread += m.high - m.low
-		low, high = min(low, m.middle), max(high, m.middle)
-		if d := m.middle - from; math.IsNaN(from) || math.Abs(d) > 0.1 {
-			if d*up < 0 {
-				turns++
-			}
-			if !math.IsNaN(from) {
-				up = d
+		s.Median += q.median
+		s.Spread += q.high - q.low
+		lowest, highest = min(lowest, q.median), max(highest, q.median)
+		if math.IsNaN(last) {
+			last = q.median
+		} else if change := q.median - last; math.Abs(change) > reversalStep {
+			if change*lastChange < 0 {
+				reversals++
 			}
-			from = m.middle
+			last, lastChange = q.median, change
 		}
 	}
 	if n == 0 {
 		return nil
 	}
-	s.Median, s.Spread, s.Swing = s.Median/n, s.Spread/n, high-low
-	s.ReversalsPerMinute = turns * 60 / max((peak.To-peak.From).Seconds()-settlingS, 1)
-	for _, m := range list {
-		if m.low >= s.Median/2 {
-			s.DetectionS = m.at
+	s.Median, s.Spread, s.Swing = s.Median/n, s.Spread/n, highest-lowest
+	s.ReversalsPerMinute = reversals * 60 / max((peak.To-peak.From).Seconds()-settlingS, 1)
+	for _, q := range list {
+		if q.low >= s.Median/2 {
+			s.DetectionS = q.at
 			break
 		}
 	}
--- a/internal/testbed/oracle/overload_test.go
+++ b/internal/testbed/oracle/load_test.go
@@ -15,15 +15,15 @@
 var loadClasses = []policy.Class{{Name: "cheap", LatencyObjectiveS: 0.5, DeadlineS: 2, PriorityWeight: 1}, {Name: "dear", LatencyObjectiveS: 1.5, DeadlineS: 4, PriorityWeight: 5}}
 var loadPlans = []policy.Plan{{Name: "large", Rate: 1000, Burst: 1000, Weight: 2}, {Name: "small", Rate: 1000, Burst: 1000, Weight: 1}}
 
-// asked puts tries on a history; those that are served are answered so much after they were sent.
-type askedFor struct {
+// requestSpec is one request of a history; times are in seconds, served from its sending to its answer.
+type requestSpec struct {
 	at, served float64 // served 0: refused
 	class      int
 	plan       int
 	account    string
 }
 
-func loadHistory(end float64, list []askedFor) *History {
+func loadHistory(end float64, list []requestSpec) *History {
 	h := NewHistoryWithClock(func() time.Duration { return duration(end) })
 	h.Incarnations = []Incarnation{{Node: "z1", StartedAt: -time.Hour, Capacity: 1}}
 	for i, x := range list {
@@ -44,16 +44,16 @@
 	return Check(h, Config{Classes: loadClasses, Plans: loadPlans, Overload: true, Peak: peak}).Load
 }
 
-// No schedule on one core that starts requests in the order of their coming, or the dearest first, passes the bound.
+// Guards the bound: no schedule on one core, by order of arrival or by priority weight, exceeds it.
 func TestUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(5, 120).Draw(t, "n")
-		byWorth := rapid.Bool().Draw(t, "dearest first")
-		var list []askedFor
+		byWeight := rapid.Bool().Draw(t, "dearest first")
+		var list []requestSpec
 		at := 0.0
 		for i := range n {
 			at += rapid.Float64Range(0, 0.1).Draw(t, "gap")
-			list = append(list, askedFor{at: at, class: rapid.IntRange(0, 1).Draw(t, "class"), plan: rapid.IntRange(0, 1).Draw(t, "plan"), account: fmt.Sprint(i % 7)})
+			list = append(list, requestSpec{at: at, class: rapid.IntRange(0, 1).Draw(t, "class"), plan: rapid.IntRange(0, 1).Draw(t, "plan"), account: fmt.Sprint(i % 7)})
 		}
 		done := make([]bool, n)
 		for free := 0.0; ; { // one core, 0.1 s each
@@ -62,7 +62,7 @@
 				if done[i] || list[i].at > free || free+0.1 > list[i].at+loadClasses[list[i].class].LatencyObjectiveS {
 					continue
 				}
-				if next < 0 || byWorth && list[i].class > list[next].class {
+				if next < 0 || byWeight && list[i].class > list[next].class {
 					next = i
 				}
 			}
@@ -71,7 +71,7 @@
 				done[next], list[next].served = true, free-list[next].at
 				continue
 			}
-			later := slices.IndexFunc(list, func(x askedFor) bool { return x.at > free })
+			later := slices.IndexFunc(list, func(x requestSpec) bool { return x.at > free })
 			if later < 0 {
 				break
 			}
@@ -83,11 +83,12 @@
 	})
 }
 
-// Where twice as much is asked for as can be done, of one class and plan, the bound is about a half; and it tells apart who is served.
+// Guards the figures: with twice the capacity requested, of one class and plan, the bound is about a half; starved accounts,
+// slow answers and the recovery are told apart.
 func TestReport_MeasureLoad(t *testing.T) {
-	var list []askedFor
+	var list []requestSpec
 	for i := range 400 { // 20 s, 20 a second at 0.1 s of work each on one core
-		x := askedFor{at: 0.05 * float64(i), class: 1, account: "even"}
+		x := requestSpec{at: 0.05 * float64(i), class: 1, account: "even"}
 		if i%2 == 1 {
 			x.account = "odd"
 		} else {
--- a/internal/testbed/oracle/stale_test.go
+++ b/internal/testbed/oracle/membership_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Guards the rule on stale words: what a party can have heard is excused, what nobody held any more is a breach.
+// Guards the rule on stale membership: a state that an observer can still hold is allowed, one that no source holds any more is a
+// violation.
 func TestReport_CheckMembership(t *testing.T) {
 	s := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 	base := func() *History {
--- a/internal/testbed/oracle/print.go
+++ b/internal/testbed/oracle/print.go
@@ -9,6 +9,13 @@
 	"strings"
 )
 
+// The most entries that Print lists.
+const (
+	maxPrintedOvershoots = 3
+	maxPrintedViolations = 12
+)
+
+// formatMap formats each key and value of m, in order of the keys.
 func formatMap[V any](m map[string]V, format string) string {
 	var list []string
 	for _, k := range slices.Sorted(maps.Keys(m)) {
@@ -17,16 +24,16 @@
 	return strings.Join(list, ", ")
 }
 
-// Print writes a report for people: what a verdict rests on first.
+// Print writes the report as text: figures, rules, occasions, violations, verdict.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "tries %d: served %d, refused %d, failed %d, broken %d, left by their clients %d, open %d; attempts %d\n", r.Requests, r.Results[Served],
 		r.Results[Rejected], r.Results[Failed], r.Results[ConnectionLost], r.Results[Disconnected], r.Results[Pending], r.Attempts)
 	fmt.Fprintf(w, "service %.3f (%s; %s)\n", r.Service, formatMap(r.ServiceByPlan, "%s %.3f"), formatMap(r.ServiceByClass, "%s %.3f"))
 	lost, worst := 0.0, 1.0
-	for _, x := range r.ServiceBySecond {
-		if x >= 0 {
-			lost += 1 - x
-			worst = min(worst, x)
+	for _, service := range r.ServiceBySecond {
+		if service >= 0 {
+			lost += 1 - service
+			worst = min(worst, service)
 		}
 	}
 	fmt.Fprintf(w, "accounts inside their quotas: %.2f seconds of service lost, the worst second at %.3f\n", lost, worst)
@@ -34,33 +41,14 @@
 		r.Load.Print(w)
 	}
 	fmt.Fprintf(w, "further attempts: %s\n", formatMap(r.Retries, "%s %d"))
-	for i, o := range r.Overshoots {
-		if i == 3 {
-			break
-		}
+	for _, o := range r.Overshoots[:min(len(r.Overshoots), maxPrintedOvershoots)] {
 		fmt.Fprintf(w, "overshoot %s %s: %.1f units, %.1f%% of the burst, at %.1f s\n", o.Account, o.Plan, o.Units, o.Percent, o.At.Seconds())
 	}
 	fmt.Fprintf(w, "beyond quotas: costs %.3f of the worth asked for inside, %.3f under a policy that sees all %.1f s late\n", r.OverQuotaCost.Actual, r.OverQuotaCost.Delayed, delayedViewS)
 	fmt.Fprintf(w, "nearest to what is allowed (1: at it): %s\n", formatMap(r.Utilization, "%s %.2f"))
-	fmt.Fprintf(w, "%-18s %9s %9s %9s\n", "rule", "breaches", "occasions", "floor")
-	for _, rule := range RuleNames {
-		seen := fmt.Sprint(r.Occasions[rule])
-		if r.Occasions[rule] == 0 {
-			seen = "not seen"
-		}
-		fmt.Fprintf(w, "%-18s %9d %9s %9d\n", rule, r.ViolationCounts[rule], seen, r.minOccasions[rule])
-	}
-	var kinds []string
-	for what, n := range r.OccasionDetails {
-		kinds = append(kinds, fmt.Sprintf("  %s: %d\n", what, n))
-	}
-	sort.Strings(kinds)
-	fmt.Fprint(w, strings.Join(kinds, ""))
-	for i, b := range r.Violations {
-		if i == 12 {
-			break
-		}
-		fmt.Fprintf(w, "  %8.3f %s: %s\n", b.At.Seconds(), b.Rule, b.Detail)
+	r.printRules(w)
+	for _, v := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
+		fmt.Fprintf(w, "  %8.3f %s: %s\n", v.At.Seconds(), v.Rule, v.Detail)
 	}
 	if err := r.Verdict(); err != nil {
 		fmt.Fprintf(w, "verdict: %v\n", err)
@@ -68,3 +56,21 @@
 		fmt.Fprintln(w, "verdict: the rules hold")
 	}
 }
+
+// printRules writes the counts of each rule, then the occasions in detail.
+func (r *Report) printRules(w io.Writer) {
+	fmt.Fprintf(w, "%-18s %9s %9s %9s\n", "rule", "breaches", "occasions", "floor")
+	for _, rule := range RuleNames {
+		occasions := fmt.Sprint(r.Occasions[rule])
+		if r.Occasions[rule] == 0 {
+			occasions = "not seen"
+		}
+		fmt.Fprintf(w, "%-18s %9d %9s %9d\n", rule, r.ViolationCounts[rule], occasions, r.minOccasions[rule])
+	}
+	var details []string
+	for name, n := range r.OccasionDetails {
+		details = append(details, fmt.Sprintf("  %s: %d\n", name, n))
+	}
+	sort.Strings(details)
+	fmt.Fprint(w, strings.Join(details, ""))
+}
--- a/internal/testbed/simulation/hands.go
+++ b/internal/testbed/simulation/hands.go
@@ -20,13 +20,13 @@
 		if yes {
 			s.Held++
 			for f := range s.fwds {
-				s.Hist.SetCordon(oracle.PartyName(f), n.id, true)
+				s.Hist.SetCordon(oracle.IngressName(f), n.id, true)
 			}
 		}
 		s.after(2*x.For.Seconds(), func() {
 			if yes {
 				for f := range s.fwds {
-					s.Hist.SetCordon(oracle.PartyName(f), n.id, false)
+					s.Hist.SetCordon(oracle.IngressName(f), n.id, false)
 				}
 			}
 			s.release(x.B+1, n.id)
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -567,7 +567,7 @@
 	if !f.runs() {
 		return
 	}
-	f.s.Hist.NodeNotified(oracle.PartyName(f.n), n.id, stateNames[state])
+	f.s.Hist.NodeNotified(oracle.IngressName(f.n), n.id, stateNames[state])
 	f.up[n.id] = state
 	if f.gate != nil {
 		f.do(func() { f.gate.UpdateBackends(f.now(), []policy.Backend{n.entry(f.clock, state)}, false) })
--- a/internal/testbed/soakfaults.go
+++ b/internal/testbed/soakfaults.go
@@ -124,7 +124,7 @@
 			f.Hist.AddFault("log of " + p.Name + ": " + err.Error())
 			continue
 		}
-		c := oracle.IngressViolations{Party: p.Name}
+		c := oracle.IngressViolations{Ingress: p.Name}
 		for line := range bytes.Lines(text) {
 			if bytes.Contains(line, []byte(`msg="rule broken"`)) {
 				c.Lines = append(c.Lines, strings.TrimSpace(string(line)))
