--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -87,7 +87,7 @@
 	if err != nil || report == nil || report.Void != "" {
 		return nil, err
 	}
-	return report.Counts, nil
+	return report.ViolationCounts, nil
 }
 
 // labRun does what testbed lab is asked for. Its report is nil where that was a measurement.
@@ -199,7 +199,7 @@
 			return err
 		}
 		cost.Print(out, size)
-		if len(report.Breaches) > 0 {
+		if len(report.Violations) > 0 {
 			report.Print(out)
 		}
 	}
@@ -228,10 +228,10 @@
 		for _, process := range list {
 			cpu += process.CPU()
 		}
-		return cpu.Seconds() * 1e6 / math.Max(float64(report.Tries), 1)
+		return cpu.Seconds() * 1e6 / math.Max(float64(report.Requests), 1)
 	}
 	fmt.Fprintf(out, "CPU a try: forwarders %.0f us, planners %.0f us; the laboratory was %v late at worst\n", microsecondsATry(fleet.Forwarders),
-		microsecondsATry(fleet.Planners), fleet.Hist.Late.Round(time.Millisecond))
+		microsecondsATry(fleet.Planners), fleet.Hist.MaxLateness.Round(time.Millisecond))
 	return report, nil
 }
 
