--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -81,8 +81,8 @@
 	return report.Verdict()
 }
 
-// playKept runs what a kept run's arguments say and returns its breaches by rule.
-func playKept(args []string) (map[string]int, error) {
+// playRecorded runs what a kept run's arguments say and returns its breaches by rule.
+func playRecorded(args []string) (map[string]int, error) {
 	report, err := labRun(args, io.Discard)
 	if err != nil || report == nil || report.Void != "" {
 		return nil, err
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -44,7 +44,7 @@
 		}
 		return testbed.RunIngress(rest[0])
 	case "judge":
-		return judge(rest)
+		return checkRecorded(rest)
 	case "shrink":
 		return shrink(rest)
 	case "sim":
--- a/cmd/testbed/overload.go
+++ b/cmd/testbed/overload.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sc := testbed.Scenario{Length: p.length, NodesAsked: p.nodes, FleetConfig: testbed.FleetConfig{Forwarders: p.ingresses, Planners: p.planners, Nodes: p.nodes, Classes: testbed.LabClasses, Plans: testbed.LabPlans,
+	sc := testbed.Scenario{Length: p.length, NodeCount: p.nodes, FleetConfig: testbed.FleetConfig{Forwarders: p.ingresses, Planners: p.planners, Nodes: p.nodes, Classes: testbed.LabClasses, Plans: testbed.LabPlans,
 		Node: testbed.LabNode, Seed: seed, Dir: dir, Spawn: spawner(self)}}
 	if p.cfg.Enabled {
 		sc.Operator = "[overload]\non = true\n"
--- a/cmd/testbed/runs.go
+++ b/cmd/testbed/runs.go
@@ -13,14 +13,14 @@
 	"eiderspread/internal/testbed/simulation"
 )
 
-// kept is what lab -record keeps: the call, the faults, and beside it, in FILE.history, what nodes and clients saw.
-type kept struct {
+// recordedRun is what lab -record keeps: the call, the faults, and beside it, in FILE.history, what nodes and clients saw.
+type recordedRun struct {
 	Args   []string        `json:"args"` // of testbed lab
 	Faults []testbed.Fault `json:"faults"`
 }
 
 func writeRun(path string, set *flag.FlagSet, sc testbed.Scenario, f *testbed.Fleet) error {
-	k := kept{Faults: sc.Faults}
+	k := recordedRun{Faults: sc.Faults}
 	set.Visit(func(x *flag.Flag) {
 		if x.Name != "record" && x.Name != "dir" && x.Name != "replay" {
 			k.Args = append(k.Args, "-"+x.Name+"="+x.Value.String())
@@ -48,7 +48,7 @@
 	return oracle.WriteHistory(out, f.Hist, rules)
 }
 
-func readRun(path string) (k kept, err error) {
+func readRun(path string) (k recordedRun, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return k, err
@@ -59,8 +59,8 @@
 	return k, nil
 }
 
-// judge judges a kept run again.
-func judge(args []string) error {
+// checkRecorded judges a kept run again.
+func checkRecorded(args []string) error {
 	if len(args) != 1 {
 		return fmt.Errorf("judge wants one file of lab -record")
 	}
@@ -114,12 +114,12 @@
 	defer os.RemoveAll(dir)
 	file := filepath.Join(dir, "run")
 	left := simulation.Shrink(k.Faults, func(list []testbed.Fault) bool {
-		text, _ := json.Marshal(kept{Faults: list})
+		text, _ := json.Marshal(recordedRun{Faults: list})
 		if os.WriteFile(file, text, 0o600) != nil {
 			return false
 		}
 		for range *runs {
-			if counts, err := playKept(append(k.Args, "-replay="+file)); err == nil && counts[rule] > 0 {
+			if counts, err := playRecorded(append(k.Args, "-replay="+file)); err == nil && counts[rule] > 0 {
 				fmt.Printf("%d faults: %s\n", len(list), rule)
 				return true
 			}
--- a/cmd/testbed/sim.go
+++ b/cmd/testbed/sim.go
@@ -150,7 +150,7 @@
 
 func (run *simRun) print() {
 	fmt.Printf("%s, planners %d: %d schedules of %v from seed %d in %v on %d cores: %d tries, %d attempts, %d schedules failed\n", run.scenario,
-		run.planners, run.played(), run.length, run.firstSeed, time.Since(run.began).Round(time.Millisecond), runtime.NumCPU(), run.totals.tries,
+		run.planners, run.played(), run.length, run.firstSeed, time.Since(run.began).Round(time.Millisecond), runtime.NumCPU(), run.totals.requests,
 		run.totals.attempts, len(run.failed))
 	run.totals.print(float64(max(1, run.played())), run.length.Seconds(), float64(max(1, run.size)))
 }
--- a/cmd/testbed/sim_totals.go
+++ b/cmd/testbed/sim_totals.go
@@ -11,11 +11,11 @@
 
 // simTotals sums the reports of schedules.
 type simTotals struct {
-	tries, attempts int
-	handshakes      int // connections opened to backends
-	service         float64
-	byPlan          map[string]float64 // service
-	cost            oracle.OverQuotaCost
+	requests, attempts int
+	handshakes         int // connections opened to backends
+	service            float64
+	byPlan             map[string]float64 // service
+	cost               oracle.OverQuotaCost
 
 	occasions, breaches map[string]int     // by rule
 	nearest             map[string]float64 // worst of all schedules, by bound
@@ -33,7 +33,7 @@
 }
 
 func (t *simTotals) add(report *oracle.Report) {
-	t.tries += report.Requests
+	t.requests += report.Requests
 	t.attempts += report.Attempts
 	t.handshakes += report.Handshakes
 	t.service += report.Service
--- a/internal/membership/agent/etcd_test.go
+++ b/internal/membership/agent/etcd_test.go
@@ -292,7 +292,7 @@
 	}
 	defer link.Close()
 	hist := oracle.NewHistory()
-	ros := testbed.NewRoster(hist)
+	ros := testbed.NewDiscovery(hist)
 	defer ros.Close()
 	addr, err := ros.For("a")
 	if err != nil {
--- a/internal/membership/agent/moves_test.go
+++ b/internal/membership/agent/moves_test.go
@@ -163,7 +163,7 @@
 			t.Fatal(err)
 		}
 		defer link.Close()
-		ros := testbed.NewRoster(oracle.NewHistory())
+		ros := testbed.NewDiscovery(oracle.NewHistory())
 		defer ros.Close()
 		addr, err := ros.For("a")
 		if err != nil {
@@ -220,7 +220,7 @@
 	}
 	defer link.Close()
 	link.Cut()
-	ros := testbed.NewRoster(oracle.NewHistory())
+	ros := testbed.NewDiscovery(oracle.NewHistory())
 	defer ros.Close()
 	addr, err := ros.For("a")
 	if err != nil {
--- a/internal/membership/agent/outage_test.go
+++ b/internal/membership/agent/outage_test.go
@@ -68,14 +68,14 @@
 	}
 	go func() {
 		defer close(done)
-		testbed.NewClients(testbed.Traffic{Accounts: accounts, Classes: cfg.Classes, Shares: map[string]float64{"zone-check": 0.4, "slot-hold": 0.3, "courier-send": 0.3},
+		testbed.NewClients(testbed.Traffic{Accounts: accounts, Classes: cfg.Classes, ClassFractions: map[string]float64{"zone-check": 0.4, "slot-hold": 0.3, "courier-send": 0.3},
 			Units: map[string]int{"zone-check": 1, "slot-hold": 1, "courier-send": 1}, Seed: 1}, f.Hist, f.Front).Run(ctx)
 	}()
 	time.Sleep(2 * time.Second)
 	set := func(n *testbed.Node, state string) {
 		switch {
 		case e == nil:
-			f.Roster.Set(discovery.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: "a", State: state, Weight: 1})
+			f.Discovery.Set(discovery.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: "a", State: state, Weight: 1})
 		case state == "in_service":
 			e.del("drain/" + n.ID)
 		default:
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -37,15 +37,15 @@
 
 // Traffic is what Clients send.
 type Traffic struct {
-	Accounts []Account
-	Classes  []policy.Class
-	Shares   map[string]float64 // of the requests, by class
-	Units    map[string]int     // by class
-	Retries  int                // of a client, after its first try
-	HangUps  float64            // share of the tries whose client hangs up at a random moment
-	Batches  float64            // share of the requests that go out in threes on one connection
-	Rude     int                // clients that send what they should not
-	Seed     uint64
+	Accounts       []Account
+	Classes        []policy.Class
+	ClassFractions map[string]float64 // of the requests, by class
+	Units          map[string]int     // by class
+	Retries        int                // of a client, after its first try
+	HangUps        float64            // share of the tries whose client hangs up at a random moment
+	Batches        float64            // share of the requests that go out in threes on one connection
+	Misbehaving    int                // clients that send what they should not
+	Seed           uint64
 }
 
 // Clients stand in for restaurants' programs: each account asks by chance at its rate, each request on a connection
@@ -67,12 +67,12 @@
 
 type clientConn struct {
 	net.Conn
-	r         *bufio.Reader
-	idleAt    time.Time
-	life      int  // of the forwarder's program
-	used      bool // it has carried a request before
-	forwarder int
-	of        *Clients
+	reader      *bufio.Reader
+	idleAt      time.Time
+	incarnation int  // of the forwarder's program
+	used        bool // it has carried a request before
+	forwarder   int
+	clients     *Clients
 
 	// Under the Clients' lock.
 	sentAt time.Time // the last request
@@ -81,16 +81,16 @@
 
 // Close ends the connection.
 func (k *clientConn) Close() error {
-	k.of.mu.Lock()
-	delete(k.of.open, k)
-	k.of.mu.Unlock()
+	k.clients.mu.Lock()
+	delete(k.clients.open, k)
+	k.clients.mu.Unlock()
 	return k.Conn.Close()
 }
 
-// waits notes that a request has gone out on it, or that all are answered.
-func (k *clientConn) waits(awaits bool) {
-	k.of.mu.Lock()
-	defer k.of.mu.Unlock()
+// setAwaiting notes that a request has gone out on it, or that all are answered.
+func (k *clientConn) setAwaiting(awaits bool) {
+	k.clients.mu.Lock()
+	defer k.clients.mu.Unlock()
 	if k.awaits = awaits; awaits {
 		k.sentAt = time.Now()
 	}
@@ -110,8 +110,8 @@
 	return ended || err != nil
 }
 
-// heldConns returns the connections to a forwarder that break what operators are promised of a drain: idle, or with a request that is younger than recent.
-func (c *Clients) heldConns(forwarder int, recent time.Duration) map[*clientConn]string {
+// overdueConns returns the connections to a forwarder that break what operators are promised of a drain: idle, or with a request that is younger than recent.
+func (c *Clients) overdueConns(forwarder int, recent time.Duration) map[*clientConn]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := map[*clientConn]string{}
@@ -139,7 +139,7 @@
 		return false
 	}
 	_ = k.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
-	_, err := k.r.Peek(1)
+	_, err := k.reader.Peek(1)
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
@@ -166,11 +166,11 @@
 			c.account(ctx, a, rand.New(rand.NewPCG(c.cfg.Seed, uint64(i)+100)))
 		}()
 	}
-	for i := range c.cfg.Rude {
+	for i := range c.cfg.Misbehaving {
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			c.rude(ctx, rand.New(rand.NewPCG(c.cfg.Seed, uint64(i)+1<<20)))
+			c.misbehave(ctx, rand.New(rand.NewPCG(c.cfg.Seed, uint64(i)+1<<20)))
 		}()
 	}
 	c.wg.Wait()
@@ -188,7 +188,7 @@
 // account draws the times of one account's requests ahead of any answer.
 func (c *Clients) account(ctx context.Context, a Account, rng *rand.Rand) {
 	mean := 0.0
-	for class, share := range c.cfg.Shares {
+	for class, share := range c.cfg.ClassFractions {
 		mean += share * float64(c.cfg.Units[class])
 	}
 	began := time.Now()
@@ -215,7 +215,7 @@
 		if a.To > 0 && time.Since(began) > a.To {
 			return
 		}
-		class := ClassOf(a, c.cfg.Classes, c.cfg.Shares, rng.Float64())
+		class := ClassOf(a, c.cfg.Classes, c.cfg.ClassFractions, rng.Float64())
 		key := strconv.FormatUint(rng.Uint64(), 16)
 		batch := rng.Float64() < c.cfg.Batches
 		c.wg.Add(1)
@@ -262,7 +262,7 @@
 		if first == "" {
 			first = id
 		}
-		r, hint := c.try(a, class, c.front.Pick(a), id, first, key, left)
+		r, hint := c.sendRequest(a, class, c.front.Pick(a), id, first, key, left)
 		if r == oracle.Served || r == oracle.ForeignReply || r == oracle.Disconnected || (r == oracle.Failed || r == oracle.ConnectionLost) && class.Idempotency == policy.NonIdempotent {
 			return
 		}
@@ -298,12 +298,12 @@
 		k := list[len(list)-1]
 		c.idle[f] = list[:len(list)-1]
 		c.mu.Unlock()
-		if k.life == c.front.Life(f) && k.open() { // one to an earlier program has ended, whether or not that is seen here
+		if k.incarnation == c.front.Incarnation(f) && k.open() { // one to an earlier program has ended, whether or not that is seen here
 			return k, nil
 		}
 		k.Close()
 	}
-	life := c.front.Life(f)
+	life := c.front.Incarnation(f)
 	if c.front.Leaves(f) {
 		return nil, errLeaves
 	}
@@ -311,7 +311,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &clientConn{Conn: conn, r: bufio.NewReader(conn), life: life, forwarder: f, of: c}
+	k := &clientConn{Conn: conn, reader: bufio.NewReader(conn), incarnation: life, forwarder: f, clients: c}
 	c.mu.Lock()
 	c.open[k] = true
 	c.mu.Unlock()
@@ -369,9 +369,9 @@
 	return oracle.ForeignReply, 0
 }
 
-// try sends one request and reads its answer. On a connection that the forwarder closed between requests, while the same
+// sendRequest sends one request and reads its answer. On a connection that the forwarder closed between requests, while the same
 // program still runs, it is sent once more on a new one.
-func (c *Clients) try(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (oracle.Result, time.Duration) {
+func (c *Clients) sendRequest(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (oracle.Result, time.Duration) {
 	command := c.command(a, class, id, key, left)
 	t := &oracle.Request{ID: id, OriginalID: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
 		Units: float64(c.cfg.Units[class.Name])}
@@ -393,7 +393,7 @@
 			defer timer.Stop()
 		}
 		asked := time.Now()
-		answer, err := k.ask(command)
+		answer, err := k.roundTrip(command)
 		if err == nil {
 			r, hint := result(answer, id)
 			c.hist.RequestAnswered(t, r)
@@ -409,7 +409,7 @@
 			t.NotAccepted = true
 			break
 		}
-		if !k.used || !c.front.Whole(f, k.life, asked) || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !k.used || !c.front.Continuous(f, k.incarnation, asked) || errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
 	}
@@ -438,7 +438,7 @@
 		c.sent(t, left)
 	}
 	_ = k.SetDeadline(time.Now().Add(most + 2*time.Second))
-	k.waits(true)
+	k.setAwaiting(true)
 	_, err = io.WriteString(k, commands.String())
 	for _, t := range tries {
 		var answer string
@@ -455,9 +455,9 @@
 	}
 }
 
-// ask sends a command and returns the value, or the error's line.
-func (k *clientConn) ask(command string) (string, error) {
-	k.waits(true)
+// roundTrip sends a command and returns the value, or the error's line.
+func (k *clientConn) roundTrip(command string) (string, error) {
+	k.setAwaiting(true)
 	if _, err := io.WriteString(k, command); err != nil {
 		return "", err
 	}
@@ -466,7 +466,7 @@
 
 // answer reads one answer.
 func (k *clientConn) answer() (string, error) {
-	line, err := k.r.ReadString('\n')
+	line, err := k.reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "$") {
 		return strings.TrimRight(line, "\r\n"), err
 	}
@@ -475,7 +475,7 @@
 		return "", err
 	}
 	value := make([]byte, n+2)
-	if _, err := io.ReadFull(k.r, value); err != nil {
+	if _, err := io.ReadFull(k.reader, value); err != nil {
 		return "", err
 	}
 	return string(value[:n]), nil
--- a/internal/testbed/etcdfleet/etcdfleet_test.go
+++ b/internal/testbed/etcdfleet/etcdfleet_test.go
@@ -116,7 +116,7 @@
 	if played < 4 || len(f.Hist.ViewChecks) < played-1 {
 		t.Errorf("%d troubles played, %d times current again: the run shows too little", played, len(f.Hist.ViewChecks))
 	}
-	if i := slices.IndexFunc(inOrder, func(x namedTrouble) bool {
+	if i := slices.IndexFunc(inOrder, func(x namedFault) bool {
 		return rig.met[x.name] == 0
 	}); i >= 0 && played == len(inOrder) {
 		t.Errorf("no %s", inOrder[i].name)
--- a/internal/testbed/etcdfleet/faults.go
+++ b/internal/testbed/etcdfleet/faults.go
@@ -16,12 +16,12 @@
 var Kinds = []string{"etcd trouble", "etcd trouble", "etcd trouble", "etcd trouble", "etcd trouble", "etcd trouble", "thousand", "unlisted", "mark", "mark", "mark", "mark", "agent", "agent hup", "drain", "drain", "crash",
 	"late roster", "silent roster", "broken roster", "forwarder", "kill", "sick"}
 
-// trouble is one way in which etcd breaks; it returns what mends it.
-type trouble func(r *Rig, x testbed.Fault) (mend func())
+// faultFunc is one way in which etcd breaks; it returns what mends it.
+type faultFunc func(r *Rig, x testbed.Fault) (mend func())
 
-type namedTrouble struct {
-	name string
-	do   trouble
+type namedFault struct {
+	name   string
+	inject faultFunc
 }
 
 // Troubles are the names of all troubles, as flags word them.
@@ -33,7 +33,7 @@
 }
 
 // inOrder are all troubles; a round picks two.
-var inOrder = []namedTrouble{
+var inOrder = []namedFault{
 	{"cut and compacted", func(r *Rig, x testbed.Fault) func() {
 		mend := r.cut(x.A%2, false)
 		return func() { r.Etcd.CompactAll(); mend() }
@@ -130,7 +130,7 @@
 	var parties []string
 	for _, a := range r.agents {
 		if which(a) {
-			parties = append(parties, a.party)
+			parties = append(parties, a.observer)
 		}
 	}
 	return r.hist.BeginSourceOutage(oracle.EtcdSource, parties)
@@ -168,11 +168,11 @@
 func (r *Rig) round(x testbed.Fault, wait func(time.Duration) bool) {
 	list := inOrder
 	if len(r.Only) > 0 {
-		list = slices.DeleteFunc(slices.Clone(list), func(t namedTrouble) bool { return !slices.Contains(r.Only, strings.ReplaceAll(t.name, " ", "-")) })
+		list = slices.DeleteFunc(slices.Clone(list), func(t namedFault) bool { return !slices.Contains(r.Only, strings.ReplaceAll(t.name, " ", "-")) })
 	}
 	one, two := list[x.A%len(list)], list[x.B%len(list)]
 	what := one.name
-	mends := []func(){one.do(r, x)}
+	mends := []func(){one.inject(r, x)}
 	r.mu.Lock()
 	r.met[one.name]++
 	r.mu.Unlock()
@@ -182,7 +182,7 @@
 	}
 	if one.name != two.name && (!heavy(one.name) || !heavy(two.name)) {
 		what += " and " + two.name
-		mends = append(mends, two.do(r, x))
+		mends = append(mends, two.inject(r, x))
 		r.mu.Lock()
 		r.met[two.name]++
 		r.mu.Unlock()
--- a/internal/testbed/etcdfleet/rig.go
+++ b/internal/testbed/etcdfleet/rig.go
@@ -40,39 +40,39 @@
 	Etcd *etcdstandin.Cluster
 	Only []string // troubles to choose from, of Troubles; none: all. Set before a run
 
-	hist   *oracle.History
-	links  [2][]*testbed.Link // to each member, for agents of even and of odd numbers
-	ca     *certs.Authority
-	dir    string
-	mu     sync.Mutex
-	agents []*beside
-	nodes  map[string]string // values of nodes, by id
-	marks  map[string]bool
-	starts map[string]int64  // of nodes, in Unix milliseconds
-	off    map[string]string // values of nodes that etcd lists no more for a while
-	held   map[string]string // what etcd holds of each node, as the history was told
-	met    map[string]int    // faults, by name
+	hist      *oracle.History
+	links     [2][]*testbed.Link // to each member, for agents of even and of odd numbers
+	authority *certs.Authority
+	dir       string
+	mu        sync.Mutex
+	agents    []*beside
+	nodes     map[string]string // values of nodes, by id
+	marks     map[string]bool
+	starts    map[string]int64  // of nodes, in Unix milliseconds
+	off       map[string]string // values of nodes that etcd lists no more for a while
+	stored    map[string]string // what etcd holds of each node, as the history was told
+	met       map[string]int    // faults, by name
 }
 
 // beside is one agent.
 type beside struct {
-	party  string
-	side   int
-	listen string // of the agent itself
-	status string
-	file   string
-	proc   *testbed.Proc
-	turn   int // endpoints are given out in another order each time the file is written
+	observer string
+	side     int
+	listen   string // of the agent itself
+	status   string
+	file     string
+	proc     *testbed.Proc
+	turn     int // endpoints are given out in another order each time the file is written
 }
 
 // New starts a cluster of so many members.
 func New(dir string, members int) (*Rig, error) {
-	r := &Rig{dir: dir, nodes: map[string]string{}, marks: map[string]bool{}, starts: map[string]int64{}, off: map[string]string{}, held: map[string]string{}, met: map[string]int{}}
+	r := &Rig{dir: dir, nodes: map[string]string{}, marks: map[string]bool{}, starts: map[string]int64{}, off: map[string]string{}, stored: map[string]string{}, met: map[string]int{}}
 	var err error
-	if r.ca, err = certs.New(dir, "laboratory"); err != nil {
+	if r.authority, err = certs.New(dir, "laboratory"); err != nil {
 		return nil, err
 	}
-	id, err := r.ca.Issue("etcd")
+	id, err := r.authority.Issue("etcd")
 	if err != nil {
 		return nil, err
 	}
@@ -128,12 +128,12 @@
 func (r *Rig) change(ids []string, values map[string]string) {
 	for _, id := range ids {
 		if r.state(id) == "in_service" {
-			r.holds(id)
+			r.recordStored(id)
 		}
 	}
 	r.Etcd.Do(values)
 	for _, id := range ids {
-		r.holds(id)
+		r.recordStored(id)
 	}
 }
 
@@ -145,15 +145,15 @@
 		return "terminating"
 	case listed:
 		return "in_service"
-	case r.held[id] != "" && r.held[id] != "marked":
+	case r.stored[id] != "" && r.stored[id] != "marked":
 		return "terminated"
 	}
 	return ""
 }
 
-func (r *Rig) holds(id string) {
-	if now := r.state(id); now != r.held[id] {
-		r.held[id] = now
+func (r *Rig) recordStored(id string) {
+	if now := r.state(id); now != r.stored[id] {
+		r.stored[id] = now
 		if r.hist != nil {
 			r.hist.SourceChanged(oracle.EtcdSource, id, now, r.starts[id])
 		}
@@ -171,7 +171,7 @@
 	t.Addr = f.AddrFor("", t)
 	n, d := prefix+"nodes/"+t.ID, prefix+"drain/"+t.ID
 	if r.starts[t.ID] != t.StartedMS && t.State == "in_service" {
-		r.starts[t.ID], r.held[t.ID] = t.StartedMS, "" // another life: what was held says nothing of it
+		r.starts[t.ID], r.stored[t.ID] = t.StartedMS, "" // another life: what was held says nothing of it
 	}
 	delete(r.off, t.ID) // whatever it was: it is told anew
 	where := sha256.Sum256([]byte(t.ID))[0] % 3
@@ -205,7 +205,7 @@
 	for _, id := range ids {
 		_, known := r.nodes[id]
 		known = known || r.off[id] != ""
-		if !known && r.held[id] != "" {
+		if !known && r.stored[id] != "" {
 			continue // it has gone
 		}
 		if known {
@@ -255,7 +255,7 @@
 // ---- agents and relays ----
 
 func (r *Rig) write(a *beside) error {
-	id, err := r.ca.Issue(a.party + "-" + strconv.Itoa(a.turn))
+	id, err := r.authority.Issue(a.observer + "-" + strconv.Itoa(a.turn))
 	if err != nil {
 		return err
 	}
@@ -276,11 +276,11 @@
 
 // discovery starts the agent of a party, and the relay that it asks.
 func (r *Rig) discovery(f *testbed.Fleet, party string) (string, error) {
-	ros, err := f.Roster.For(oracle.DiscoverySource(party))
+	ros, err := f.Discovery.For(oracle.DiscoverySource(party))
 	if err != nil {
 		return "", err
 	}
-	a := &beside{party: party, file: filepath.Join(r.dir, "agent-"+party+".toml")}
+	a := &beside{observer: party, file: filepath.Join(r.dir, "agent-"+party+".toml")}
 	n, _ := strconv.Atoi(party[1:])
 	a.side = n % 2
 	if a.listen, err = testbed.FreeAddr(); err != nil {
@@ -337,13 +337,13 @@
 
 // relay passes on what an agent says to the program beside it and notes it: what a machine was told, and when.
 type relay struct {
-	hist  *oracle.History
-	party string
-	to    string
+	hist     *oracle.History
+	observer string
+	target   string
 }
 
 func (y *relay) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	req, err := http.NewRequestWithContext(q.Context(), q.Method, "http://"+y.to+q.URL.RequestURI(), nil)
+	req, err := http.NewRequestWithContext(q.Context(), q.Method, "http://"+y.target+q.URL.RequestURI(), nil)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -367,13 +367,13 @@
 		var l discovery.List
 		known := json.Unmarshal(line, &l) == nil
 		if known {
-			testbed.TellUp(y.hist, y.party, l)
+			testbed.RecordUp(y.hist, y.observer, l)
 		}
 		if _, err := w.Write(line); err != nil || flush.Flush() != nil {
 			return
 		}
 		if known && (l.Full || len(l.Endpoints) > 0) {
-			testbed.TellRest(y.hist, y.party, l)
+			testbed.RecordAbsent(y.hist, y.observer, l)
 		}
 	}
 }
@@ -385,7 +385,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ids := map[string]bool{}
-	for id := range r.held {
+	for id := range r.stored {
 		ids[id] = true
 	}
 	for id := range told {
@@ -393,7 +393,7 @@
 	}
 	var up []string
 	for id := range ids {
-		e, ros := r.held[id], told[id]
+		e, ros := r.stored[id], told[id]
 		if (e == "in_service" || ros == "in_service") && (e == "" || e == "in_service") && (ros == "" || ros == "in_service") {
 			up = append(up, id)
 		}
@@ -402,8 +402,8 @@
 	return strings.Join(up, " ")
 }
 
-// rosterTold is what a party's roster has told its agent last, of each node.
-func (r *Rig) rosterTold() map[string]map[string]string {
+// discoveryNotified is what a party's roster has told its agent last, of each node.
+func (r *Rig) discoveryNotified() map[string]map[string]string {
 	defer r.hist.Lock()()
 	all := map[string]map[string]string{}
 	for _, t := range r.hist.Notices {
@@ -425,11 +425,11 @@
 	r.mu.Unlock()
 	why := ""
 	for time.Since(began) < equalMost && ctx.Err() == nil {
-		told := r.rosterTold()
+		told := r.discoveryNotified()
 		left = slices.DeleteFunc(left, func(a *beside) bool {
 			l, err := a.list()
 			if err != nil {
-				why = a.party + ": " + err.Error()
+				why = a.observer + ": " + err.Error()
 				return false
 			}
 			var up []string
@@ -439,8 +439,8 @@
 				}
 			}
 			sort.Strings(up)
-			want := r.want(a.party, told[oracle.DiscoverySource(a.party)])
-			why = fmt.Sprintf("%s sees %v, the truth is %s", a.party, up, want)
+			want := r.want(a.observer, told[oracle.DiscoverySource(a.observer)])
+			why = fmt.Sprintf("%s sees %v, the truth is %s", a.observer, up, want)
 			return strings.Join(up, " ") == want
 		})
 		if len(left) == 0 {
--- a/internal/testbed/etcdstandin/etcd.go
+++ b/internal/testbed/etcdstandin/etcd.go
@@ -68,7 +68,7 @@
 	mu        sync.Mutex
 	id        uint64
 	term      uint64
-	st        *store.Store
+	store     *store.Store
 	members   []*member
 	leader    int // -1: none
 	elections int // outdates timers
@@ -101,16 +101,16 @@
 	pb.UnimplementedMaintenanceServer
 	pb.UnimplementedClusterServer
 
-	c      *Cluster
-	number int
-	addr   string
-	srv    *grpc.Server // nil: down
-	cut    bool         // from the other members
-	lags   bool         // applies nothing
-	lies   bool         // answers as if it were up to date
-	lostAt time.Time    // since when it has no leader
-	term   uint64
-	view   store.View
+	cluster *Cluster
+	number  int
+	addr    string
+	srv     *grpc.Server // nil: down
+	cut     bool         // from the other members
+	lags    bool         // applies nothing
+	lies    bool         // answers as if it were up to date
+	lostAt  time.Time    // since when it has no leader
+	term    uint64
+	view    store.View
 }
 
 // New starts a cluster of one member without keys at a loopback address of its own.
@@ -139,7 +139,7 @@
 		cfg.FragmentBytes = store.MaxRequest
 	}
 	c := &Cluster{cfg: cfg, id: 1, term: 2, leader: -1, changed: make(chan struct{}), start: time.Now(), tokens: map[string]token{}}
-	c.st = store.New(c.keep)
+	c.store = store.New(c.keep)
 	if cfg.File != "" {
 		if err := c.load(); err != nil {
 			return nil, err
@@ -147,7 +147,7 @@
 	}
 	c.expiry = time.AfterFunc(time.Hour, c.expire)
 	for i, addr := range cfg.Listen {
-		c.members = append(c.members, &member{c: c, number: i, addr: addr})
+		c.members = append(c.members, &member{cluster: c, number: i, addr: addr})
 	}
 	if err := c.Start(); err != nil {
 		c.Stop()
@@ -171,9 +171,9 @@
 func (c *Cluster) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := c.st.View()
-	next, ok := c.st.Expire(c.now())
-	if c.st.View() != before {
+	before := c.store.View()
+	next, ok := c.store.Expire(c.now())
+	if c.store.View() != before {
 		c.advance()
 	}
 	for id, t := range c.tokens {
@@ -231,7 +231,7 @@
 			f.Close()
 			return fmt.Errorf("%s, line %d: %w", c.cfg.File, n, err)
 		}
-		c.st.Replay(c.now(), r)
+		c.store.Replay(c.now(), r)
 		good += int64(len(line))
 	}
 	if err := f.Truncate(good); err != nil {
@@ -394,7 +394,7 @@
 }
 
 // together tells that a member can reach the majority; c.mu is held.
-func (m *member) together() bool { return m.srv != nil && !m.cut && m.c.majority() }
+func (m *member) together() bool { return m.srv != nil && !m.cut && m.cluster.majority() }
 
 func (c *Cluster) majority() bool {
 	n := 0
@@ -451,7 +451,7 @@
 	if c.elections > 0 {
 		c.term++
 		c.changes++
-		c.st.Extend(c.now())
+		c.store.Extend(c.now())
 	}
 	c.elections++
 	c.leader = i
@@ -459,19 +459,19 @@
 }
 
 // led tells that a member has a leader; c.mu is held.
-func (m *member) led() bool { return m.c.leader >= 0 && m.together() }
+func (m *member) led() bool { return m.cluster.leader >= 0 && m.together() }
 
 // advance has every member that can apply what was committed, drops what no member needs any more, and wakes whoever waits;
 // c.mu is held.
 func (c *Cluster) advance() {
-	floor := c.st.View().Compacted
+	floor := c.store.View().Compacted
 	for _, m := range c.members {
 		if m.led() {
 			m.lostAt = time.Time{}
 			if !m.lies {
 				m.term = c.term
 				if !m.lags {
-					m.view = c.st.View()
+					m.view = c.store.View()
 				}
 			}
 		} else if m.lostAt.IsZero() {
@@ -479,14 +479,14 @@
 		}
 		floor = min(floor, max(m.view.Compacted, 1))
 	}
-	c.st.Trim(floor)
+	c.store.Trim(floor)
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // wait blocks until ok holds, and returns with c.mu held and nil, or without it and with an error.
 func (m *member) wait(ctx context.Context, ok func() bool, why error) error {
-	c := m.c
+	c := m.cluster
 	late := time.NewTimer(c.cfg.RequestTimeout)
 	defer late.Stop()
 	c.mu.Lock()
@@ -527,9 +527,9 @@
 		list = append(list, &mvccpb.KeyValue{Key: []byte(kv.Key), Value: []byte(kv.Value), CreateRevision: kv.Revision, ModRevision: kv.Revision, Version: 1})
 	}
 	c.id, c.term = h.Cluster, h.Term
-	c.st.Reset(h.Revision, list)
+	c.store.Reset(h.Revision, list)
 	for _, m := range c.members {
-		m.view, m.term, m.lies = c.st.View(), h.Term, false
+		m.view, m.term, m.lies = c.store.View(), h.Term, false
 	}
 	c.advance()
 }
@@ -560,21 +560,21 @@
 func (c *Cluster) Compacted() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.st.View().Compacted
+	return c.store.View().Compacted
 }
 
 // Head is the state as it is.
 func (c *Cluster) Head() Head {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Head{c.id, c.st.View().Revision, c.term}
+	return Head{c.id, c.store.View().Revision, c.term}
 }
 
 // Set writes a key, Delete removes one, both whether there is a leader or not.
 func (c *Cluster) Set(key, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, _ = c.st.Put(&pb.PutRequest{Key: []byte(key), Value: []byte(value)})
+	_, _ = c.store.Put(&pb.PutRequest{Key: []byte(key), Value: []byte(value)})
 	c.advance()
 }
 
@@ -582,7 +582,7 @@
 func (c *Cluster) Delete(key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, _ = c.st.Delete(&pb.DeleteRangeRequest{Key: []byte(key)})
+	_, _ = c.store.Delete(&pb.DeleteRangeRequest{Key: []byte(key)})
 	c.advance()
 }
 
@@ -605,7 +605,7 @@
 			outer = append(outer, &pb.RequestOp{Request: &pb.RequestOp_RequestTxn{RequestTxn: &pb.TxnRequest{Success: ops[:n]}}})
 			ops = ops[n:]
 		}
-		_, _ = c.st.Txn(&pb.TxnRequest{Success: outer})
+		_, _ = c.store.Txn(&pb.TxnRequest{Success: outer})
 	}
 	c.advance()
 }
@@ -614,7 +614,7 @@
 func (c *Cluster) CompactAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.st.Compact(c.st.View().Revision)
+	_ = c.store.Compact(c.store.View().Revision)
 	c.advance()
 }
 
@@ -622,7 +622,7 @@
 func (c *Cluster) State() ([]KV, int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	got, err := c.st.Range(&pb.RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}, c.st.View())
+	got, err := c.store.Range(&pb.RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}, c.store.View())
 	if err != nil {
 		return nil, 0
 	}
@@ -630,5 +630,5 @@
 	for _, kv := range got.Kvs {
 		list = append(list, KV{string(kv.Key), string(kv.Value), kv.ModRevision})
 	}
-	return list, c.st.View().Revision
+	return list, c.store.View().Revision
 }
--- a/internal/testbed/etcdstandin/services.go
+++ b/internal/testbed/etcdstandin/services.go
@@ -15,7 +15,7 @@
 
 // header is that of an answer from a member's own point; c.mu is held.
 func (m *member) header() *pb.ResponseHeader {
-	return &pb.ResponseHeader{ClusterId: m.c.id, MemberId: uint64(m.number) + 1, Revision: m.view.Revision, RaftTerm: m.term}
+	return &pb.ResponseHeader{ClusterId: m.cluster.id, MemberId: uint64(m.number) + 1, Revision: m.view.Revision, RaftTerm: m.term}
 }
 
 // ---- what holds for every call ----
@@ -28,7 +28,7 @@
 	return ""
 }
 
-func wantsLeader(ctx context.Context) bool {
+func requiresLeader(ctx context.Context) bool {
 	return first(ctx, rpctypes.MetadataRequireLeaderKey) == rpctypes.MetadataHasLeader
 }
 
@@ -53,11 +53,11 @@
 func free(method string) bool { return strings.HasSuffix(method, "/Authenticate") }
 
 func (m *member) unary(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
-	if wantsLeader(ctx) && m.leaderless() {
+	if requiresLeader(ctx) && m.leaderless() {
 		return nil, rpctypes.ErrGRPCNoLeader
 	}
 	if !free(info.FullMethod) {
-		if err := m.c.allowed(ctx); err != nil {
+		if err := m.cluster.allowed(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -66,19 +66,19 @@
 
 // leaderless tells that a member has missed its leader for longer than an election takes.
 func (m *member) leaderless() bool {
-	m.c.mu.Lock()
-	defer m.c.mu.Unlock()
-	return !m.led() && !m.lies && !m.lostAt.IsZero() && time.Since(m.lostAt) > m.c.cfg.Election
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	return !m.led() && !m.lies && !m.lostAt.IsZero() && time.Since(m.lostAt) > m.cluster.cfg.Election
 }
 
 // stream ends streams that want a leader once it is lost; watches check their tokens themselves.
 func (m *member) stream(srv any, s grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 	if !strings.HasSuffix(info.FullMethod, "/Watch") {
-		if err := m.c.allowed(s.Context()); err != nil {
+		if err := m.cluster.allowed(s.Context()); err != nil {
 			return err
 		}
 	}
-	if !wantsLeader(s.Context()) {
+	if !requiresLeader(s.Context()) {
 		return next(srv, s)
 	}
 	if m.leaderless() {
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithCancelCause(s.Context())
 	defer cancel(nil)
 	go func() {
-		t := time.NewTicker(max(m.c.cfg.Election/4, time.Millisecond))
+		t := time.NewTicker(max(m.cluster.cfg.Election/4, time.Millisecond))
 		defer t.Stop()
 		for {
 			select {
@@ -121,10 +121,10 @@
 // agreed waits until a member can answer what needs the cluster's agreement: it has a leader, and has applied all that was
 // committed when the call came. It returns with c.mu held and nil, or without it.
 func (m *member) agreed(ctx context.Context) error {
-	m.c.mu.Lock()
-	rev, id := m.c.st.View().Revision, m.c.id
-	m.c.mu.Unlock()
-	return m.wait(ctx, func() bool { return m.lies || m.led() && (m.view.Revision >= rev || m.c.id != id) }, rpctypes.ErrGRPCTimeout)
+	m.cluster.mu.Lock()
+	rev, id := m.cluster.store.View().Revision, m.cluster.id
+	m.cluster.mu.Unlock()
+	return m.wait(ctx, func() bool { return m.lies || m.led() && (m.view.Revision >= rev || m.cluster.id != id) }, rpctypes.ErrGRPCTimeout)
 }
 
 // leading waits for a leader, for a write. It returns with c.mu held and nil, or without it.
@@ -132,19 +132,19 @@
 	if err := m.wait(ctx, m.led, rpctypes.ErrGRPCTimeout); err != nil {
 		return err
 	}
-	m.c.writes++
+	m.cluster.writes++
 	return nil
 }
 
 // Range implements the KV service.
 func (m *member) Range(ctx context.Context, r *pb.RangeRequest) (*pb.RangeResponse, error) {
-	c := m.c
+	c := m.cluster
 	if r.Serializable {
 		c.mu.Lock()
 	} else if err := m.agreed(ctx); err != nil {
 		return nil, err
 	}
-	out, err := c.st.Range(r, m.view)
+	out, err := c.store.Range(r, m.view)
 	if err == nil {
 		out.Header = m.header()
 	}
@@ -163,14 +163,14 @@
 
 // wrote ends a write: its commit is applied, and its answer says so. c.mu is held.
 func (m *member) wrote() *pb.ResponseHeader {
-	c := m.c
+	c := m.cluster
 	c.advance()
-	next, ok := c.st.Expire(c.now())
+	next, ok := c.store.Expire(c.now())
 	if ok {
 		c.expiry.Reset(max(next-c.now(), time.Millisecond))
 	}
 	h := m.header()
-	h.Revision, h.RaftTerm = c.st.View().Revision, c.term
+	h.Revision, h.RaftTerm = c.store.View().Revision, c.term
 	return h
 }
 
@@ -179,8 +179,8 @@
 	if err := m.leading(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	out, err := m.c.st.Put(r)
+	defer m.cluster.mu.Unlock()
+	out, err := m.cluster.store.Put(r)
 	if err != nil {
 		return nil, err
 	}
@@ -193,8 +193,8 @@
 	if err := m.leading(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	out, err := m.c.st.Delete(r)
+	defer m.cluster.mu.Unlock()
+	out, err := m.cluster.store.Delete(r)
 	if err != nil {
 		return nil, err
 	}
@@ -207,8 +207,8 @@
 	if err := m.leading(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	out, err := m.c.st.Txn(r)
+	defer m.cluster.mu.Unlock()
+	out, err := m.cluster.store.Txn(r)
 	if err != nil {
 		return nil, err
 	}
@@ -221,8 +221,8 @@
 	if err := m.leading(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	if err := m.c.st.Compact(r.Revision); err != nil {
+	defer m.cluster.mu.Unlock()
+	if err := m.cluster.store.Compact(r.Revision); err != nil {
 		return nil, err
 	}
 	return &pb.CompactionResponse{Header: m.wrote()}, nil
@@ -235,12 +235,12 @@
 	if err := m.leading(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	id, err := m.c.st.Grant(m.c.now(), r.ID, r.TTL)
+	defer m.cluster.mu.Unlock()
+	id, err := m.cluster.store.Grant(m.cluster.now(), r.ID, r.TTL)
 	if err != nil {
 		return nil, err
 	}
-	_, ttl, _ := m.c.st.Lease(m.c.now(), id)
+	_, ttl, _ := m.cluster.store.Lease(m.cluster.now(), id)
 	return &pb.LeaseGrantResponse{Header: m.wrote(), ID: id, TTL: ttl}, nil
 }
 
@@ -249,8 +249,8 @@
 	if err := m.leading(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	if err := m.c.st.Revoke(r.ID); err != nil {
+	defer m.cluster.mu.Unlock()
+	if err := m.cluster.store.Revoke(r.ID); err != nil {
 		return nil, err
 	}
 	return &pb.LeaseRevokeResponse{Header: m.wrote()}, nil
@@ -266,8 +266,8 @@
 		if err := m.leading(w.Context()); err != nil {
 			return err
 		}
-		out := &pb.LeaseKeepAliveResponse{ID: r.ID, TTL: m.c.st.KeepAlive(m.c.now(), r.ID), Header: m.header()}
-		m.c.mu.Unlock()
+		out := &pb.LeaseKeepAliveResponse{ID: r.ID, TTL: m.cluster.store.KeepAlive(m.cluster.now(), r.ID), Header: m.header()}
+		m.cluster.mu.Unlock()
 		if err := w.Send(out); err != nil {
 			return err
 		}
@@ -279,8 +279,8 @@
 	if err := m.agreed(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	left, granted, keys := m.c.st.Lease(m.c.now(), r.ID)
+	defer m.cluster.mu.Unlock()
+	left, granted, keys := m.cluster.store.Lease(m.cluster.now(), r.ID)
 	out := &pb.LeaseTimeToLiveResponse{Header: m.header(), ID: r.ID, TTL: int64(left / time.Second), GrantedTTL: granted}
 	if granted == 0 {
 		out.TTL = -1
@@ -298,9 +298,9 @@
 	if err := m.agreed(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
+	defer m.cluster.mu.Unlock()
 	out := &pb.LeaseLeasesResponse{Header: m.header()}
-	for _, id := range m.c.st.Leases() {
+	for _, id := range m.cluster.store.Leases() {
 		out.Leases = append(out.Leases, &pb.LeaseStatus{ID: id})
 	}
 	return out, nil
@@ -312,7 +312,7 @@
 
 // Authenticate implements the Auth service.
 func (m *member) Authenticate(_ context.Context, r *pb.AuthenticateRequest) (*pb.AuthenticateResponse, error) {
-	c := m.c
+	c := m.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.cfg.Users) == 0 {
@@ -339,10 +339,10 @@
 
 // Status implements the Maintenance service.
 func (m *member) Status(context.Context, *pb.StatusRequest) (*pb.StatusResponse, error) {
-	c := m.c
+	c := m.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := &pb.StatusResponse{Header: m.header(), Version: "3.7.0", RaftTerm: m.term, RaftIndex: uint64(c.st.View().Revision),
+	out := &pb.StatusResponse{Header: m.header(), Version: "3.7.0", RaftTerm: m.term, RaftIndex: uint64(c.store.View().Revision),
 		RaftAppliedIndex: uint64(m.view.Revision), StorageVersion: "3.7.0"}
 	if m.led() {
 		out.Leader = uint64(c.leader) + 1
@@ -354,7 +354,7 @@
 
 // MemberList implements the Cluster service.
 func (m *member) MemberList(ctx context.Context, r *pb.MemberListRequest) (*pb.MemberListResponse, error) {
-	c := m.c
+	c := m.cluster
 	if r.Linearizable {
 		if err := m.agreed(ctx); err != nil {
 			return nil, err
--- a/internal/testbed/etcdstandin/store/store.go
+++ b/internal/testbed/etcdstandin/store/store.go
@@ -85,14 +85,14 @@
 	sort.Strings(s.keys)
 }
 
-// gone tells a deletion from a value in a key's history.
-func gone(kv *mvccpb.KeyValue) bool { return kv.Version == 0 }
+// isTombstone tells a deletion from a value in a key's history.
+func isTombstone(kv *mvccpb.KeyValue) bool { return kv.Version == 0 }
 
 // at is a key as it stood at a revision, nil if it was not there.
 func (s *Store) at(key string, rev int64) *mvccpb.KeyValue {
 	h := s.hist[key]
 	i := sort.Search(len(h), func(i int) bool { return h[i].ModRevision > rev })
-	if i == 0 || gone(h[i-1]) {
+	if i == 0 || isTombstone(h[i-1]) {
 		return nil
 	}
 	return h[i-1]
@@ -445,7 +445,7 @@
 func (s *Store) paths(r *pb.TxnRequest) (list []bool) {
 	ok := true
 	for _, c := range r.Compare {
-		ok = ok && s.holds(c)
+		ok = ok && s.compareHolds(c)
 	}
 	list = append(list, ok)
 	for _, op := range branch(r, ok) {
@@ -521,8 +521,8 @@
 	return walk(r)
 }
 
-// holds tells whether a comparison holds for each key of its range. A key that is not there compares as 0, and has no value.
-func (s *Store) holds(c *pb.Compare) bool {
+// compareHolds tells whether a comparison holds for each key of its range. A key that is not there compares as 0, and has no value.
+func (s *Store) compareHolds(c *pb.Compare) bool {
 	list := s.in(c.Key, c.RangeEnd, s.rev)
 	if len(list) == 0 {
 		if len(c.RangeEnd) > 0 {
@@ -591,7 +591,7 @@
 			h = append([]*mvccpb.KeyValue(nil), h[i:]...)
 			s.hist[key] = h
 		}
-		if len(h) == 1 && gone(h[0]) && h[0].ModRevision < rev {
+		if len(h) == 1 && isTombstone(h[0]) && h[0].ModRevision < rev {
 			delete(s.hist, key)
 			return true
 		}
--- a/internal/testbed/etcdstandin/watch.go
+++ b/internal/testbed/etcdstandin/watch.go
@@ -14,20 +14,20 @@
 
 // watch is one watch of a stream.
 type watch struct {
-	id   int64
-	r    *pb.WatchCreateRequest
-	next int64 // the first revision that it has not been told
+	id      int64
+	request *pb.WatchCreateRequest
+	next    int64 // the first revision that it has not been told
 }
 
 // stream is one connection's watches. All that it is told goes out in one order by one goroutine, so that progress, which
 // says that all up to a revision has been told, says so behind it.
 type stream struct {
-	m      *member
-	raw    pb.Watch_WatchServer
-	open   []*watch            // with Cluster.mu held
-	due    []*pb.WatchResponse // answers to requests, with Cluster.mu held; bounded by what the client asks before it reads
-	asked  bool                // progress is asked for, with Cluster.mu held
-	wakeup chan struct{}       // of one place
+	member            *member
+	raw               pb.Watch_WatchServer
+	open              []*watch            // with Cluster.mu held
+	pending           []*pb.WatchResponse // answers to requests, with Cluster.mu held; bounded by what the client asks before it reads
+	progressRequested bool                // progress is asked for, with Cluster.mu held
+	wakeup            chan struct{}       // of one place
 }
 
 func (w *stream) wake() {
@@ -39,8 +39,8 @@
 
 // Watch implements the Watch service.
 func (m *member) Watch(raw pb.Watch_WatchServer) error {
-	c := m.c
-	w := &stream{m: m, raw: raw, wakeup: make(chan struct{}, 1)}
+	c := m.cluster
+	w := &stream{member: m, raw: raw, wakeup: make(chan struct{}, 1)}
 	sent := make(chan error, 1)
 	go func() { sent <- w.follow() }()
 	type got struct {
@@ -84,12 +84,12 @@
 			before := len(w.open)
 			w.open = slices.DeleteFunc(w.open, func(k *watch) bool { return k.id == id })
 			if len(w.open) < before {
-				w.due = append(w.due, &pb.WatchResponse{Header: m.header(), WatchId: id, Canceled: true})
+				w.pending = append(w.pending, &pb.WatchResponse{Header: m.header(), WatchId: id, Canceled: true})
 			}
 			c.mu.Unlock()
 		case r.GetProgressRequest() != nil:
 			c.mu.Lock()
-			w.asked = !c.script.Silent
+			w.progressRequested = !c.script.Silent
 			c.mu.Unlock()
 		}
 		w.wake()
@@ -98,19 +98,19 @@
 
 // create opens a watch, or says why not.
 func (w *stream) create(r *pb.WatchCreateRequest, last *int64) {
-	m, c := w.m, w.m.c
+	m, c := w.member, w.member.cluster
 	denied := c.allowed(w.raw.Context())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	refuse := func(id int64, why string) {
-		w.due = append(w.due, &pb.WatchResponse{Header: m.header(), WatchId: id, Created: true, Canceled: true, CancelReason: why})
+		w.pending = append(w.pending, &pb.WatchResponse{Header: m.header(), WatchId: id, Created: true, Canceled: true, CancelReason: why})
 	}
 	if denied != nil {
 		refuse(r.WatchId, rpctypes.ErrorDesc(denied))
 		return
 	}
 	taken := func(id int64) bool { return slices.ContainsFunc(w.open, func(k *watch) bool { return k.id == id }) }
-	k := &watch{id: r.WatchId, r: r, next: r.StartRevision}
+	k := &watch{id: r.WatchId, request: r, next: r.StartRevision}
 	if k.id == 0 {
 		for k.id = *last; taken(k.id); k.id++ {
 		}
@@ -133,34 +133,34 @@
 		script(w.raw, k.next)
 		c.mu.Lock()
 	} else {
-		w.due = append(w.due, created)
+		w.pending = append(w.pending, created)
 	}
 	w.open = append(w.open, k)
 }
 
 // follow tells a stream's watches of what happens, until one can't be told.
 func (w *stream) follow() error {
-	m, c := w.m, w.m.c
+	m, c := w.member, w.member.cluster
 	tick := time.NewTicker(c.cfg.Progress)
 	defer tick.Stop()
 	notify := false
 	for {
 		c.mu.Lock()
-		due := w.due
-		w.due = nil
+		due := w.pending
+		w.pending = nil
 		for _, k := range slices.Clone(w.open) {
-			list, gone := w.news(k)
+			list, gone := w.nextEvents(k)
 			if gone {
 				w.open = slices.DeleteFunc(w.open, func(o *watch) bool { return o == k })
 			}
-			if notify && len(list) == 0 && k.r.ProgressNotify && !c.script.Silent {
+			if notify && len(list) == 0 && k.request.ProgressNotify && !c.script.Silent {
 				list = append(list, &pb.WatchResponse{Header: m.header(), WatchId: k.id})
 			}
 			due = append(due, list...)
 		}
 		notify = false
-		if w.asked {
-			w.asked = false
+		if w.progressRequested {
+			w.progressRequested = false
 			due = append(due, &pb.WatchResponse{Header: m.header(), WatchId: -1})
 		}
 		changed, script := c.changed, c.script.OnSend
@@ -186,37 +186,37 @@
 	}
 }
 
-// news is what a watch has not been told yet, up to its member's own point; gone tells that it ends. c.mu is held.
-func (w *stream) news(k *watch) (due []*pb.WatchResponse, gone bool) {
-	m := w.m
+// nextEvents is what a watch has not been told yet, up to its member's own point; gone tells that it ends. c.mu is held.
+func (w *stream) nextEvents(k *watch) (due []*pb.WatchResponse, gone bool) {
+	m := w.member
 	if k.next < m.view.Compacted {
 		return []*pb.WatchResponse{{Header: m.header(), WatchId: k.id, Canceled: true, CompactRevision: m.view.Compacted,
 			CancelReason: rpctypes.ErrorDesc(rpctypes.ErrGRPCCompacted)}}, true
 	}
 	var now *pb.WatchResponse
 	at, revs := int64(0), 0
-	for _, e := range m.c.st.Events(k.next, m.view.Revision) {
-		if !store.Within(e.Kv.Key, k.r.Key, k.r.RangeEnd) || slices.Contains(k.r.Filters, filterOf(e)) {
+	for _, e := range m.cluster.store.Events(k.next, m.view.Revision) {
+		if !store.Within(e.Kv.Key, k.request.Key, k.request.RangeEnd) || slices.Contains(k.request.Filters, filterOf(e)) {
 			continue
 		}
 		if e.Kv.ModRevision != at {
 			at = e.Kv.ModRevision
-			if revs++; now == nil || revs > m.c.cfg.BatchRevs {
+			if revs++; now == nil || revs > m.cluster.cfg.BatchRevs {
 				now, revs = &pb.WatchResponse{Header: m.header(), WatchId: k.id}, 1
 				due = append(due, now)
 			}
 		}
 		told := &mvccpb.Event{Type: e.Type, Kv: e.Kv}
-		if k.r.PrevKv {
+		if k.request.PrevKv {
 			told.PrevKv = e.PrevKv
 		}
 		now.Events = append(now.Events, told)
 	}
 	k.next = max(k.next, m.view.Revision+1)
-	if k.r.Fragment {
+	if k.request.Fragment {
 		var parts []*pb.WatchResponse
 		for _, r := range due {
-			parts = append(parts, fragments(r, m.c.cfg.FragmentBytes)...)
+			parts = append(parts, fragments(r, m.cluster.cfg.FragmentBytes)...)
 		}
 		due = parts
 	}
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -40,7 +40,7 @@
 	weight int                            // how often it is drawn, of all
 	level  int                            // 1: of one-level fleets alone, 2: of two-level ones alone, 0: of both, 3: of those with sources of their own, 4: of one-level ones, 5: of both, these three only when named
 	target func(f *Fleet, x Fault) string // no two faults of a target overlap; nil: they may
-	do     func(f *Fleet, x Fault, wait func(time.Duration) bool)
+	inject func(f *Fleet, x Fault, wait func(time.Duration) bool)
 }
 
 func onPlanner(f *Fleet, x Fault) string   { return fmt.Sprint("planner ", x.A%len(f.Planners)) }
@@ -84,7 +84,7 @@
 		}
 		wait(x.For / 2)
 		for _, p := range f.Planners {
-			if p.Life() < 0 {
+			if p.Incarnation() < 0 {
 				_ = p.Start()
 			}
 		}
@@ -100,30 +100,30 @@
 	}},
 	"peers": {"ingresses are split in two halves", 1, 1, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		defer f.Hist.BeginPeerFault(2, 0)()
-		f.Peers.All(Weather{Cut: true}, func(i, j int) bool { return i%2 != j%2 })
+		f.Peers.All(PacketConditions{Cut: true}, func(i, j int) bool { return i%2 != j%2 })
 		wait(x.For)
-		f.Peers.All(Weather{}, nil)
+		f.Peers.All(PacketConditions{}, nil)
 	}},
 	"fog": {"messages between ingresses are lost, late and doubled", 1, 1, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		defer f.Hist.BeginPeerFault(0, 0.3*x.X)()
-		f.Peers.All(Weather{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}, nil)
+		f.Peers.All(PacketConditions{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}, nil)
 		wait(x.For)
-		f.Peers.All(Weather{}, nil)
+		f.Peers.All(PacketConditions{}, nil)
 	}},
 	"deaf": {"an ingress hears no other one, and the auditor is not told: a plant", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Peers.All(Weather{Cut: true}, func(i, j int) bool { return j == x.A%len(f.Forwarders) })
+		f.Peers.All(PacketConditions{Cut: true}, func(i, j int) bool { return j == x.A%len(f.Forwarders) })
 		wait(x.For)
-		f.Peers.All(Weather{}, nil)
+		f.Peers.All(PacketConditions{}, nil)
 	}},
 	"babel": {"half of the ingresses send words that the others can't read, and the auditor is not told: a plant", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Peers.All(Weather{Alien: true}, func(i, j int) bool { return i%2 != j%2 })
+		f.Peers.All(PacketConditions{Alien: true}, func(i, j int) bool { return i%2 != j%2 })
 		wait(x.For)
-		f.Peers.All(Weather{}, nil)
+		f.Peers.All(PacketConditions{}, nil)
 	}},
 	"liar": {"an ingress says of overload by turns that all is well and that all is lost", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Peers.All(Weather{Lies: true}, func(i, _ int) bool { return i == x.A%len(f.Forwarders) })
+		f.Peers.All(PacketConditions{Lies: true}, func(i, _ int) bool { return i == x.A%len(f.Forwarders) })
 		wait(x.For)
-		f.Peers.All(Weather{}, nil)
+		f.Peers.All(PacketConditions{}, nil)
 	}},
 	"half heavy": {"every second node is three times as slow", 0, 5, one("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		var half []*Node
@@ -132,13 +132,13 @@
 				half = append(half, n)
 			}
 		}
-		f.weather(Fault{For: x.For / 2}, wait, half, func(w *node.Weather) { w.Slow = 3 })
+		f.changeConditions(Fault{For: x.For / 2}, wait, half, func(w *node.Conditions) { w.Slow = 3 })
 	}},
 	"thick fog": {"half of all messages between ingresses are lost", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		defer f.Hist.BeginPeerFault(0, 0.5)()
-		f.Peers.All(Weather{Loss: 0.5}, nil)
+		f.Peers.All(PacketConditions{Loss: 0.5}, nil)
 		wait(x.For)
-		f.Peers.All(Weather{}, nil)
+		f.Peers.All(PacketConditions{}, nil)
 	}},
 	"mass kill": {"seven in ten ingresses are killed at once and come back", 0, 4, one("mass"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		var all sync.WaitGroup
@@ -151,7 +151,7 @@
 	}},
 	"heavy": {"every node is three times as slow", 0, 5, one("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		defer f.Hist.BeginSlowdown(3)()
-		f.weather(Fault{For: x.For / 2}, wait, f.Nodes(), func(w *node.Weather) { w.Slow = 3 })
+		f.changeConditions(Fault{For: x.For / 2}, wait, f.Nodes(), func(w *node.Conditions) { w.Slow = 3 })
 	}},
 	"forwarder": {"a forwarder or ingress is killed and comes back", 1, 0, onForwarder, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.killed(x.A%len(f.Forwarders), x.For, wait)
@@ -160,7 +160,7 @@
 		i := x.A % len(f.Forwarders)
 		p, from := f.Forwarders[i], f.Hist.Now()
 		p.Kill()
-		f.startAgain(i)
+		f.restartForwarder(i)
 		f.Hist.AddOutage(i, from, f.Hist.Now())
 	}},
 	"restart": {"a forwarder or ingress is ended and comes back", 1, 0, onForwarder, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
@@ -220,15 +220,15 @@
 	}},
 	"slow": {"a node is slow", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
-			f.weather(x, wait, []*Node{n}, func(w *node.Weather) { w.Slow = 2 + 4*x.X })
+			f.changeConditions(x, wait, []*Node{n}, func(w *node.Conditions) { w.Slow = 2 + 4*x.X })
 		}
 	}},
 	"snow": {"every node is slower by 1.4 to 2.8", 1, 0, one("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.weather(x, wait, f.Nodes(), func(w *node.Weather) { w.Slow = 1.4 + 1.4*x.X })
+		f.changeConditions(x, wait, f.Nodes(), func(w *node.Conditions) { w.Slow = 1.4 + 1.4*x.X })
 	}},
 	"sick": {"a node errs, breaks off, stays silent and answers nonsense", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
-			f.weather(x, wait, []*Node{n}, func(w *node.Weather) { *w = node.Rough(0.4 + 0.6*x.X) })
+			f.changeConditions(x, wait, []*Node{n}, func(w *node.Conditions) { *w = node.Rough(0.4 + 0.6*x.X) })
 		}
 	}},
 	"node cut": {"a node is cut off without a word", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
@@ -247,17 +247,17 @@
 		f.wayTo(x, wait, Way{Delay: time.Duration(10+80*x.X) * time.Millisecond}, true)
 	}},
 	"late roster": {"the roster tells seconds late", 1, 0, one("roster"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Roster.Late(time.Duration((1 + 4*x.X) * float64(time.Second)))
+		f.Discovery.Late(time.Duration((1 + 4*x.X) * float64(time.Second)))
 		wait(x.For)
-		f.Roster.Late(0)
+		f.Discovery.Late(0)
 	}},
 	"silent roster": {"the roster says nothing", 1, 0, one("roster"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Roster.Silent(true)
+		f.Discovery.Silent(true)
 		wait(2 * x.For)
-		f.Roster.Silent(false)
+		f.Discovery.Silent(false)
 	}},
 	"broken roster": {"all watches break, and the whole list is told", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
-		f.Roster.Break()
+		f.Discovery.Break()
 	}},
 	"shift": {"accounts move to others of their ingresses at one stroke", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		f.Front.Shift(0.11 + 0.48*x.X)
@@ -274,7 +274,7 @@
 // AddKind adds a kind of fault that another package of the laboratory knows how to do. Its weight is 1 and no two of a target
 // overlap, "" if they may. It is for package initialisation alone.
 func AddKind(name, what, target string, do func(f *Fleet, x Fault, wait func(time.Duration) bool)) {
-	k := kind{what: what, weight: 1, level: 3, do: do}
+	k := kind{what: what, weight: 1, level: 3, inject: do}
 	if target != "" {
 		k.target = one(target)
 	}
@@ -387,7 +387,7 @@
 			do := func() {
 				f.Hist.AddFault(x.String())
 				note(x.String())
-				k.do(f, x, wait)
+				k.inject(f, x, wait)
 			}
 			if k.target == nil {
 				do()
@@ -403,12 +403,12 @@
 	p, from := f.Forwarders[i], f.Hist.Now()
 	p.Kill()
 	wait(after)
-	f.startAgain(i)
+	f.restartForwarder(i)
 	f.Hist.AddOutage(i, from, f.Hist.Now())
 }
 
-// startAgain starts a forwarder's or an ingress's program for another life, with the list of nodes as it last had it, and waits until it is ready.
-func (f *Fleet) startAgain(i int) {
+// restartForwarder starts a forwarder's or an ingress's program for another life, with the list of nodes as it last had it, and waits until it is ready.
+func (f *Fleet) restartForwarder(i int) {
 	p := f.Forwarders[i]
 	if err := f.refreshKnown(i); err != nil {
 		f.Hist.AddFault(p.Name + " starts with an old list: " + err.Error())
@@ -425,11 +425,11 @@
 // refreshKnown writes into the configuration of an ingress of one level what it was last told of nodes, as the platform does at each start.
 func (f *Fleet) refreshKnown(i int) error {
 	p := f.Forwarders[i]
-	if len(f.Planners) > 0 || p.doors[0].file == "" || f.cfg.Discovery != nil {
+	if len(f.Planners) > 0 || p.adminInterfaces[0].file == "" || f.cfg.Discovery != nil {
 		return nil
 	}
-	told := f.Hist.LastStates(f.Party(i))
-	for _, d := range p.doors {
+	told := f.Hist.LastStates(f.Observer(i))
+	for _, d := range p.adminInterfaces {
 		text, err := os.ReadFile(d.file)
 		if err != nil {
 			return err
@@ -447,7 +447,7 @@
 				told[t.ID] = t.State
 			}
 		}
-		known := f.Roster.All(f.Party(i))
+		known := f.Discovery.All(f.Observer(i))
 		known.Endpoints = slices.DeleteFunc(known.Endpoints, func(t discovery.Endpoint) bool { return told[t.ID] == "" || told[t.ID] == "terminated" })
 		for n := range known.Endpoints {
 			known.Endpoints[n].State = told[known.Endpoints[n].ID]
@@ -468,7 +468,7 @@
 	p := f.Forwarders[i]
 	p.Term()
 	from := f.Hist.Now()
-	f.startAgain(i)
+	f.restartForwarder(i)
 	f.Hist.AddRestart(i, from, f.Hist.Now())
 }
 
@@ -511,16 +511,16 @@
 	}
 }
 
-// weather changes how things stand at nodes, for a while.
-func (f *Fleet) weather(x Fault, wait func(time.Duration) bool, nodes []*Node, change func(*node.Weather)) {
-	w := f.cfg.Weather
+// changeConditions changes how things stand at nodes, for a while.
+func (f *Fleet) changeConditions(x Fault, wait func(time.Duration) bool, nodes []*Node, change func(*node.Conditions)) {
+	w := f.cfg.NodeConditions
 	change(&w)
 	for _, n := range nodes {
-		n.SetWeather(w)
+		n.SetConditions(w)
 	}
 	wait(x.For * 2)
 	for _, n := range nodes {
-		n.SetWeather(f.cfg.Weather)
+		n.SetConditions(f.cfg.NodeConditions)
 	}
 }
 
@@ -536,7 +536,7 @@
 	told := x.For > notice || id != ""
 	if told {
 		wait(notice)
-		f.tell(n, "terminated")
+		f.notify(n, "terminated")
 		wait(max(x.For-notice, 100*time.Millisecond))
 	} else {
 		wait(x.For)
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -40,7 +40,7 @@
 	Classes              []policy.Class
 	Plans                []policy.Plan
 	Node                 node.Config
-	Weather              node.Weather // of nodes, from the start on
+	NodeConditions       node.Conditions // of nodes, from the start on
 	Seed                 uint64
 	Dir                  string
 	Spawn                Spawn
@@ -53,7 +53,7 @@
 	CapX                 float64 // of the rule on caps; 0: 2 in two levels, not judged in one
 	PeerLoss             float64 // of messages between ingresses in virtual time; 0 stands for 3%
 	Operator             string  // more of the operator's file of ingresses of one level, or of planners
-	Rush                 bool    // more is asked for than nodes can do: the auditor works out what that came to
+	MeasureOverload      bool    // more is asked for than nodes can do: the auditor works out what that came to
 	Peak                 oracle.Peak
 	Stated               oracle.LoadSheddingBounds // of a fleet that sheds as one, in such a run
 	Zones                int                       // of nodes, in turn, each of which remembers keys for itself; 0: one, and all remember alike
@@ -70,7 +70,7 @@
 type Fleet struct {
 	cfg        FleetConfig
 	Hist       *oracle.History
-	Roster     *Roster
+	Discovery  *Discovery
 	Forwarders []*Proc
 	Planners   []*Proc
 	Links      [][]*Link // by planner and forwarder
@@ -109,17 +109,17 @@
 
 // What the settings state of nodes that have just started; nodes keep to it or do better.
 const (
-	StatedColdFrom = 0.26
-	StatedColdS    = 10.0
-	StatedMultiple = 3.0
-	StatedFallS    = 1.0
+	StatedSlowStartMinFraction = 0.26
+	StatedSlowStartS           = 10.0
+	StatedMultiple             = 3.0
+	StatedFallS                = 1.0
 )
 
 // MaxAttempts is how often a request may be sent to nodes.
 const MaxAttempts = 5
 
-// ColdSlack is the share of a cold node's budget that chance and the network's delays may add.
-const ColdSlack = 0.03
+// SlowStartSlack is the share of a cold node's budget that chance and the network's delays may add.
+const SlowStartSlack = 0.03
 
 // ZoneOf is the zone of a node, of so many, by its id.
 func ZoneOf(id string, zones int) string {
@@ -146,7 +146,7 @@
 		"limits": map[string]any{"cancel": true, "connIdleS": 15.0, "dialTimeoutS": 0.25, "maxAttempts": MaxAttempts,
 			"maxRetryAfterS": 1.0, "mostHeld": 20000, "peerMessages": peers, "retryAfter": true},
 		"profiles": profiles, "packages": packages, "tickS": 0.004,
-		"rules": map[string]any{"answerSlackS": 0.05, "coldFrom": StatedColdFrom, "coldS": StatedColdS, "fallMultiple": StatedMultiple,
+		"rules": map[string]any{"answerSlackS": 0.05, "coldFrom": StatedSlowStartMinFraction, "coldS": StatedSlowStartS, "fallMultiple": StatedMultiple,
 			"fallS": StatedFallS}}
 }
 
@@ -154,8 +154,8 @@
 func StartFleet(cfg FleetConfig) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, Hist: oracle.NewHistory(), nodeLinks: map[string][]*Link{}, taken: map[string]bool{}}
 	f.net = NewNodeNet(f.Hist)
-	f.Roster = NewRoster(f.Hist)
-	f.Roster.AddrFor = f.addrFor
+	f.Discovery = NewDiscovery(f.Hist)
+	f.Discovery.AddrFor = f.addrFor
 	for range cfg.Nodes {
 		if _, err := f.AddNode(false); err != nil {
 			return f, err
@@ -188,7 +188,7 @@
 
 // base writes a configuration as the platform gives it.
 func (f *Fleet) base(name string, number int, listen string, peers []string) (string, error) {
-	ask := f.Roster.For
+	ask := f.Discovery.For
 	if f.cfg.Discovery != nil {
 		ask = func(party string) (string, error) { return f.cfg.Discovery(f, party) }
 	}
@@ -198,7 +198,7 @@
 	}
 	c := map[string]any{"name": name, "listen": listen, "discovery": discovery,
 		"seed": fmt.Sprintf("%016x", f.cfg.Seed*1000+uint64(number)+1), "limits": map[string]any{"memory_mb": max(f.cfg.MemoryMB, 64), "sockets": max(f.cfg.Sockets, 512)},
-		"known": f.Roster.All(name), "settings": settingsOf(f.cfg, number, len(peers) > 0)}
+		"known": f.Discovery.All(name), "settings": settingsOf(f.cfg, number, len(peers) > 0)}
 	if len(peers) > 0 {
 		c["peer_listen"], c["peers"] = peers[number], peers
 	}
@@ -233,7 +233,7 @@
 		if err != nil {
 			return err
 		}
-		file, err := f.base(f.Party(i), i, listen, f.Peers.Peers(i))
+		file, err := f.base(f.Observer(i), i, listen, f.Peers.Peers(i))
 		if err != nil {
 			return err
 		}
@@ -243,12 +243,12 @@
 				return err
 			}
 			text := fmt.Sprintf("status = %q\n%s", status, f.cfg.Operator)
-			if err := os.WriteFile(filepath.Join(f.cfg.Dir, f.Party(i)+".toml"), []byte(text), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(f.cfg.Dir, f.Observer(i)+".toml"), []byte(text), 0o600); err != nil {
 				return err
 			}
 		}
-		p := f.proc("ingress", f.Party(i), file, listen, status)
-		if err := f.doors(p, "ingress", file, nil); err != nil {
+		p := f.proc("ingress", f.Observer(i), file, listen, status)
+		if err := f.addAdminInterfaces(p, "ingress", file, nil); err != nil {
 			return err
 		}
 		f.Forwarders = append(f.Forwarders, p)
@@ -256,8 +256,8 @@
 	return nil
 }
 
-// Party is the roster's name of a forwarder.
-func (f *Fleet) Party(i int) string { return oracle.IngressName(i) }
+// Observer is the roster's name of a forwarder.
+func (f *Fleet) Observer(i int) string { return oracle.IngressName(i) }
 
 // NewProc makes a program of the fleet that Stop does not know; what it says goes to a log in the fleet's folder.
 func (f *Fleet) NewProc(kind, name, file string) *Proc { return f.proc(kind, name, file, "", "") }
@@ -311,14 +311,14 @@
 			return err
 		}
 		text := f.common(i, base, status) + fmt.Sprintf("listen = %q\n", listen)
-		if f.cfg.Params.LeaseS <= doorLease {
+		if f.cfg.Params.LeaseS <= maxAdminLeaseS {
 			text += fmt.Sprintf("console = %q\n", console)
 		}
 		if err := os.WriteFile(file, []byte(text+f.cfg.Operator), 0o600); err != nil {
 			return err
 		}
 		p := f.proc("planner", name, file, listen, status)
-		p.doors = [2]door{{console, file}, {console, file}}
+		p.adminInterfaces = [2]adminInterface{{console, file}, {console, file}}
 		f.Planners = append(f.Planners, p)
 		var links []*Link
 		for range f.cfg.Forwarders {
@@ -339,7 +339,7 @@
 		if err != nil {
 			return err
 		}
-		base, err := f.base(f.Party(i), i, listen, nil)
+		base, err := f.base(f.Observer(i), i, listen, nil)
 		if err != nil {
 			return err
 		}
@@ -347,9 +347,9 @@
 		for p := range f.cfg.Planners {
 			at = append(at, strconv.Quote(f.Links[p][i].Addr()))
 		}
-		p := f.proc("forwarder", f.Party(i), "", listen, status)
-		if err := f.doors(p, "forwarder", base, func(n int, base string) (string, error) {
-			file := filepath.Join(f.cfg.Dir, fmt.Sprintf("%s-%d.toml", f.Party(i), n))
+		p := f.proc("forwarder", f.Observer(i), "", listen, status)
+		if err := f.addAdminInterfaces(p, "forwarder", base, func(n int, base string) (string, error) {
+			file := filepath.Join(f.cfg.Dir, fmt.Sprintf("%s-%d.toml", f.Observer(i), n))
 			text := f.common(i, base, status) + "planners_at = [" + strings.Join(at, ", ") + "]\n"
 			return file, os.WriteFile(file, []byte(text), 0o600)
 		}); err != nil {
@@ -376,7 +376,7 @@
 		}
 		addrs = append(addrs, addr)
 	}
-	front = NewFront(f.Hist, addrs, func(i int) int { return f.Forwarders[i].Life() }, f.cfg.Seed)
+	front = NewFront(f.Hist, addrs, func(i int) int { return f.Forwarders[i].Incarnation() }, f.cfg.Seed)
 	front.leaves = func(i int) bool { return f.Forwarders[i].Leaving() > leaveAfter }
 	if !f.cfg.Direct {
 		front.cut = func(i int, since time.Time) bool { return f.FrontLinks[i].CutSince(since) }
@@ -424,7 +424,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.SetWeather(f.cfg.Weather)
+	n.SetConditions(f.cfg.NodeConditions)
 	for len(links) < 2 && !f.cfg.Direct {
 		k, err := NewLinkWith(n.Addr(), Hooks{NearEnd: f.Hist.ConnectionEnded})
 		if err != nil {
@@ -436,7 +436,7 @@
 	f.nodes = append(f.nodes, n)
 	f.nodeLinks[id] = links
 	f.mu.Unlock()
-	f.tell(n, "in_service")
+	f.notify(n, "in_service")
 	return n, nil
 }
 
@@ -454,14 +454,14 @@
 	return f.nodeLinks[n.ID]
 }
 
-func (f *Fleet) tell(n *Node, state string) {
+func (f *Fleet) notify(n *Node, state string) {
 	started := int64(0)
-	if n.born() {
+	if n.inSlowStart() {
 		started = n.started.UnixMilli()
 	}
 	t := discovery.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: ZoneOf(n.ID, f.cfg.Zones), State: state, Weight: 1, StartedMS: started}
 	if f.cfg.Source == nil || f.cfg.Source(f, t) {
-		f.Roster.Set(t)
+		f.Discovery.Set(t)
 	}
 }
 
@@ -482,9 +482,9 @@
 	if !f.without(n) {
 		return
 	}
-	f.tell(n, "terminating")
+	f.notify(n, "terminating")
 	time.AfterFunc(gone, func() {
-		f.tell(n, "terminated")
+		f.notify(n, "terminated")
 		n.Stop()
 	})
 }
@@ -515,7 +515,7 @@
 	for _, n := range f.Nodes() {
 		n.Stop()
 	}
-	f.Roster.Close()
+	f.Discovery.Close()
 }
 
 // QuotaSlack is the stated slack of two levels, in units; docs/two-levels.md. One level states none.
@@ -544,12 +544,12 @@
 		homes = Homes(f.accounts)
 	}
 	var stated *oracle.LoadSheddingBounds
-	if f.cfg.Rush && f.cfg.Operator != "" {
+	if f.cfg.MeasureOverload && f.cfg.Operator != "" {
 		stated = &f.cfg.Stated
 	}
-	return oracle.Config{LoadShedding: stated, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.Rush, Peak: f.cfg.Peak, QuotaSlack: quota, QuotaSlackS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainGraceS: 0.25 + f.cfg.SlowS, AnswerGraceS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
+	return oracle.Config{LoadShedding: stated, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.MeasureOverload, Peak: f.cfg.Peak, QuotaSlack: quota, QuotaSlackS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainGraceS: 0.25 + f.cfg.SlowS, AnswerGraceS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
 		LateRejectionS: 0.03 + f.cfg.SlowS + f.cfg.StallS, MaxOverlapS: 0.1 + f.cfg.SlowS + f.cfg.StallS, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: MaxAttempts, SlowStartFactor: f.cfg.Node.FallMultiple, SlowStartWindowS: f.cfg.Node.FallS,
-		SlowStartSlack: ColdSlack, SlowStartChance: f.cfg.StallS > 0, MembershipTTLS: f.cfg.StaleS, MaxLateness: 90*time.Millisecond + seconds(f.cfg.SlowS)}
+		SlowStartSlack: SlowStartSlack, SlowStartChance: f.cfg.StallS > 0, MembershipTTLS: f.cfg.StaleS, MaxLateness: 90*time.Millisecond + seconds(f.cfg.SlowS)}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -559,7 +559,7 @@
 	Name, Listen, Status string
 	log                  string
 	cmd                  func() *exec.Cmd
-	doors                [2]door // of an ingress; the one in use changes with each replacement
+	adminInterfaces      [2]adminInterface // of an ingress; the one in use changes with each replacement
 
 	mu     sync.Mutex
 	run    *exec.Cmd
@@ -603,8 +603,8 @@
 	return nil
 }
 
-// Life tells one run of the program from another; it is below 0 while the program does not run or is paused.
-func (p *Proc) Life() int {
+// Incarnation tells one run of the program from another; it is below 0 while the program does not run or is paused.
+func (p *Proc) Incarnation() int {
 	if !p.Up() {
 		return -1
 	}
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -11,11 +11,11 @@
 // Front deals out accounts' requests among the ingresses of their sets as the operators' front does: unevenly, with a
 // busiest one that changes, and to a dead one for some seconds more.
 type Front struct {
-	hist   *oracle.History
-	addrs  []string
-	life   func(f int) int                   // of a forwarder's program: changes with each start; below 0 while it is down
-	leaves func(f int) bool                  // whether it was told to end so long ago that no new connection goes there; nil: never
-	cut    func(f int, since time.Time) bool // whether the way to it was cut since then; nil: never
+	hist        *oracle.History
+	addrs       []string
+	incarnation func(f int) int                   // of a forwarder's program: changes with each start; below 0 while it is down
+	leaves      func(f int) bool                  // whether it was told to end so long ago that no new connection goes there; nil: never
+	cut         func(f int, since time.Time) bool // whether the way to it was cut since then; nil: never
 
 	mu        sync.Mutex
 	rng       *rand.Rand
@@ -29,20 +29,20 @@
 
 // NewFront makes a front of ingresses at addrs.
 func NewFront(hist *oracle.History, addrs []string, life func(int) int, seed uint64) *Front {
-	return &Front{hist: hist, addrs: addrs, life: life, rng: rand.New(rand.NewPCG(seed, 17)), weights: map[string][]float64{},
+	return &Front{hist: hist, addrs: addrs, incarnation: life, rng: rand.New(rand.NewPCG(seed, 17)), weights: map[string][]float64{},
 		until: map[string]time.Time{}, down: map[int]time.Time{}, notice: map[int]time.Duration{}, unreached: map[string]bool{}, drained: map[int]time.Time{}}
 }
 
 // Addr is where clients reach a forwarder.
 func (f *Front) Addr(i int) string { return f.addrs[i] }
 
-// Life tells one life of a forwarder's program from another.
-func (f *Front) Life(i int) int { return f.life(i) }
+// Incarnation tells one life of a forwarder's program from another.
+func (f *Front) Incarnation(i int) int { return f.incarnation(i) }
 
-// Whole tells that a forwarder's program is still in the life given, and that the way to it was not cut since then: a
+// Continuous tells that a forwarder's program is still in the life given, and that the way to it was not cut since then: a
 // connection that ended was ended by it.
-func (f *Front) Whole(i, life int, since time.Time) bool {
-	return f.life(i) == life && (f.cut == nil || !f.cut(i, since))
+func (f *Front) Continuous(i, life int, since time.Time) bool {
+	return f.incarnation(i) == life && (f.cut == nil || !f.cut(i, since))
 }
 
 // Leaves tells that a forwarder was told to end, or to drain, so long ago that the operators' front sends no new connection there.
@@ -126,7 +126,7 @@
 	if f.leavesLocked(i) {
 		return true
 	}
-	if f.life(i) >= 0 {
+	if f.incarnation(i) >= 0 {
 		delete(f.down, i)
 		return false
 	}
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -22,15 +22,15 @@
 
 // Link is a TCP link between two parties that can be cut without a word, slowed, refused and healed.
 type Link struct {
-	l     net.Listener
-	hooks Hooks
-
-	mu    sync.Mutex
-	to    string
-	way   Way
-	conns map[net.Conn]bool
-	heal  chan struct{} // closed when the cut ends
-	cutAt time.Time     // when the last cut ended, or goes on
+	listener net.Listener
+	hooks    Hooks
+
+	mu     sync.Mutex
+	target string
+	way    Way
+	conns  map[net.Conn]bool
+	heal   chan struct{} // closed when the cut ends
+	cutAt  time.Time     // when the last cut ended, or goes on
 }
 
 // CutSince tells whether the link was cut at some time after t.
@@ -49,17 +49,17 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{to: to, l: l, hooks: hooks, conns: map[net.Conn]bool{}, heal: make(chan struct{})}
+	k := &Link{target: to, listener: l, hooks: hooks, conns: map[net.Conn]bool{}, heal: make(chan struct{})}
 	go k.accept()
 	return k, nil
 }
 
 // Addr is the near end.
-func (k *Link) Addr() string { return k.l.Addr().String() }
+func (k *Link) Addr() string { return k.listener.Addr().String() }
 
 // Close ends the link.
 func (k *Link) Close() {
-	k.l.Close()
+	k.listener.Close()
 	k.Heal()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -109,7 +109,7 @@
 
 func (k *Link) accept() {
 	for {
-		c, err := k.l.Accept()
+		c, err := k.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -130,7 +130,7 @@
 		<-heal
 		return
 	}
-	far, err := net.Dial("tcp", k.to)
+	far, err := net.Dial("tcp", k.target)
 	if err != nil {
 		k.unreached(near)
 		return
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -14,7 +14,7 @@
 
 // Cost is what a run used, for a request of a client.
 type Cost struct {
-	Tries                        int
+	Requests                     int
 	ForwarderCPU, PlannerCPU     time.Duration // for a try, all programs of a kind together
 	IdleForwarder, IdlePlanner   float64       // cores that one program uses while nobody asks
 	LinkBytes                    float64       // for a try, both directions, liveness included
@@ -22,7 +22,7 @@
 	Datagrams                    float64       // for a try
 	OverheadP50, OverheadP99     time.Duration // between client and node, beside the node's own time, of tries with one attempt
 	Service, Rate                float64       // Rate: tries a second
-	ForwarderShare, PlannerShare float64       // of a core, one program's mean
+	ForwarderCores, PlannerCores float64       // of a core, one program's mean
 }
 
 // snapshot is what counters stood at.
@@ -30,11 +30,11 @@
 	fwd, plan time.Duration
 	bytes     uint64
 	datagrams float64
-	at        time.Time
+	takenAt   time.Time
 }
 
 func (f *Fleet) snapshot() (s snapshot) {
-	s.at = time.Now()
+	s.takenAt = time.Now()
 	for _, p := range f.Forwarders {
 		s.fwd += p.CPU()
 		var st forwarder.Status
@@ -68,20 +68,20 @@
 	ctx, end := context.WithTimeout(context.Background(), sc.Length)
 	defer end()
 	f.Hist.ResetClock()
-	NewClients(Traffic{Accounts: sc.Accounts, Classes: sc.Classes, Shares: LabShares, Units: LabUnits, Retries: 2, Seed: sc.Seed},
+	NewClients(Traffic{Accounts: sc.Accounts, Classes: sc.Classes, ClassFractions: LabClassFractions, Units: LabUnits, Retries: 2, Seed: sc.Seed},
 		f.Hist, f.Front).Run(ctx)
 	c := f.snapshot()
 	rep := oracle.Check(f.Hist, f.Rules())
 	n := float64(max(rep.Requests, 1))
-	span, rest := c.at.Sub(b.at).Seconds(), b.at.Sub(a.at).Seconds()
+	span, rest := c.takenAt.Sub(b.takenAt).Seconds(), b.takenAt.Sub(a.takenAt).Seconds()
 	share := func(d time.Duration, programs int, of float64) float64 {
 		return d.Seconds() / of / float64(max(programs, 1))
 	}
-	cost := Cost{Tries: rep.Requests, ForwarderCPU: time.Duration(float64(c.fwd-b.fwd) / n), PlannerCPU: time.Duration(float64(c.plan-b.plan) / n),
+	cost := Cost{Requests: rep.Requests, ForwarderCPU: time.Duration(float64(c.fwd-b.fwd) / n), PlannerCPU: time.Duration(float64(c.plan-b.plan) / n),
 		IdleForwarder: share(b.fwd-a.fwd, len(f.Forwarders), rest), IdlePlanner: share(b.plan-a.plan, len(f.Planners), rest),
 		LinkBytes: float64(c.bytes-b.bytes) / n, IdleLinkBytes: float64(b.bytes-a.bytes) / rest, Datagrams: (c.datagrams - b.datagrams) / n,
-		Service: rep.Service, Rate: n / sc.Length.Seconds(), ForwarderShare: share(c.fwd-b.fwd, len(f.Forwarders), span),
-		PlannerShare: share(c.plan-b.plan, len(f.Planners), span)}
+		Service: rep.Service, Rate: n / sc.Length.Seconds(), ForwarderCores: share(c.fwd-b.fwd, len(f.Forwarders), span),
+		PlannerCores: share(c.plan-b.plan, len(f.Planners), span)}
 	cost.OverheadP50, cost.OverheadP99 = overheads(f.Hist)
 	return cost, rep, nil
 }
--- a/internal/testbed/net_test.go
+++ b/internal/testbed/net_test.go
@@ -180,7 +180,7 @@
 // Guards the roster's ways: late, broken and whole lists, and that what a party is told is known no later than it can act.
 func TestRosterWays(t *testing.T) {
 	hist := oracle.NewHistory()
-	r := NewRoster(hist)
+	r := NewDiscovery(hist)
 	defer r.Close()
 	addr, err := r.For("f0")
 	if err != nil {
@@ -276,23 +276,23 @@
 	}
 	send(0, 1, "a")
 	got(1, "a")
-	p.Set(0, 1, Weather{Cut: true})
+	p.Set(0, 1, PacketConditions{Cut: true})
 	send(0, 1, "b")
 	send(1, 0, "c") // the other direction stands
 	got(0, "c")
 	for p.Sent() < 3 {
 		time.Sleep(time.Millisecond) // until the cut one has been met
 	}
-	p.Set(0, 1, Weather{Double: 1, Delay: time.Millisecond})
+	p.Set(0, 1, PacketConditions{Double: 1, Delay: time.Millisecond})
 	send(0, 1, "d")
 	got(1, "d")
 	got(1, "d")
-	p.All(Weather{Loss: 1}, nil)
+	p.All(PacketConditions{Loss: 1}, nil)
 	send(0, 1, "e")
 	for p.Sent() < 5 {
 		time.Sleep(time.Millisecond)
 	}
-	p.All(Weather{}, nil)
+	p.All(PacketConditions{}, nil)
 	send(0, 1, "f")
 	got(1, "f")
 }
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -24,17 +24,17 @@
 // Node is one stand-in zone node on a socket: a node.Model, and the connections to it. Each attempt is recorded when its last
 // byte has come and when it ends.
 type Node struct {
-	ID      string
-	cfg     node.Config
-	hist    *oracle.History
-	life    int
-	started time.Time
-	cold    bool
-	zero    time.Time   // of the model's time
-	keysMu  *sync.Mutex // of the model's Keys, which all nodes share; taken inside mu
+	ID          string
+	cfg         node.Config
+	hist        *oracle.History
+	incarnation int
+	started     time.Time
+	slowStart   bool
+	zero        time.Time   // of the model's time
+	keysMu      *sync.Mutex // of the model's Keys, which all nodes share; taken inside mu
 
 	mu       sync.Mutex
-	l        net.Listener
+	listener net.Listener
 	model    *node.Model
 	timer    *time.Timer
 	nextAt   float64
@@ -83,22 +83,22 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{ID: id, cfg: cfg, l: l, hist: w.hist, zero: w.zero, keysMu: &w.mu, started: time.Now(), cold: cold, attempts: map[uint64]*nodeAttempt{},
+	n := &Node{ID: id, cfg: cfg, listener: l, hist: w.hist, zero: w.zero, keysMu: &w.mu, started: time.Now(), slowStart: cold, attempts: map[uint64]*nodeAttempt{},
 		conns: map[net.Conn]bool{}, nextAt: math.Inf(1)}
 	born, started := n.now(), w.hist.Now()
 	if !cold {
 		born -= 1e6
 		started = -1e6 * time.Second
 	}
-	n.life = w.hist.AddIncarnation(oracle.Incarnation{Node: id, StartedAt: started, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.ColdFrom, WarmUpS: cfg.ColdS})
+	n.incarnation = w.hist.AddIncarnation(oracle.Incarnation{Node: id, StartedAt: started, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.SlowStartMinFraction, WarmUpS: cfg.SlowStartS})
 	n.model = node.New(cfg, w.keys, seed, born, n)
 	n.timer = time.AfterFunc(time.Hour, n.ring)
 	go n.accept(l)
 	return n, nil
 }
 
-// born tells that its start is of this run.
-func (n *Node) born() bool { return n.cold }
+// inSlowStart tells that its start is of this run.
+func (n *Node) inSlowStart() bool { return n.slowStart }
 
 func (n *Node) now() float64 { return time.Since(n.zero).Seconds() }
 
@@ -122,9 +122,9 @@
 
 func (n *Node) ring() { n.do(func(m *node.Model, now float64) { m.Advance(now) }) }
 
-// SetWeather says how things stand at the node from now on.
-func (n *Node) SetWeather(w node.Weather) {
-	n.do(func(m *node.Model, now float64) { m.Advance(now); m.SetWeather(w) })
+// SetConditions says how things stand at the node from now on.
+func (n *Node) SetConditions(w node.Conditions) {
+	n.do(func(m *node.Model, now float64) { m.Advance(now); m.SetConditions(w) })
 }
 
 // Pause stops the node's time; its connections stay open. Resume ends that.
@@ -167,14 +167,14 @@
 
 // Fell implements node.Out.
 func (n *Node) Fell(float64) {
-	n.hist.IncarnationCrashed(n.life)
+	n.hist.IncarnationCrashed(n.incarnation)
 	n.hist.AddFault("node " + n.ID + " fell over")
 	n.stop()
 }
 
 func (n *Node) stop() {
 	n.stopped = true
-	n.l.Close()
+	n.listener.Close()
 	for c := range n.conns {
 		reset(c)
 	}
@@ -189,7 +189,7 @@
 }
 
 // Addr is where the node listens.
-func (n *Node) Addr() string { return n.l.Addr().String() }
+func (n *Node) Addr() string { return n.listener.Addr().String() }
 
 // Stop ends the node as a crash would: what it holds is lost.
 func (n *Node) Stop() {
@@ -339,7 +339,7 @@
 	f := fieldsOf(args[3])
 	units, _ := strconv.ParseFloat(f["units"], 64)
 	x := &nodeAttempt{reply: make(chan node.Fate, 1), rec: &oracle.Attempt{ID: args[2], Node: n.ID, Account: args[1], Class: f["c"], Plan: f["t"],
-		Units: units, Incarnation: n.life, Conn: c.RemoteAddr().String()},
+		Units: units, Incarnation: n.incarnation, Conn: c.RemoteAddr().String()},
 		Attempt: node.Attempt{Request: args[2], Account: args[1], Class: f["c"], Key: f["k"]}}
 	n.do(func(m *node.Model, now float64) {
 		n.handles++
@@ -400,7 +400,7 @@
 		return "-BUSY " + load + "\r\n", true
 	case node.ResetMid:
 		return whole[:len(whole)/3], false
-	case node.Noise:
+	case node.Garbage:
 		return "HTTP/1.1 200 OK\r\n\r\n", true
 	case node.Lying:
 		return fmt.Sprintf("*3\r\n$%d\r\nv:%s\r\n$-1\r\n$-1\r\n", len(id)-3, id), true
--- a/internal/testbed/node/model.go
+++ b/internal/testbed/node/model.go
@@ -10,13 +10,13 @@
 
 // Config is what a node can do. Times are in seconds.
 type Config struct {
-	Zone     string  // whose nodes share a memory of keys
-	Cores    int     // attempts in work at once
-	Queue    int     // attempts that may wait; further ones are turned away
-	Speed    float64 // factor on the work
-	KeyedS   float64 // for which the repeat of a key is dropped
-	ColdS    float64 // until it is warm after its start, 0: at once
-	ColdFrom float64 // of its capacity that it starts with
+	Zone                 string  // whose nodes share a memory of keys
+	Cores                int     // attempts in work at once
+	Queue                int     // attempts that may wait; further ones are turned away
+	Speed                float64 // factor on the work
+	KeyedS               float64 // for which the repeat of a key is dropped
+	SlowStartS           float64 // until it is warm after its start, 0: at once
+	SlowStartMinFraction float64 // of its capacity that it starts with
 	// Sent more than FallMultiple x what it can do at that moment within FallS, a cold node falls over and stays down.
 	// FallMultiple 0: it does not.
 	FallMultiple, FallS float64
@@ -42,7 +42,7 @@
 	ResetMid   // and in the middle of it
 	SilentRan  // no answer
 	Late       // the answer comes after seconds
-	Noise      // bytes that are no answer
+	Garbage    // bytes that are no answer
 	Lying      // a value whose length lies
 	Endless    // a value that never ends
 	Valueless  // an answer without a value
@@ -60,17 +60,17 @@
 // MayHaveRun tells what whoever sent the attempt must take for possible.
 func (f Fate) MayHaveRun() bool { return f != Full && f != Broken }
 
-// Weather is how often which fate comes, as shares of the attempts, and how slow the node is.
-type Weather struct {
-	Shares [fates]float64
-	Slow   float64 // factor on the time that work takes; 0 stands for 1
+// Conditions is how often which fate comes, as shares of the attempts, and how slow the node is.
+type Conditions struct {
+	Fractions [fates]float64
+	Slow      float64 // factor on the time that work takes; 0 stands for 1
 }
 
 // Rough is a weather in which a share x of all attempts goes wrong, in every way.
-func Rough(x float64) (w Weather) {
+func Rough(x float64) (w Conditions) {
 	for f, part := range map[Fate]float64{Error: 1, Full: 2, ResetUnrun: 2, SilentUnrun: 0.5, ErrorRan: 1, ResetRan: 2, ResetMid: 1, SilentRan: 0.5,
-		Late: 0.5, Noise: 0.5, Lying: 0.5, Endless: 0.5, Valueless: 0.5, Copy: 1, AbsurdLoad: 1, Broken: 1.5} {
-		w.Shares[f] = x * part / 16
+		Late: 0.5, Garbage: 0.5, Lying: 0.5, Endless: 0.5, Valueless: 0.5, Copy: 1, AbsurdLoad: 1, Broken: 1.5} {
+		w.Fractions[f] = x * part / 16
 	}
 	return w
 }
@@ -124,57 +124,57 @@
 
 // Model is one node's life. It is not safe for concurrent use; Keys neither.
 type Model struct {
-	cfg     Config
-	rng     *rand.Rand
-	keys    *Keys
-	out     Out
-	born    float64
-	weather Weather
-	paused  bool
-	fallen  bool
-	waiting []*Attempt
-	working []*Attempt // Cores at most
-	silent  []*Attempt // answered late or never
-	sent    []sent     // while cold
-	now     float64    // of the last event
-	told    float64    // load, and when it was looked at
-	toldAt  float64
+	cfg           Config
+	rng           *rand.Rand
+	keys          *Keys
+	out           Out
+	startedAt     float64
+	conditions    Conditions
+	paused        bool
+	fallen        bool
+	waiting       []*Attempt
+	working       []*Attempt // Cores at most
+	silent        []*Attempt // answered late or never
+	sent          []sent     // while cold
+	now           float64    // of the last event
+	reportedLoad  float64    // load, and when it was looked at
+	loadSampledAt float64
 }
 
 type sent struct{ at, work float64 }
 
 // New starts a node's life. A born of long ago is a warm node.
 func New(cfg Config, keys *Keys, seed uint64, born float64, out Out) *Model {
-	return &Model{cfg: cfg, keys: keys, rng: rand.New(rand.NewPCG(seed, 7)), born: born, out: out}
+	return &Model{cfg: cfg, keys: keys, rng: rand.New(rand.NewPCG(seed, 7)), startedAt: born, out: out}
 }
 
-// SetWeather says how things stand from now on.
-func (m *Model) SetWeather(w Weather) { m.weather = w }
+// SetConditions says how things stand from now on.
+func (m *Model) SetConditions(w Conditions) { m.conditions = w }
 
 // Fallen tells that it has fallen over.
 func (m *Model) Fallen() bool { return m.fallen }
 
-// Share is the part of its capacity that it has by now.
-func (c Config) Share(age float64) float64 {
-	if c.ColdS <= 0 || age >= c.ColdS {
+// WarmFraction is the part of its capacity that it has by now.
+func (c Config) WarmFraction(age float64) float64 {
+	if c.SlowStartS <= 0 || age >= c.SlowStartS {
 		return 1
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*max(age, 0)/c.ColdS
+	return c.SlowStartMinFraction + (1-c.SlowStartMinFraction)*max(age, 0)/c.SlowStartS
 }
 
 // Budget is the work that it may be sent within FallS, at an age.
 func (c Config) Budget(age float64) float64 {
-	return c.FallMultiple * float64(c.Cores) * c.Speed * c.Share(age) * c.FallS
+	return c.FallMultiple * float64(c.Cores) * c.Speed * c.WarmFraction(age) * c.FallS
 }
 
 // Breaks draws whether the connection is to break in the middle of the command that begins to come.
-func (m *Model) Breaks() bool { return m.rng.Float64() < m.weather.Shares[Broken] }
+func (m *Model) Breaks() bool { return m.rng.Float64() < m.conditions.Fractions[Broken] }
 
 // draw picks a fate.
 func (m *Model) draw() Fate {
 	x := m.rng.Float64()
 	for f := Error; f < Broken; f++ {
-		if x -= m.weather.Shares[f]; x < 0 {
+		if x -= m.conditions.Fractions[f]; x < 0 {
 			return f
 		}
 	}
@@ -191,7 +191,7 @@
 		m.out.Ended(now, a, "down")
 		return a.work
 	}
-	if age := now - m.born; m.cfg.FallMultiple > 0 && age < m.cfg.ColdS {
+	if age := now - m.startedAt; m.cfg.FallMultiple > 0 && age < m.cfg.SlowStartS {
 		keep, sum := m.sent[:0], a.work
 		for _, s := range m.sent {
 			if now-s.at < m.cfg.FallS {
@@ -240,9 +240,9 @@
 	for len(m.waiting) > 0 && len(m.working) < m.cfg.Cores && !m.paused {
 		a := m.waiting[0]
 		m.waiting = m.waiting[1:]
-		slow := max(m.weather.Slow, 1)
+		slow := max(m.conditions.Slow, 1)
 		a.began = true
-		a.doneAt = now + a.work*slow/(m.cfg.Speed*m.cfg.Share(now-m.born))
+		a.doneAt = now + a.work*slow/(m.cfg.Speed*m.cfg.WarmFraction(now-m.startedAt))
 		m.working = append(m.working, a)
 		repeat := a.repeat || a.Key != "" && !m.keys.first(now, m.cfg.Zone+"/"+a.Account+"/"+a.Key, m.cfg.KeyedS)
 		m.out.Began(now, a, a.work, repeat)
@@ -353,8 +353,8 @@
 
 // Load is the share of its cores that are busy, as it was when it was last looked at.
 func (m *Model) Load() float64 {
-	if m.cfg.ReportS <= 0 || m.now >= m.toldAt+m.cfg.ReportS {
-		m.told, m.toldAt = float64(len(m.working))/float64(m.cfg.Cores), m.now
+	if m.cfg.ReportS <= 0 || m.now >= m.loadSampledAt+m.cfg.ReportS {
+		m.reportedLoad, m.loadSampledAt = float64(len(m.working))/float64(m.cfg.Cores), m.now
 	}
-	return m.told
+	return m.reportedLoad
 }
--- a/internal/testbed/node/model_test.go
+++ b/internal/testbed/node/model_test.go
@@ -62,7 +62,7 @@
 		cfg.WorksOn = seed%2 == 0
 		r := &recorder{t: t, open: map[*Attempt]string{}}
 		m := New(cfg, NewKeys(), seed, 0, r)
-		m.SetWeather(Rough(0.8))
+		m.SetConditions(Rough(0.8))
 		now := 0.0
 		var all []*Attempt
 		for i := range 200 {
@@ -106,7 +106,7 @@
 // Guards the rule on cold nodes: the budget is what the rule says, at any age, and one that fell stays down.
 func TestFalls(t *testing.T) {
 	cfg := plain
-	cfg.Cores, cfg.Queue, cfg.ColdS, cfg.ColdFrom, cfg.FallMultiple, cfg.FallS = 4, 1000, 10, 0.25, 3, 1
+	cfg.Cores, cfg.Queue, cfg.SlowStartS, cfg.SlowStartMinFraction, cfg.FallMultiple, cfg.FallS = 4, 1000, 10, 0.25, 3, 1
 	for _, age := range []float64{0, 5, 9.9, 10} {
 		m, r := testModel(t, cfg, 0)
 		sum := 0.0
@@ -149,7 +149,7 @@
 // Guards the fates: each of them is drawn, and served are all that carry a value.
 func TestFates(t *testing.T) {
 	m, r := testModel(t, Config{Cores: 1000, Queue: 1, Speed: 1, Work: map[string]float64{"x": 0.001}}, 0)
-	m.SetWeather(Rough(1))
+	m.SetConditions(Rough(1))
 	seen := map[Fate]bool{}
 	for i := range 2000 {
 		a := &Attempt{Request: fmt.Sprint(i), Class: "x"}
--- a/internal/testbed/operators.go
+++ b/internal/testbed/operators.go
@@ -19,19 +19,19 @@
 // Ingresses of a fleet of one level have a door each; every second start of one has it at another address. In two levels planners have one.
 
 const (
-	replaceMost = 10 * time.Second // for an old program to end after its successor was started
-	callMost    = 2 * time.Second
-	callRetry   = 50 * time.Millisecond
-	doorLease   = 0.6              // seconds: planners with longer leases have no door
-	resumeMost  = 10 * time.Second // for a call back to get through to an ingress that is down now
+	replaceMost    = 10 * time.Second // for an old program to end after its successor was started
+	callMost       = 2 * time.Second
+	callRetry      = 50 * time.Millisecond
+	maxAdminLeaseS = 0.6              // seconds: planners with longer leases have no door
+	resumeMost     = 10 * time.Second // for a call back to get through to an ingress that is down now
 )
 
-// door is one address of a program's operators' door, and the configuration that names it.
-type door struct{ console, file string }
+// adminInterface is one address of a program's operators' door, and the configuration that names it.
+type adminInterface struct{ console, file string }
 
-// doors gives a program two configurations that differ in the door alone, and a folder that outlives it. wrap, if not nil, words the
+// addAdminInterfaces gives a program two configurations that differ in the door alone, and a folder that outlives it. wrap, if not nil, words the
 // operator's file that names a configuration; the program is given that one.
-func (f *Fleet) doors(p *Proc, kind, file string, wrap func(n int, base string) (string, error)) error {
+func (f *Fleet) addAdminInterfaces(p *Proc, kind, file string, wrap func(n int, base string) (string, error)) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return err
 	}
-	for i := range p.doors {
+	for i := range p.adminInterfaces {
 		var c map[string]any
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
@@ -59,10 +59,10 @@
 				return err
 			}
 		}
-		p.doors[i] = door{addr, path}
+		p.adminInterfaces[i] = adminInterface{addr, path}
 	}
 	p.cmd = func() *exec.Cmd {
-		c := f.cfg.Spawn(kind, p.door().file)
+		c := f.cfg.Spawn(kind, p.admin().file)
 		if c.Env == nil {
 			c.Env = os.Environ()
 		}
@@ -78,10 +78,10 @@
 	return nil
 }
 
-func (p *Proc) door() door {
+func (p *Proc) admin() adminInterface {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.doors[p.turn%len(p.doors)]
+	return p.adminInterfaces[p.turn%len(p.adminInterfaces)]
 }
 
 // Replace starts the program a second time beside itself, and returns when the first has ended. To clients its life goes
@@ -151,7 +151,7 @@
 
 // Call makes an operator's call and returns its status.
 func (p *Proc) Call(ctx context.Context, method, path string) (int, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.door().console+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.admin().console+path, nil)
 	if err != nil {
 		return 0, err
 	}
@@ -163,15 +163,15 @@
 	return resp.StatusCode, nil
 }
 
-// hold has operators take a node out at every ingress that says yes, for as long as wait does, and call it back.
-func (f *Fleet) hold(n *Node, meanwhile func()) {
+// cordon has operators take a node out at every ingress that says yes, for as long as wait does, and call it back.
+func (f *Fleet) cordon(n *Node, meanwhile func()) {
 	held := make([]bool, len(f.Forwarders))
 	var all sync.WaitGroup
 	for i, p := range f.Forwarders {
 		all.Go(func() {
 			if status, err := p.Call(context.Background(), http.MethodPost, "/v1/backends/"+n.ID+"/suspend"); err == nil && status == http.StatusOK {
 				held[i] = true
-				f.Hist.SetCordon(f.Party(i), n.ID, true)
+				f.Hist.SetCordon(f.Observer(i), n.ID, true)
 			}
 		})
 	}
@@ -182,7 +182,7 @@
 			continue
 		}
 		all.Go(func() {
-			f.Hist.SetCordon(f.Party(i), n.ID, false)
+			f.Hist.SetCordon(f.Observer(i), n.ID, false)
 			status := 0
 			for end := time.Now().Add(resumeMost); time.Now().Before(end); time.Sleep(callRetry) {
 				var err error
@@ -198,9 +198,9 @@
 	all.Wait()
 }
 
-// holdAtPlanner has operators take a node out at one planner, for as long as meanwhile does, and call it back at another. From the yes on
+// cordonAtPlanner has operators take a node out at one planner, for as long as meanwhile does, and call it back at another. From the yes on
 // every forwarder is bound, whoever leads.
-func (f *Fleet) holdAtPlanner(n *Node, at int, meanwhile func()) {
+func (f *Fleet) cordonAtPlanner(n *Node, at int, meanwhile func()) {
 	path := "/v1/backends/" + n.ID
 	yes, status, err := false, 0, error(nil)
 	for end := time.Now().Add(resumeMost / 3); !yes && time.Now().Before(end); at++ { // a planner may be down, or linked to too few
@@ -209,7 +209,7 @@
 	}
 	if yes {
 		for i := range f.Forwarders {
-			f.Hist.SetCordon(f.Party(i), n.ID, true)
+			f.Hist.SetCordon(f.Observer(i), n.ID, true)
 		}
 	} else {
 		f.Hist.AddFault(fmt.Sprintf("planner %d does not hold %s: status %d, %v", at%len(f.Planners), n.ID, status, err))
@@ -217,7 +217,7 @@
 	meanwhile()
 	for i := range f.Forwarders {
 		if yes {
-			f.Hist.SetCordon(f.Party(i), n.ID, false)
+			f.Hist.SetCordon(f.Observer(i), n.ID, false)
 		}
 	}
 	for end := time.Now().Add(resumeMost); time.Now().Before(end); time.Sleep(callRetry) {
@@ -233,7 +233,7 @@
 	kinds["fleet held"] = kind{"operators take a node out at one planner and call it back at another", 1, 2, one("held"),
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			if n := f.pick(x.A); n != nil {
-				f.holdAtPlanner(n, x.B, func() { wait(x.For) })
+				f.cordonAtPlanner(n, x.B, func() { wait(x.For) })
 			}
 		}}
 	kinds["away"] = kind{"operators send a planner away and have it back", 1, 2, onPlanner,
@@ -252,7 +252,7 @@
 			}
 			f.Hist.AddReplacement(i, from, f.Hist.Now())
 		}}
-	kinds["fleet replaced"] = kind{"operators replace a forwarder's program beside itself", 2, 2, onForwarder, kinds["replaced"].do}
+	kinds["fleet replaced"] = kind{"operators replace a forwarder's program beside itself", 2, 2, onForwarder, kinds["replaced"].inject}
 	kinds["successor dies"] = kind{"operators replace a forwarder's program, and the new one dies of it", 1, 2, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			i, from := x.A%len(f.Forwarders), f.Hist.Now()
@@ -268,7 +268,7 @@
 			if n == nil {
 				return
 			}
-			f.hold(n, func() {
+			f.cordon(n, func() {
 				if x.B%3 == 0 {
 					f.crash(n, "", x, wait)
 				}
@@ -277,6 +277,6 @@
 		}}
 	scenarios["operators"] = scenario{what: "programs replaced beside themselves, nodes held and restarted, while nodes err, drain and crash and programs die",
 		kinds: []string{"replaced", "replaced", "replaced", "held", "held", "held", "drain", "crash", "sick", "forwarder", "broken roster", "silent roster", "late roster"},
-		every: 400 * time.Millisecond, weather: 0.05, hangUps: 0.03, batches: 0.2, rude: 1,
+		every: 400 * time.Millisecond, faultyFraction: 0.05, hangUps: 0.03, batches: 0.2, misbehaving: 1,
 		floors: map[string]int{oracle.RuleCordon: 20, oracle.RuleReplacement: 20, oracle.RuleNoRequestLost: 50}}
 }
--- a/internal/testbed/peernet.go
+++ b/internal/testbed/peernet.go
@@ -14,16 +14,16 @@
 type PeerNet struct {
 	socks [][]*net.UDPConn // socks[i][j]: where i sends for j, and from where i hears j
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	to    []*net.UDPAddr // each one's own address
-	rule  [][]Weather
-	sent  int
-	began time.Time
+	mu      sync.Mutex
+	rng     *rand.Rand
+	targets []*net.UDPAddr // each one's own address
+	rule    [][]PacketConditions
+	sent    int
+	began   time.Time
 }
 
-// Weather is what becomes of datagrams in one direction.
-type Weather struct {
+// PacketConditions is what becomes of datagrams in one direction.
+type PacketConditions struct {
 	Cut    bool
 	Alien  bool    // they come in a form that nobody reads
 	Lies   bool    // what they say of overload is false: nothing and all by turns, with a phase that runs away
@@ -36,14 +36,14 @@
 // NewPeerNet makes the net of n ingresses, whose own addresses are to.
 func NewPeerNet(to []string, seed uint64) (*PeerNet, error) {
 	n := len(to)
-	p := &PeerNet{began: time.Now(), rng: rand.New(rand.NewPCG(seed, 13)), socks: make([][]*net.UDPConn, n), rule: make([][]Weather, n)}
+	p := &PeerNet{began: time.Now(), rng: rand.New(rand.NewPCG(seed, 13)), socks: make([][]*net.UDPConn, n), rule: make([][]PacketConditions, n)}
 	for i := range n {
 		addr, err := net.ResolveUDPAddr("udp", to[i])
 		if err != nil {
 			return nil, err
 		}
-		p.to = append(p.to, addr)
-		p.rule[i] = make([]Weather, n)
+		p.targets = append(p.targets, addr)
+		p.rule[i] = make([]PacketConditions, n)
 		p.socks[i] = make([]*net.UDPConn, n)
 		for j := range n {
 			if p.socks[i][j], err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
@@ -78,19 +78,19 @@
 	for j := range p.socks {
 		list = append(list, p.socks[i][j].LocalAddr().String())
 	}
-	list[i] = p.to[i].String()
+	list[i] = p.targets[i].String()
 	return list
 }
 
 // Set says what becomes of datagrams from i to j from now on.
-func (p *PeerNet) Set(i, j int, w Weather) {
+func (p *PeerNet) Set(i, j int, w PacketConditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rule[i][j] = w
 }
 
 // All says so for all pairs for which which holds.
-func (p *PeerNet) All(w Weather, which func(i, j int) bool) {
+func (p *PeerNet) All(w PacketConditions, which func(i, j int) bool) {
 	for i := range p.socks {
 		for j := range p.socks {
 			if which == nil || which(i, j) {
@@ -108,7 +108,7 @@
 }
 
 // fate draws what becomes of one datagram: after which times it comes, if at all.
-func (p *PeerNet) fate(i, j int) (after []time.Duration, w Weather) {
+func (p *PeerNet) fate(i, j int) (after []time.Duration, w PacketConditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sent++
@@ -147,11 +147,11 @@
 		}
 		for _, d := range fate {
 			if d == 0 {
-				_, _ = p.socks[j][i].WriteToUDP(buf[:n], p.to[j])
+				_, _ = p.socks[j][i].WriteToUDP(buf[:n], p.targets[j])
 				continue
 			}
 			data := append([]byte(nil), buf[:n]...)
-			time.AfterFunc(d, func() { _, _ = p.socks[j][i].WriteToUDP(data, p.to[j]) })
+			time.AfterFunc(d, func() { _, _ = p.socks[j][i].WriteToUDP(data, p.targets[j]) })
 		}
 	}
 }
--- a/internal/testbed/roster.go
+++ b/internal/testbed/roster.go
@@ -12,9 +12,9 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Roster is a stand-in discovery. Each party asks at an address of its own, so that it is known who was told what
+// Discovery is a stand-in discovery. Each party asks at an address of its own, so that it is known who was told what
 // and when, and so that parties can be told late, or of addresses of their own.
-type Roster struct {
+type Discovery struct {
 	hist *oracle.History
 	// AddrFor, if set before the first party asks, gives the address under which a party sees a node.
 	AddrFor func(party string, t discovery.Endpoint) string
@@ -32,16 +32,16 @@
 
 type change struct {
 	discovery.List
-	due time.Time // told no earlier
+	notBefore time.Time // told no earlier
 }
 
-// NewRoster returns a roster without nodes.
-func NewRoster(hist *oracle.History) *Roster {
-	return &Roster{hist: hist, version: 1, list: map[string]discovery.Endpoint{}, changed: make(chan struct{}), breaks: make(chan struct{})}
+// NewDiscovery returns a roster without nodes.
+func NewDiscovery(hist *oracle.History) *Discovery {
+	return &Discovery{hist: hist, version: 1, list: map[string]discovery.Endpoint{}, changed: make(chan struct{}), breaks: make(chan struct{})}
 }
 
 // Set says how a node stands from now on.
-func (r *Roster) Set(t discovery.Endpoint) {
+func (r *Discovery) Set(t discovery.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -54,20 +54,20 @@
 	r.wake()
 }
 
-func (r *Roster) wake() {
+func (r *Discovery) wake() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
 // Late has changes from now on told so much later.
-func (r *Roster) Late(d time.Duration) {
+func (r *Discovery) Late(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.late = d
 }
 
 // Silent has the roster say nothing more, not even that it is there, until it is taken back.
-func (r *Roster) Silent(on bool) {
+func (r *Discovery) Silent(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.silent = on
@@ -75,7 +75,7 @@
 }
 
 // Break ends all watches and forgets the changes: whoever comes back is told the whole list.
-func (r *Roster) Break() {
+func (r *Discovery) Break() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.changes = nil
@@ -84,7 +84,7 @@
 }
 
 // All is the whole list as a party sees it.
-func (r *Roster) All(party string) discovery.List {
+func (r *Discovery) All(party string) discovery.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := discovery.List{Version: r.version, Full: true}
@@ -94,7 +94,7 @@
 	return l
 }
 
-func (r *Roster) seen(party string, t discovery.Endpoint) discovery.Endpoint {
+func (r *Discovery) seen(party string, t discovery.Endpoint) discovery.Endpoint {
 	if r.AddrFor != nil {
 		t.Addr = r.AddrFor(party, t)
 	}
@@ -102,7 +102,7 @@
 }
 
 // For opens the address at which a party asks.
-func (r *Roster) For(party string) (addr string, err error) {
+func (r *Discovery) For(party string) (addr string, err error) {
 	l, err := net.Listen("tcp", ownAddr(0))
 	if err != nil {
 		return "", err
@@ -116,7 +116,7 @@
 }
 
 // Close ends all that For opened.
-func (r *Roster) Close() {
+func (r *Discovery) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
@@ -124,9 +124,9 @@
 	}
 }
 
-// due is what a watch that has heard all up to after is to be told now, and how long until there may be more. The first of
+// dueChanges is what a watch that has heard all up to after is to be told now, and how long until there may be more. The first of
 // a watch for which changes are missing is the whole list.
-func (r *Roster) due(party string, after int64) (list []discovery.List, wait time.Duration, changed, breaks <-chan struct{}, silent bool) {
+func (r *Discovery) dueChanges(party string, after int64) (list []discovery.List, wait time.Duration, changed, breaks <-chan struct{}, silent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wait, changed, breaks, silent = 2*time.Second, r.changed, r.breaks, r.silent
@@ -148,7 +148,7 @@
 		if c.Version <= after {
 			continue
 		}
-		if left := time.Until(c.due); left > 0 {
+		if left := time.Until(c.notBefore); left > 0 {
 			wait = min(wait, left)
 			break
 		}
@@ -159,7 +159,7 @@
 	return
 }
 
-func (r *Roster) serve(party string, w http.ResponseWriter, q *http.Request) {
+func (r *Discovery) serve(party string, w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	silent := r.silent
 	r.mu.Unlock()
@@ -169,24 +169,24 @@
 			return
 		}
 		l := r.All(party)
-		TellUp(r.hist, party, l)
+		RecordUp(r.hist, party, l)
 		_ = json.NewEncoder(w).Encode(l)
-		TellRest(r.hist, party, l)
+		RecordAbsent(r.hist, party, l)
 		return
 	}
 	var after int64
 	_, _ = fmt.Sscan(q.URL.Query().Get("after"), &after)
 	out := json.NewEncoder(w)
 	for {
-		due, wait, changed, breaks, silent := r.due(party, after)
+		due, wait, changed, breaks, silent := r.dueChanges(party, after)
 		for _, l := range due {
-			TellUp(r.hist, party, l)
+			RecordUp(r.hist, party, l)
 			if out.Encode(l) != nil {
 				return
 			}
 			after = l.Version
 			w.(http.Flusher).Flush()
-			TellRest(r.hist, party, l)
+			RecordAbsent(r.hist, party, l)
 		}
 		select {
 		case <-changed:
@@ -203,8 +203,8 @@
 	}
 }
 
-// TellUp records what is about to be written of nodes that are up: a party may send as soon as it can have read it.
-func TellUp(hist *oracle.History, party string, l discovery.List) {
+// RecordUp records what is about to be written of nodes that are up: a party may send as soon as it can have read it.
+func RecordUp(hist *oracle.History, party string, l discovery.List) {
 	for _, t := range l.Endpoints {
 		if t.State == "in_service" {
 			hist.NodeStartNotified(party, t.ID, t.State, t.StartedMS)
@@ -212,8 +212,8 @@
 	}
 }
 
-// TellRest records what was written of nodes that are not. Of a whole list, what it does not hold is gone.
-func TellRest(hist *oracle.History, party string, l discovery.List) {
+// RecordAbsent records what was written of nodes that are not. Of a whole list, what it does not hold is gone.
+func RecordAbsent(hist *oracle.History, party string, l discovery.List) {
 	listed := map[string]bool{}
 	for _, t := range l.Endpoints {
 		listed[t.ID] = true
--- a/internal/testbed/rude.go
+++ b/internal/testbed/rude.go
@@ -11,12 +11,12 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// rudeAccount is the one that rude clients' whole requests name.
-const rudeAccount = "00000001fffffff0"
+// misbehavingAccount is the one that rude clients' whole requests name.
+const misbehavingAccount = "00000001fffffff0"
 
-// rude does, about five times a second, what no client should: half commands, junk, many connections, ids of requests
+// misbehave does, about five times a second, what no client should: half commands, junk, many connections, ids of requests
 // that are others' and still open. Each connection lasts 3 s at most.
-func (c *Clients) rude(ctx context.Context, rng *rand.Rand) {
+func (c *Clients) misbehave(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		select {
 		case <-time.After(time.Duration(100+rng.IntN(200)) * time.Millisecond):
@@ -58,12 +58,12 @@
 			c.mu.Lock()
 			last := c.last
 			c.mu.Unlock()
-			if last != nil && last.Account != rudeAccount && c.hist.HasResult(last, oracle.Pending) {
-				a := Account{Name: rudeAccount, Plan: last.Plan, First: last.Forwarder, Spread: 1}
+			if last != nil && last.Account != misbehavingAccount && c.hist.HasResult(last, oracle.Pending) {
+				a := Account{Name: misbehavingAccount, Plan: last.Plan, First: last.Forwarder, Spread: 1}
 				c.wg.Add(1)
 				go func() {
 					defer c.wg.Done()
-					c.try(a, c.cfg.Classes[0], last.Forwarder, last.ID, last.ID+"-rude", "", seconds(c.cfg.Classes[0].DeadlineS))
+					c.sendRequest(a, c.cfg.Classes[0], last.Forwarder, last.ID, last.ID+"-rude", "", seconds(c.cfg.Classes[0].DeadlineS))
 				}()
 			}
 		}
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -30,9 +30,9 @@
 		{Name: "resto", Rate: 9, Burst: 18, Weight: 1.1, MaxConcurrency: 6},
 		{Name: "chaine", Rate: 38, Burst: 76, Weight: 1.6, OverQuotaCostFraction: 0.8, HardLimitRate: 68, HardLimitBurst: 137, HardLimitSlack: 14},
 	}
-	labWork   = map[string]float64{"zone-check": 0.03, "slot-hold": 0.06, "courier-send": 0.1}
-	LabShares = map[string]float64{"zone-check": 0.37, "slot-hold": 0.34, "courier-send": 0.29}
-	LabUnits  = map[string]int{"zone-check": 1, "slot-hold": 2, "courier-send": 3}
+	labWork           = map[string]float64{"zone-check": 0.03, "slot-hold": 0.06, "courier-send": 0.1}
+	LabClassFractions = map[string]float64{"zone-check": 0.37, "slot-hold": 0.34, "courier-send": 0.29}
+	LabUnits          = map[string]int{"zone-check": 1, "slot-hold": 2, "courier-send": 3}
 )
 
 // Bound are plans with ceilings under their quotas, so that the ceilings bind.
@@ -47,7 +47,7 @@
 }
 
 // LabNode is the stand-in node of the laboratory's runs: as cold at its start and as easily pushed over as the operators say.
-var LabNode = node.Config{Cores: 3, Queue: 30, Speed: 1, KeyedS: 4, ColdS: 8, ColdFrom: 0.26, FallMultiple: StatedMultiple, FallS: StatedFallS,
+var LabNode = node.Config{Cores: 3, Queue: 30, Speed: 1, KeyedS: 4, SlowStartS: 8, SlowStartMinFraction: 0.26, FallMultiple: StatedMultiple, FallS: StatedFallS,
 	Work: labWork, Conns: 200, IdleS: 15}
 
 // Accounts makes a population: of each plan so many accounts, most of them well under their quotas, one in five near
@@ -76,9 +76,9 @@
 	return list
 }
 
-// Crowd are accounts of many ingresses: a third come through all of them, the others through a quarter. One in ten asks for three to six times its
+// ManyAccounts are accounts of many ingresses: a third come through all of them, the others through a quarter. One in ten asks for three to six times its
 // quota all the time, one in five for nearly all of it, and one in seven floods now and then.
-func Crowd(forwarders int, seed uint64) []Account {
+func ManyAccounts(forwarders int, seed uint64) []Account {
 	rng := rand.New(rand.NewPCG(seed, 14))
 	list := Accounts(60, 40, 16, forwarders, forwarders, seed)
 	for i := range list {
@@ -141,16 +141,16 @@
 // Scenario is one run of a fleet under faults.
 type Scenario struct {
 	FleetConfig
-	Name       string
-	Traffic    Traffic // classes, shares and units are filled in
-	Accounts   []Account
-	Length     time.Duration
-	Faults     []Fault
-	Floors     map[string]int // see audit.Rules
-	NodesAsked int            // in place of a scenario's own number of nodes; 0: as it says
-	seen       time.Duration
-	look       func(f *Fleet) // called when clients have asked for so long; nil: nothing is
-	Upgrades   int            // of the whole fleet, one after the other, in two levels
+	Name      string
+	Traffic   Traffic // classes, shares and units are filled in
+	Accounts  []Account
+	Length    time.Duration
+	Faults    []Fault
+	Floors    map[string]int // see audit.Rules
+	NodeCount int            // in place of a scenario's own number of nodes; 0: as it says
+	seen      time.Duration
+	look      func(f *Fleet) // called when clients have asked for so long; nil: nothing is
+	Upgrades  int            // of the whole fleet, one after the other, in two levels
 }
 
 // Run starts a fleet, lets clients and faults loose on it and has the auditor judge.
@@ -182,7 +182,7 @@
 		began := f.Hist.Now()
 		f.cfg.Peak = oracle.Peak{From: began + sc.Peak.From, To: began + sc.Peak.To}
 	}
-	t.Accounts, t.Classes, t.Shares, t.Units, t.Seed = sc.Accounts, sc.Classes, LabShares, LabUnits, sc.Seed
+	t.Accounts, t.Classes, t.ClassFractions, t.Units, t.Seed = sc.Accounts, sc.Classes, LabClassFractions, LabUnits, sc.Seed
 	t.Retries, f.accounts = 2, sc.Accounts
 	f.clients = NewClients(t, f.Hist, f.Front)
 	measured := make(chan struct{})
@@ -219,7 +219,7 @@
 	levels := make(chan struct{})
 	go func() {
 		defer close(levels)
-		if sc.Rush && sc.Operator != "" {
+		if sc.MeasureOverload && sc.Operator != "" {
 			f.watchLevels(ctx)
 		}
 	}()
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -15,37 +15,37 @@
 // scenario is a named kind of run: what goes wrong, how often, and how many occasions for which rules it must bring, a
 // minute.
 type scenario struct {
-	what    string
-	kinds   []string // of faults; none: all that fit the shape
-	every   time.Duration
-	weather float64 // share of all attempts that go wrong at their node, in all ways
-	bound   bool    // ceilings under what quotas let in
-	load    float64 // factor on what accounts ask for; 0 stands for 1
-	hangUps float64
-	batches float64
-	rude    int
-	nodes   int                                         // 0: as asked
-	work    float64                                     // factor on what requests cost nodes; 0 stands for 1
-	crowd   func(forwarders int, seed uint64) []Account // its accounts; nil: as asked
-	zones   int                                         // see FleetConfig
-	plans   func([]policy.Plan)
-	loss    float64                          // of messages between ingresses in virtual time; 0 stands for 3%
-	exact   bool                             // see FleetConfig
-	quota   float64                          // see FleetConfig; below 0: not judged
-	capX    float64                          // see FleetConfig
-	classes func([]policy.Class)             // changes them; nil: as they are
-	keyedS  float64                          // for which nodes drop repeats; 0: as asked
-	x       float64                          // strength of its faults; 0: as drawn
-	lasts   time.Duration                    // of each; 0: as drawn
-	at      []Fault                          // at fixed times, beside what is drawn
-	reportS float64                          // see node.Config
-	peak    float64                          // times what nodes can do, that is asked for from peakFrom until peakEnd before the end
-	stated  func(*oracle.LoadSheddingBounds) // changes what is stated of a fleet that sheds as one
-	shape   func([]Account)                  // changes the accounts of a peak
-	floors  map[string]int                   // occasions a minute
+	what           string
+	kinds          []string // of faults; none: all that fit the shape
+	every          time.Duration
+	faultyFraction float64 // share of all attempts that go wrong at their node, in all ways
+	bound          bool    // ceilings under what quotas let in
+	load           float64 // factor on what accounts ask for; 0 stands for 1
+	hangUps        float64
+	batches        float64
+	misbehaving    int
+	nodes          int                                         // 0: as asked
+	work           float64                                     // factor on what requests cost nodes; 0 stands for 1
+	accounts       func(forwarders int, seed uint64) []Account // its accounts; nil: as asked
+	zones          int                                         // see FleetConfig
+	plans          func([]policy.Plan)
+	loss           float64                          // of messages between ingresses in virtual time; 0 stands for 3%
+	exact          bool                             // see FleetConfig
+	quota          float64                          // see FleetConfig; below 0: not judged
+	capX           float64                          // see FleetConfig
+	classes        func([]policy.Class)             // changes them; nil: as they are
+	keyedS         float64                          // for which nodes drop repeats; 0: as asked
+	strength       float64                          // strength of its faults; 0: as drawn
+	lasts          time.Duration                    // of each; 0: as drawn
+	fixed          []Fault                          // at fixed times, beside what is drawn
+	reportS        float64                          // see node.Config
+	peak           float64                          // times what nodes can do, that is asked for from peakFrom until peakEnd before the end
+	stated         func(*oracle.LoadSheddingBounds) // changes what is stated of a fleet that sheds as one
+	shape          func([]Account)                  // changes the accounts of a peak
+	floors         map[string]int                   // occasions a minute
 }
 
-var trouble = map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleOneAnswer: 20, oracle.RuleOneOpenAttempt: 20, oracle.RuleNoDuplicateEffect: 20}
+var faultFloors = map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleOneAnswer: 20, oracle.RuleOneOpenAttempt: 20, oracle.RuleNoDuplicateEffect: 20}
 
 // smallCaps has plans with a cap on open attempts come to it.
 func smallCaps(list []policy.Plan) {
@@ -77,23 +77,23 @@
 
 // scenarios are the laboratory's days. Later subsystems add theirs here.
 var scenarios = map[string]scenario{
-	"storm": {what: "everything at once: all faults of programs, nodes, links, front and roster", every: 700 * time.Millisecond, weather: 0.06, bound: true,
-		load: 1, hangUps: 0.03, batches: 0.1, rude: 2,
+	"storm": {what: "everything at once: all faults of programs, nodes, links, front and roster", every: 700 * time.Millisecond, faultyFraction: 0.06, bound: true,
+		load: 1, hangUps: 0.03, batches: 0.1, misbehaving: 2,
 		floors: map[string]int{oracle.RuleNoRequestLost: 200, oracle.RuleOneAnswer: 100, oracle.RuleAnswerOrder: 100, oracle.RuleOneOpenAttempt: 100, oracle.RuleNoDuplicateEffect: 40, oracle.RuleDrain: 4, oracle.RuleSlowStart: 100,
 			oracle.RuleQuota: 100, oracle.RuleHardLimit: 100}},
-	"etcd": {what: "membership from etcd, which breaks; membershipagent lab alone plays it", every: 600 * time.Millisecond, weather: 0.02, load: 0.6,
+	"etcd": {what: "membership from etcd, which breaks; membershipagent lab alone plays it", every: 600 * time.Millisecond, faultyFraction: 0.02, load: 0.6,
 		floors: map[string]int{oracle.RuleDrain: 10, oracle.RuleFreshMembership: 20, oracle.RuleViewsAgree: 3}},
 	"calm":    {what: "nothing goes wrong", floors: map[string]int{oracle.RuleQuota: 100}},
-	"answers": {what: "nodes err, break off, stay silent, answer late, twice and nonsense; nothing else", weather: 0.35, hangUps: 0.03, batches: 0.1, floors: trouble},
-	"rude":    {what: "rude clients beside usual ones, some of which hang up", weather: 0.03, hangUps: 0.1, batches: 0.3, rude: 8, floors: map[string]int{oracle.RuleAnswerOrder: 200}},
+	"answers": {what: "nodes err, break off, stay silent, answer late, twice and nonsense; nothing else", faultyFraction: 0.35, hangUps: 0.03, batches: 0.1, floors: faultFloors},
+	"rude":    {what: "rude clients beside usual ones, some of which hang up", faultyFraction: 0.03, hangUps: 0.1, batches: 0.3, misbehaving: 8, floors: map[string]int{oracle.RuleAnswerOrder: 200}},
 	"programs": {what: "programs are killed, ended, paused and cut off from each other while nodes err",
 		kinds: []string{"kill", "term", "pause", "all", "cut", "split", "lone", "peers", "fog", "forwarder", "restart"}, every: 1200 * time.Millisecond,
-		weather: 0.08, floors: trouble},
+		faultyFraction: 0.08, floors: faultFloors},
 	"ways": {what: "the ways to nodes and from clients are cut, refused, slow and one-way",
-		kinds: []string{"node cut", "node half cut", "one way", "refused", "far", "lost client"}, every: 700 * time.Millisecond, weather: 0.02,
+		kinds: []string{"node cut", "node half cut", "one way", "refused", "far", "lost client"}, every: 700 * time.Millisecond, faultyFraction: 0.02,
 		floors: map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleOneOpenAttempt: 20, oracle.RuleNoDuplicateEffect: 20}},
 	"drains": {what: "nodes drain, crash and are replaced while the roster is late, silent and broken",
-		kinds: []string{"drain", "drain", "drain", "replace", "crash", "late roster", "silent roster", "broken roster"}, every: 900 * time.Millisecond, weather: 0.02,
+		kinds: []string{"drain", "drain", "drain", "replace", "crash", "late roster", "silent roster", "broken roster"}, every: 900 * time.Millisecond, faultyFraction: 0.02,
 		floors: map[string]int{oracle.RuleDrain: 10}},
 	"cold": {what: "nodes crash in concert and come back cold under a full load", kinds: []string{"crashes", "crashes", "crash"}, every: 3 * time.Second, load: 1.4,
 		nodes: 6, floors: map[string]int{oracle.RuleSlowStart: 200}},
@@ -103,7 +103,7 @@
 		kinds: []string{"flood", "flood", "kill", "split", "all", "peers", "forwarder"}, every: time.Second,
 		floors: map[string]int{oracle.RuleHardLimit: 300, oracle.RuleQuota: 300}},
 	"keys": {what: "keys that nodes remember for less than a request lasts, and attempts that end late, unserved",
-		classes: shortKeys, keyedS: 0.6, weather: 0.5, quota: -1, kinds: []string{"kill", "split", "all", "snow", "forwarder"}, every: 1500 * time.Millisecond, floors: trouble},
+		classes: shortKeys, keyedS: 0.6, faultyFraction: 0.5, quota: -1, kinds: []string{"kill", "split", "all", "snow", "forwarder"}, every: 1500 * time.Millisecond, floors: faultFloors},
 	"capped": {what: "accounts at small caps on open attempts, slow nodes, and planners that die with attempts out",
 		kinds: []string{"kill", "kill", "snow", "snow", "slow"}, load: 2, every: 700 * time.Millisecond, plans: smallCaps, quota: -1, floors: map[string]int{oracle.RuleMaxConcurrency: 2}},
 	"lonely": {what: "accounts at small caps, slow nodes, and forwarders that are cut off from all planners with attempts out",
@@ -115,69 +115,69 @@
 					list[i].KeyScope = policy.ScopeZone
 				}
 			}
-		}, zones: 2, weather: 0.35, kinds: []string{"kill", "split", "forwarder", "crash"}, every: 1500 * time.Millisecond, floors: trouble},
-	"errors": {what: "nodes turn nearly everything away, err and break off: requests come to the end of their attempts", weather: 0.85,
+		}, zones: 2, faultyFraction: 0.35, kinds: []string{"kill", "split", "forwarder", "crash"}, every: 1500 * time.Millisecond, floors: faultFloors},
+	"errors": {what: "nodes turn nearly everything away, err and break off: requests come to the end of their attempts", faultyFraction: 0.85,
 		kinds: []string{"kill", "kill", "split", "all"}, every: time.Second, quota: -1, floors: map[string]int{oracle.RuleAttemptLimit: 20, oracle.RuleOneOpenAttempt: 100}},
 	"blinks": {what: "forwarders die and are back at once while planners are cut off from them", kinds: []string{"blink", "blink", "cut", "split", "kill"}, exact: true,
-		every: 300 * time.Millisecond, weather: 0.02},
+		every: 300 * time.Millisecond, faultyFraction: 0.02},
 	"hands": {what: "operators of a fleet of two levels take nodes out and call them back at whichever planner, and send planners away, while programs die",
 		kinds: []string{"fleet held", "fleet held", "torn", "torn", "away", "kill", "pause", "cut", "split", "odd", "lone", "forwarder", "drain"},
 		every: 500 * time.Millisecond, floors: map[string]int{oracle.RuleCordon: 20}},
 	"upgrades": {what: "forwarders of two levels are replaced while they serve, the one or the other process dying of it, while planners die, leave and are cut off",
 		kinds: []string{"fleet replaced", "fleet replaced", "fleet replaced", "successor dies", "successor dies", "predecessor dies", "torn succession", "torn succession", "all replaced", "torn", "away", "kill", "pause", "cut", "split", "odd", "lone", "forwarder"},
-		every: 250 * time.Millisecond, weather: 0.08, exact: true, floors: map[string]int{oracle.RuleReplacement: 100, oracle.RuleNoRequestLost: 50, oracle.RuleNoDuplicateEffect: 20}},
+		every: 250 * time.Millisecond, faultyFraction: 0.08, exact: true, floors: map[string]int{oracle.RuleReplacement: 100, oracle.RuleNoRequestLost: 50, oracle.RuleNoDuplicateEffect: 20}},
 	"handed": {what: "every forwarder of two levels is replaced, at times every new process dies, and a leader dies with it, while accounts are far beyond their quotas",
 		kinds: []string{"all replaced", "all successors die", "flood", "flood", "kill"}, every: 700 * time.Millisecond, exact: true,
 		floors: map[string]int{oracle.RuleQuota: 300, oracle.RuleReplacement: 100}},
 	"handed-torn": {what: "a forwarder's new process dies while two planners need its promise and the third gives its cells up",
 		kinds: []string{"torn succession"}, every: 2500 * time.Millisecond, exact: true, floors: map[string]int{oracle.RuleReplacement: 5}},
 	"handed-queue": {what: "forwarders of two levels are replaced, and their new processes die, while requests wait for nodes under too much load",
-		kinds: []string{"fleet replaced", "successor dies", "successor dies", "predecessor dies", "snow"}, load: 2, quota: -1, weather: 0.1, every: 200 * time.Millisecond,
+		kinds: []string{"fleet replaced", "successor dies", "successor dies", "predecessor dies", "snow"}, load: 2, quota: -1, faultyFraction: 0.1, every: 200 * time.Millisecond,
 		floors: map[string]int{oracle.RuleReplacement: 100, oracle.RuleOneOpenAttempt: 20}},
 	"handed-keys": {what: "keys that nodes remember for less than a request lasts, while forwarders of two levels are replaced",
-		classes: shortKeys, keyedS: 0.6, weather: 0.5, quota: -1, kinds: []string{"fleet replaced", "fleet replaced", "successor dies", "kill", "snow"}, every: 200 * time.Millisecond, floors: trouble},
+		classes: shortKeys, keyedS: 0.6, faultyFraction: 0.5, quota: -1, kinds: []string{"fleet replaced", "fleet replaced", "successor dies", "kill", "snow"}, every: 200 * time.Millisecond, floors: faultFloors},
 	"friday": {what: "Friday supper: floods on chaine, accounts that shift, a node that is sick", kinds: []string{"flood", "flood", "shift", "sick", "slow"},
-		every: 1500 * time.Millisecond, weather: 0.02, load: 1.2, bound: true, floors: map[string]int{oracle.RuleHardLimit: 200, oracle.RuleQuota: 200}},
-	"crowd": {what: "accounts through up to all of many ingresses, some at several times their quotas, others just inside them", crowd: Crowd, nodes: 48, exact: true,
+		every: 1500 * time.Millisecond, faultyFraction: 0.02, load: 1.2, bound: true, floors: map[string]int{oracle.RuleHardLimit: 200, oracle.RuleQuota: 200}},
+	"crowd": {what: "accounts through up to all of many ingresses, some at several times their quotas, others just inside them", accounts: ManyAccounts, nodes: 48, exact: true,
 		kinds: []string{"flood"}, every: 2 * time.Second, floors: map[string]int{oracle.RuleQuota: 200}},
-	"crowd-split": {what: "the same, while ingresses are split in halves, lose messages and die", crowd: Crowd, nodes: 48, exact: true,
+	"crowd-split": {what: "the same, while ingresses are split in halves, lose messages and die", accounts: ManyAccounts, nodes: 48, exact: true,
 		kinds: []string{"flood", "peers", "fog", "forwarder", "forwarder"}, every: 2 * time.Second, floors: map[string]int{oracle.RuleQuota: 200}},
-	"crowd-deaf": {what: "crowd, one ingress hears no other all the time, and the auditor is not told", crowd: Crowd, nodes: 48, exact: true,
-		at: []Fault{{At: 300 * time.Millisecond, For: time.Hour, Kind: "deaf"}}},
-	"crowd-babel": {what: "crowd, half of the ingresses can't read the others' words all the time, and the auditor is not told: its verdict must be lost", crowd: Crowd,
-		nodes: 48, exact: true, at: []Fault{{At: 300 * time.Millisecond, For: time.Hour, Kind: "babel"}}},
-	"places": {what: "accounts at a cap of two open attempts, each through up to two thirds of many ingresses", crowd: Capped, plans: capOfTwo, nodes: 180, work: 1.7, loss: 0.07, exact: true,
+	"crowd-deaf": {what: "crowd, one ingress hears no other all the time, and the auditor is not told", accounts: ManyAccounts, nodes: 48, exact: true,
+		fixed: []Fault{{At: 300 * time.Millisecond, For: time.Hour, Kind: "deaf"}}},
+	"crowd-babel": {what: "crowd, half of the ingresses can't read the others' words all the time, and the auditor is not told: its verdict must be lost", accounts: ManyAccounts,
+		nodes: 48, exact: true, fixed: []Fault{{At: 300 * time.Millisecond, For: time.Hour, Kind: "babel"}}},
+	"places": {what: "accounts at a cap of two open attempts, each through up to two thirds of many ingresses", accounts: Capped, plans: capOfTwo, nodes: 180, work: 1.7, loss: 0.07, exact: true,
 		every: 2 * time.Second, kinds: []string{"flood"}, floors: map[string]int{oracle.RuleMaxConcurrency: 100}},
-	"places-slow": {what: "the same at requests that take long, so that caps bind before quotas do", crowd: Capped, plans: capOfTwo, nodes: 180, work: 6, loss: 0.07, exact: true,
+	"places-slow": {what: "the same at requests that take long, so that caps bind before quotas do", accounts: Capped, plans: capOfTwo, nodes: 180, work: 6, loss: 0.07, exact: true,
 		floors: map[string]int{oracle.RuleMaxConcurrency: 100}},
-	"places-storm": {what: "the same, while ingresses die, restart, are split and lose messages, and nodes are slow", crowd: Capped, plans: capOfTwo, nodes: 180, work: 1.7, loss: 0.07, exact: true,
+	"places-storm": {what: "the same, while ingresses die, restart, are split and lose messages, and nodes are slow", accounts: Capped, plans: capOfTwo, nodes: 180, work: 1.7, loss: 0.07, exact: true,
 		every: time.Second, kinds: []string{"flood", "peers", "fog", "forwarder", "forwarder", "blink", "slow"}, floors: map[string]int{oracle.RuleMaxConcurrency: 100}},
-	"places-hush": {what: "the same, while no message between ingresses arrives for some seconds", crowd: Capped, plans: capOfTwo, nodes: 180, work: 1.7, loss: 0.07, exact: true,
-		every: 7 * time.Second, kinds: []string{"fog"}, x: 4, lasts: 4 * time.Second, floors: map[string]int{oracle.RuleMaxConcurrency: 100}},
+	"places-hush": {what: "the same, while no message between ingresses arrives for some seconds", accounts: Capped, plans: capOfTwo, nodes: 180, work: 1.7, loss: 0.07, exact: true,
+		every: 7 * time.Second, kinds: []string{"fog"}, strength: 4, lasts: 4 * time.Second, floors: map[string]int{oracle.RuleMaxConcurrency: 100}},
 	"overload":      {what: "from 5 s until 7 s before the end 2.8 times as much is asked for, inside quotas, as nodes can do", peak: 2.8, nodes: 2},
 	"overload-low":  {what: "the same, 1.4 times", peak: 1.4, nodes: 2},
 	"overload-high": {what: "the same, 5 times", peak: 5, nodes: 2, stated: muchInVain},
 	"overload-split": {what: "2.8 times, and ingresses are split in halves for four seconds of it", peak: 2.8, nodes: 2,
-		at: []Fault{{At: 8 * time.Second, For: 4 * time.Second, Kind: "peers"}}},
+		fixed: []Fault{{At: 8 * time.Second, For: 4 * time.Second, Kind: "peers"}}},
 	"overload-fog": {what: "2.8 times, and half of all messages between ingresses are lost", peak: 2.8, nodes: 2,
-		at: []Fault{{At: 4 * time.Second, For: 10 * time.Second, Kind: "thick fog"}}},
+		fixed: []Fault{{At: 4 * time.Second, For: 10 * time.Second, Kind: "thick fog"}}},
 	"overload-deaths": {what: "2.8 times, and seven in ten ingresses are killed at once in it and come back empty", peak: 2.8, nodes: 2, stated: partOfThem,
-		at: []Fault{{At: 9 * time.Second, For: 2 * time.Second, Kind: "mass kill"}}},
+		fixed: []Fault{{At: 9 * time.Second, For: 2 * time.Second, Kind: "mass kill"}}},
 	"overload-heavy": {what: "no more is asked for, but every node is three times as slow for six seconds, and well again", peak: 0.8, nodes: 2, stated: comesAndGoes,
-		at: []Fault{{At: 5 * time.Second, For: 6 * time.Second, Kind: "heavy"}}},
+		fixed: []Fault{{At: 5 * time.Second, For: 6 * time.Second, Kind: "heavy"}}},
 	"overload-busy":  {what: "2.8 times, and one ingress has a quarter of all accounts", peak: 2.8, nodes: 2, shape: oneBusy},
-	"overload-cheap": {what: "2.8 times, and all that is more is of the cheapest class", peak: 2.8, nodes: 2, stated: muchInVain, shape: cheapFlood},
+	"overload-cheap": {what: "2.8 times, and all that is more is of the cheapest class", peak: 2.8, nodes: 2, stated: muchInVain, shape: lowPriorityFlood},
 	"overload-liar": {what: "2.8 times, and one ingress says of it by turns that all is well and that all is lost", peak: 2.8, nodes: 2,
-		at: []Fault{{At: time.Second, For: time.Hour, Kind: "liar", A: 1}}},
+		fixed: []Fault{{At: time.Second, For: time.Hour, Kind: "liar", A: 1}}},
 	"overload-half": {what: "no more is asked for, but half of the nodes are three times as slow for six seconds", peak: 0.8, nodes: 6, stated: comesAndGoes,
-		at: []Fault{{At: 5 * time.Second, For: 6 * time.Second, Kind: "half heavy"}}},
+		fixed: []Fault{{At: 5 * time.Second, For: 6 * time.Second, Kind: "half heavy"}}},
 	"overload-stale": {what: "2.8 times, and nodes' reports of their load are up to three seconds old", peak: 2.8, nodes: 2, reportS: 3},
 	"overload-once":  {what: "2.8 times, and no client tries again", peak: 2.8, nodes: 2, shape: once},
-	"overload-rude":  {what: "2.8 times, and half of the clients come back when they like", peak: 2.8, nodes: 2, shape: heedless},
+	"overload-rude":  {what: "2.8 times, and half of the clients come back when they like", peak: 2.8, nodes: 2, shape: ignoreRetryAfter},
 	"snow": {what: "snowstorm evening: every node slow again and again, some pausing, under a full load", kinds: []string{"snow", "snow", "node pause", "far"},
-		every: 2 * time.Second, weather: 0.02, load: 1.2, floors: map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleQuota: 100}},
+		every: 2 * time.Second, faultyFraction: 0.02, load: 1.2, floors: map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleQuota: 100}},
 	"playoff": {what: "playoff night: planned restarts of ingresses and planners one after the other, accounts shift, nodes are replaced",
-		kinds: []string{"roll", "roll", "term", "shift", "drain", "forwarder"}, every: 2 * time.Second, weather: 0.03, hangUps: 0.02, batches: 0.05, rude: 1, load: 1.1,
+		kinds: []string{"roll", "roll", "term", "shift", "drain", "forwarder"}, every: 2 * time.Second, faultyFraction: 0.03, hangUps: 0.02, batches: 0.05, misbehaving: 1, load: 1.1,
 		floors: map[string]int{oracle.RuleOneOpenAttempt: 20, oracle.RuleDrain: 2}},
 }
 
@@ -206,8 +206,8 @@
 		s.every = every
 	}
 	sc.Name = name
-	sc.Weather = node.Rough(s.weather)
-	sc.Traffic = Traffic{HangUps: s.hangUps, Batches: s.batches, Rude: s.rude}
+	sc.NodeConditions = node.Rough(s.faultyFraction)
+	sc.Traffic = Traffic{HangUps: s.hangUps, Batches: s.batches, Misbehaving: s.misbehaving}
 	if s.bound {
 		sc.Plans = Bound(sc.Plans)
 	}
@@ -225,19 +225,19 @@
 	if s.keyedS > 0 {
 		sc.Node.KeyedS = s.keyedS
 	}
-	sc.Nodes = cmp.Or(sc.NodesAsked, s.nodes, sc.Nodes)
+	sc.Nodes = cmp.Or(sc.NodeCount, s.nodes, sc.Nodes)
 	if s.work > 0 {
 		sc.Node.Work = maps.Clone(sc.Node.Work)
 		for class := range sc.Node.Work {
 			sc.Node.Work[class] *= s.work
 		}
 	}
-	if s.crowd != nil {
-		sc.Accounts = s.crowd(sc.Forwarders, sc.Seed)
+	if s.accounts != nil {
+		sc.Accounts = s.accounts(sc.Forwarders, sc.Seed)
 	}
 	if s.peak > 0 {
-		sc.Rush, sc.Peak = true, peakOf(sc.Length)
-		sc.Accounts = Rush(sc.Forwarders, float64(sc.Nodes*sc.Node.Cores)*sc.Node.Speed, s.peak, sc.Peak, sc.Seed)
+		sc.MeasureOverload, sc.Peak = true, peakOf(sc.Length)
+		sc.Accounts = OverloadAccounts(sc.Forwarders, float64(sc.Nodes*sc.Node.Cores)*sc.Node.Speed, s.peak, sc.Peak, sc.Seed)
 		sc.Stated = oracle.DefaultLoadSheddingBounds
 		if s.stated != nil {
 			s.stated(&sc.Stated)
@@ -255,10 +255,10 @@
 		sc.Faults = Schedule(sc.Seed, sc.Length, s.every, sc.Planners > 0, s.kinds)
 		for i := range sc.Faults {
 			f := &sc.Faults[i]
-			f.X, f.For = cmp.Or(s.x, f.X), cmp.Or(s.lasts, f.For)
+			f.X, f.For = cmp.Or(s.strength, f.X), cmp.Or(s.lasts, f.For)
 		}
 	}
-	sc.Faults = append(sc.Faults, s.at...)
+	sc.Faults = append(sc.Faults, s.fixed...)
 	sc.Floors = map[string]int{}
 	for rule, n := range s.floors {
 		sc.Floors[rule] = int(float64(n) * sc.Length.Minutes())
--- a/internal/testbed/simulation/erring_test.go
+++ b/internal/testbed/simulation/erring_test.go
@@ -22,10 +22,10 @@
 	s.after(4, func() {
 		n := s.nodes[int(seed)%len(s.nodes)]
 		n.do(func(m *node.Model) {
-			m.Advance(s.t)
-			w := node.Weather{}
-			w.Shares[node.Error] = 0.65
-			m.SetWeather(w)
+			m.Advance(s.now)
+			w := node.Conditions{}
+			w.Fractions[node.Error] = 0.65
+			m.SetConditions(w)
 		})
 	})
 	bad := s.nodes[int(seed)%len(s.nodes)].id
--- a/internal/testbed/simulation/failures.go
+++ b/internal/testbed/simulation/failures.go
@@ -23,7 +23,7 @@
 		return Config{}, err
 	}
 	plan := policy.Plan{Name: "chaine", Rate: 25, Burst: 48, Weight: 1.6}
-	cfg.Plans, cfg.Nodes, cfg.Weather, cfg.Exact = []policy.Plan{plan}, 24, node.Weather{}, true
+	cfg.Plans, cfg.Nodes, cfg.NodeConditions, cfg.Exact = []policy.Plan{plan}, 24, node.Conditions{}, true
 	cfg.Accounts = []testbed.Account{{Name: fmt.Sprintf("%016x", seed), Plan: plan.Name, Rate: 6 * plan.Rate, Spread: ingresses}}
 	order := hashring.New(ingresses, hashring.PointsPerGateway(ingresses)).Successors(peerprotocol.HashPoint(cfg.Accounts[0].Name), func(int) bool { return true })
 	const at, lasts = 15 * time.Second, 5 * time.Second
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -10,12 +10,12 @@
 )
 
 func (s *Sim) killPlanner(n int, down float64) {
-	p := s.planners[n]
-	if p.host == nil {
+	planner := s.planners[n]
+	if planner.host == nil {
 		return
 	}
-	p.host, p.paused, p.inbox = nil, false, nil
-	p.life++
+	planner.host, planner.paused, planner.inbox = nil, false, nil
+	planner.incarnation++
 	for f := range s.fwds {
 		k := s.links[n][f]
 		k.pUp = false
@@ -29,41 +29,41 @@
 		}
 	}
 	s.after(down, func() {
-		if p.host == nil {
-			p.start()
+		if planner.host == nil {
+			planner.start()
 		}
 	})
 }
 
 func (s *Sim) pausePlanner(n int, down float64) {
-	p := s.planners[n]
-	if p.host == nil || p.paused {
+	planner := s.planners[n]
+	if planner.host == nil || planner.paused {
 		return
 	}
-	p.paused = true
-	life := p.life
+	planner.paused = true
+	life := planner.incarnation
 	s.after(down, func() {
-		if p.life != life {
+		if planner.incarnation != life {
 			return
 		}
-		p.paused = false
-		inbox := p.inbox
-		p.inbox = nil
+		planner.paused = false
+		inbox := planner.inbox
+		planner.inbox = nil
 		for _, do := range inbox {
-			p.do(do)
+			planner.do(do)
 		}
 	})
 }
 
 func (s *Sim) killForwarder(n int, down float64) {
-	f := s.fwds[n]
-	if !f.runs() {
+	forwarder := s.fwds[n]
+	if !forwarder.runs() {
 		return
 	}
-	f.core, f.gate, f.busy, f.pending, f.lives = nil, nil, false, nil, nil
-	f.succession = succession{}
-	f.run++
-	f.downAt = s.t
+	forwarder.core, forwarder.module, forwarder.busy, forwarder.pending, forwarder.cordonedByIncarnation = nil, nil, false, nil, nil
+	forwarder.succession = succession{}
+	forwarder.run++
+	forwarder.downAt = s.now
 	for p := range s.planners {
 		k := s.links[p][n]
 		k.fUp = false
@@ -76,17 +76,17 @@
 			})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(f.open)) { // its connections end with it
-		for _, a := range f.open[id].attempts {
-			if !a.done {
-				a.done = true
-				a.leave()
+	for _, id := range slices.Sorted(maps.Keys(forwarder.open)) { // its connections end with it
+		for _, attempt := range forwarder.open[id].attempts {
+			if !attempt.done {
+				attempt.done = true
+				attempt.leave()
 			}
 		}
 	}
 	from := s.Hist.Now()
 	s.after(down, func() {
-		f.start()
+		forwarder.start()
 		s.Hist.AddOutage(n, from, s.Hist.Now())
 	})
 }
@@ -140,7 +140,7 @@
 	if x.For.Seconds() > notice {
 		s.after(notice, func() {
 			if n.model == nil {
-				n.tell(2)
+				n.notify(2)
 			}
 		})
 	}
@@ -151,15 +151,15 @@
 	})
 }
 
-func (s *Sim) weather(x testbed.Fault, list []*simNode, change func(*node.Weather)) {
-	w := s.cfg.Weather
+func (s *Sim) changeConditions(x testbed.Fault, list []*simNode, change func(*node.Conditions)) {
+	w := s.cfg.NodeConditions
 	change(&w)
 	for _, n := range list {
-		n.do(func(m *node.Model) { m.Advance(s.t); m.SetWeather(w) })
+		n.do(func(m *node.Model) { m.Advance(s.now); m.SetConditions(w) })
 	}
 	s.after(2*x.For.Seconds(), func() {
 		for _, n := range list {
-			n.do(func(m *node.Model) { m.Advance(s.t); m.SetWeather(s.cfg.Weather) })
+			n.do(func(m *node.Model) { m.Advance(s.now); m.SetConditions(s.cfg.NodeConditions) })
 		}
 	})
 }
@@ -178,11 +178,11 @@
 		s.after(x.For.Seconds(), func() {
 			n.cut[i] = false
 			for _, h := range slices.Sorted(maps.Keys(n.open)) { // what the cut met is reset
-				if a := n.open[h]; a.f.n%2 == i {
+				if attempt := n.open[h]; attempt.forwarder.number%2 == i {
 					s.after(s.hop(), func() {
-						a.f.finish(a, 5)
-						if n.open[a.Handle] == a {
-							n.do(func(m *node.Model) { m.Leave(s.t, &a.Attempt) })
+						attempt.forwarder.finish(attempt, 5)
+						if n.open[attempt.Handle] == attempt {
+							n.do(func(m *node.Model) { m.Leave(s.now, &attempt.Attempt) })
 						}
 					})
 				}
@@ -202,8 +202,8 @@
 	},
 	"term": func(s *Sim, x testbed.Fault) {
 		n := x.A % len(s.planners)
-		if p := s.planners[n]; p.host != nil && !p.paused {
-			p.host.Drain(p.now())
+		if planner := s.planners[n]; planner.host != nil && !planner.paused {
+			planner.host.Drain(planner.now())
 			s.after(0.3, func() { s.killPlanner(n, x.For.Seconds()) })
 		}
 	},
@@ -225,9 +225,9 @@
 		s.after(x.For.Seconds(), func() { s.peerWay.Cut = false; end() })
 	},
 	"fog": func(s *Sim, x testbed.Fault) {
-		s.fog = testbed.Weather{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}
-		end := s.Hist.BeginPeerFault(0, s.fog.Loss)
-		s.after(x.For.Seconds(), func() { s.fog = testbed.Weather{}; end() })
+		s.packetConditions = testbed.PacketConditions{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}
+		end := s.Hist.BeginPeerFault(0, s.packetConditions.Loss)
+		s.after(x.For.Seconds(), func() { s.packetConditions = testbed.PacketConditions{}; end() })
 	},
 	"liar": func(s *Sim, x testbed.Fault) {
 		s.liar = 1 + x.A%len(s.fwds)
@@ -241,12 +241,12 @@
 			}
 		}
 		x.For /= 2
-		s.weather(x, half, func(w *node.Weather) { w.Slow = 3 })
+		s.changeConditions(x, half, func(w *node.Conditions) { w.Slow = 3 })
 	},
 	"thick fog": func(s *Sim, x testbed.Fault) {
-		s.fog = testbed.Weather{Loss: 0.5}
-		end := s.Hist.BeginPeerFault(0, s.fog.Loss)
-		s.after(x.For.Seconds(), func() { s.fog = testbed.Weather{}; end() })
+		s.packetConditions = testbed.PacketConditions{Loss: 0.5}
+		end := s.Hist.BeginPeerFault(0, s.packetConditions.Loss)
+		s.after(x.For.Seconds(), func() { s.packetConditions = testbed.PacketConditions{}; end() })
 	},
 	"mass kill": func(s *Sim, x testbed.Fault) {
 		for i := range s.fwds {
@@ -258,7 +258,7 @@
 	"heavy": func(s *Sim, x testbed.Fault) {
 		end := s.Hist.BeginSlowdown(3)
 		x.For /= 2
-		s.weather(x, s.nodes, func(w *node.Weather) { w.Slow = 3 })
+		s.changeConditions(x, s.nodes, func(w *node.Conditions) { w.Slow = 3 })
 		s.after(2*x.For.Seconds(), end)
 	},
 	"forwarder": func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.fwds), x.For.Seconds()) },
@@ -267,8 +267,8 @@
 		if n := s.pick(x.A); n != nil {
 			s.addNode(true)
 			n.listed = false
-			n.tell(1)
-			s.after(2, func() { n.tell(2); n.stop("crash") })
+			n.notify(1)
+			s.after(2, func() { n.notify(2); n.stop("crash") })
 		}
 	},
 	"crash": func(s *Sim, x testbed.Fault) { s.crash(s.pick(x.A), x) },
@@ -288,39 +288,39 @@
 	},
 	"node pause": func(s *Sim, x testbed.Fault) {
 		if n := s.pick(x.A); n != nil {
-			n.do(func(m *node.Model) { m.Pause(s.t) })
-			s.after(x.For.Seconds(), func() { n.do(func(m *node.Model) { m.Resume(s.t) }) })
+			n.do(func(m *node.Model) { m.Pause(s.now) })
+			s.after(x.For.Seconds(), func() { n.do(func(m *node.Model) { m.Resume(s.now) }) })
 		}
 	},
 	"slow": func(s *Sim, x testbed.Fault) {
 		if n := s.pick(x.A); n != nil {
-			s.weather(x, []*simNode{n}, func(w *node.Weather) { w.Slow = 2 + 4*x.X })
+			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { w.Slow = 2 + 4*x.X })
 		}
 	},
 	"snow": func(s *Sim, x testbed.Fault) {
-		s.weather(x, s.nodes, func(w *node.Weather) { w.Slow = 1.4 + 1.4*x.X })
+		s.changeConditions(x, s.nodes, func(w *node.Conditions) { w.Slow = 1.4 + 1.4*x.X })
 	},
 	"sick": func(s *Sim, x testbed.Fault) {
 		if n := s.pick(x.A); n != nil {
-			s.weather(x, []*simNode{n}, func(w *node.Weather) { *w = node.Rough(0.4 + 0.6*x.X) })
+			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { *w = node.Rough(0.4 + 0.6*x.X) })
 		}
 	},
 	"node cut":      func(s *Sim, x testbed.Fault) { s.wayTo(x, -1) },
 	"node half cut": func(s *Sim, x testbed.Fault) { s.wayTo(x, x.B%2) },
-	"fleet held":    func(s *Sim, x testbed.Fault) { s.holdByHand(x) },
+	"fleet held":    func(s *Sim, x testbed.Fault) { s.cordonByOperator(x) },
 	"torn": func(s *Sim, x testbed.Fault) { // a leader is left to half of the forwarders, and operators call at a planner that has the others
 		a := x.A % len(s.planners)
 		b := (a + 1) % len(s.planners)
 		s.cutLinks(x.For.Seconds(), func(p, f int) bool { return p == a && f%2 == 0 || p == b && f%2 == 1 })
-		s.after(0.001, func() { x.B = b; s.holdByHand(x) })
+		s.after(0.001, func() { x.B = b; s.cordonByOperator(x) })
 	},
 	"away": func(s *Sim, x testbed.Fault) {
-		p := s.planners[x.A%len(s.planners)]
-		if host := p.host; host != nil && !p.paused {
-			host.Drain(p.now())
+		planner := s.planners[x.A%len(s.planners)]
+		if host := planner.host; host != nil && !planner.paused {
+			host.Drain(planner.now())
 			s.after(x.For.Seconds(), func() {
-				if p.host == host {
-					p.do(func() { host.Activate(p.now()) })
+				if planner.host == host {
+					planner.do(func() { host.Activate(planner.now()) })
 				}
 			})
 		}
--- a/internal/testbed/simulation/flood_test.go
+++ b/internal/testbed/simulation/flood_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		cfg.Plans = []policy.Plan{plan}
-		cfg.Weather, cfg.Nodes = node.Weather{}, 12
+		cfg.NodeConditions, cfg.Nodes = node.Conditions{}, 12
 		cfg.Accounts = []testbed.Account{{Name: "one", Plan: "chaine", Rate: 70, First: 0, Spread: 3}}
 		const restart, flood, over = 1.5, 1.8, 3.0
 		for i := range 4 {
--- a/internal/testbed/simulation/handover_test.go
+++ b/internal/testbed/simulation/handover_test.go
@@ -10,7 +10,7 @@
 
 // unled plays a calm fleet in which a planner leads no more from 5 s on, by do, and returns how long some forwarder was without a leader
 // in some cell, in seconds.
-func unled(t *testing.T, seed uint64, do func(s *Sim, p *simPlanner)) float64 {
+func unled(t *testing.T, seed uint64, do func(s *Sim, planner *simPlanner)) float64 {
 	t.Helper()
 	cfg, err := MakeOf("calm", true, 20, seed, 8)
 	if err != nil {
@@ -22,33 +22,33 @@
 	}
 	const at = 5.0
 	led := func() bool {
-		for _, f := range s.fwds {
-			if n, _ := f.core.CountLed(); n != s.p.Cells {
+		for _, forwarder := range s.fwds {
+			if n, _ := forwarder.core.CountLed(); n != s.params.Cells {
 				return false
 			}
 		}
 		return true
 	}
-	p := s.planners[int(seed)%len(s.planners)]
+	planner := s.planners[int(seed)%len(s.planners)]
 	s.after(at, func() {
 		if !led() {
 			t.Errorf("seed %d: not led before", seed)
 		}
-		p.do(func() { do(s, p) })
+		planner.do(func() { do(s, planner) })
 	})
 	from, longest := 0.0, 0.0
 	for len(s.queue) > 0 {
 		e := heap.Pop(&s.queue).(event)
-		if s.t = e.at; s.t > at+3 {
+		if s.now = e.at; s.now > at+3 {
 			break
 		}
 		e.do()
 		switch {
-		case s.t < at:
+		case s.now < at:
 		case !led() && from == 0:
-			from = s.t
+			from = s.now
 		case from > 0 && led():
-			longest, from = max(longest, s.t-from), 0
+			longest, from = max(longest, s.now-from), 0
 		}
 	}
 	if from > 0 {
@@ -65,8 +65,8 @@
 	}
 	var left, killed []float64
 	for seed := range uint64(20) {
-		left = append(left, unled(t, seed+1, func(_ *Sim, p *simPlanner) { p.host.Drain(p.now()) }))
-		killed = append(killed, unled(t, seed+1, func(s *Sim, p *simPlanner) { s.killPlanner(p.n, 60) }))
+		left = append(left, unled(t, seed+1, func(_ *Sim, planner *simPlanner) { planner.host.Drain(planner.now()) }))
+		killed = append(killed, unled(t, seed+1, func(s *Sim, planner *simPlanner) { s.killPlanner(planner.number, 60) }))
 	}
 	slices.Sort(left)
 	slices.Sort(killed)
--- a/internal/testbed/simulation/hands.go
+++ b/internal/testbed/simulation/hands.go
@@ -8,9 +8,9 @@
 // callWithin is how long an operator's call at a planner may take, as at its door.
 const callWithin = 0.85
 
-// holdByHand has operators take a node out at one planner, and call it back at the next one. From the yes to the call back nothing may
+// cordonByOperator has operators take a node out at one planner, and call it back at the next one. From the yes to the call back nothing may
 // reach the node, whoever leads; a no binds nobody.
-func (s *Sim) holdByHand(x testbed.Fault) {
+func (s *Sim) cordonByOperator(x testbed.Fault) {
 	n := s.pick(x.A)
 	if n == nil || s.byHand[n.id] {
 		return
@@ -18,7 +18,7 @@
 	s.byHand[n.id] = true
 	s.atPlanner(x.B, n.id, true, func(yes bool) {
 		if yes {
-			s.Held++
+			s.Cordoned++
 			for f := range s.fwds {
 				s.Hist.SetCordon(oracle.IngressName(f), n.id, true)
 			}
@@ -47,20 +47,20 @@
 
 // atPlanner makes an operator's call. A planner that is not there, or that ends with the call, gives no answer: that is a no.
 func (s *Sim) atPlanner(n int, id string, held bool, done func(yes bool)) {
-	p := s.planners[n%len(s.planners)]
-	if p.host == nil || p.paused {
+	planner := s.planners[n%len(s.planners)]
+	if planner.host == nil || planner.paused {
 		s.after(0.1, func() { done(false) })
 		return
 	}
-	answered, host := false, p.host
+	answered, host := false, planner.host
 	once := func(yes bool) {
 		if !answered {
 			answered = true
 			done(yes)
 		}
 	}
-	p.do(func() {
-		if err := host.SetCordoned(p.now(), callWithin, id, held, func(err error) { once(err == nil) }); err != nil {
+	planner.do(func() {
+		if err := host.SetCordoned(planner.now(), callWithin, id, held, func(err error) { once(err == nil) }); err != nil {
 			s.after(0, func() { once(false) })
 		}
 	})
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -8,59 +8,59 @@
 
 // simLink is one link; a new session after each end. Bytes of a session come in order, or not at all.
 type simLink struct {
-	s        *Sim
-	p, f     int
-	session  int
-	up       bool // between the two ends, as far as each has noticed
-	pUp, fUp bool
-	cut      bool
-	heardP   float64 // when the planner's end last heard something
-	heardF   float64
-	lastP    float64 // when the latest message in each direction comes
-	lastF    float64
-	lost     bool // something was, so the session can't go on
+	sim                          *Sim
+	plannerIndex, forwarderIndex int
+	session                      int
+	connected                    bool // between the two ends, as far as each has noticed
+	pUp, fUp                     bool
+	cut                          bool
+	heardP                       float64 // when the planner's end last heard something
+	heardF                       float64
+	lastP                        float64 // when the latest message in each direction comes
+	lastF                        float64
+	lost                         bool // something was, so the session can't go on
 }
 
-func (k *simLink) planner() *simPlanner     { return k.s.planners[k.p] }
-func (k *simLink) forwarder() *simForwarder { return k.s.fwds[k.f] }
+func (k *simLink) planner() *simPlanner     { return k.sim.planners[k.plannerIndex] }
+func (k *simLink) forwarder() *simForwarder { return k.sim.fwds[k.forwarderIndex] }
 
 // dial makes a session, if both ends live and nothing is cut.
 func (k *simLink) dial() {
-	if k.up {
+	if k.connected {
 		return
 	}
-	p, f := k.planner(), k.forwarder()
-	if k.cut || p.host == nil || p.paused || f.core == nil || f.moving {
-		k.s.after(0.03+0.05*k.s.rng.Float64(), k.dial)
+	planner, forwarder := k.planner(), k.forwarder()
+	if k.cut || planner.host == nil || planner.paused || forwarder.core == nil || forwarder.moving {
+		k.sim.after(0.03+0.05*k.sim.rng.Float64(), k.dial)
 		return
 	}
 	k.session++
-	k.up, k.pUp, k.fUp, k.lost = true, true, true, false
-	k.heardP, k.heardF, k.lastP, k.lastF = k.s.t, k.s.t, k.s.t, k.s.t
+	k.connected, k.pUp, k.fUp, k.lost = true, true, true, false
+	k.heardP, k.heardF, k.lastP, k.lastF = k.sim.now, k.sim.now, k.sim.now, k.sim.now
 	session := k.session
-	life := f.known
-	p.do(func() { p.host.LinkUp(p.now(), k.f, life) })
-	f.do(func() { f.core.LinkUp(f.now(), k.p, p.life) })
+	life := forwarder.known
+	planner.do(func() { planner.host.LinkUp(planner.now(), k.forwarderIndex, life) })
+	forwarder.do(func() { forwarder.core.LinkUp(forwarder.now(), k.plannerIndex, planner.incarnation) })
 	var watch func()
 	watch = func() {
 		if k.session != session {
 			return
 		}
-		if k.fUp && k.s.t > k.heardF+simSilence {
+		if k.fUp && k.sim.now > k.heardF+simSilence {
 			k.endForwarder()
 		}
-		if k.pUp && !p.paused && k.s.t > k.heardP+simSilence {
+		if k.pUp && !planner.paused && k.sim.now > k.heardP+simSilence {
 			k.endPlanner()
 		}
 		if !k.fUp && !k.pUp {
-			k.up = false
+			k.connected = false
 			k.session++
-			k.s.after(0.03+0.05*k.s.rng.Float64(), k.dial)
+			k.sim.after(0.03+0.05*k.sim.rng.Float64(), k.dial)
 			return
 		}
-		k.s.after(0.01, watch)
+		k.sim.after(0.01, watch)
 	}
-	k.s.after(0.01, watch)
+	k.sim.after(0.01, watch)
 }
 
 // Each end, when it ends, ends the other as a reset would, unless the link is cut.
@@ -69,13 +69,13 @@
 		return
 	}
 	k.fUp = false
-	f := k.forwarder()
-	if f.core != nil {
-		f.do(func() { f.core.LinkDown(f.now(), k.p) })
+	forwarder := k.forwarder()
+	if forwarder.core != nil {
+		forwarder.do(func() { forwarder.core.LinkDown(forwarder.now(), k.plannerIndex) })
 	}
 	if !k.cut {
 		session := k.session
-		k.s.after(0.001, func() {
+		k.sim.after(0.001, func() {
 			if k.session == session {
 				k.endPlanner()
 			}
@@ -87,20 +87,20 @@
 	if !k.pUp {
 		return
 	}
-	p := k.planner()
-	session, host := k.session, p.host
+	planner := k.planner()
+	session, host := k.session, planner.host
 	if host != nil {
-		p.do(func() {
-			if p.host == host && k.session == session {
+		planner.do(func() {
+			if planner.host == host && k.session == session {
 				k.pUp = false
-				host.LinkDown(p.now(), k.f)
+				host.LinkDown(planner.now(), k.forwarderIndex)
 			}
 		})
 	} else {
 		k.pUp = false
 	}
 	if !k.cut {
-		k.s.after(0.001, func() {
+		k.sim.after(0.001, func() {
 			if k.session == session {
 				k.endForwarder()
 			}
@@ -121,16 +121,16 @@
 	if err != nil {
 		panic(err)
 	}
-	s, session := k.s, k.session
-	at := s.t + 0.0002 + 0.002*s.rng.Float64()
+	s, session := k.sim, k.session
+	at := s.now + 0.0002 + 0.002*s.rng.Float64()
 	last := &k.lastP
 	if toForwarder {
 		last = &k.lastF
 	}
 	at = max(at, *last)
 	*last = at
-	p, f := k.planner(), k.forwarder()
-	s.after(at-s.t, func() {
+	planner, forwarder := k.planner(), k.forwarder()
+	s.after(at-s.now, func() {
 		if k.session != session {
 			return
 		}
@@ -139,25 +139,25 @@
 			return
 		}
 		if toForwarder {
-			if k.fUp && f.core != nil {
-				k.heardF = s.t
-				f.do(func() {
+			if k.fUp && forwarder.core != nil {
+				k.heardF = s.now
+				forwarder.do(func() {
 					for i := range got {
-						f.core.HandleMessage(f.now(), k.p, &got[i])
+						forwarder.core.HandleMessage(forwarder.now(), k.plannerIndex, &got[i])
 					}
 				})
 			}
 			return
 		}
-		if !k.pUp || p.host == nil {
+		if !k.pUp || planner.host == nil {
 			return
 		}
-		k.heardP = s.t
-		host := p.host
-		p.do(func() {
-			if p.host == host && k.pUp && k.session == session {
+		k.heardP = s.now
+		host := planner.host
+		planner.do(func() {
+			if planner.host == host && k.pUp && k.session == session {
 				for i := range got {
-					host.HandleMessage(p.now(), k.f, &got[i])
+					host.HandleMessage(planner.now(), k.forwarderIndex, &got[i])
 				}
 			}
 		})
--- a/internal/testbed/simulation/replace.go
+++ b/internal/testbed/simulation/replace.go
@@ -19,14 +19,14 @@
 
 // succession is what a forwarder has of it while the old process lasts.
 type succession struct {
-	old      *forwarder.Core // writes down
-	oldLife  int
-	moving   bool                // all is on its way to the new process
-	waits    []func(gateway)     // what has happened there meanwhile
-	relayAt  float64             // when the last event comes to the new process
-	orderAt  float64             // when the last order comes to the old one
-	lastEnds float64             // when the old process is over at the latest
-	attempts map[*simRequest]int // sends that were ordered
+	old            *forwarder.Core // writes down
+	oldIncarnation int
+	moving         bool                // all is on its way to the new process
+	deferred       []func(gateway)     // what has happened there meanwhile
+	relayAt        float64             // when the last event comes to the new process
+	orderAt        float64             // when the last order comes to the old one
+	lastEnds       float64             // when the old process is over at the latest
+	attempts       map[*simRequest]int // sends that were ordered
 }
 
 // gateway is what the decision module and a forwarder's core have in common.
@@ -37,8 +37,8 @@
 }
 
 // happen tells whoever decides what has become of a request.
-func (f *simForwarder) happen(r *simRequest, tell func(gateway)) {
-	if r.life != f.life { // the old process holds it
+func (f *simForwarder) happen(request *simRequest, tell func(gateway)) {
+	if request.incarnation != f.incarnation { // the old process holds it
 		if f.old != nil {
 			tell(f.old)
 			f.relay(tell)
@@ -46,7 +46,7 @@
 		return
 	}
 	f.do(func() {
-		if f.lives[r.life] != nil {
+		if f.cordonedByIncarnation[request.incarnation] != nil {
 			f.decide(tell)
 		}
 	})
@@ -55,20 +55,20 @@
 func (f *simForwarder) decide(tell func(gateway)) {
 	switch {
 	case f.moving:
-		f.waits = append(f.waits, tell)
+		f.deferred = append(f.deferred, tell)
 	case f.core != nil:
 		tell(f.core)
-	case f.gate != nil:
-		tell(f.gate)
+	case f.module != nil:
+		tell(f.module)
 	}
 }
 
 // relay brings an event from the old process to the new one.
 func (f *simForwarder) relay(tell func(gateway)) {
-	s, life := f.s, f.life
-	f.relayAt = max(f.relayAt, s.t+s.hop())
-	s.after(f.relayAt-s.t, func() {
-		if f.life == life {
+	s, life := f.sim, f.incarnation
+	f.relayAt = max(f.relayAt, s.now+s.hop())
+	s.after(f.relayAt-s.now, func() {
+		if f.incarnation == life {
 			f.do(func() { f.decide(tell) })
 		}
 	})
@@ -76,19 +76,19 @@
 
 // order has the old process do something to a request that it holds; false if it holds none of that id.
 func (f *simForwarder) order(id string, o snapshot.Order) bool {
-	r := f.open[id]
-	if r != nil && f.lives[r.life] == nil {
+	request := f.open[id]
+	if request != nil && f.cordonedByIncarnation[request.incarnation] == nil {
 		return true // whoever held it has died, and the news is on its way
 	}
-	if f.old == nil || r == nil || r.life != f.oldLife {
+	if f.old == nil || request == nil || request.incarnation != f.oldIncarnation {
 		return false
 	}
 	if o.Kind == snapshot.OrderSend {
-		if f.attempts[r] == 0 {
-			f.attempts[r] = len(r.attempts)
+		if f.attempts[request] == 0 {
+			f.attempts[request] = len(request.attempts)
 		}
-		o.Attempt = f.attempts[r]
-		f.attempts[r]++
+		o.Attempt = f.attempts[request]
+		f.attempts[request]++
 	}
 	f.send(o)
 	return true
@@ -96,9 +96,9 @@
 
 // send brings an order to the old process.
 func (f *simForwarder) send(o snapshot.Order) {
-	s, old := f.s, f.old
-	f.orderAt = max(f.orderAt, s.t+s.hop())
-	s.after(f.orderAt-s.t, func() {
+	s, old := f.sim, f.old
+	f.orderAt = max(f.orderAt, s.now+s.hop())
+	s.after(f.orderAt-s.now, func() {
 		if f.old == old && old != nil {
 			f.carryOut(o)
 		}
@@ -108,19 +108,19 @@
 // carryOut does what was ordered, as the old process's ingress would.
 func (f *simForwarder) carryOut(o snapshot.Order) {
 	f.old.RecordOrder(f.now(), o)
-	r := f.open[o.ID]
+	request := f.open[o.ID]
 	switch {
 	case o.Kind == snapshot.OrderCordon:
-		f.lives[f.oldLife][o.ID] = o.Cordoned
-	case r == nil:
-	case o.Kind == snapshot.OrderSend && r.over: // it has ended while the order was on its way
-		r.attempts = append(r.attempts, &simAttempt{f: f, r: r, number: o.Attempt, done: true})
-		f.happen(r, func(g gateway) {
-			g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: o.Backend, Attempt: o.Attempt, Status: policy.NotSent, Completed: true})
+		f.cordonedByIncarnation[f.oldIncarnation][o.ID] = o.Cordoned
+	case request == nil:
+	case o.Kind == snapshot.OrderSend && request.over: // it has ended while the order was on its way
+		request.attempts = append(request.attempts, &simAttempt{forwarder: f, request: request, number: o.Attempt, done: true})
+		f.happen(request, func(g gateway) {
+			g.HandleOutcome(f.now(), policy.Outcome{ID: request.ID, Backend: o.Backend, Attempt: o.Attempt, Status: policy.NotSent, Completed: true})
 		})
 	case o.Kind == snapshot.OrderSend:
 		f.write(o.ID, o.Backend, o.DelayS)
-	case r.over:
+	case request.over:
 	case o.Kind == snapshot.OrderReject:
 		f.refuse(o.ID, o.DelayS)
 	case o.Kind == snapshot.OrderFail:
@@ -132,13 +132,13 @@
 
 // replace starts a second process beside a forwarder's. Nobody is replaced twice at a time here; sockets show chains.
 func (s *Sim) replace(n int) bool {
-	f := s.fwds[n]
-	if f.core == nil || f.old != nil || f.moving || f.busy {
+	forwarder := s.fwds[n]
+	if forwarder.core == nil || forwarder.old != nil || forwarder.moving || forwarder.busy {
 		return false
 	}
 	from := s.Hist.Now()
 	text := [][]byte{}
-	for _, part := range f.core.Migrate(f.now()).Split() { // as it goes over the link
+	for _, part := range forwarder.core.Migrate(forwarder.now()).Split() { // as it goes over the link
 		b, err := json.Marshal(part)
 		if err != nil {
 			panic(err)
@@ -146,12 +146,12 @@
 		text = append(text, b)
 	}
 	s.hangUp(n)
-	old := f.core
-	f.succession = succession{old: old, oldLife: f.life, moving: true, attempts: map[*simRequest]int{}, relayAt: s.t, orderAt: s.t, lastEnds: s.t + oldMostS}
-	f.life, f.core = f.begin(), f.newCore()
-	young := f.core
+	old := forwarder.core
+	forwarder.succession = succession{old: old, oldIncarnation: forwarder.incarnation, moving: true, attempts: map[*simRequest]int{}, relayAt: s.now, orderAt: s.now, lastEnds: s.now + oldMostS}
+	forwarder.incarnation, forwarder.core = forwarder.begin(), forwarder.newCore()
+	young := forwarder.core
 	s.after(0.001+0.01*s.rng.Float64(), func() {
-		if f.core != young {
+		if forwarder.core != young {
 			return
 		}
 		var parts []snapshot.Part
@@ -163,41 +163,41 @@
 			parts = append(parts, part)
 		}
 		m, _ := snapshot.Join(parts)
-		f.do(func() {
-			f.moving = false
-			f.core.Resume(f.now(), m)
-			waits := f.waits
-			f.waits = nil
+		forwarder.do(func() {
+			forwarder.moving = false
+			forwarder.core.Resume(forwarder.now(), m)
+			waits := forwarder.deferred
+			forwarder.deferred = nil
 			for _, tell := range waits {
-				tell(f.core)
+				tell(forwarder.core)
 			}
 		})
 		s.Hist.AddReplacement(n, from, s.Hist.Now())
 	})
 	var ends func()
 	ends = func() {
-		if f.old != old || f.core != young {
+		if forwarder.old != old || forwarder.core != young {
 			return
 		}
-		if s.t < f.lastEnds && len(f.elders(false)) > 0 {
+		if s.now < forwarder.lastEnds && len(forwarder.predecessorRequests(false)) > 0 {
 			s.after(0.02, ends)
 			return
 		}
-		for _, r := range f.elders(false) {
-			f.answer(r.ID, oracle.Failed)
-			f.happen(r, func(g gateway) { g.HandleDisconnect(f.now(), r.ID) })
+		for _, request := range forwarder.predecessorRequests(false) {
+			forwarder.answer(request.ID, oracle.Failed)
+			forwarder.happen(request, func(g gateway) { g.HandleDisconnect(forwarder.now(), request.ID) })
 		}
-		f.bereave()
+		forwarder.bereave()
 	}
 	s.after(0.02, ends)
 	return true
 }
 
-// elders are the requests that the old process holds, those that are over too if all.
-func (f *simForwarder) elders(all bool) (list []*simRequest) {
+// predecessorRequests are the requests that the old process holds, those that are over too if all.
+func (f *simForwarder) predecessorRequests(all bool) (list []*simRequest) {
 	for _, id := range slices.Sorted(maps.Keys(f.open)) {
-		if r := f.open[id]; r.life == f.oldLife && (all || !r.over) {
-			list = append(list, r)
+		if request := f.open[id]; request.incarnation == f.oldIncarnation && (all || !request.over) {
+			list = append(list, request)
 		}
 	}
 	return list
@@ -220,29 +220,29 @@
 
 // bereave ends the old process, and with it what it had out.
 func (f *simForwarder) bereave() {
-	list := f.elders(true)
-	delete(f.lives, f.oldLife)
-	for _, r := range list {
-		over := r.over
-		if !r.over { // its client's connection ends, and the try is the client's to make again
-			r.over, r.try.NotAccepted = true, true
-			f.s.Hist.RequestAnswered(r.try, oracle.ConnectionLost)
+	list := f.predecessorRequests(true)
+	delete(f.cordonedByIncarnation, f.oldIncarnation)
+	for _, request := range list {
+		over := request.over
+		if !request.over { // its client's connection ends, and the try is the client's to make again
+			request.over, request.attempt.NotAccepted = true, true
+			f.sim.Hist.RequestAnswered(request.attempt, oracle.ConnectionLost)
 		}
 		if !over {
-			f.relay(func(g gateway) { g.HandleDisconnect(f.now(), r.ID) })
+			f.relay(func(g gateway) { g.HandleDisconnect(f.now(), request.ID) })
 		}
-		for _, a := range r.attempts {
-			if !a.done {
-				a.done = true
-				a.leave()
+		for _, attempt := range request.attempts {
+			if !attempt.done {
+				attempt.done = true
+				attempt.leave()
 				f.relay(func(g gateway) {
-					g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: a.n.idOr(), Attempt: a.number, Status: policy.Reset, Completed: true})
+					g.HandleOutcome(f.now(), policy.Outcome{ID: request.ID, Backend: attempt.node.idOr(), Attempt: attempt.number, Status: policy.Reset, Completed: true})
 				})
 			}
 		}
-		for n := len(r.attempts); n < f.attempts[r]; n++ { // ordered, and never heard of
+		for n := len(request.attempts); n < f.attempts[request]; n++ { // ordered, and never heard of
 			f.relay(func(g gateway) {
-				g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Attempt: n, Status: policy.Reset, Completed: true})
+				g.HandleOutcome(f.now(), policy.Outcome{ID: request.ID, Attempt: n, Status: policy.Reset, Completed: true})
 			})
 		}
 	}
@@ -251,50 +251,50 @@
 
 // killSuccessor ends the new process of a forwarder; the old one goes on, once it has read what the new one still said.
 func (s *Sim) killSuccessor(n int) {
-	f := s.fwds[n]
-	if f.old == nil || f.core == nil || f.busy {
+	forwarder := s.fwds[n]
+	if forwarder.old == nil || forwarder.core == nil || forwarder.busy {
 		return
 	}
-	young := f.life
-	delete(f.lives, young)
-	for _, id := range slices.Sorted(maps.Keys(f.open)) {
-		r := f.open[id]
-		if r.life != young {
+	young := forwarder.incarnation
+	delete(forwarder.cordonedByIncarnation, young)
+	for _, id := range slices.Sorted(maps.Keys(forwarder.open)) {
+		request := forwarder.open[id]
+		if request.incarnation != young {
 			continue
 		}
-		if !r.over {
-			r.over, r.try.NotAccepted = true, true
-			s.Hist.RequestAnswered(r.try, oracle.ConnectionLost)
+		if !request.over {
+			request.over, request.attempt.NotAccepted = true, true
+			s.Hist.RequestAnswered(request.attempt, oracle.ConnectionLost)
 		}
-		for _, a := range r.attempts {
-			if !a.done {
-				a.done = true
-				a.leave()
+		for _, attempt := range request.attempts {
+			if !attempt.done {
+				attempt.done = true
+				attempt.leave()
 			}
 		}
-		delete(f.open, id)
+		delete(forwarder.open, id)
 	}
-	if !f.moving {
+	if !forwarder.moving {
 		s.hangUp(n)
 	}
-	old, oldLife := f.old, f.oldLife
-	f.core, f.moving, f.waits, f.pending = nil, false, nil, nil
-	run := f.run
-	s.after(max(f.orderAt-s.t, 0)+0.002+0.03*s.rng.Float64(), func() {
-		if f.run != run {
+	old, oldLife := forwarder.old, forwarder.oldIncarnation
+	forwarder.core, forwarder.moving, forwarder.deferred, forwarder.pending = nil, false, nil, nil
+	run := forwarder.run
+	s.after(max(forwarder.orderAt-s.now, 0)+0.002+0.03*s.rng.Float64(), func() {
+		if forwarder.run != run {
 			return
 		}
-		f.core, f.life, f.succession = old, oldLife, succession{}
-		f.last++
-		f.known = uint64(f.last)
-		f.do(func() { f.core.Reclaim(f.now()) })
+		forwarder.core, forwarder.incarnation, forwarder.succession = old, oldLife, succession{}
+		forwarder.last++
+		forwarder.known = uint64(forwarder.last)
+		forwarder.do(func() { forwarder.core.Reclaim(forwarder.now()) })
 	})
 }
 
 // killPredecessor ends the old process at once.
 func (s *Sim) killPredecessor(n int) {
-	if f := s.fwds[n]; f.old != nil && f.core != nil && !f.moving {
-		f.bereave()
+	if forwarder := s.fwds[n]; forwarder.old != nil && forwarder.core != nil && !forwarder.moving {
+		forwarder.bereave()
 	}
 }
 
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -17,67 +17,67 @@
 func (s *Sim) account(a testbed.Account) {
 	mean := 0.0
 	for _, c := range s.cfg.Classes {
-		mean += s.cfg.Shares[c.Name] * float64(s.cfg.Units[c.Name])
+		mean += s.cfg.ClassFractions[c.Name] * float64(s.cfg.Units[c.Name])
 	}
 	flood := 1 + s.rng.Float64()*a.FloodEvery.Seconds()
 	var ask func()
 	next := func() {
 		rate := a.Rate / mean * cmp.Or(s.floods[a.Name], 1)
-		if a.FloodX > 0 && s.t > flood {
+		if a.FloodX > 0 && s.now > flood {
 			rate *= a.FloodX
-			if s.t > flood+a.FloodFor.Seconds() {
-				flood = s.t + a.FloodEvery.Seconds()
+			if s.now > flood+a.FloodFor.Seconds() {
+				flood = s.now + a.FloodEvery.Seconds()
 			}
 		}
 		s.after(s.rng.ExpFloat64()/rate, ask)
 	}
 	ask = func() {
-		if s.t > s.cfg.LengthS || a.To > 0 && s.t > 1+a.To.Seconds() {
+		if s.now > s.cfg.LengthS || a.To > 0 && s.now > 1+a.To.Seconds() {
 			return
 		}
-		class := testbed.ClassOf(a, s.cfg.Classes, s.cfg.Shares, s.rng.Float64())
-		s.ask(a, class, "", class.DeadlineS)
+		class := testbed.ClassOf(a, s.cfg.Classes, s.cfg.ClassFractions, s.rng.Float64())
+		s.sendRequest(a, class, "", class.DeadlineS)
 		next()
 	}
 	s.after(1+a.From.Seconds()+s.rng.ExpFloat64()*mean/a.Rate, ask)
 }
 
-// ask sends a try of an account through one of its ingresses: most of them through the same one for some seconds.
-func (s *Sim) ask(a testbed.Account, class policy.Class, first string, left float64) {
+// sendRequest sends a try of an account through one of its ingresses: most of them through the same one for some seconds.
+func (s *Sim) sendRequest(a testbed.Account, class policy.Class, first string, left float64) {
 	s.nextID++
 	id := fmt.Sprint("r", s.nextID)
 	first = cmp.Or(first, id)
-	if s.asks[first] == nil {
-		s.asks[first] = &asked{sent: s.Hist.Now()}
+	if s.clientRequests[first] == nil {
+		s.clientRequests[first] = &clientRequest{sent: s.Hist.Now()}
 	}
-	s.asks[first].tries++
-	busy := int(peerprotocol.HashPoint(a.Name)%1e6) + int(s.t/7) // another one for each account
+	s.clientRequests[first].tries++
+	busy := int(peerprotocol.HashPoint(a.Name)%1e6) + int(s.now/7) // another one for each account
 	i := a.First + busy%a.Spread
 	if s.rng.Float64() < 0.4 {
 		i = a.First + s.rng.IntN(a.Spread)
 	}
-	f := s.fwds[i]
-	if !f.runs() && s.t > f.downAt+2.5 { // the front has noticed
-		f = s.fwds[a.First+(i-a.First+1)%a.Spread]
+	forwarder := s.fwds[i]
+	if !forwarder.runs() && s.now > forwarder.downAt+2.5 { // the front has noticed
+		forwarder = s.fwds[a.First+(i-a.First+1)%a.Spread]
 	}
-	f.request(policy.Request{ID: id, Class: class.Name, Plan: a.Plan, Account: a.Name, FirstGateway: a.First, GatewayCount: a.Spread,
+	forwarder.request(policy.Request{ID: id, Class: class.Name, Plan: a.Plan, Account: a.Name, FirstGateway: a.First, GatewayCount: a.Spread,
 		Units: float64(s.cfg.Units[class.Name])}, first, left)
 }
 
 const retries = 2
 
-// asked is what a client knows of something that it asks for: when it first did, and how often.
-type asked struct {
+// clientRequest is what a client knows of something that it asks for: when it first did, and how often.
+type clientRequest struct {
 	sent  time.Duration
 	tries int
 }
 
-// again has the client of a refused try come once more, if it has time left.
-func (s *Sim) again(t *oracle.Request) {
+// retryLater has the client of a refused try come once more, if it has time left.
+func (s *Sim) retryLater(t *oracle.Request) {
 	class := s.class(t.Class)
-	x := s.asks[t.OriginalID]
+	x := s.clientRequests[t.OriginalID]
 	if x == nil || x.tries > retries {
-		delete(s.asks, t.OriginalID)
+		delete(s.clientRequests, t.OriginalID)
 		return
 	}
 	left := class.DeadlineS - (s.Hist.Now() - x.sent).Seconds()
@@ -85,7 +85,7 @@
 		return
 	}
 	if a, ok := s.accounts[t.Account]; ok && !a.Once {
-		s.ask(a, class, t.OriginalID, left)
+		s.sendRequest(a, class, t.OriginalID, left)
 	}
 }
 
@@ -102,15 +102,15 @@
 	}
 	for len(s.queue) > 0 {
 		e := heap.Pop(&s.queue).(event)
-		if s.t = e.at; s.t > s.cfg.LengthS+12 {
+		if s.now = e.at; s.now > s.cfg.LengthS+12 {
 			break
 		}
 		e.do()
 	}
 	if s.cfg.Planners > 0 {
-		for _, f := range s.fwds { // long after the last fault
-			if led, _ := f.core.CountLed(); led != s.p.Cells {
-				s.breaks("everybody is led", "forwarder %d follows a leader in %d cells", f.n, led)
+		for _, forwarder := range s.fwds { // long after the last fault
+			if led, _ := forwarder.core.CountLed(); led != s.params.Cells {
+				s.breaks("everybody is led", "forwarder %d follows a leader in %d cells", forwarder.number, led)
 			}
 		}
 	}
@@ -142,11 +142,11 @@
 		peak.From, peak.To = peak.From+time.Second, peak.To+time.Second
 	}
 	var stated *oracle.LoadSheddingBounds
-	if s.cfg.Rush && s.cfg.Overload.Enabled && s.cfg.Peak.To > 0 {
+	if s.cfg.MeasureOverload && s.cfg.Overload.Enabled && s.cfg.Peak.To > 0 {
 		stated = &s.cfg.Stated
 	}
-	return oracle.Config{LoadShedding: stated, Overload: s.cfg.Rush, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
-		ClockRate: Drift, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.ColdSlack, MinOccasions: s.cfg.Floors}
+	return oracle.Config{LoadShedding: stated, Overload: s.cfg.MeasureOverload, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
+		ClockRate: Drift, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.SlowStartSlack, MinOccasions: s.cfg.Floors}
 }
 
 const levelsEveryS = 0.25
@@ -154,18 +154,18 @@
 // watchLevels records what ingresses, or cells, hold of overload, until the run ends.
 func (s *Sim) watchLevels() {
 	var of []float64
-	for _, f := range s.fwds {
-		if f.gate != nil {
-			of = append(of, f.gate.Shedder().Level())
+	for _, forwarder := range s.fwds {
+		if forwarder.module != nil {
+			of = append(of, forwarder.module.Shedder().Level())
 		}
 	}
-	for _, p := range s.planners {
-		if p.host != nil && !p.paused {
-			of = append(of, p.host.ShedLevels(p.now())...)
+	for _, planner := range s.planners {
+		if planner.host != nil && !planner.paused {
+			of = append(of, planner.host.ShedLevels(planner.now())...)
 		}
 	}
 	s.Hist.AddLoadLevels(of)
-	if s.t < s.cfg.LengthS {
+	if s.now < s.cfg.LengthS {
 		s.after(levelsEveryS, s.watchLevels)
 	}
 }
--- a/internal/testbed/simulation/scenario.go
+++ b/internal/testbed/simulation/scenario.go
@@ -21,7 +21,7 @@
 // Sized is MakeOf with another number of nodes too; 0 stands for the scenario's, or the usual one.
 func Sized(name string, two bool, forwarders, nodes int, seed uint64, lengthS float64) (Config, error) {
 	sc := testbed.Scenario{Length: time.Duration(lengthS * float64(time.Second)),
-		FleetConfig: testbed.FleetConfig{Forwarders: 4, Nodes: 6, Classes: testbed.LabClasses, Plans: testbed.LabPlans, Node: testbed.LabNode, Seed: seed}, NodesAsked: nodes}
+		FleetConfig: testbed.FleetConfig{Forwarders: 4, Nodes: 6, Classes: testbed.LabClasses, Plans: testbed.LabPlans, Node: testbed.LabNode, Seed: seed}, NodeCount: nodes}
 	if two {
 		sc.Forwarders, sc.Planners = 5, 3
 	}
@@ -38,7 +38,7 @@
 		return Config{}, err
 	}
 	return Config{Forwarders: sc.Forwarders, Planners: sc.Planners, Cells: 4, Nodes: sc.Nodes, Zones: sc.Zones, Classes: sc.Classes, Plans: sc.Plans, Node: sc.Node,
-		Weather: sc.Weather, Accounts: sc.Accounts, Shares: testbed.LabShares, Units: testbed.LabUnits, LengthS: lengthS, Faults: sc.Faults, Exact: sc.Exact, Rush: sc.Rush, Peak: sc.Peak, Stated: sc.Stated, Quota: sc.Quota, CapX: sc.CapX, PeerLoss: sc.PeerLoss, Seed: seed}, nil
+		NodeConditions: sc.NodeConditions, Accounts: sc.Accounts, ClassFractions: testbed.LabClassFractions, Units: testbed.LabUnits, LengthS: lengthS, Faults: sc.Faults, Exact: sc.Exact, MeasureOverload: sc.MeasureOverload, Peak: sc.Peak, Stated: sc.Stated, Quota: sc.Quota, CapX: sc.CapX, PeerLoss: sc.PeerLoss, Seed: seed}, nil
 }
 
 // Shrink cuts the faults of a failing run down to those that matter: with any one of what is left taken out, fails no
