--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -34,9 +34,9 @@
 	Classes                            []policy.Class
 	Plans                              []policy.Plan
 	Node                               node.Config
-	Weather                            node.Weather
+	NodeConditions                     node.Conditions
 	Accounts                           []testbed.Account
-	Shares                             map[string]float64
+	ClassFractions                     map[string]float64
 	Units                              map[string]int
 	LengthS                            float64
 	Faults                             []testbed.Fault
@@ -47,7 +47,7 @@
 	CapX                               float64        // of the rule on caps; 0: 2 in two levels, not judged in one
 	Seed                               uint64
 	Overload                           loadshed.Config // of ingresses
-	Rush                               bool            // see lab.FleetConfig
+	MeasureOverload                    bool            // see lab.FleetConfig
 	Peak                               oracle.Peak
 	Stated                             oracle.LoadSheddingBounds
 	Trace                              func(decider int, d reason.Decision) // told of each decision of an ingress, in two levels of a planner, if not nil; true times
@@ -78,36 +78,36 @@
 
 // Sim is the world. True time is t; each party has its own clock.
 type Sim struct {
-	cfg        Config
-	Hist       *oracle.History
-	rng        *rand.Rand
-	t          float64
-	seq        int
-	queue      queue
-	p          topology.Params
-	planners   []*simPlanner
-	fwds       []*simForwarder
-	links      [][]*simLink // by planner and forwarder
-	nodes      []*simNode   // in the order of their first start
-	keys       *node.Keys
-	nextNode   int
-	nextID     int
-	peerWay    testbed.Weather // of datagrams between ingresses of different halves
-	fog        testbed.Weather // of all
-	liar       int             // an ingress that lies of overload, from 1; 0: none
-	lateS      float64         // how late the roster tells
-	floods     map[string]float64
-	accounts   map[string]testbed.Account
-	asks       map[string]*asked // by first try; as many as the run has
-	breach     map[string]int
-	first      string
-	Leads      int             // moments at which a cell was found led: that fencing was looked at
-	byHand     map[string]bool // nodes on which operators are at work
-	Messages   int             // between ingresses that came, and of these, beyond what one takes in
-	Drowned    int
-	Handshakes int            // connections to nodes that were opened
-	Kinds      map[string]int // of messages sent between ingresses
-	Held       int            // nodes that operators took out with a yes
+	cfg              Config
+	Hist             *oracle.History
+	rng              *rand.Rand
+	now              float64
+	seq              int
+	queue            queue
+	params           topology.Params
+	planners         []*simPlanner
+	fwds             []*simForwarder
+	links            [][]*simLink // by planner and forwarder
+	nodes            []*simNode   // in the order of their first start
+	keys             *node.Keys
+	nextNode         int
+	nextID           int
+	peerWay          testbed.PacketConditions // of datagrams between ingresses of different halves
+	packetConditions testbed.PacketConditions // of all
+	liar             int                      // an ingress that lies of overload, from 1; 0: none
+	lateS            float64                  // how late the roster tells
+	floods           map[string]float64
+	accounts         map[string]testbed.Account
+	clientRequests   map[string]*clientRequest // by first try; as many as the run has
+	breach           map[string]int
+	first            string
+	Leads            int             // moments at which a cell was found led: that fencing was looked at
+	byHand           map[string]bool // nodes on which operators are at work
+	Messages         int             // between ingresses that came, and of these, beyond what one takes in
+	Drowned          int
+	Handshakes       int            // connections to nodes that were opened
+	Kinds            map[string]int // of messages sent between ingresses
+	Cordoned         int            // nodes that operators took out with a yes
 }
 
 type clock struct{ offset, speed float64 }
@@ -116,25 +116,25 @@
 
 func (s *Sim) after(d float64, do func()) {
 	s.seq++
-	heap.Push(&s.queue, event{s.t + d, s.seq, do})
+	heap.Push(&s.queue, event{s.now + d, s.seq, do})
 }
 
 func (s *Sim) breaks(rule, format string, args ...any) {
 	if s.breach[rule]++; s.first == "" {
-		s.first = fmt.Sprintf("%.3f %s: ", s.t, rule) + fmt.Sprintf(format, args...)
+		s.first = fmt.Sprintf("%.3f %s: ", s.now, rule) + fmt.Sprintf(format, args...)
 	}
 }
 
 // New makes a fleet that has just been started.
 func New(cfg Config) *Sim {
-	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), breach: map[string]int{}, keys: node.NewKeys(), floods: map[string]float64{}, asks: map[string]*asked{}, byHand: map[string]bool{}, Kinds: map[string]int{}, accounts: map[string]testbed.Account{}}
+	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), breach: map[string]int{}, keys: node.NewKeys(), floods: map[string]float64{}, clientRequests: map[string]*clientRequest{}, byHand: map[string]bool{}, Kinds: map[string]int{}, accounts: map[string]testbed.Account{}}
 	for _, a := range cfg.Accounts {
 		s.accounts[a.Name] = a
 	}
-	s.Hist = oracle.NewHistoryWithClock(func() time.Duration { return time.Duration(s.t * float64(time.Second)) })
+	s.Hist = oracle.NewHistoryWithClock(func() time.Duration { return time.Duration(s.now * float64(time.Second)) })
 	if cfg.Planners > 0 {
-		s.p = topology.Params{Name: "sim", Forwarders: cfg.Forwarders, Planners: cfg.Planners, Cells: cfg.Cells}
-		if err := s.p.Check(); err != nil {
+		s.params = topology.Params{Name: "sim", Forwarders: cfg.Forwarders, Planners: cfg.Planners, Cells: cfg.Cells}
+		if err := s.params.Check(); err != nil {
 			panic(err)
 		}
 	}
@@ -143,18 +143,18 @@
 	}
 	clocks := func() clock { return clock{s.rng.Float64() * 100, 1 + 0.04*(s.rng.Float64()-0.5)} }
 	for n := range cfg.Planners {
-		p := &simPlanner{s: s, n: n, clock: clocks()}
-		s.planners = append(s.planners, p)
-		p.start()
+		planner := &simPlanner{sim: s, number: n, clock: clocks()}
+		s.planners = append(s.planners, planner)
+		planner.start()
 		s.links = append(s.links, nil)
 		for f := range cfg.Forwarders {
-			s.links[n] = append(s.links[n], &simLink{s: s, p: n, f: f})
+			s.links[n] = append(s.links[n], &simLink{sim: s, plannerIndex: n, forwarderIndex: f})
 		}
 	}
 	for n := range cfg.Forwarders {
-		f := &simForwarder{s: s, n: n, clock: clocks()}
-		s.fwds = append(s.fwds, f)
-		f.start()
+		forwarder := &simForwarder{sim: s, number: n, clock: clocks()}
+		s.fwds = append(s.fwds, forwarder)
+		forwarder.start()
 	}
 	for n := range cfg.Planners {
 		for f := range cfg.Forwarders {
@@ -167,48 +167,48 @@
 // settings are the module's, for gateway me of so many.
 func (s *Sim) settings(me, gateways int, peers bool) policy.Settings {
 	return policy.Settings{Self: me, Gateways: gateways, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRequestUnits: 6, PeerMessages: peers, PeerMessageRate: peerIntake,
-		LoadShedding: s.cfg.Overload, CancelAllowed: true, RetryAfterAllowed: true, MaxAttempts: testbed.MaxAttempts, MaxRetryAfterS: 1, LoadReportInResponse: true, ResponseSlackS: 0.02, SlowStartMinFraction: testbed.StatedColdFrom,
-		SlowStartS: testbed.StatedColdS, CollapseMultiple: testbed.StatedMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
+		LoadShedding: s.cfg.Overload, CancelAllowed: true, RetryAfterAllowed: true, MaxAttempts: testbed.MaxAttempts, MaxRetryAfterS: 1, LoadReportInResponse: true, ResponseSlackS: 0.02, SlowStartMinFraction: testbed.StatedSlowStartMinFraction,
+		SlowStartS: testbed.StatedSlowStartS, CollapseMultiple: testbed.StatedMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
 }
 
 // ---- Nodes and the roster ----
 
 // simNode is one node under its id, through all its lives.
 type simNode struct {
-	s       *Sim
-	id      string
-	model   *node.Model // nil while it is down
-	life    int
-	born    float64 // true time; 0: long ago
-	cut     [2]bool // from forwarders of even and of odd numbers
-	open    map[uint64]*simAttempt
-	handles uint64
-	listed  bool // runs, and does not drain
-	wakeAt  float64
+	sim         *Sim
+	id          string
+	model       *node.Model // nil while it is down
+	incarnation int
+	startedAt   float64 // true time; 0: long ago
+	cut         [2]bool // from forwarders of even and of odd numbers
+	open        map[uint64]*simAttempt
+	handles     uint64
+	listed      bool // runs, and does not drain
+	wakeAt      float64
 }
 
 func (s *Sim) addNode(cold bool) *simNode {
 	s.nextNode++
-	n := &simNode{s: s, id: fmt.Sprint("z", s.nextNode)}
+	n := &simNode{sim: s, id: fmt.Sprint("z", s.nextNode)}
 	s.nodes = append(s.nodes, n)
 	n.start(cold)
 	return n
 }
 
 func (n *simNode) start(cold bool) {
-	s := n.s
+	s := n.sim
 	born, started := -1e6, -1e6*time.Second
-	if n.born = 0; cold {
-		born, started = s.t, s.Hist.Now()
-		n.born = s.t
+	if n.startedAt = 0; cold {
+		born, started = s.now, s.Hist.Now()
+		n.startedAt = s.now
 	}
 	cfg := s.cfg.Node
 	cfg.Zone = testbed.ZoneOf(n.id, s.cfg.Zones)
-	n.life = s.Hist.AddIncarnation(oracle.Incarnation{Node: n.id, StartedAt: started, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.ColdFrom, WarmUpS: cfg.ColdS})
+	n.incarnation = s.Hist.AddIncarnation(oracle.Incarnation{Node: n.id, StartedAt: started, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.SlowStartMinFraction, WarmUpS: cfg.SlowStartS})
 	n.open, n.wakeAt, n.listed = map[uint64]*simAttempt{}, math.Inf(1), true
 	n.model = node.New(cfg, s.keys, s.rng.Uint64(), born, n)
-	n.model.SetWeather(s.cfg.Weather)
-	n.tell(policy.Up)
+	n.model.SetConditions(s.cfg.NodeConditions)
+	n.notify(policy.Up)
 }
 
 // stop ends the node as a crash would.
@@ -218,10 +218,10 @@
 	}
 	n.model, n.listed = nil, false
 	for _, h := range slices.Sorted(maps.Keys(n.open)) {
-		a := n.open[h]
+		attempt := n.open[h]
 		delete(n.open, h)
-		n.s.Hist.AttemptEnded(a.rec, how)
-		n.s.after(n.s.hop(), func() { a.f.finish(a, policy.Reset) })
+		n.sim.Hist.AttemptEnded(attempt.rec, how)
+		n.sim.after(n.sim.hop(), func() { attempt.forwarder.finish(attempt, policy.Reset) })
 	}
 }
 
@@ -237,10 +237,10 @@
 	}
 	if next := m.Next(); next < n.wakeAt {
 		n.wakeAt = next
-		n.s.after(max(next-n.s.t, 0), func() {
-			if n.model == m && n.wakeAt <= n.s.t {
+		n.sim.after(max(next-n.sim.now, 0), func() {
+			if n.model == m && n.wakeAt <= n.sim.now {
 				n.wakeAt = math.Inf(1)
-				n.do(func(m *node.Model) { m.Advance(n.s.t) })
+				n.do(func(m *node.Model) { m.Advance(n.sim.now) })
 			}
 		})
 	}
@@ -248,7 +248,7 @@
 
 // Began implements node.Out.
 func (n *simNode) Began(_ float64, a *node.Attempt, work float64, repeat bool) {
-	n.s.Hist.AttemptStarted(n.open[a.Handle].rec, work, repeat)
+	n.sim.Hist.AttemptStarted(n.open[a.Handle].rec, work, repeat)
 }
 
 // Answer implements node.Out.
@@ -258,17 +258,17 @@
 	switch f {
 	case node.Served, node.Late, node.Copy, node.AbsurdLoad:
 		status = policy.OK
-		n.s.Hist.AttemptAnswered(x.rec)
+		n.sim.Hist.AttemptAnswered(x.rec)
 	case node.Full:
 		status = policy.Rejected
 	case node.ResetUnrun, node.ResetRan, node.ResetMid:
 		status = policy.Reset
 	}
 	x.load = &policy.Load{InFlight: -1, Queue: -1, Utilization: load, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
-	if n.isCut(x.f.n) {
+	if n.isCut(x.forwarder.number) {
 		return
 	}
-	n.s.after(n.s.hop(), func() { x.f.finish(x, status) })
+	n.sim.after(n.sim.hop(), func() { x.forwarder.finish(x, status) })
 }
 
 // Ended implements node.Out.
@@ -278,19 +278,19 @@
 		return
 	}
 	delete(n.open, a.Handle)
-	n.s.Hist.AttemptEnded(x.rec, how)
+	n.sim.Hist.AttemptEnded(x.rec, how)
 	if how == "down" {
-		n.s.after(n.s.hop(), func() { x.f.finish(x, policy.Reset) })
+		n.sim.after(n.sim.hop(), func() { x.forwarder.finish(x, policy.Reset) })
 	}
 }
 
 // Fell implements node.Out.
 func (n *simNode) Fell(float64) {
-	s := n.s
-	s.Hist.IncarnationCrashed(n.life)
+	s := n.sim
+	s.Hist.IncarnationCrashed(n.incarnation)
 	s.Hist.AddFault("node " + n.id + " fell over")
 	n.listed = false
-	s.after(2, func() { n.tell(policy.Removed) })
+	s.after(2, func() { n.notify(policy.Removed) })
 }
 
 func (n *simNode) isCut(f int) bool { return n.cut[f%2] }
@@ -298,18 +298,18 @@
 // hop is how long a message takes.
 func (s *Sim) hop() float64 { return 0.0002 + 0.002*s.rng.Float64() }
 
-// tell has the roster tell all parties of a node, each at a time of its own.
-func (n *simNode) tell(state policy.BackendState) {
-	s := n.s
-	for _, f := range s.fwds {
-		s.after(s.lateS+0.05*s.rng.Float64(), func() { f.told(n, state) })
+// notify has the roster tell all parties of a node, each at a time of its own.
+func (n *simNode) notify(state policy.BackendState) {
+	s := n.sim
+	for _, forwarder := range s.fwds {
+		s.after(s.lateS+0.05*s.rng.Float64(), func() { forwarder.handleEndpoint(n, state) })
 	}
-	for _, p := range s.planners {
+	for _, planner := range s.planners {
 		s.after(s.lateS+0.05*s.rng.Float64(), func() {
-			if host := p.host; host != nil {
-				p.do(func() {
-					if p.host == host {
-						host.UpdateBackends(p.now(), []policy.Backend{n.entry(p.clock, state)}, false)
+			if host := planner.host; host != nil {
+				planner.do(func() {
+					if planner.host == host {
+						host.UpdateBackends(planner.now(), []policy.Backend{n.entry(planner.clock, state)}, false)
 					}
 				})
 			}
@@ -321,9 +321,9 @@
 
 // entry is a node as a party sees it: times by its own clock.
 func (n *simNode) entry(c clock, state policy.BackendState) policy.Backend {
-	e := policy.Backend{ID: n.id, Zone: testbed.ZoneOf(n.id, n.s.cfg.Zones), State: state, Weight: 1}
-	if n.born > 0 {
-		e.StartedAt = c.at(n.born)
+	e := policy.Backend{ID: n.id, Zone: testbed.ZoneOf(n.id, n.sim.cfg.Zones), State: state, Weight: 1}
+	if n.startedAt > 0 {
+		e.StartedAt = c.at(n.startedAt)
 	}
 	return e
 }
@@ -350,41 +350,41 @@
 // ---- Planners ----
 
 type simPlanner struct {
-	s      *Sim
-	n      int
-	host   *planner.Core
-	clock  clock
-	life   uint64
-	paused bool
-	inbox  []func() // what came while it was paused
+	sim         *Sim
+	number      int
+	host        *planner.Core
+	clock       clock
+	incarnation uint64
+	paused      bool
+	inbox       []func() // what came while it was paused
 }
 
-func (p *simPlanner) now() float64 { return p.clock.at(p.s.t) }
+func (p *simPlanner) now() float64 { return p.clock.at(p.sim.now) }
 
 func (p *simPlanner) start() {
-	p.life++
-	life := p.life
-	host, err := planner.NewCore(planner.Config{Params: p.s.p, Number: p.n, Seed: p.s.rng.Uint64(), Settings: p.s.settings(0, 1, false)}, p.now(), p)
+	p.incarnation++
+	life := p.incarnation
+	host, err := planner.NewCore(planner.Config{Params: p.sim.params, Number: p.number, Seed: p.sim.rng.Uint64(), Settings: p.sim.settings(0, 1, false)}, p.now(), p)
 	if err != nil {
 		panic(err)
 	}
 	p.host = host
-	if p.s.cfg.Trace != nil {
+	if p.sim.cfg.Trace != nil {
 		host.SetTracer(func(d reason.Decision) {
-			d.At = p.s.t
-			p.s.cfg.Trace(p.n, d)
+			d.At = p.sim.now
+			p.sim.cfg.Trace(p.number, d)
 		})
 	}
-	host.UpdateBackends(p.now(), p.s.list(p.clock), true)
+	host.UpdateBackends(p.now(), p.sim.list(p.clock), true)
 	var tick func()
 	tick = func() {
-		if p.life != life {
+		if p.incarnation != life {
 			return
 		}
 		p.do(func() { p.host.Tick(p.now()) })
-		p.s.after(planner.TickIntervalS, tick)
+		p.sim.after(planner.TickIntervalS, tick)
 	}
-	p.s.after(p.s.rng.Float64()*planner.TickIntervalS, tick)
+	p.sim.after(p.sim.rng.Float64()*planner.TickIntervalS, tick)
 }
 
 // do runs something on the planner's loop: once it runs again, if it is paused.
@@ -394,12 +394,12 @@
 		return
 	}
 	f()
-	p.s.check()
+	p.sim.check()
 }
 
 // SendToForwarder implements planner.Output.
 func (p *simPlanner) SendToForwarder(f int, msgs ...transport.Message) {
-	p.s.links[p.n][f].send(true, msgs)
+	p.sim.links[p.number][f].send(true, msgs)
 }
 
 // Log implements planner.Output.
@@ -407,10 +407,10 @@
 
 // check is the heart of fencing: no cell has two planners that may decide now.
 func (s *Sim) check() {
-	for c := range s.p.Cells {
+	for c := range s.params.Cells {
 		n := 0
-		for _, p := range s.planners {
-			if !p.paused && p.host != nil && p.host.IsLeader(p.now(), c) {
+		for _, planner := range s.planners {
+			if !planner.paused && planner.host != nil && planner.host.IsLeader(planner.now(), c) {
 				n++
 			}
 		}
@@ -425,24 +425,24 @@
 
 // simForwarder does what an ingress does round its Gateway, without sockets.
 type simForwarder struct {
-	s     *Sim
-	n     int
-	core  *forwarder.Core // of two levels; nil while nothing runs, as gate
-	gate  *policy.Gateway // of one level
-	clock clock
-	run   int                     // from one start to the next, over replacements
-	life  int                     // of the process that decides
-	lives map[int]map[string]bool // of processes that hold requests: the nodes that operators hold, as each has heard
-	last  int                     // life given out
-	known uint64                  // the life that planners are told
+	sim                   *Sim
+	number                int
+	core                  *forwarder.Core // of two levels; nil while nothing runs, as gate
+	module                *policy.Gateway // of one level
+	clock                 clock
+	run                   int                     // from one start to the next, over replacements
+	incarnation           int                     // of the process that decides
+	cordonedByIncarnation map[int]map[string]bool // of processes that hold requests: the nodes that operators hold, as each has heard
+	last                  int                     // life given out
+	known                 uint64                  // the life that planners are told
 	succession
-	open    map[string]*simRequest
-	up      map[string]policy.BackendState // of nodes, as told
-	pending []func()                       // outcomes that an action yielded, for when its event has returned
-	busy    bool
-	downAt  float64
-	intake  intake
-	conns   map[string][]float64 // to nodes, idle since then, by node and life
+	open          map[string]*simRequest
+	backendStates map[string]policy.BackendState // of nodes, as told
+	pending       []func()                       // outcomes that an action yielded, for when its event has returned
+	busy          bool
+	downAt        float64
+	intake        intake
+	conns         map[string][]float64 // to nodes, idle since then, by node and life
 }
 
 // peerIntake is how many messages of others an ingress takes in a second, as on the platform; what comes beyond is lost.
@@ -462,40 +462,40 @@
 // simRequest is one try that a forwarder has taken.
 type simRequest struct {
 	policy.Request
-	try      *oracle.Request
-	life     int // of the process that holds it
-	attempts []*simAttempt
-	over     bool
+	attempt     *oracle.Request
+	incarnation int // of the process that holds it
+	attempts    []*simAttempt
+	over        bool
 }
 
 // simAttempt is one send.
 type simAttempt struct {
 	node.Attempt
-	f      *simForwarder
-	r      *simRequest
-	number int
-	n      *simNode
-	at     float64 // by the forwarder's clock
-	rec    *oracle.Attempt
-	done   bool
-	load   *policy.Load
-	way    string // of its connection
+	forwarder *simForwarder
+	request   *simRequest
+	number    int
+	node      *simNode
+	sentAt    float64 // by the forwarder's clock
+	rec       *oracle.Attempt
+	done      bool
+	load      *policy.Load
+	way       string // of its connection
 }
 
-func (f *simForwarder) now() float64 { return f.clock.at(f.s.t) }
-func (f *simForwarder) runs() bool   { return f.core != nil || f.gate != nil }
+func (f *simForwarder) now() float64 { return f.clock.at(f.sim.now) }
+func (f *simForwarder) runs() bool   { return f.core != nil || f.module != nil }
 
 func (f *simForwarder) start() {
-	s := f.s
+	s := f.sim
 	f.run++
 	run := f.run
-	f.lives, f.succession = map[int]map[string]bool{}, succession{}
-	f.life = f.begin()
-	f.known = uint64(f.life)
-	f.open, f.up, f.pending, f.conns = map[string]*simRequest{}, map[string]policy.BackendState{}, nil, map[string][]float64{}
+	f.cordonedByIncarnation, f.succession = map[int]map[string]bool{}, succession{}
+	f.incarnation = f.begin()
+	f.known = uint64(f.incarnation)
+	f.open, f.backendStates, f.pending, f.conns = map[string]*simRequest{}, map[string]policy.BackendState{}, nil, map[string][]float64{}
 	for _, n := range s.nodes {
 		if n.listed {
-			f.up[n.id] = policy.Up
+			f.backendStates[n.id] = policy.Up
 		}
 	}
 	if s.cfg.Planners > 0 {
@@ -513,33 +513,33 @@
 		return
 	}
 	var err error
-	if f.gate, err = policy.New(s.settings(f.n, s.cfg.Forwarders, true), s.rng.Uint64(), f.now(), f); err != nil {
+	if f.module, err = policy.New(s.settings(f.number, s.cfg.Forwarders, true), s.rng.Uint64(), f.now(), f); err != nil {
 		panic(err)
 	}
-	f.gate.SetTracer(func(d reason.Decision) {
-		if r := f.open[d.ID]; r != nil {
-			r.try.Queued = r.try.Queued || d.Step == reason.StepQueued
+	f.module.SetTracer(func(d reason.Decision) {
+		if request := f.open[d.ID]; request != nil {
+			request.attempt.Queued = request.attempt.Queued || d.Step == reason.StepQueued
 			if d.Step == reason.StepRejected {
-				r.try.Reason = int(d.Reason)
+				request.attempt.Reason = int(d.Reason)
 			}
 		}
-		if d.At = s.t; s.cfg.Trace != nil {
-			s.cfg.Trace(f.n, d)
+		if d.At = s.now; s.cfg.Trace != nil {
+			s.cfg.Trace(f.number, d)
 		}
 	})
-	f.gate.UpdateBackends(f.now(), s.list(f.clock), true)
+	f.module.UpdateBackends(f.now(), s.list(f.clock), true)
 }
 
 func (f *simForwarder) newCore() *forwarder.Core {
-	s := f.s
-	return forwarder.NewCore(forwarder.Config{Params: s.p, Number: f.n, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRetryAfterS: 1,
+	s := f.sim
+	return forwarder.NewCore(forwarder.Config{Params: s.params, Number: f.number, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRetryAfterS: 1,
 		MaxAttempts: testbed.MaxAttempts, Seed: s.rng.Uint64()}, f.now(), f)
 }
 
 // begin gives a process its life.
 func (f *simForwarder) begin() int {
 	f.last++
-	f.lives[f.last] = map[string]bool{}
+	f.cordonedByIncarnation[f.last] = map[string]bool{}
 	return f.last
 }
 
@@ -562,41 +562,41 @@
 	f.busy = false
 }
 
-// told takes the roster's word on a node.
-func (f *simForwarder) told(n *simNode, state policy.BackendState) {
+// handleEndpoint takes the roster's word on a node.
+func (f *simForwarder) handleEndpoint(n *simNode, state policy.BackendState) {
 	if !f.runs() {
 		return
 	}
-	f.s.Hist.NodeNotified(oracle.IngressName(f.n), n.id, stateNames[state])
-	f.up[n.id] = state
-	if f.gate != nil {
-		f.do(func() { f.gate.UpdateBackends(f.now(), []policy.Backend{n.entry(f.clock, state)}, false) })
+	f.sim.Hist.NodeNotified(oracle.IngressName(f.number), n.id, stateNames[state])
+	f.backendStates[n.id] = state
+	if f.module != nil {
+		f.do(func() { f.module.UpdateBackends(f.now(), []policy.Backend{n.entry(f.clock, state)}, false) })
 	}
 }
 
 // SendToPlanner implements forwarder.Output.
 func (f *simForwarder) SendToPlanner(p int, msgs ...transport.Message) {
-	f.s.links[p][f.n].send(false, msgs)
+	f.sim.links[p][f.number].send(false, msgs)
 }
 
 // PlannerWritable implements forwarder.Output.
-func (f *simForwarder) PlannerWritable(p int) bool { return f.s.links[p][f.n].fUp }
+func (f *simForwarder) PlannerWritable(p int) bool { return f.sim.links[p][f.number].fUp }
 
 // answer gives a client its answer; the first of a request stands, as in the ingress.
 func (f *simForwarder) answer(id string, how oracle.Result) {
-	r := f.open[id]
-	if r == nil {
-		f.s.breaks(oracle.RuleOneAnswer, "%v for %s, which is not open", how, id)
+	request := f.open[id]
+	if request == nil {
+		f.sim.breaks(oracle.RuleOneAnswer, "%v for %s, which is not open", how, id)
 		return
 	}
-	if r.over && how == oracle.Served {
+	if request.over && how == oracle.Served {
 		return
 	}
-	if r.over {
-		f.s.breaks(oracle.RuleOneAnswer, "%s has a second answer", id)
+	if request.over {
+		f.sim.breaks(oracle.RuleOneAnswer, "%s has a second answer", id)
 	}
-	r.over = true
-	f.s.Hist.RequestAnswered(r.try, how)
+	request.over = true
+	f.sim.Hist.RequestAnswered(request.attempt, how)
 }
 
 // Reject implements policy.Actions.
@@ -609,13 +609,13 @@
 // What follows carries actions out, whichever process decided on them.
 
 func (f *simForwarder) refuse(id string, retryS float64) {
-	if r := f.open[id]; r != nil && !r.over {
-		try, s := r.try, f.s
+	if request := f.open[id]; request != nil && !request.over {
+		try, s := request.attempt, f.sim
 		wait := max(retryS, 0.1) + 0.2*s.rng.Float64()
 		if s.accounts[try.Account].Deaf {
 			wait = 0.1 + 0.2*s.rng.Float64()
 		}
-		s.after(wait, func() { s.again(try) })
+		s.after(wait, func() { s.retryLater(try) })
 	}
 	f.answer(id, oracle.Rejected)
 }
@@ -630,16 +630,16 @@
 // SetTimer implements policy.Actions.
 func (f *simForwarder) SetTimer(token uint64, d float64) {
 	run := f.run
-	f.s.after(max(d, 0), func() {
-		if f.run == run && f.gate != nil {
-			f.do(func() { f.gate.HandleTimer(f.now(), token) })
+	f.sim.after(max(d, 0), func() {
+		if f.run == run && f.module != nil {
+			f.do(func() { f.module.HandleTimer(f.now(), token) })
 		}
 	})
 }
 
 // SetCordoned implements forwarder.Output.
 func (f *simForwarder) SetCordoned(server string, held bool) {
-	f.lives[f.life][server] = held
+	f.cordonedByIncarnation[f.incarnation][server] = held
 	if f.old != nil {
 		f.send(snapshot.Order{Kind: snapshot.OrderCordon, ID: server, Cordoned: held})
 	}
@@ -653,23 +653,23 @@
 
 // SendPeerMessage implements policy.Actions: a datagram, that may be lost, late and doubled.
 func (f *simForwarder) SendPeerMessage(to int, data []byte) {
-	s := f.s
+	s := f.sim
 	s.sort(data)
-	if s.liar == f.n+1 {
-		testbed.Lie(data, s.t)
+	if s.liar == f.number+1 {
+		testbed.Lie(data, s.now)
 	}
 	for g := range s.fwds {
-		if g == f.n || to != policy.Broadcast && g != to {
+		if g == f.number || to != policy.Broadcast && g != to {
 			continue
 		}
-		if s.peerWay.Cut && g%2 != f.n%2 || s.rng.Float64() < s.fog.Loss+cmp.Or(s.cfg.PeerLoss, 0.03) {
+		if s.peerWay.Cut && g%2 != f.number%2 || s.rng.Float64() < s.packetConditions.Loss+cmp.Or(s.cfg.PeerLoss, 0.03) {
 			continue
 		}
-		for range 1 + boolInt(s.rng.Float64() < s.fog.Double) {
-			d := 0.0023 + 0.01*s.rng.Float64() + s.fog.Delay.Seconds() + s.rng.Float64()*s.fog.Jitter.Seconds()
+		for range 1 + boolInt(s.rng.Float64() < s.packetConditions.Double) {
+			d := 0.0023 + 0.01*s.rng.Float64() + s.packetConditions.Delay.Seconds() + s.rng.Float64()*s.packetConditions.Jitter.Seconds()
 			s.after(d, func() {
-				if x := s.fwds[g]; x.gate != nil && x.hear() {
-					x.do(func() { x.gate.HandlePeerMessage(x.now(), f.n, data) })
+				if x := s.fwds[g]; x.module != nil && x.hear() {
+					x.do(func() { x.module.HandlePeerMessage(x.now(), f.number, data) })
 				}
 			})
 		}
@@ -691,8 +691,8 @@
 }
 
 func (f *simForwarder) cancel(id string, attempt int) {
-	if r := f.open[id]; r != nil && attempt < len(r.attempts) {
-		f.finish(r.attempts[attempt], policy.Cancelled)
+	if request := f.open[id]; request != nil && attempt < len(request.attempts) {
+		f.finish(request.attempts[attempt], policy.Cancelled)
 	}
 }
 
@@ -704,24 +704,24 @@
 }
 
 func (f *simForwarder) write(id, server string, timeoutS float64) {
-	s, r := f.s, f.open[id]
-	if r == nil || r.over {
+	s, request := f.sim, f.open[id]
+	if request == nil || request.over {
 		s.breaks(oracle.RuleOneAnswer, "%s is sent after its end", id)
 		return
 	}
-	class := s.class(r.Class)
-	a := &simAttempt{f: f, r: r, number: len(r.attempts), n: s.node(server), at: f.now(),
-		Attempt: node.Attempt{Request: id, Account: r.Account, Class: r.Class}}
+	class := s.class(request.Class)
+	attempt := &simAttempt{forwarder: f, request: request, number: len(request.attempts), node: s.node(server), sentAt: f.now(),
+		Attempt: node.Attempt{Request: id, Account: request.Account, Class: request.Class}}
 	if class.Idempotency == policy.KeyedIdempotent {
-		a.Key = r.try.OriginalID
+		attempt.Key = request.attempt.OriginalID
 	}
-	r.attempts = append(r.attempts, a)
-	if a.n == nil || f.up[server] != policy.Up || f.lives[r.life][server] {
-		f.finish(a, policy.NotSent)
+	request.attempts = append(request.attempts, attempt)
+	if attempt.node == nil || f.backendStates[server] != policy.Up || f.cordonedByIncarnation[request.incarnation][server] {
+		f.finish(attempt, policy.NotSent)
 		return
 	}
-	s.after(max(min(timeoutS, r.DeadlineAt-f.now()), 0), func() { f.finish(a, policy.Timeout) }) // as the ingress bounds it
-	s.after(s.hop()+f.connect(a), func() { a.arrive() })
+	s.after(max(min(timeoutS, request.DeadlineAt-f.now()), 0), func() { f.finish(attempt, policy.Timeout) }) // as the ingress bounds it
+	s.after(s.hop()+f.connect(attempt), func() { attempt.arrive() })
 }
 
 // Connections to nodes, as the ingress keeps them: one attempt at a time on each, those that ended well are used again for so long.
@@ -731,15 +731,15 @@
 )
 
 // connect finds a connection for an attempt and returns how long it takes to have it.
-func (f *simForwarder) connect(a *simAttempt) float64 {
-	s := f.s
-	a.way = fmt.Sprint(a.n.id, "/", a.n.life)
-	list := f.conns[a.way]
-	for len(list) > 0 && s.t-list[0] > connIdleS {
+func (f *simForwarder) connect(attempt *simAttempt) float64 {
+	s := f.sim
+	attempt.way = fmt.Sprint(attempt.node.id, "/", attempt.node.incarnation)
+	list := f.conns[attempt.way]
+	for len(list) > 0 && s.now-list[0] > connIdleS {
 		list = list[1:]
 	}
 	if n := len(list); n > 0 {
-		f.conns[a.way] = list[:n-1]
+		f.conns[attempt.way] = list[:n-1]
 		return 0
 	}
 	s.Handshakes++
@@ -747,35 +747,35 @@
 }
 
 // release keeps the connection of an attempt that ended with an answer.
-func (f *simForwarder) release(a *simAttempt, status policy.Status) {
-	if a.way != "" && (status == policy.OK || status == policy.Error || status == policy.Rejected) {
-		f.conns[a.way] = append(f.conns[a.way], f.s.t)
+func (f *simForwarder) release(attempt *simAttempt, status policy.Status) {
+	if attempt.way != "" && (status == policy.OK || status == policy.Error || status == policy.Rejected) {
+		f.conns[attempt.way] = append(f.conns[attempt.way], f.sim.now)
 	}
 }
 
 // arrive brings an attempt to its node.
 func (a *simAttempt) arrive() {
-	s, n := a.f.s, a.n
+	s, n := a.forwarder.sim, a.node
 	switch {
-	case n.isCut(a.f.n):
+	case n.isCut(a.forwarder.number):
 		if s.rng.Float64() < 0.5 { // on a new connection, which never comes up; else on an open one, silently
-			s.after(0.25, func() { a.f.finish(a, policy.ConnectFailed) })
+			s.after(0.25, func() { a.forwarder.finish(a, policy.ConnectFailed) })
 		}
 		return
 	case n.model == nil || n.model.Fallen():
-		s.after(s.hop(), func() { a.f.finish(a, policy.ConnectFailed) })
+		s.after(s.hop(), func() { a.forwarder.finish(a, policy.ConnectFailed) })
 		return
 	case n.model.Breaks():
-		s.after(s.hop(), func() { a.f.finish(a, policy.Reset) })
+		s.after(s.hop(), func() { a.forwarder.finish(a, policy.Reset) })
 		return
 	}
 	n.handles++
 	a.Handle = n.handles
-	a.rec = &oracle.Attempt{ID: a.r.ID, Node: n.id, Account: a.r.Account, Class: a.r.Class, Plan: a.r.Plan, Units: a.r.Units, Incarnation: n.life,
-		Conn: fmt.Sprintf("%d/%s/%d", a.f.n, a.r.ID, a.number)}
+	a.rec = &oracle.Attempt{ID: a.request.ID, Node: n.id, Account: a.request.Account, Class: a.request.Class, Plan: a.request.Plan, Units: a.request.Units, Incarnation: n.incarnation,
+		Conn: fmt.Sprintf("%d/%s/%d", a.forwarder.number, a.request.ID, a.number)}
 	n.open[a.Handle] = a
 	s.Hist.AttemptReceived(a.rec)
-	n.do(func(m *node.Model) { s.Hist.SetAttemptWork(a.rec, m.Arrive(s.t, &a.Attempt)) })
+	n.do(func(m *node.Model) { s.Hist.SetAttemptWork(a.rec, m.Arrive(s.now, &a.Attempt)) })
 	if a.done { // given up on the way
 		a.leave()
 	}
@@ -786,35 +786,35 @@
 	if a.rec == nil {
 		return
 	}
-	s, n := a.f.s, a.n
+	s, n := a.forwarder.sim, a.node
 	s.Hist.ConnectionEnded(a.rec.Conn)
-	if n.isCut(a.f.n) {
+	if n.isCut(a.forwarder.number) {
 		return
 	}
 	s.after(s.hop(), func() {
 		if n.open[a.Handle] == a {
-			n.do(func(m *node.Model) { m.Leave(s.t, &a.Attempt) })
+			n.do(func(m *node.Model) { m.Leave(s.now, &a.Attempt) })
 		}
 	})
 }
 
 // finish ends an attempt at the forwarder, the first time that it is called.
-func (f *simForwarder) finish(a *simAttempt, status policy.Status) {
-	if a.done {
+func (f *simForwarder) finish(attempt *simAttempt, status policy.Status) {
+	if attempt.done {
 		return
 	}
-	a.done = true
-	f.release(a, status)
-	a.leave()
-	r := a.r
-	if f.lives[r.life] == nil {
+	attempt.done = true
+	f.release(attempt, status)
+	attempt.leave()
+	request := attempt.request
+	if f.cordonedByIncarnation[request.incarnation] == nil {
 		return
 	}
 	if status == policy.OK {
-		f.answer(r.ID, oracle.Served)
+		f.answer(request.ID, oracle.Served)
 	}
-	f.happen(r, func(g gateway) {
-		g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: a.n.idOr(), Attempt: a.number, Status: status, Completed: r.over, LatencyS: f.now() - a.at, Load: a.load})
+	f.happen(request, func(g gateway) {
+		g.HandleOutcome(f.now(), policy.Outcome{ID: request.ID, Backend: attempt.node.idOr(), Attempt: attempt.number, Status: status, Completed: request.over, LatencyS: f.now() - attempt.sentAt, Load: attempt.load})
 	})
 }
 
@@ -836,8 +836,8 @@
 
 // request has a forwarder take a try.
 func (f *simForwarder) request(q policy.Request, first string, left float64) {
-	s := f.s
-	try := &oracle.Request{ID: q.ID, OriginalID: first, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.n, Units: q.Units,
+	s := f.sim
+	try := &oracle.Request{ID: q.ID, OriginalID: first, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.number, Units: q.Units,
 		SentAt: s.Hist.Now(), Deadline: s.Hist.Now() + time.Duration(left*float64(time.Second))}
 	s.Hist.RequestSent(try)
 	if !f.runs() {
@@ -845,19 +845,19 @@
 		s.Hist.RequestAnswered(try, oracle.ConnectionLost)
 		return
 	}
-	q.DeadlineAt = f.clock.at(s.t + left)
-	r := &simRequest{Request: q, try: try, life: f.life}
-	f.open[q.ID] = r
+	q.DeadlineAt = f.clock.at(s.now + left)
+	request := &simRequest{Request: q, attempt: try, incarnation: f.incarnation}
+	f.open[q.ID] = request
 	run := f.run
-	f.happen(r, func(g gateway) { g.HandleRequest(f.now(), q) })
+	f.happen(request, func(g gateway) { g.HandleRequest(f.now(), q) })
 	s.after(left+0.05, func() {
-		if f.run != run || f.lives[r.life] == nil {
+		if f.run != run || f.cordonedByIncarnation[request.incarnation] == nil {
 			return
 		}
-		if !r.over {
-			r.over = true
+		if !request.over {
+			request.over = true
 			s.Hist.RequestAnswered(try, oracle.ConnectionLost)
-			f.happen(r, func(g gateway) { g.HandleDisconnect(f.now(), q.ID) })
+			f.happen(request, func(g gateway) { g.HandleDisconnect(f.now(), q.ID) })
 		}
 		s.after(6, func() {
 			if f.run == run {
@@ -896,10 +896,10 @@
 
 // hear tells whether an ingress takes in a message of another one.
 func (f *simForwarder) hear() bool {
-	f.s.Messages++
-	if f.intake.take(f.s.t) {
+	f.sim.Messages++
+	if f.intake.take(f.sim.now) {
 		return true
 	}
-	f.s.Drowned++
+	f.sim.Drowned++
 	return false
 }
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -17,7 +17,7 @@
 	soakIngresses             = 6      // for which there are 33 accounts
 	soakEveryLeastMS          = 120.0  // between two faults in the mean, each of which lasts 0.5 to 3 s and some longer
 	soakEveryMostMS           = 400.0
-	soakWeather               = 0.06
+	soakFaultyFraction        = 0.06
 	soakLateDials             = 0.3 // of the connections to nodes, in every second run
 	soakKeysLeastS            = 0.5 // for which nodes remember keys: less than a request may last
 	soakKeysMostS             = 2.0
@@ -75,7 +75,7 @@
 
 func init() {
 	scenarios["soak"] = scenario{what: "operators drain, reload, replace and hold, processes stand still and die, nodes, ways and the roster fail, all at once; testbed soak draws it",
-		kinds: soakKinds, every: 400 * time.Millisecond, weather: soakWeather, hangUps: 0.05, batches: 0.2, rude: 2, quota: -1,
+		kinds: soakKinds, every: 400 * time.Millisecond, faultyFraction: soakFaultyFraction, hangUps: 0.05, batches: 0.2, misbehaving: 2, quota: -1,
 		floors: map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleOneAnswer: 20, oracle.RuleOneOpenAttempt: 20, oracle.RuleNoDuplicateEffect: 10, oracle.RuleDrain: 2, oracle.RuleDrainEnd: 1, oracle.RuleIngressSelfCheck: 1, oracle.RuleDisconnectedClient: 1}}
 }
 
--- a/internal/testbed/soakfaults.go
+++ b/internal/testbed/soakfaults.go
@@ -18,14 +18,14 @@
 // Faults of the soak (docs/operating-laboratory.md): what operators and machines do to a process while it serves.
 
 const (
-	drainTime   = 4 * time.Second        // after which a drained ingress may hold no client
-	drainRecent = 2 * time.Second        // but for those whose request is older
-	drainSlack  = 250 * time.Millisecond // until what is held at that moment has to be gone
-	activeMost  = 2 * time.Second        // for an ingress to take clients again
-	heldUpLeast = 40 * time.Millisecond  // a process stands still for so long
-	heldUpMost  = 150 * time.Millisecond // and at most, by the operators' page
-	heldUpPause = 200 * time.Millisecond // between two times
-	brokenFor   = 100 * time.Millisecond // a configuration that can't be read stays so long
+	drainTime     = 4 * time.Second        // after which a drained ingress may hold no client
+	drainRecent   = 2 * time.Second        // but for those whose request is older
+	drainSlack    = 250 * time.Millisecond // until what is held at that moment has to be gone
+	activeMost    = 2 * time.Second        // for an ingress to take clients again
+	minStall      = 40 * time.Millisecond  // a process stands still for so long
+	maxStall      = 150 * time.Millisecond // and at most, by the operators' page
+	stallInterval = 200 * time.Millisecond // between two times
+	brokenFor     = 100 * time.Millisecond // a configuration that can't be read stays so long
 )
 
 // drained has operators drain an ingress, hold it against what they are promised, and activate it. A deaf front goes on sending it clients.
@@ -38,20 +38,20 @@
 		f.Hist.AddFault(fmt.Sprintf("%s is not drained: status %d, %v", p.Name, status, err))
 		return
 	}
-	life := p.Life()
+	life := p.Incarnation()
 	f.Front.Drained(i, !deaf)
 	defer f.Front.Drained(i, false)
 	if wait(drainTime) {
-		held := f.clients.heldConns(i, drainRecent)
+		held := f.clients.overdueConns(i, drainRecent)
 		wait(drainSlack)
-		still := f.clients.heldConns(i, drainRecent+drainSlack)
+		still := f.clients.overdueConns(i, drainRecent+drainSlack)
 		e := oracle.DrainResult{Forwarder: i}
 		for k, how := range held {
 			if still[k] != "" {
 				e.OpenConnections = append(e.OpenConnections, how)
 			}
 		}
-		if life >= 0 && p.Life() == life {
+		if life >= 0 && p.Incarnation() == life {
 			f.Hist.AddDrainResult(e)
 		}
 		wait(stays)
@@ -65,15 +65,15 @@
 	}
 }
 
-// heldUp has a process stand still again and again, each time for as long as operators allow at most.
-func (f *Fleet) heldUp(i int, x Fault, wait func(time.Duration) bool) {
+// stall has a process stand still again and again, each time for as long as operators allow at most.
+func (f *Fleet) stall(i int, x Fault, wait func(time.Duration) bool) {
 	p := f.Forwarders[i]
-	still := heldUpLeast + time.Duration(x.X*float64(heldUpMost-heldUpLeast))
+	still := minStall + time.Duration(x.X*float64(maxStall-minStall))
 	for end := time.Now().Add(x.For); time.Now().Before(end); {
 		p.signal(syscall.SIGSTOP)
 		goesOn := wait(still)
 		p.signal(syscall.SIGCONT)
-		if !goesOn || !wait(heldUpPause) {
+		if !goesOn || !wait(stallInterval) {
 			return
 		}
 	}
@@ -82,7 +82,7 @@
 // reloaded has an ingress read its configuration again: first a broken one, then one with fewer attempts, then its own.
 func (f *Fleet) reloaded(i int, x Fault, wait func(time.Duration) bool) {
 	p := f.Forwarders[i]
-	path := p.door().file
+	path := p.admin().file
 	own, err := os.ReadFile(path)
 	if err != nil {
 		f.Hist.AddFault("not reloaded: " + err.Error())
@@ -150,7 +150,7 @@
 			f.drained(x.A%len(f.Forwarders), true, x.For/2, wait)
 		}}
 	kinds["held up"] = kind{"an ingress stands still for up to 0.15 s, again and again", 1, 4, onForwarder,
-		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.heldUp(x.A%len(f.Forwarders), x, wait) }}
+		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.stall(x.A%len(f.Forwarders), x, wait) }}
 	kinds["reloaded"] = kind{"an ingress reads a broken configuration, one with fewer attempts, and its own", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.reloaded(x.A%len(f.Forwarders), x, wait) }}
 	kinds["node reset"] = kind{"all connections to a node are reset", 1, 5, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
--- a/internal/testbed/upgrade.go
+++ b/internal/testbed/upgrade.go
@@ -16,13 +16,13 @@
 
 // upgrader carries a rollout out on a fleet's programs.
 type upgrader struct {
-	f      *Fleet
-	procs  []*Proc
-	number []int // of forwarders; -1: a planner
-	r      *rollout.Rollout
-	events chan func(now float64)
-	asking []bool
-	done   chan struct{}
+	fleet   *Fleet
+	procs   []*Proc
+	number  []int // of forwarders; -1: a planner
+	rollout *rollout.Rollout
+	events  chan func(now float64)
+	probing []bool
+	done    chan struct{}
 }
 
 // post hands the rollout's goroutine an event; none is left behind when it is over.
@@ -35,7 +35,7 @@
 
 // Upgrade upgrades all programs once, and returns how long it took. Others may die meanwhile: the rollout waits for them.
 func (f *Fleet) Upgrade(ctx context.Context) (time.Duration, error) {
-	u := &upgrader{f: f, events: make(chan func(float64), 64), done: make(chan struct{})}
+	u := &upgrader{fleet: f, events: make(chan func(float64), 64), done: make(chan struct{})}
 	defer close(u.done)
 	var list []rollout.Program
 	for _, p := range f.Planners {
@@ -46,13 +46,13 @@
 		list = append(list, rollout.Program{Name: p.Name, Kind: rollout.Forwarder, HotRestart: true})
 		u.procs, u.number = append(u.procs, p), append(u.number, i)
 	}
-	u.asking = make([]bool, len(list))
+	u.probing = make([]bool, len(list))
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
 	times := rollout.DefaultTimeouts
 	times.StableS, times.DrainS = 0.3, 1
 	var err error
-	if u.r, err = rollout.New(list, times, "", now(), u); err != nil {
+	if u.rollout, err = rollout.New(list, times, "", now(), u); err != nil {
 		return 0, err
 	}
 	tick := time.NewTicker(upgradeTick)
@@ -62,12 +62,12 @@
 		case do := <-u.events:
 			do(now())
 		case <-tick.C:
-			u.r.Tick(now())
+			u.rollout.Tick(now())
 		case <-ctx.Done():
-			done, at, phase := u.r.Progress()
+			done, at, phase := u.rollout.Progress()
 			return time.Since(began), fmt.Errorf("%d done, %s %s: %w", done, at.Name, phase, ctx.Err())
 		}
-		if over, err := u.r.Done(); over {
+		if over, err := u.rollout.Done(); over {
 			return time.Since(began), err
 		}
 	}
@@ -75,15 +75,15 @@
 
 // CheckReadiness implements rollout.Output.
 func (u *upgrader) CheckReadiness(i int) {
-	if u.asking[i] {
+	if u.probing[i] {
 		return
 	}
-	u.asking[i] = true
+	u.probing[i] = true
 	go func() {
 		status, err := u.procs[i].Call(context.Background(), http.MethodGet, "/v1/readyz")
 		u.post(func(now float64) {
-			u.asking[i] = false
-			u.r.HandleAnswer(now, i, err == nil, status == http.StatusOK, false)
+			u.probing[i] = false
+			u.rollout.HandleAnswer(now, i, err == nil, status == http.StatusOK, false)
 		})
 	}()
 }
@@ -95,31 +95,31 @@
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("drain is answered with %d", status)
 		}
-		u.post(func(now float64) { u.r.Drained(now, i, err) })
+		u.post(func(now float64) { u.rollout.Drained(now, i, err) })
 	}()
 }
 
 // Restart implements rollout.Output.
 func (u *upgrader) Restart(i int) {
 	p, n := u.procs[i], u.number[i]
-	target := onPlanner(u.f, Fault{A: i})
+	target := onPlanner(u.fleet, Fault{A: i})
 	if n >= 0 {
-		target = onForwarder(u.f, Fault{A: n})
+		target = onForwarder(u.fleet, Fault{A: n})
 	}
 	restart := func() {
 		var err error
-		if from := u.f.Hist.Now(); n >= 0 {
+		if from := u.fleet.Hist.Now(); n >= 0 {
 			if err = p.Replace(); err == nil {
-				u.f.Hist.AddReplacement(n, from, u.f.Hist.Now())
+				u.fleet.Hist.AddReplacement(n, from, u.fleet.Hist.Now())
 			}
 		} else {
 			p.Term()
 			err = p.Start()
 		}
-		u.post(func(now float64) { u.r.Restarted(now, i, err) })
+		u.post(func(now float64) { u.rollout.Restarted(now, i, err) })
 	}
 	go func() { // once no fault has the program
-		for !u.f.claim(target, restart) {
+		for !u.fleet.claim(target, restart) {
 			select {
 			case <-u.done:
 				return
