--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -140,8 +140,6 @@
 	return n.model.Fallen()
 }
 
-// ---- node.Out, with n.mu held ----
-
 // Began implements node.Out.
 func (n *Node) Began(_ float64, a *node.Attempt, work float64, repeat bool) {
 	n.hist.AttemptStarted(n.attempts[a.Handle].rec, work, repeat)
