--- a/internal/controlplane/forwarder/actions.go
+++ b/internal/controlplane/forwarder/actions.go
@@ -68,14 +68,8 @@
 
 // mayReject reports whether a request may be rejected, which promises its client that trying again does no harm. Else it has to fail.
 func (c *Core) mayReject(request *openRequest) bool {
-	class := &c.cfg.Classes[request.class]
-	switch {
-	case !request.mayHaveRun && request.inFlight == 0, class.Idempotency == policy.Idempotent:
-		return true
-	case class.Idempotency == policy.KeyedIdempotent:
-		return class.KeyScope == policy.ScopeAll
-	}
-	return false
+	mayHaveRun := request.mayHaveRun || request.inFlight > 0
+	return policy.MayReject(c.cfg.Classes[request.class], mayHaveRun)
 }
 
 // attemptsExhausted reports whether a request has had all of its attempts. A leader counts only those that it decided on; the forwarder
--- a/internal/controlplane/forwarder/requests.go
+++ b/internal/controlplane/forwarder/requests.go
@@ -61,7 +61,7 @@
 	ended := &r.attempts[number]
 	ended.ended = true
 	r.inFlight--
-	if notRun := status == policy.Rejected || status == policy.ConnectFailed || status == policy.NotSent; !notRun && !r.mayHaveRun {
+	if !status.NeverRan() && !r.mayHaveRun {
 		r.mayHaveRun, r.firstRunAt = true, ended.sentAt
 	}
 }
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -46,7 +46,7 @@
 	if a.writeStartedAt == 0 {
 		return false
 	}
-	return a.state != attemptReported || a.status != policy.Rejected && a.status != policy.ConnectFailed && a.status != policy.NotSent
+	return a.state != attemptReported || !a.status.NeverRan()
 }
 
 // Send implements policy.Actions.
--- a/internal/decision/config/events.go
+++ b/internal/decision/config/events.go
@@ -47,6 +47,9 @@
 	NotSent              // never written; did not run
 )
 
+// NeverRan reports whether an attempt that ended so has certainly not run at its backend.
+func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
+
 // Load is a backend's load report. Values that were not reported are below 0.
 type Load struct {
 	InFlight    float64 `json:"InFlight"`   // requests being served
--- a/internal/decision/config/settings_test.go
+++ b/internal/decision/config/settings_test.go
@@ -48,3 +48,12 @@
 		}
 	}
 }
+
+func TestStatus_NeverRan(t *testing.T) {
+	for status, want := range map[Status]bool{OK: false, Error: false, Rejected: true, Timeout: false, ConnectFailed: true,
+		Reset: false, Cancelled: false, NotSent: true} {
+		if got := status.NeverRan(); got != want {
+			t.Errorf("status %d: %v, want %v", status, got, want)
+		}
+	}
+}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -62,18 +62,13 @@
 	return reason.MayHaveRun
 }
 
-// MayReject reports whether a request may be rejected, which promises that a retry is harmless, though an
-// attempt of it may have run.
+// MayReject reports whether a request may be rejected, which promises its client that a retry is harmless; else
+// it has to fail. mayHaveRun is whether an attempt of it may have run, or still may.
 func MayReject(class Class, mayHaveRun bool) bool {
 	return !mayHaveRun || class.Idempotency == Idempotent ||
 		class.Idempotency == KeyedIdempotent && class.KeyScope == ScopeAll
 }
 
-// neverRan reports whether an attempt that ended so has certainly not run.
-func neverRan(status Status) bool {
-	return status == Rejected || status == ConnectFailed || status == NotSent
-}
-
 // sendAttempt starts the request's next attempt. pickBackend or selectBackend has seen to it that the backend
 // can take it, and that a bucket of the hard limit pays for it.
 func (g *Gateway) sendAttempt(req *request, backend *backendState) {
@@ -144,7 +139,7 @@
 	g.applyLoadReport(attempt.backend, outcome.Load)
 	g.recordOutcome(req, attempt.backend, outcome)
 	req.written = req.written || outcome.Status != ConnectFailed && outcome.Status != NotSent
-	if !neverRan(outcome.Status) && req.firstRan == nil {
+	if !outcome.Status.NeverRan() && req.firstRan == nil {
 		req.firstRan, req.firstRanAt = attempt.backend, attempt.sentAt
 	}
 	if outcome.Status == OK && g.settings.UnitsFromResponse && req.account != nil && outcome.Units > 0 {
