--- a/internal/controlplane/forwarder/requests.go
+++ b/internal/controlplane/forwarder/requests.go
@@ -16,7 +16,8 @@
 	leaderWaitFraction = 0.5
 	// minRetryAfterFraction is the least Retry-After of a client rejected here, as a part of Config.MaxRetryAfterS.
 	minRetryAfterFraction = 0.5
-	// keyTTLMarginS is taken off the time for which backends remember an idempotency key, in seconds.
+	// keyTTLMarginS is taken off the time for which backends remember an idempotency key, in seconds. It is less
+	// than the margin of the policy, as mayRetry takes off the class's latency objective as well.
 	keyTTLMarginS = 0.05
 )
 
--- a/internal/decision/clienttimeout/clienttimeout.go
+++ b/internal/decision/clienttimeout/clienttimeout.go
@@ -1,28 +1,28 @@
-// Package clienttimeout learns how long the clients of a class wait, to tell first attempts from client
-// retries: a first attempt arrives with one of a few common shares of its deadline left, a retry with what its
-// first attempt has left over. The package decides nothing.
+// Package clienttimeout learns how long the clients of a class wait, to tell first requests from client
+// retries: a first request arrives with one of a few common shares of its deadline left, a retry with what its
+// first request has left over. The package decides nothing.
 package clienttimeout
 
 const (
 	binCount = 101 // bins of 1% of the deadline each, from 0 to 100%
-	halveAt  = 128 // attempts in the histogram; at this number all counts are halved, so that old ones fade
+	halveAt  = 128 // requests in the histogram; at this number all counts are halved, so that old ones lose weight
 )
 
-// Histogram counts attempts by the share of their deadline that was left on arrival. Its zero value is empty.
+// Histogram counts requests by the share of their deadline that was left on arrival. Its zero value is empty.
 type Histogram struct {
 	counts    [binCount]int
 	samples   int
 	modeCount int
 }
 
-// Samples returns how many attempts the histogram holds.
+// Samples returns how many requests the histogram holds.
 func (h *Histogram) Samples() int { return h.samples }
 
-// ModeCount returns how many attempts are within 1% of the most common share.
+// ModeCount returns how many requests are within 1% of the most common share.
 func (h *Histogram) ModeCount() int { return h.modeCount }
 
-// Observe adds an attempt that arrived with a share (0 to 1) of its deadline left. It returns how many
-// attempts, with this one, are within 1% of that share.
+// Observe adds a request that arrived with a share (0 to 1) of its deadline left. It returns how many
+// requests, with this one, are within 1% of that share.
 func (h *Histogram) Observe(share float64) int {
 	bin := int(min(max(share, 0), 1)*(binCount-1) + 0.5)
 	h.counts[bin]++
--- a/internal/decision/config/events.go
+++ b/internal/decision/config/events.go
@@ -29,7 +29,7 @@
 	FirstGateway int     `json:"First"`     // the account's gateways are GatewayCount ones from this number on, modulo all
 	GatewayCount int     `json:"Entries"`   // 0: all
 	Units        float64 `json:"Units"`
-	Retry        bool    `json:"Retry"` // the client says that it is a retry
+	Retry        bool    `json:"Retry"` // the client says that it is a retry; carried along, and not used by decisions
 }
 
 // Status is how an attempt or a probe ended.
--- a/internal/decision/config/settings.go
+++ b/internal/decision/config/settings.go
@@ -52,11 +52,11 @@
 	Burst                   float64 `json:"Burst"`        // units that the window holds
 	MaxConcurrency          int     `json:"Parallel"`     // attempts in flight at once; 0: no such quota
 	Weight                  float64 `json:"Price"`        // factor on the priority weight of classes
-	OverQuotaWeightFraction float64 `json:"ExtraWorth"`   // fraction of the weight that a request earns beyond the quota
-	OverQuotaCostFraction   float64 `json:"ExcessCost"`   // fraction of the weight that a request costs when sent beyond the quota
+	OverQuotaWeightFraction float64 `json:"ExtraWorth"`   // fraction of the weight that a request earns beyond the quota; not used by decisions
+	OverQuotaCostFraction   float64 `json:"ExcessCost"`   // fraction of the weight that a request costs when sent beyond the quota; not used by decisions
 	HardLimitRate           float64 `json:"CeilingRate"`  // units a second by which the hard limit's bucket fills; 0: no hard limit
 	HardLimitBurst          float64 `json:"CeilingBurst"` // units that the bucket holds
-	HardLimitSlack          float64 `json:"CeilingSlack"` // units by which the bucket may be overdrawn
+	HardLimitSlack          float64 `json:"CeilingSlack"` // units by which the bucket may be overdrawn; not used by decisions
 }
 
 // Settings are a Gateway's configuration. Only classes and MaxAttempts change during its life (WithClasses).
@@ -84,14 +84,14 @@
 	ResponseSlackS       float64 // seconds after a client's deadline, within which a final answer still counts
 	SlowStartMinFraction float64 // of its capacity, that a backend has at its start at least
 	SlowStartS           float64 // seconds from its start, after which a backend has all of its capacity
-	CollapseMultiple     float64 // times its present capacity, of which a backend in slow start collapses
+	CollapseMultiple     float64 // times its present capacity, of which a backend in slow start collapses; not used by decisions
 	CollapseWindowS      float64 // seconds, over which that counts
 
 	LoadShedding loadshed.Config // zero: off
 
-	MinBatchIntervalS float64 // seconds between two batches of events, at least
+	MinBatchIntervalS float64 // seconds between two batches of events, at least; not used by decisions
 	CrossZoneCost     float64 // points that an attempt in another zone costs
-	WorstPlanWeight   float64 // weight of the plan that is served worst, in the goal
+	WorstPlanWeight   float64 // weight of the plan that is served worst, in the goal; not used by decisions
 }
 
 // maxPlans is how many plans a peer message can distinguish.
--- a/internal/decision/loadshed/gossip.go
+++ b/internal/decision/loadshed/gossip.go
@@ -10,7 +10,7 @@
 const (
 	convergeS        = 0.1 // time in which the level comes to the median of the peers' levels, seconds
 	peerStateMaxAgeS = 1.5 // for which a peer's state counts, seconds
-	gossipIntervalS  = 0.5 // between messages of our own accord while load is shed, seconds
+	gossipIntervalS  = 0.5 // between unsolicited messages while load is shed, seconds
 	phaseResolution  = 0.5 // steps; gossip carries the phase in whole ones
 )
 
@@ -59,8 +59,8 @@
 	return s.nextPeer
 }
 
-// converge moves level and phase to the medians of the peers' recent states: neither one wrong state nor a few
-// partitioned gateways carry the others away.
+// converge moves level and phase to the medians of the peers' recent states: one wrong state, or those of a few
+// partitioned gateways, can't move the others far.
 func (s *Shedder) converge(now, dt float64) {
 	s.phase, s.phaseAt = math.Mod(s.phase+(now-s.phaseAt)/phaseStepS, phaseSteps), now
 	s.freshLevels, s.phaseOffsets = s.freshLevels[:0], s.phaseOffsets[:0]
@@ -73,7 +73,7 @@
 	if len(s.freshLevels) == 0 {
 		return
 	}
-	if len(s.freshLevels) == 1 { // it may be wrong: meet it half-way
+	if len(s.freshLevels) == 1 { // it may be wrong: move half the distance
 		s.freshLevels, s.phaseOffsets = append(s.freshLevels, s.level), append(s.phaseOffsets, 0)
 	}
 	s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)
--- a/internal/decision/loadshed/loadshed.go
+++ b/internal/decision/loadshed/loadshed.go
@@ -48,7 +48,7 @@
 
 	// Gossip.
 	peers        []peerState // by gateway
-	nextPeer     int         // that was sent the last message of our own accord
+	nextPeer     int         // that was sent the last unsolicited message
 	nextCallAt   float64     // when the next peer is to be sent one
 	freshLevels  []float64   // scratch space of converge
 	phaseOffsets []float64   // scratch space of converge
--- a/internal/decision/subset/subset.go
+++ b/internal/decision/subset/subset.go
@@ -2,8 +2,8 @@
 // reused: by the gateways' numbers and the hashes of the backends' ids alone, without messages. It does no I/O
 // and decides nothing about a request: a subset is a preference.
 //
-// Rendezvous is the strategy in use. BoundedRendezvous and ShuffledRounds are kept to compare it with (Measure);
-// docs/subsets.md has the figures.
+// Rendezvous is the strategy in use. No decision uses BoundedRendezvous and ShuffledRounds: Measure
+// compares Rendezvous with them, and docs/subsets.md has the figures.
 package subset
 
 import (
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -171,7 +171,7 @@
 		Edits: edit(rules+"concurrency_limit.go", "account.ownerLeases && req.inFlight > 0 &&\n\t\taccount.leasedSlots.Count(g.now+slotlease.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simPlaces + "places-slow"}},
 	{Name: "a new life lends nothing at first", Rule: "caps kept", Unit: "./policy",
 		Why:   "what its former life lent is over within half a second: twice the cap is stated for that long",
-		Edits: edit(rules+"gateway.go", "leaseFrom:       now + slotlease.ReportLeaseS,", "leaseFrom:       0 * slotlease.ReportLeaseS,"), Runs: []string{simPlaces + "places-storm"}},
+		Edits: edit(rules+"gateway.go", "slotLeasingFrom: now + slotlease.ReportLeaseS,", "slotLeasingFrom: 0 * slotlease.ReportLeaseS,"), Runs: []string{simPlaces + "places-storm"}},
 	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/decision/hardlimit",
 		Why:   "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
 		Edits: edit(ceilings, "-l.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
--- a/policy/api.go
+++ b/policy/api.go
@@ -69,7 +69,9 @@
 // the order in which the actions are to take effect. Outcomes that an action causes at once are reported
 // after that method has returned.
 type Actions interface {
-	// Send starts the next attempt of a request. The attempt is given up after timeoutS seconds.
+	// Send starts the next attempt of a request. The attempt is given up after timeoutS seconds; with 0 it may
+	// last until the client's deadline, and below 0 it isn't written and its outcome is Timeout. A Gateway
+	// sends with more than 0; other deciders may not.
 	Send(id, backend string, timeoutS float64)
 	// Reject is a request's final answer and promises that a retry is harmless. retryAfterS is the hint for the
 	// client, in seconds; 0 gives none.
--- a/policy/attempt_guard.go
+++ b/policy/attempt_guard.go
@@ -7,9 +7,13 @@
 // before the last.
 
 const (
-	maxStallS           = 0.15 // seconds that a process may stand still between reading its clock and writing
-	slowStartBudgetTTLS = 0.1  // seconds for which the budget of a backend in slow start holds
-	neverStart          = 0    // latest start of an attempt that must not be written at all
+	// maxStallS is for how many seconds a process may stand still between reading its clock and writing.
+	// attemptBlocked and LatestStart take it off an idempotency key's time: they check one attempt against the
+	// earlier ones, when it is decided and when it is written. The forwarder decides before a planner does, and
+	// takes off the class's latency objective for that, and a margin of its own.
+	maxStallS           = 0.15
+	slowStartBudgetTTLS = 0.1 // seconds for which the budget of a backend in slow start holds
+	neverStart          = 0   // latest start of an attempt that must not be written at all
 )
 
 // Violation is a rule that an action would break, or has broken.
@@ -109,7 +113,9 @@
 	return at, rule
 }
 
-// inSlowStart reports whether the backend has started so recently that work comes to it by a budget.
+// inSlowStart reports whether the backend has started so recently that work comes to it by a budget. That is
+// not always where endpoints.Endpoint.WarmFraction is below 1, by which the budget itself goes: with a
+// SlowStartMinFraction of 1 that is 1 from the start, while the start's time alone counts here.
 func (a *Attempt) inSlowStart() bool {
 	return a.Backend.StartedAt > 0 && a.DecidedAt-a.Backend.StartedAt < a.SlowStartS
 }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -18,7 +18,7 @@
 // freeSlots is how many further attempts the owner of an account with a limit on concurrent attempts may
 // start or lease now.
 func (g *Gateway) freeSlots(account *accountState) int {
-	if g.now < g.leaseFrom && g.settings.PeerMessages && account.gatewayCount != 1 {
+	if g.now < g.slotLeasingFrom && g.settings.PeerMessages && account.gatewayCount != 1 {
 		return 0
 	}
 	leased := account.slotLeases.Leased(g.now, noMember)
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -60,10 +60,10 @@
 	plansByName       map[string]*planState
 
 	// Accounts.
-	accounts    map[accountKey]*accountState
-	prefetching []*accountState // with units granted in advance
-	waitQueues  []*accountState // owned here, with members that wait for a slot
-	leaseFrom   float64         // Unix seconds; earlier slots that a former process leased may be in use
+	accounts        map[accountKey]*accountState
+	prefetching     []*accountState // with units granted in advance
+	waitQueues      []*accountState // owned here, with members that wait for a slot
+	slotLeasingFrom float64         // Unix seconds; earlier slots that a former process leased may be in use
 
 	// Peers.
 	ring            hashring.Ring
@@ -130,7 +130,7 @@
 		sequences:       make([]peerprotocol.SequenceTracker, settings.Gateways),
 		failureDetector: failuredetector.New(settings.Gateways),
 		reports:         reportqueue.New[*accountState](settings.Gateways, now),
-		leaseFrom:       now + slotlease.ReportLeaseS,
+		slotLeasingFrom: now + slotlease.ReportLeaseS,
 		adaptiveLimit:   initialLimit / float64(settings.Gateways), // for one backend; UpdateBackends scales it
 	}
 	g.incarnation = uint8(g.rng.Uint32())
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,7 +9,7 @@
 )
 
 // latestStartFraction is the fraction of the time between its arrival and its deadline after which a request
-// that was never written to a backend is given up: its client still has time to retry elsewhere.
+// that is not known to have reached a backend is given up: its client still has time to retry elsewhere.
 const latestStartFraction = 0.45
 
 // requestPhase is how far a request has come. Each phase is reached from an earlier one only.
@@ -52,11 +52,11 @@
 	latestStart       float64 // a first attempt is written by then, or never
 	priority          float64 // in the queue, higher first
 	lowPriority       float64 // 0 for the class of the highest priority weight, towards 1
-	clientRetry       bool    // taken for the client's own retry
+	clientRetry       bool    // taken for the client's own retry, by its timing: Request.Retry is not read
 
 	attempts        []attemptState
 	inFlight        int           // of attempts
-	written         bool          // an attempt has reached a backend
+	reachedBackend  bool          // by an outcome that proves it: false while the first attempt is in flight
 	firstRan        *backendState // of the first attempt that may have run; nil: none
 	firstRanAt      float64       // when that attempt was sent
 	streaming       bool          // the answer is being passed on to the client
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -53,8 +53,9 @@
 		return reason.AttemptLimit
 	case g.now+req.class.meanLatency > req.expiresAt():
 		return reason.ObjectiveMissed
-	case !req.written && g.now > req.latestStart:
+	case !req.reachedBackend && g.now > req.latestStart:
 		return reason.LatestStartPassed
+	// The key's time is checked when deciding; Attempt.LatestStart checks it again at the write.
 	case req.firstRan == nil || req.class.Idempotency == Idempotent ||
 		req.class.Idempotency == KeyedIdempotent && g.now <= req.firstRanAt+req.class.KeyTTLS-maxStallS:
 		return reason.None
@@ -138,7 +139,7 @@
 	g.traceOutcome(req, outcome)
 	g.applyLoadReport(attempt.backend, outcome.Load)
 	g.recordOutcome(req, attempt.backend, outcome)
-	req.written = req.written || outcome.Status != ConnectFailed && outcome.Status != NotSent
+	req.reachedBackend = req.reachedBackend || outcome.Status != ConnectFailed && outcome.Status != NotSent
 	if !outcome.Status.NeverRan() && req.firstRan == nil {
 		req.firstRan, req.firstRanAt = attempt.backend, attempt.sentAt
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -35,28 +35,22 @@
 // nil if there is none.
 //
 // With many gateways each looks at few backends: all of them would pick the same one by the same gossip. It
-// begins with those that it prefers, so that connections are used again, at a random one, and goes on with
-// the others while those can't take more.
+// goes on looking, in the order of newBackendScan, while those that it looked at can't take more.
 func (g *Gateway) selectBackend(req *request) *backendState {
 	if g.atAdaptiveLimit(req) {
 		return nil
 	}
 	n := len(g.backends.Listed)
-	size := subset.Size(g.settings.Gateways, n, gatewaysPerBackend, minSubsetSize)
-	preferred := g.backends.Preferred(g.settings.Self, size, g.settings.Zone, g.settings.CrossZoneCost > 0)
+	scan := g.newBackendScan()
 	remaining := max(minCandidates, n*fullScanGateways/g.settings.Gateways)
-	start := g.rng.IntN(max(1, n))
 	limit := backendLimitWeight * g.adaptiveLimit / float64(n)
-	sharing := float64(g.settings.Gateways*len(preferred))/float64(max(1, n)) - 1
+	sharing := float64(g.settings.Gateways*len(scan.preferred))/float64(max(1, n)) - 1
 
 	var best, bestUnhealthy *backendState
 	lowest, lowestUnhealthy := math.Inf(1), math.Inf(1)
 	usable, healthy := 0, 0
-	for i := 0; i < len(preferred)+n*min(n-len(preferred), 1) && remaining > 0; i++ {
-		backend := g.backends.Listed[(start+i)%n]
-		if i < len(preferred) {
-			backend = preferred[(start+i)%len(preferred)]
-		}
+	for i := 0; i < scan.len() && remaining > 0; i++ {
+		backend := scan.at(i)
 		if backend.State != Up || g.now < backend.ejectedUntil {
 			continue
 		}
@@ -87,6 +81,41 @@
 	return best
 }
 
+// backendScan is the order in which selectBackend looks at backends: first the preferred ones, from a random
+// one on, then all listed ones, from the same number on. The preferred ones
+// are among all, and come twice.
+type backendScan struct {
+	preferred, listed []*backendState
+	start             int
+}
+
+// newBackendScan draws a scan order. The preferred backends come first so that connections are used again.
+func (g *Gateway) newBackendScan() backendScan {
+	listed := g.backends.Listed
+	size := subset.Size(g.settings.Gateways, len(listed), gatewaysPerBackend, minSubsetSize)
+	return backendScan{
+		preferred: g.backends.Preferred(g.settings.Self, size, g.settings.Zone, g.settings.CrossZoneCost > 0),
+		listed:    listed,
+		start:     g.rng.IntN(max(1, len(listed))),
+	}
+}
+
+// len is how many backends the scan has; where all are preferred, each comes once.
+func (s *backendScan) len() int {
+	if len(s.preferred) >= len(s.listed) {
+		return len(s.preferred)
+	}
+	return len(s.preferred) + len(s.listed)
+}
+
+// at is the backend at a position below len.
+func (s *backendScan) at(i int) *backendState {
+	if i < len(s.preferred) {
+		return s.preferred[(s.start+i)%len(s.preferred)]
+	}
+	return s.listed[(s.start+i)%len(s.listed)]
+}
+
 // canTake reports whether a backend can take the request's next attempt: within its slow-start budget, within
 // limit attempts from here if its latency is the mean, and inside the scope of the key if an attempt may have
 // run.
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,15 +1,21 @@
 package policy
 
 const (
-	maxDemandToCompleted = 2.0 // times completed work, up to which admitted work counts
-	slowStartChance      = 0.5 // of a gateway's share of the budget, where that is under one request
-	slowStartInFlight    = 2   // attempts from here at a backend in slow start
+	maxDemandToCompleted = 2.0 // admitted work counts up to this multiple of completed work
+	slowStartChance      = 0.5 // factor on the probability of sending where the budget is under one request
+	slowStartInFlight    = 2   // attempts from here that a backend in slow start may have in flight
 )
 
-// slowStartAllows reports whether a backend that has just started can take so many seconds of work. Over any
-// window in which it could collapse it gets no more than its fraction of the fleet's warm capacity, of the
-// work that is admitted; work that was sent would not do, as all backends may be in slow start. Where a
-// gateway's share of that is under one request, chance decides.
+// slowStartAllows reports whether a backend that has just started can take workS seconds of work. What this
+// gateway sends it within the last CollapseWindowS seconds stays within
+//
+//	budget = warm / warmCapacity * CollapseWindowS * min(admitted, maxDemandToCompleted*completed)
+//
+// in seconds of work: warm is the backend's warm-up fraction (0 to 1), warmCapacity the sum of those of all
+// usable backends, admitted and completed are this gateway's rates in seconds of work a second. The rate is
+// that of admitted work and not of sent work, which is too small while all backends are in slow start. A
+// backend that was sent nothing gets a request over the budget with probability slowStartChance*budget/workS,
+// or else gateways with small budgets would never send it any.
 func (g *Gateway) slowStartAllows(backend *backendState, workS float64) bool {
 	warm := backend.WarmFraction(g.now, g.settings.SlowStartS, g.settings.SlowStartMinFraction)
 	if warm >= 1 {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -86,7 +86,7 @@
 // part names that is not configured is ignored.
 func (g *Gateway) Restore(now float64, part snapshot.Part) {
 	g.advanceClock(now)
-	g.leaseFrom = now + slotlease.ReportLeaseS
+	g.slotLeasingFrom = now + slotlease.ReportLeaseS
 	g.incarnation, g.startedAt = part.Incarnation, part.StartedAt
 	g.sequence = max(g.sequence, part.Sequence+snapshot.SequenceMargin)
 	g.adaptiveLimit = part.LimitPerBackend * float64(max(1, len(g.backends.Listed)))
