--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"cmp"
 	"slices"
 
 	"eiderspread/internal/base/peerprotocol"
@@ -180,7 +179,8 @@
 	}
 	account.unansweredReports = 0
 	fits := func(req *request) bool { return g.takeLocalWindow(account, req.Units) }
-	if g.resolvePending(account, len(account.pending), fits, false, reason.None) > 0 {
+	byWindow := resolution{fits: fits, requeue: true, denial: reason.ConcurrencyLimit}
+	if g.resolvePending(account, len(account.pending), byWindow) > 0 {
 		g.queueReport(account, true)
 		account.unansweredSince = g.now
 	}
@@ -202,45 +202,101 @@
 	return true
 }
 
-// resolvePending decides the first n pending requests: those that fit are admitted, paid or from the buckets
-// kept here, and the others are rejected with the denial. With a denial of None those that don't fit stay
-// pending and are requested again, and so do those that no bucket here will pay in time, while the primary
-// owner may; under a concurrency limit no more than that. It returns how many stay.
-func (g *Gateway) resolvePending(account *accountState, n int, fits func(*request) bool, paid bool,
-	denial reason.Reason) int {
+// resolution is by what pending requests are decided.
+type resolution struct {
+	fits    func(*request) bool // called once for each request; what it takes stays taken
+	paid    bool                // the hard limit's shared bucket paid for those that fit
+	requeue bool                // those that are not admitted are requested again where mayRequeue allows
+	denial  reason.Reason       // of those that don't fit and are not requested again
+}
+
+// resolvePending decides the first n pending requests. It returns how many of them stay pending.
+func (g *Gateway) resolvePending(account *accountState, n int, by resolution) (requeued int) {
 	decided, rest := account.pending[:n], slices.Clone(account.pending[n:])
 	account.pending = nil
 	for _, req := range decided {
 		if req.phase == phaseCompleted {
 			continue
 		}
-		switch granted := fits(req); {
-		case granted && (paid || g.hardLimitPaysSoon(req)):
-			g.chargeAdmission(req, paid)
+		switch fits := by.fits(req); {
+		case fits && (by.paid || g.hardLimitPaysSoon(req)):
+			g.chargeAdmission(req, by.paid)
 			g.dispatch(req)
-		case denial == reason.None && (!granted || g.owner(account) == account.primaryOwner) &&
-			(account.plan.MaxConcurrency == 0 || len(account.pending) < account.plan.MaxConcurrency):
+		case by.requeue && g.mayRequeue(account, fits):
 			account.pending = append(account.pending, req)
-		case granted:
+		case fits:
 			g.reject(req, reason.HardLimitUnpaidGrant)
 		default:
-			g.reject(req, cmp.Or(denial, reason.ConcurrencyLimit))
+			g.reject(req, by.denial)
 		}
 	}
-	requeued := len(account.pending)
+	requeued = len(account.pending)
 	account.pending = append(account.pending, rest...)
 	return requeued
 }
 
+// mayRequeue reports whether a request that could not be admitted may be requested again. One that fits lacks
+// only a bucket of the hard limit, which the primary owner alone may pay for. Under a concurrency limit no
+// more requests than that wait.
+func (g *Gateway) mayRequeue(account *accountState, fits bool) bool {
+	if fits && g.owner(account) != account.primaryOwner {
+		return false
+	}
+	return account.plan.MaxConcurrency == 0 || len(account.pending) < account.plan.MaxConcurrency
+}
+
+// replyKind is what an owner's reply means for the requests that the member reported as pending.
+type replyKind uint8
+
+const (
+	replyState     replyKind = iota // nothing: it only reports the owner's view of the account
+	replyWaitQueue                  // the owner leases slots to them as they come free
+	replyGrant                      // it decides them by the units that it grants, perhaps none
+)
+
+// String is the kind's name.
+func (k replyKind) String() string {
+	switch k {
+	case replyState:
+		return "state"
+	case replyWaitQueue:
+		return "wait queue"
+	case replyGrant:
+		return "grant"
+	}
+	return "unknown"
+}
+
+// kindOfReply reads the kind of a reply from its fields, as the wire form has none of its own. Under a
+// concurrency limit a lease time without slots stands for a place in the wait queue (enqueueMember); a grant
+// has Requested above 0 even where it grants nothing (emptyGrantUnits).
+func kindOfReply(account *accountState, reply record) replyKind {
+	switch {
+	case account.reportedPending == 0:
+		return replyState
+	case account.plan.MaxConcurrency > 0 && reply.LeaseS > 0 && reply.Slots == 0:
+		return replyWaitQueue
+	case reply.Requested > 0:
+		return replyGrant
+	}
+	return replyState
+}
+
+// grantsPrefetch reports whether the reply grants units in advance: without a concurrency limit, where there
+// are no slots, its lease time is for them.
+func grantsPrefetch(account *accountState, reply record) bool {
+	return account.plan.MaxConcurrency == 0 && reply.LeaseS > 0
+}
+
 // applyOwnerReply applies a reply of the account's owner.
 func (g *Gateway) applyOwnerReply(account *accountState, reply record) {
 	counted := g.applyOwnerView(account, reply)
 	requeued := 0
-	switch {
-	case account.reportedPending == 0: // the reply is to no quota request
-	case account.plan.MaxConcurrency > 0 && reply.LeaseS > 0 && reply.Slots == 0:
+	switch kindOfReply(account, reply) {
+	case replyState:
+	case replyWaitQueue:
 		g.enterWaitQueue(account, reply.BackoffS)
-	case reply.Requested > 0:
+	case replyGrant:
 		requeued = g.applyGrant(account, reply, counted)
 	}
 	urgent := len(account.pending) > requeued // what was requeued is requested with the next batch
@@ -298,22 +354,25 @@
 func (g *Gateway) applyGrant(account *accountState, reply record, counted float64) (requeued int) {
 	account.inWaitQueue = false
 	n := min(account.reportedPending, len(account.pending))
-	if reply.LeaseS > 0 && account.plan.MaxConcurrency == 0 {
+	if grantsPrefetch(account, reply) {
 		n = len(account.pending) // units in advance are for requests that came meanwhile, too
 	}
 	account.reportedPending, account.unansweredReports = 0, 0
 	account.backoffUntil = g.now + reply.BackoffS
-	denial := reason.Denied
 	atLimit := account.plan.MaxConcurrency > 0 && reply.BackoffS == 0 &&
 		account.inFlight+reply.InFlight >= account.plan.MaxConcurrency
+	byGrant := resolution{
+		fits:   func(req *request) bool { return account.admittedUnits+req.Units <= counted+epsilon },
+		paid:   reply.SharedBucket,
+		denial: reason.Denied,
+	}
 	if reply.Requested > emptyGrantUnits && counted > account.admittedUnits || atLimit {
-		denial = reason.None
+		byGrant.requeue, byGrant.denial = true, reason.ConcurrencyLimit
 	}
-	fits := func(req *request) bool { return account.admittedUnits+req.Units <= counted+epsilon }
-	requeued = g.resolvePending(account, n, fits, reply.SharedBucket, denial)
+	requeued = g.resolvePending(account, n, byGrant)
 	if reply.BackoffS > 0 {
 		none := func(*request) bool { return false }
-		g.resolvePending(account, len(account.pending), none, false, reason.OwnerBackoff)
+		g.resolvePending(account, len(account.pending), resolution{fits: none, denial: reason.OwnerBackoff})
 	}
 	return requeued
 }
@@ -322,7 +381,7 @@
 // shared bucket paid.
 func (g *Gateway) applyPrefetch(account *accountState, reply record, counted float64) {
 	paid := reply.SharedBucket || account.plan.HardLimitRate <= 0
-	if reply.LeaseS <= 0 || account.plan.MaxConcurrency != 0 || !paid || counted <= account.admittedUnits {
+	if !grantsPrefetch(account, reply) || !paid || counted <= account.admittedUnits {
 		return
 	}
 	account.prefetched, account.prefetchedUntil = counted-account.admittedUnits, g.now+reply.LeaseS
