--- a/internal/decision/config/events.go
+++ b/internal/decision/config/events.go
@@ -29,7 +29,7 @@
 	FirstGateway int     `json:"First"`     // the account's gateways are GatewayCount ones from this number on, modulo all
 	GatewayCount int     `json:"Entries"`   // 0: all
 	Units        float64 `json:"Units"`
-	Retry        bool    `json:"Retry"` // the client says that it is a retry
+	Retry        bool    `json:"Retry"` // the client says that it is a retry; carried along, and not used by decisions
 }
 
 // Status is how an attempt or a probe ended.
@@ -47,6 +47,9 @@
 	NotSent              // never written; did not run
 )
 
+// NeverRan reports whether an attempt that ended so has certainly not run at its backend.
+func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
+
 // Load is a backend's load report. Values that were not reported are below 0.
 type Load struct {
 	InFlight    float64 `json:"InFlight"`   // requests being served
