--- a/cmd/membershipagent/main.go
+++ b/cmd/membershipagent/main.go
@@ -28,8 +28,9 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	if err := run(ctx, os.Args[1:], os.Stdout); err != nil {
+	err := run(ctx, os.Args[1:], os.Stdout)
+	stop()
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "membershipagent:", err)
 		os.Exit(1)
 	}
--- a/internal/dataplane/resp/resp.go
+++ b/internal/dataplane/resp/resp.go
@@ -44,36 +44,52 @@
 // ParseHeader reads the line that b, which is not empty, starts with: a type and a length, in digits alone. What can't become a header any
 // more is an error, also while the line is incomplete.
 func ParseHeader(b []byte) (Header, error) {
+	text, size, err := headerText(b)
+	if err != nil {
+		return Header{}, err
+	}
+	length, null, err := parseLength(text, size > 0)
+	switch {
+	case err != nil:
+		return Header{}, err
+	case size == 0:
+		return Header{}, nil
+	case len(text) == 0, null && len(text) == 1:
+		return Header{}, ErrLength
+	}
+	return Header{Length: length, Null: null, Size: size}, nil
+}
+
+// headerText returns what stands between the type and the end of a header's line, and the line's bytes with its end; 0: it is incomplete.
+func headerText(b []byte) (text []byte, size int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxHeaderBytes)], '\n')
-	line := b[1:min(len(b), maxHeaderBytes)]
-	if end >= 0 {
-		if end < 2 || b[end-1] != '\r' {
-			return Header{}, ErrMalformedLine
-		}
-		line = b[1 : end-1]
-	} else if len(b) >= maxHeaderBytes {
-		return Header{}, ErrLineTooLong
+	switch {
+	case end < 0 && len(b) >= maxHeaderBytes:
+		return nil, 0, ErrLineTooLong
+	case end < 0:
+		return b[1:], 0, nil
+	case end < 2 || b[end-1] != '\r':
+		return nil, 0, ErrMalformedLine
 	}
-	length, null := 0, false
-	for i, c := range line {
+	return b[1 : end-1], end + 1, nil
+}
+
+// parseLength reads a length: digits without a leading 0, or -1 for null. The text of an incomplete line may be the beginning of one, and may
+// end in a carriage return.
+func parseLength(text []byte, complete bool) (length int, null bool, err error) {
+	for i, c := range text {
 		switch {
 		case i == 0 && c == '-':
 			null = true
 		case null && i == 1 && c == '1':
-		case !null && c >= '0' && c <= '9' && (i == 0 || line[0] != '0'):
+		case !null && c >= '0' && c <= '9' && (i == 0 || text[0] != '0'):
 			length = length*10 + int(c-'0') // of 14 digits at most
-		case end < 0 && c == '\r' && i == len(line)-1:
+		case !complete && c == '\r' && i == len(text)-1:
 		default:
-			return Header{}, ErrLength
+			return 0, false, ErrLength
 		}
 	}
-	switch {
-	case end < 0:
-		return Header{}, nil
-	case len(line) == 0, null && len(line) == 1:
-		return Header{}, ErrLength
-	}
-	return Header{Length: length, Null: null, Size: end + 1}, nil
+	return length, null, nil
 }
 
 // lineLen is the length of the line of text or the number that b starts with; 0: it is incomplete.
