--- a/internal/decision/snapshot/snapshot.go
+++ b/internal/decision/snapshot/snapshot.go
@@ -26,7 +26,7 @@
 	Sequence        uint16                `json:"Seq"`  // of the last message to a peer
 	StartedAt       float64               `json:"Born"` // of the first process of this incarnation
 	LimitPerBackend float64               `json:"Limit"`
-	Figures         []float64             `json:"Figures"`         // the gateway's, in the order that it defines
+	Values          []float64             `json:"Figures"`         // the gateway's, in the order that it defines
 	Classes         map[string][2]float64 `json:"Classes"`         // by class: mean latency in s, number of samples
 	Backends        map[string][]float64  `json:"Servers"`         // by backend's ID, in the order that the gateway defines
 	Accounts        []Account             `json:"Customers"`       // MaxAccountsPerPart at most
@@ -42,7 +42,7 @@
 	GatewayCount int                `json:"Entries"`           // gateways in a row from FirstGateway; 0: known by peers' reports alone
 	OwnerReplied bool               `json:"Known"`             // the owner has replied at least once
 	HasInFlight  bool               `json:"Out"`               // attempts were out
-	Figures      []float64          `json:"Figures"`           // in the order that the gateway defines
+	Values       []float64          `json:"Figures"`           // in the order that the gateway defines
 	Ledger       []float64          `json:"Ledger,omitempty"`  // as the ledger packs itself
 	Members      map[int][5]float64 `json:"Members,omitempty"` // by gateway, as the ledger packs its members
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -54,8 +54,8 @@
 	for i := range got.Accounts { // attempts are out at the old one alone, and an owner has taken in its own total
 		x, was := &got.Accounts[i], want.Accounts[i]
 		const total, taken = 6, 7
-		if x.HasInFlight = was.HasInFlight; x.Figures[taken] == was.Figures[total] {
-			x.Figures[taken] = was.Figures[taken]
+		if x.HasInFlight = was.HasInFlight; x.Values[taken] == was.Values[total] {
+			x.Values[taken] = was.Values[taken]
 		}
 	}
 	golden.Same(t, "snapshot", got, want)
--- a/policy/quota_member_test.go
+++ b/policy/quota_member_test.go
@@ -236,3 +236,27 @@
 		t.Fatalf("%d units sent without peers, a fourth of the quota is 33, the whole 108", n)
 	}
 }
+
+func TestKindOfReply(t *testing.T) {
+	for _, tc := range []struct {
+		name           string
+		pending        int
+		maxConcurrency int
+		reply          record
+		want           replyKind
+	}{
+		{"nothing was requested", 0, 0, record{Requested: 3}, replyState},
+		{"no answer to the request", 1, 0, record{}, replyState},
+		{"grant", 1, 0, record{Requested: 3}, replyGrant},
+		{"empty grant", 1, 0, record{Requested: emptyGrantUnits, BackoffS: 1}, replyGrant},
+		{"grant with prefetched units", 1, 0, record{Requested: 3, LeaseS: 1}, replyGrant},
+		{"wait queue", 1, 2, record{Requested: emptyGrantUnits, LeaseS: 1, BackoffS: 1}, replyWaitQueue},
+		{"slots", 1, 2, record{Requested: 1, LeaseS: 1, Slots: 1}, replyGrant},
+		{"at the limit, without slot leases", 1, 2, record{Requested: emptyGrantUnits}, replyGrant},
+	} {
+		account := &accountState{reportedPending: tc.pending, plan: &planState{Plan: Plan{MaxConcurrency: tc.maxConcurrency}}}
+		if got := kindOfReply(account, tc.reply); got != tc.want {
+			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+		}
+	}
+}
--- a/policy/request.go
+++ b/policy/request.go
@@ -141,8 +141,8 @@
 	return r.objectiveDeadline + r.class.LateWeightFraction*max(r.DeadlineAt-r.objectiveDeadline, 0)
 }
 
-// unsentAdmission reports whether the request was charged to its quota and never sent.
-func (r *request) unsentAdmission() bool {
+// awaitsFirstSend reports whether the request was charged to its quota and has not been sent yet.
+func (r *request) awaitsFirstSend() bool {
 	return r.account != nil && r.phase == phaseAdmitted && len(r.attempts) == 0
 }
 
@@ -211,7 +211,7 @@
 		g.actions.Fail(req.ID)
 	} else {
 		g.trace(reason.StepRejected, cause, req, noAttempt)
-		if req.unsentAdmission() { // no backend could take it in time
+		if req.awaitsFirstSend() { // no backend could take it in time
 			g.shedder.ObserveWait(g.now, 1)
 		}
 		g.actions.Reject(req.ID, g.shedder.RetryAfterS(req.AdmissionPriority, g.settings.MaxRetryAfterS))
@@ -237,7 +237,7 @@
 // complete notes that a request has its final answer. What was admitted and never sent is given back to the
 // quota. The request is forgotten once no attempt is in flight.
 func (g *Gateway) complete(req *request) {
-	unsent := req.unsentAdmission()
+	unsent := req.awaitsFirstSend()
 	req.phase = phaseCompleted
 	if req.hardLimitUnpaid {
 		req.hardLimitUnpaid = false
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -94,7 +94,7 @@
 	g.inFlight++
 	req.inFlight++
 	g.lastSentAt, backend.lastSentAt = g.now, g.now
-	if req.unsentAdmission() {
+	if req.awaitsFirstSend() {
 		req.account.unsentAdmitted--
 	}
 	g.addInFlight(req, 1)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -82,8 +82,7 @@
 }
 
 // backendScan is the order in which selectBackend looks at backends: first the preferred ones, from a random
-// one on, then all listed ones, from the same number on. The preferred ones
-// are among all, and come twice.
+// one on, then all listed ones, from the same index on. The preferred ones are listed too, and come twice.
 type backendScan struct {
 	preferred, listed []*backendState
 	start             int
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -55,3 +56,25 @@
 		t.Error("nothing is sent though most backends are unhealthy")
 	}
 }
+
+func TestBackendScan_Order(t *testing.T) {
+	a, b, c := &backendState{}, &backendState{}, &backendState{}
+	for _, tc := range []struct {
+		name string
+		scan backendScan
+		want []*backendState
+	}{
+		{"none listed", backendScan{}, nil},
+		{"all preferred", backendScan{[]*backendState{b, c, a}, []*backendState{a, b, c}, 2}, []*backendState{a, b, c}},
+		{"some preferred", backendScan{[]*backendState{c, b}, []*backendState{a, b, c}, 1}, []*backendState{b, c, a, b, c}},
+		{"none preferred", backendScan{nil, []*backendState{a, b, c}, 1}, []*backendState{b, c, a}},
+	} {
+		var got []*backendState
+		for i := range tc.scan.len() {
+			got = append(got, tc.scan.at(i))
+		}
+		if !slices.Equal(got, tc.want) {
+			t.Errorf("%s: %d backends, or another order", tc.name, len(got))
+		}
+	}
+}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -9,7 +9,7 @@
 // slowStartAllows reports whether a backend that has just started can take workS seconds of work. What this
 // gateway sends it within the last CollapseWindowS seconds stays within
 //
-//	budget = warm / warmCapacity * CollapseWindowS * min(admitted, maxDemandToCompleted*completed)
+//	budget = warm / max(warmCapacity, warm) * CollapseWindowS * min(admitted, maxDemandToCompleted*completed)
 //
 // in seconds of work: warm is the backend's warm-up fraction (0 to 1), warmCapacity the sum of those of all
 // usable backends, admitted and completed are this gateway's rates in seconds of work a second. The rate is
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -46,7 +46,7 @@
 	}
 	part := snapshot.Part{Incarnation: g.incarnation, Sequence: g.sequence, StartedAt: g.startedAt,
 		LimitPerBackend: g.adaptiveLimit / float64(max(1, len(g.backends.Listed))),
-		Figures:         snapshot.Values(g.snapshotFields()),
+		Values:          snapshot.Values(g.snapshotFields()),
 		Classes:         map[string][2]float64{}, Backends: map[string][]float64{}}
 	for name, class := range g.classes {
 		part.Classes[name] = [2]float64{class.meanLatency, float64(class.samples)}
@@ -73,7 +73,7 @@
 		GatewayCount: a.gatewayCount,
 		OwnerReplied: a.ownerReplied,
 		HasInFlight:  a.inFlight > 0,
-		Figures:      snapshot.Values(a.snapshotFields()),
+		Values:       snapshot.Values(a.snapshotFields()),
 	}
 	if a.ledger != nil {
 		saved.Ledger, saved.Members = a.ledger.Snapshot()
@@ -90,7 +90,7 @@
 	g.incarnation, g.startedAt = part.Incarnation, part.StartedAt
 	g.sequence = max(g.sequence, part.Sequence+snapshot.SequenceMargin)
 	g.adaptiveLimit = part.LimitPerBackend * float64(max(1, len(g.backends.Listed)))
-	snapshot.Restore(g.snapshotFields(), part.Figures)
+	snapshot.Restore(g.snapshotFields(), part.Values)
 	for name, values := range part.Classes {
 		if class := g.classes[name]; class != nil {
 			class.meanLatency, class.samples = values[0], int(values[1])
@@ -114,14 +114,14 @@
 		return
 	}
 	if account := g.accounts[accountKey{saved.Key, uint32(plan.index)}]; account != nil {
-		snapshot.Restore(account.snapshotFields()[:hardLimitFields], saved.Figures)
+		snapshot.Restore(account.snapshotFields()[:hardLimitFields], saved.Values)
 		return
 	}
 	account := g.newAccount(saved.Key, plan)
 	account.point = saved.Hash
 	account.firstGateway, account.gatewayCount = saved.FirstGateway, saved.GatewayCount
 	account.ownerReplied = saved.OwnerReplied
-	snapshot.Restore(account.snapshotFields(), saved.Figures)
+	snapshot.Restore(account.snapshotFields(), saved.Values)
 	if account.gatewayCount > 0 {
 		account.primaryOwner = g.findOwner(account, false)
 	}
