--- a/cmd/testbed/mutants.go
+++ b/cmd/testbed/mutants.go
@@ -31,7 +31,7 @@
 	}
 	defer os.RemoveAll(dir)
 	r := mutation.Runner{Root: *root, Dir: dir, Most: *most}
-	var list []mutation.Mutant
+	var list []mutation.Mutation
 	for _, m := range mutation.List {
 		if strings.Contains(m.Name, *only) {
 			list = append(list, m)
@@ -40,7 +40,7 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	missed, wrong := 0, 0
-	next := make(chan mutation.Mutant)
+	next := make(chan mutation.Mutation)
 	fmt.Printf("%d mutants, %d at a time, %d cores\n| guard | rule | caught by | after | verdict | unit tests |\n|---|---|---|---|---|---|\n", len(list), *jobs, runtime.NumCPU())
 	for range *jobs {
 		all.Go(func() {
@@ -51,18 +51,18 @@
 					_, err = r.Build(context.Background(), m)
 					res.Caught = true
 				} else {
-					res, err = r.Try(context.Background(), m, *unit)
+					res, err = r.Play(context.Background(), m, *unit)
 				}
 				mu.Lock()
 				switch {
 				case err != nil:
 					wrong++
 					fmt.Fprintln(os.Stderr, err)
-				case !res.Caught && m.Why == "":
+				case !res.Caught && m.Reason == "":
 					missed++
 					fmt.Printf("| %s | %s | **nothing** | | | %s |\n", m.Name, m.Rule, res.Unit)
 				default:
-					fmt.Printf("| %s | %s | %s | %.1f s | %.90s | %s |\n", m.Name, m.Rule, short(res.By), res.After.Seconds(), res.Said, res.Unit)
+					fmt.Printf("| %s | %s | %s | %.1f s | %.90s | %s |\n", m.Name, m.Rule, short(res.Run), res.After.Seconds(), res.Verdict, res.Unit)
 				}
 				mu.Unlock()
 			}
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -2,37 +2,37 @@
 
 // Runs of which mutants name those that bring their occasions. Virtual time first: it is quick.
 const (
-	simOne      = "sim -shrink=false -schedules 24 -for 30s -planners 0 -scenario "
-	simTwo      = "sim -shrink=false -schedules 24 -for 30s -planners 3 -scenario "
-	labOne      = "lab -forwarders 4 -planners 0 -nodes 6 -for 15s -scenario "
-	drainOne    = "lab -forwarders 6 -planners 0 -nodes 8 -for 14s -scenario soak -kinds drained-deaf -every 500ms"
-	labTwo      = "lab -forwarders 5 -planners 3 -nodes 6 -for 15s -scenario "
-	labEtcd     = "membershipagent lab -quiet -forwarders 6 -planners 0 -for 60s -every 300ms -seed 4"
-	labEtcdLong = "membershipagent lab -quiet -forwarders 6 -planners 0 -for 100s -every 300ms -seed 5"
-	simCrowd    = "sim -shrink=false -schedules 8 -for 30s -planners 0 -forwarders 12 -scenario "
-	simPlaces   = "sim -shrink=false -schedules 8 -for 12s -planners 0 -forwarders 80 -scenario "
-	simShed     = "sim -overload -shrink=false -schedules 8 -for 25s -planners 0 -forwarders 8 -scenario "
-	simShedTwo  = "sim -overload -shrink=false -schedules 8 -for 25s -planners 3 -forwarders 5 -scenario "
-	module      = "policy/gateway.go"
-	rules       = "policy/"
-	shedLevel   = "internal/decision/loadshed/level.go"
-	shedOrder   = "internal/decision/loadshed/admission.go"
-	shedGossip  = "internal/decision/loadshed/gossip.go"
-	counts      = "internal/decision/quota/quota.go"
-	ceilings    = "internal/decision/hardlimit/hardlimit.go"
-	lender      = "internal/decision/slotlease/table.go"
-	core        = "internal/controlplane/forwarder/core.go"
-	mover       = "internal/controlplane/forwarder/migrate.go"
-	windows     = "internal/controlplane/planner/windows.go"
-	leases      = "internal/controlplane/planner/leases.go"
-	in          = "internal/dataplane/ingress/"
-	replies     = "internal/dataplane/callprotocol/reply.go"
+	simOne          = "sim -shrink=false -schedules 24 -for 30s -planners 0 -scenario "
+	simTwo          = "sim -shrink=false -schedules 24 -for 30s -planners 3 -scenario "
+	labOne          = "lab -forwarders 4 -planners 0 -nodes 6 -for 15s -scenario "
+	drainOne        = "lab -forwarders 6 -planners 0 -nodes 8 -for 14s -scenario soak -kinds drained-deaf -every 500ms"
+	labTwo          = "lab -forwarders 5 -planners 3 -nodes 6 -for 15s -scenario "
+	labEtcd         = "membershipagent lab -quiet -forwarders 6 -planners 0 -for 60s -every 300ms -seed 4"
+	labEtcdLong     = "membershipagent lab -quiet -forwarders 6 -planners 0 -for 100s -every 300ms -seed 5"
+	simManyGateways = "sim -shrink=false -schedules 8 -for 30s -planners 0 -forwarders 12 -scenario "
+	simSlots        = "sim -shrink=false -schedules 8 -for 12s -planners 0 -forwarders 80 -scenario "
+	simShed         = "sim -overload -shrink=false -schedules 8 -for 25s -planners 0 -forwarders 8 -scenario "
+	simShedTwo      = "sim -overload -shrink=false -schedules 8 -for 25s -planners 3 -forwarders 5 -scenario "
+	module          = "policy/gateway.go"
+	rules           = "policy/"
+	shedLevel       = "internal/decision/loadshed/level.go"
+	shedOrder       = "internal/decision/loadshed/admission.go"
+	shedGossip      = "internal/decision/loadshed/gossip.go"
+	counts          = "internal/decision/quota/quota.go"
+	ceilings        = "internal/decision/hardlimit/hardlimit.go"
+	slotTable       = "internal/decision/slotlease/table.go"
+	core            = "internal/controlplane/forwarder/core.go"
+	mover           = "internal/controlplane/forwarder/migrate.go"
+	windows         = "internal/controlplane/planner/windows.go"
+	leases          = "internal/controlplane/planner/leases.go"
+	in              = "internal/dataplane/ingress/"
+	replies         = "internal/dataplane/callprotocol/reply.go"
 )
 
 func edit(file, old, new string) []Edit { return []Edit{{file, old, new}} }
 
 // List is every guard that the laboratory is asked to miss.
-var List = []Mutant{
+var List = []Mutation{
 	// ---- Overload shed as one ----
 	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedOrder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
@@ -49,15 +49,15 @@
 		Edits: edit(core, "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
 		Edits: edit(rules+"request.go", "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(incoming)", "req.plan.Weight, g.accountFor(incoming)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
-		Why: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
+		Reason: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
 	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedOrder, "return p.ClassRank + 1, p.ClassCount + 1", "return p.ClassCount - p.ClassRank, p.ClassCount + 1"), Runs: []string{simShed + "overload"}},
 	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedOrder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
-		Why: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
+		Reason: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
 		Edits: edit(rules+"request.go", "commonTimeoutFraction * g.shedder.FirstAttemptFactor()\n", "commonTimeoutFraction * 1\n"), Runs: []string{simShed + "overload", simShed + "overload-high"},
-		Why: "work in vain rises from 6 to 13% at 5 times, in the mean of six runs of 25 s; single runs lie too far apart for a bound between"},
+		Reason: "work in vain rises from 6 to 13% at 5 times, in the mean of six runs of 25 s; single runs lie too far apart for a bound between"},
 	// ---- The module: further attempts and refusals ----
 	{Name: "unsafe runs once", Rule: "no effect twice", Unit: "./policy",
 		Edits: edit(rules+"retry.go", "case req.firstRan == nil || req.class.Idempotency == Idempotent ||", "case req.firstRan == nil || req.class.Idempotency != KeyedIdempotent ||"),
@@ -134,47 +134,47 @@
 	delta += max(delta, 0)
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "lives of a member are told apart", Rule: "quotas can be used",
-		Why:   "a new life's total begins at 0, which a former life's larger one turns into units handed back; restarts are allowed a window more each",
-		Edits: edit(rules+"quota_owner.go", "g.now-member.ReportedAt <= memberTTLS && member.Incarnation == incarnation {", "g.now-member.ReportedAt <= memberTTLS {"), Runs: []string{simOne + "blinks", simOne + "programs"}},
+		Reason: "a new life's total begins at 0, which a former life's larger one turns into units handed back; restarts are allowed a window more each",
+		Edits:  edit(rules+"quota_owner.go", "g.now-member.ReportedAt <= memberTTLS && member.Incarnation == incarnation {", "g.now-member.ReportedAt <= memberTTLS {"), Runs: []string{simOne + "blinks", simOne + "programs"}},
 	{Name: "members split a room", Rule: "quotas kept",
-		Why:   "reports come a tenth of a second later and what was too much is owed: no window of a second shows it at 4, 12 or 80 ingresses",
-		Edits: edit(rules+"admission.go", "share := available * localDemand / max(localDemand+otherDemand, epsilon)\n", "share := available\n"), Runs: []string{simOne + "crowd", simCrowd + "crowd"}},
+		Reason: "reports come a tenth of a second later and what was too much is owed: no window of a second shows it at 4, 12 or 80 ingresses",
+		Edits:  edit(rules+"admission.go", "share := available * localDemand / max(localDemand+otherDemand, epsilon)\n", "share := available\n"), Runs: []string{simOne + "crowd", simManyGateways + "crowd"}},
 	{Name: "a silence ends", Rule: "quotas can be used",
-		Edits: edit(rules+"quota_member.go", "account.backoffUntil = g.now + reply.BackoffS\n", "account.backoffUntil = g.now + reply.BackoffS*100\n"), Runs: []string{simOne + "calm", simCrowd + "crowd"}},
+		Edits: edit(rules+"quota_member.go", "account.backoffUntil = g.now + reply.BackoffS\n", "account.backoffUntil = g.now + reply.BackoffS*100\n"), Runs: []string{simOne + "calm", simManyGateways + "crowd"}},
 	{Name: "a member that lets in more than its split is counted", Rule: "quotas kept", Unit: "./internal/decision/quota",
 		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -maxDebt))", "l.Available = max(l.Available-units/2, min(l.Available, -maxDebt))"), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "the local window is a part of the whole", Rule: "quotas kept",
-		Why:   "what a member last heard of the room bounds it as well, and what it lets in is owed once it is told",
-		Edits: edit(rules+"quota_member.go", "account.localWindow.Refill(g.now, plan.Rate/gateways, burst)\n", "account.localWindow.Refill(g.now, 9*plan.Rate, 9*burst*gateways)\n"), Runs: []string{simOne + "programs", simCrowd + "crowd"}},
+		Reason: "what a member last heard of the room bounds it as well, and what it lets in is owed once it is told",
+		Edits:  edit(rules+"quota_member.go", "account.localWindow.Refill(g.now, plan.Rate/gateways, burst)\n", "account.localWindow.Refill(g.now, 9*plan.Rate, 9*burst*gateways)\n"), Runs: []string{simOne + "programs", simManyGateways + "crowd"}},
 	{Name: "a window fills", Rule: "quotas can be used", Unit: "./policy",
 		Edits: edit(rules+"quota_owner.go", "ledger.Available+rate*(g.now-ledger.UpdatedAt)), g.now", "ledger.Available+rate/2*(g.now-ledger.UpdatedAt)), g.now"), Runs: []string{simOne + "calm"}},
 	{Name: "a window has a brim", Rule: "quotas kept", Unit: "./policy",
 		Edits: edit(rules+"quota_owner.go", "limit := account.plan.Burst - ", "limit := 9*account.plan.Burst - "), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "a young count believes what members heard", Rule: "quotas kept",
-		Why:   "a window more is what the budget has for an owner that comes back empty; it is what is to be tightened next",
-		Edits: edit(rules+"quota_owner.go", "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
+		Reason: "a window more is what the budget has for an owner that comes back empty; it is what is to be tightened next",
+		Edits:  edit(rules+"quota_owner.go", "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
 	{Name: "lost reports are no silence", Rule: "quotas can be used", Unit: "./internal/decision/failuredetector",
-		Why:   "owners passed over for a second each cost 1% of service at 80 ingresses, which no rule is made of",
-		Edits: edit("internal/decision/failuredetector/failuredetector.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
+		Reason: "owners passed over for a second each cost 1% of service at 80 ingresses, which no rule is made of",
+		Edits:  edit("internal/decision/failuredetector/failuredetector.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
 	// ---- The module: places lent by time, units ahead ----
 	{Name: "a place comes back by itself", Rule: "caps kept", Unit: "./internal/decision/slotlease",
-		Why:   "without it places stand idle, which no rule is made of: resto falls to 0.85 of its share at 300 ingresses",
-		Edits: edit(lender, "now + min(leaseS, MaxLeaseS) + GraceS,", "now + 10*min(leaseS, MaxLeaseS) + GraceS,"), Runs: []string{simPlaces + "places"}},
+		Reason: "without it places stand idle, which no rule is made of: resto falls to 0.85 of its share at 300 ingresses",
+		Edits:  edit(slotTable, "now + min(leaseS, MaxLeaseS) + GraceS,", "now + 10*min(leaseS, MaxLeaseS) + GraceS,"), Runs: []string{simSlots + "places"}},
 	{Name: "a place is lent once", Rule: "caps kept", Unit: "./internal/decision/slotlease",
-		Edits: edit(lender, `if l.member != except {
+		Edits: edit(slotTable, `if l.member != except {
 			slots += l.slots
 `, `if l.member != except {
 			slots += 0 * l.slots
-`), Runs: []string{simPlaces + "places-slow"}},
+`), Runs: []string{simSlots + "places-slow"}},
 	{Name: "a place in use is renewed", Rule: "caps kept", Unit: "./policy",
-		Why:   "an attempt that outlives its place is one beyond the cap for as long as it lasts, which the budget of a cap of two has room for",
-		Edits: edit(rules+"concurrency_limit.go", "account.ownerLeases && req.inFlight > 0 &&\n\t\taccount.leasedSlots.Count(g.now+slotlease.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simPlaces + "places-slow"}},
+		Reason: "an attempt that outlives its place is one beyond the cap for as long as it lasts, which the budget of a cap of two has room for",
+		Edits:  edit(rules+"concurrency_limit.go", "account.ownerLeases && req.inFlight > 0 &&\n\t\taccount.leasedSlots.Count(g.now+slotlease.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simSlots + "places-slow"}},
 	{Name: "a new life lends nothing at first", Rule: "caps kept", Unit: "./policy",
-		Why:   "what its former life lent is over within half a second: twice the cap is stated for that long",
-		Edits: edit(rules+"gateway.go", "slotLeasingFrom: now + slotlease.ReportLeaseS,", "slotLeasingFrom: 0 * slotlease.ReportLeaseS,"), Runs: []string{simPlaces + "places-storm"}},
+		Reason: "what its former life lent is over within half a second: twice the cap is stated for that long",
+		Edits:  edit(rules+"gateway.go", "slotLeasingFrom: now + slotlease.ReportLeaseS,", "slotLeasingFrom: 0 * slotlease.ReportLeaseS,"), Runs: []string{simSlots + "places-storm"}},
 	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/decision/hardlimit",
-		Why:   "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
-		Edits: edit(ceilings, "-l.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
+		Reason: "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
+		Edits:  edit(ceilings, "-l.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
 	// ---- Nodes held by hand in two levels ----
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
 		Edits: edit("internal/controlplane/cordon/coordinator.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
@@ -285,9 +285,9 @@
 		Edits: edit(in+"client_writer.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
 		Runs:  []string{drainOne}},
 	{Name: "what may be written is asked directly before the write", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Why:   "connections that come up late are the soak's alone, which counts it by the ingresses' own check; the unit test makes one",
-		Edits: edit(in+"send_guard.go", "case now > a.latestStart:", "case false:"),
-		Runs:  []string{labOne + "keys"}},
+		Reason: "connections that come up late are the soak's alone, which counts it by the ingresses' own check; the unit test makes one",
+		Edits:  edit(in+"send_guard.go", "case now > a.latestStart:", "case false:"),
+		Runs:   []string{labOne + "keys"}},
 	// ---- Forwarders ----
 	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // by epoch and promise, and by the handle of the telling
 		Edits: []Edit{{"internal/controlplane/forwarder/promises.go", "return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.Fenced)", "return cell != nil"},
@@ -319,9 +319,9 @@
 	{Name: "a forwarder remembers what was passed on", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit("internal/controlplane/forwarder/actions.go", "\t\t\tc.usage.record(request.Account, windowUsage{plan: request.plan, epoch: msg.Epoch, seq: msg.Round, debt: msg.Units, at: c.now})\n", ""), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a forwarder tells of what it has out", Rule: "caps kept", Unit: "./internal/controlplane/forwarder",
-		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit("internal/controlplane/forwarder/orphans.go", "\t\tc.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}\n", "\t\tc.orphans[request.Account] = orphanCount{request.plan, 0}\n"),
-		Runs:  []string{simTwo + "capped"}},
+		Reason: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Edits:  edit("internal/controlplane/forwarder/orphans.go", "\t\tc.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}\n", "\t\tc.orphans[request.Account] = orphanCount{request.plan, 0}\n"),
+		Runs:   []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit("internal/controlplane/forwarder/usage.go", "incompleteAt: startedAt}", "incompleteAt: startedAt - 1e6}"),
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
@@ -344,8 +344,8 @@
 	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(windows, "\twindow.available -= units\n\tt.admissions++", "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/controlplane/planner",
-		Why:   "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
-		Edits: edit("internal/controlplane/planner/requests.go", "\t\tc.applyCounts(request.cellID, cell.windows.setOrphans(c.now, forwarder, request.account, request.plan, attempts))\n", ""), Runs: []string{simTwo + "lonely"}},
+		Reason: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Edits:  edit("internal/controlplane/planner/requests.go", "\t\tc.applyCounts(request.cellID, cell.windows.setOrphans(c.now, forwarder, request.account, request.plan, attempts))\n", ""), Runs: []string{simTwo + "lonely"}},
 	{Name: "a planner tells its module of earlier passes", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit("internal/controlplane/planner/requests.go", "\tc.applyCounts(cellID, cell.windows.initialCounts(c.now, msg.Name, planIndex))\n", "\tcell.windows.initialCounts(c.now, msg.Name, planIndex)\n"), Runs: []string{simTwo + "ceilings"}},
 	// ---- Membership from etcd ----
@@ -371,11 +371,11 @@
 	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"admin.go", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) { in.cordons.Replace(c) })", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
 	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Why:   "a client whose idle connection ends asks on another; it costs a dial and, at times, a request that crosses the end and is sent again",
-		Edits: edit(in+"hot_restart_successor.go", "if in.successor.stage != handoverActive || c.state == connClosing", "if true || c.state == connClosing"), Runs: []string{labOne + "operators -kinds replaced"}},
+		Reason: "a client whose idle connection ends asks on another; it costs a dial and, at times, a request that crosses the end and is sent again",
+		Edits:  edit(in+"hot_restart_successor.go", "if in.successor.stage != handoverActive || c.state == connClosing", "if true || c.state == connClosing"), Runs: []string{labOne + "operators -kinds replaced"}},
 	{Name: "what was read of a command goes with its connection", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Why:   "the laboratory's clients write a command in one piece, so that a part of one is hardly ever read at that moment; the unit test sends halves",
-		Edits: edit(in+"hot_restart_successor.go", "body: bytes.Clone(c.input.Bytes())}", "body: bytes.Clone(c.input.Bytes()[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
+		Reason: "the laboratory's clients write a command in one piece, so that a part of one is hardly ever read at that moment; the unit test sends halves",
+		Edits:  edit(in+"hot_restart_successor.go", "body: bytes.Clone(c.input.Bytes())}", "body: bytes.Clone(c.input.Bytes()[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
 	// ---- A forwarder replaced while it serves ----
 	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "\tc.resetPromises()\n", "\tfor i := range c.cells {\n\t\tc.cells[i].requester, c.cells[i].leaderlessSince = noPlanner, now\n\t}\n"), Runs: []string{simTwo + "handed-torn"}},
@@ -384,8 +384,8 @@
 	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "for _, report := range state.UsageReports {", "for _, report := range state.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
 	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
-		Why:   "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
-		Edits: edit(mover, "mayHaveRun:   saved.MayHaveRun,", "mayHaveRun:   false,"), Runs: []string{simTwo + "handed-keys"}},
+		Reason: "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
+		Edits:  edit(mover, "mayHaveRun:   saved.MayHaveRun,", "mayHaveRun:   false,"), Runs: []string{simTwo + "handed-keys"}},
 	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "\t\tif !ended {\n\t\t\trequest.inFlight++", "\t\tif false {\n\t\t\trequest.inFlight++"), Runs: []string{simTwo + "upgrades"}},
 	{Name: "what a successor sent is written down", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
@@ -394,7 +394,7 @@
 		Edits: edit(mover, "\tc.usage.incompleteAt = now\n\tclear(c.planners)", "\tclear(c.planners)"), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
-		Why:   "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
-		Edits: edit("internal/controlplane/transport/conn.go", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n\tidleTimeout = time.Hour\n"),
-		Runs:  []string{labTwo + "programs"}},
+		Reason: "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
+		Edits:  edit("internal/controlplane/transport/conn.go", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n\tidleTimeout = time.Hour\n"),
+		Runs:   []string{labTwo + "programs"}},
 }
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutation.go
@@ -19,23 +19,23 @@
 // Edit replaces a text that stands exactly once in a file.
 type Edit struct{ File, Old, New string }
 
-// Mutant is the removal of one guard.
-type Mutant struct {
-	Name  string // of the guard
-	Rule  string // that it is there for, as the auditor words it
-	Edits []Edit
-	Runs  []string // arguments of testbed, or membershipagent with its own, that bring the guard's occasions, the likeliest to object first
-	Unit  string   // package whose own tests are to fail too, "" if none is
-	Why   string   // of one that no run catches: why it is there all the same
+// Mutation is the removal of one guard.
+type Mutation struct {
+	Name   string // of the guard
+	Rule   string // that it is there for, as the auditor words it
+	Edits  []Edit
+	Runs   []string // arguments of testbed, or membershipagent with its own, that bring the guard's occasions, the likeliest to object first
+	Unit   string   // package whose own tests are to fail too, "" if none is
+	Reason string   // of one that no run catches: why it is there all the same
 }
 
 // Result is what became of a mutant.
 type Result struct {
-	Caught bool
-	By     string        // the run that objected
-	After  time.Duration // from the first run's start on
-	Said   string        // the verdict
-	Unit   string        // caught, passed, "" if not tried
+	Caught  bool
+	Run     string        // the run that objected
+	After   time.Duration // from the first run's start on
+	Verdict string        // the verdict
+	Unit    string        // caught, passed, "" if not tried
 }
 
 // Runner builds and runs mutants of the sources at Root, with files of its own in Dir.
@@ -46,7 +46,7 @@
 
 // Apply writes a mutant's overlay and returns its path. A text that does not stand exactly once is an error: the list has
 // to follow the sources.
-func (r Runner) Apply(m Mutant) (overlay string, err error) {
+func (r Runner) Apply(m Mutation) (overlay string, err error) {
 	dir := filepath.Join(r.Dir, strings.ReplaceAll(m.Name, " ", "-"))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", err
@@ -86,7 +86,7 @@
 }
 
 // Build builds a mutant, or with the zero Mutant the program as it is, and returns the folder of its programs.
-func (r Runner) Build(ctx context.Context, m Mutant) (bin string, err error) {
+func (r Runner) Build(ctx context.Context, m Mutation) (bin string, err error) {
 	overlay, err := r.Apply(m)
 	if err != nil {
 		return "", err
@@ -104,8 +104,8 @@
 	return bin, nil
 }
 
-// Try builds a mutant and runs its runs until one objects. An object is a broken rule, not a run that could not be made.
-func (r Runner) Try(ctx context.Context, m Mutant, unit bool) (res Result, err error) {
+// Play builds a mutant and runs its runs until one objects. An object is a broken rule, not a run that could not be made.
+func (r Runner) Play(ctx context.Context, m Mutation, unit bool) (res Result, err error) {
 	bin, err := r.Build(ctx, m)
 	if err != nil {
 		return res, err
@@ -118,7 +118,7 @@
 			return res, fmt.Errorf("mutant %q: %s: %w", m.Name, args, err)
 		}
 		if said != "" {
-			res.Caught, res.By, res.After, res.Said = true, args, time.Since(began), said
+			res.Caught, res.Run, res.After, res.Verdict = true, args, time.Since(began), said
 			break
 		}
 	}
--- a/internal/testbed/mutation/mutants_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -30,7 +30,7 @@
 func TestMutantThatNoLongerApplies(t *testing.T) {
 	r := Runner{Root: "../../..", Dir: t.TempDir()}
 	for _, old := range []string{"no such text", "return"} {
-		if _, err := r.Apply(Mutant{Name: "x", Edits: edit(module, old, "")}); err == nil || !strings.Contains(err.Error(), "no longer applies") {
+		if _, err := r.Apply(Mutation{Name: "x", Edits: edit(module, old, "")}); err == nil || !strings.Contains(err.Error(), "no longer applies") {
 			t.Errorf("%q: %v", old, err)
 		}
 	}
@@ -44,7 +44,7 @@
 	}
 	r := Runner{Root: "../../..", Dir: t.TempDir(), Most: 5 * time.Minute}
 	runs := []string{"sim -shrink=false -schedules 4 -for 20s -planners 0 -scenario answers", "sim -shrink=false -schedules 4 -for 15s -planners 3 -scenario ceilings"}
-	whole, err := r.Try(context.Background(), Mutant{Name: "none", Edits: edit(module, "package policy\n", "package policy\n\n"), Runs: runs}, false)
+	whole, err := r.Play(context.Background(), Mutation{Name: "none", Edits: edit(module, "package policy\n", "package policy\n\n"), Runs: runs}, false)
 	if err != nil || whole.Caught {
 		t.Fatalf("the program as it is: %+v, %v", whole, err)
 	}
@@ -54,7 +54,7 @@
 				continue
 			}
 			m.Runs = runs
-			if res, err := r.Try(context.Background(), m, false); err != nil || !res.Caught {
+			if res, err := r.Play(context.Background(), m, false); err != nil || !res.Caught {
 				t.Errorf("%s: %+v, %v", name, res, err)
 			}
 		}
