--- a/cmd/testbed/mutants.go
+++ b/cmd/testbed/mutants.go
@@ -13,6 +13,16 @@
 	"eiderspread/internal/testbed/mutation"
 )
 
+// mutationRun plays mutations and prints a row for each. mu guards what is below it.
+type mutationRun struct {
+	runner mutation.Runner
+	check  bool // only build
+	unit   bool // run unit tests, too
+
+	mu            sync.Mutex
+	missed, wrong int
+}
+
 // runMutants takes guards out one by one and prints which run found out.
 func runMutants(args []string) error {
 	set := flag.NewFlagSet("mutants", flag.ContinueOnError)
@@ -25,46 +35,25 @@
 	if err := set.Parse(args); err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", "eidermutants")
+	dir, err := os.MkdirTemp("", "mutations")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	r := mutation.Runner{Root: *root, Dir: dir, Most: *most}
 	var list []mutation.Mutation
 	for _, m := range mutation.List {
 		if strings.Contains(m.Name, *only) {
 			list = append(list, m)
 		}
 	}
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	missed, wrong := 0, 0
-	next := make(chan mutation.Mutation)
 	fmt.Printf("%d mutants, %d at a time, %d cores\n| guard | rule | caught by | after | verdict | unit tests |\n|---|---|---|---|---|---|\n", len(list), *jobs, runtime.NumCPU())
+	run := &mutationRun{runner: mutation.Runner{Root: *root, Dir: dir, Most: *most}, check: *check, unit: *unit}
+	next := make(chan mutation.Mutation)
+	var workers sync.WaitGroup
 	for range *jobs {
-		all.Go(func() {
+		workers.Go(func() {
 			for m := range next {
-				var res mutation.Result
-				var err error
-				if *check {
-					_, err = r.Build(context.Background(), m)
-					res.Caught = true
-				} else {
-					res, err = r.Play(context.Background(), m, *unit)
-				}
-				mu.Lock()
-				switch {
-				case err != nil:
-					wrong++
-					fmt.Fprintln(os.Stderr, err)
-				case !res.Caught && m.Reason == "":
-					missed++
-					fmt.Printf("| %s | %s | **nothing** | | | %s |\n", m.Name, m.Rule, res.Unit)
-				default:
-					fmt.Printf("| %s | %s | %s | %.1f s | %.90s | %s |\n", m.Name, m.Rule, short(res.Run), res.After.Seconds(), res.Verdict, res.Unit)
-				}
-				mu.Unlock()
+				run.play(m)
 			}
 		})
 	}
@@ -72,13 +61,37 @@
 		next <- m
 	}
 	close(next)
-	all.Wait()
-	if missed+wrong > 0 {
-		return fmt.Errorf("of %d mutants %d were not caught, %d could not be tried", len(list), missed, wrong)
+	workers.Wait()
+	if run.missed+run.wrong > 0 {
+		return fmt.Errorf("of %d mutants %d were not caught, %d could not be tried", len(list), run.missed, run.wrong)
 	}
 	return nil
 }
 
+// play plays one mutation, or only builds it, and prints its row.
+func (run *mutationRun) play(m mutation.Mutation) {
+	var res mutation.Result
+	var err error
+	if run.check {
+		_, err = run.runner.Build(context.Background(), m)
+		res.Caught = true
+	} else {
+		res, err = run.runner.Play(context.Background(), m, run.unit)
+	}
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	switch {
+	case err != nil:
+		run.wrong++
+		fmt.Fprintln(os.Stderr, err)
+	case !res.Caught && m.Reason == "":
+		run.missed++
+		fmt.Printf("| %s | %s | **nothing** | | | %s |\n", m.Name, m.Rule, res.Unit)
+	default:
+		fmt.Printf("| %s | %s | %s | %.1f s | %.90s | %s |\n", m.Name, m.Rule, short(res.Run), res.After.Seconds(), res.Verdict, res.Unit)
+	}
+}
+
 // short words a run's arguments for a table.
 func short(args string) string {
 	list := strings.Fields(args)
--- a/internal/testbed/etcdfleet/sizes.go
+++ b/internal/testbed/etcdfleet/sizes.go
@@ -29,26 +29,29 @@
 	return nil
 }
 
+// maxServeTime bounds the wait until an agent serves all nodes; idleTime passes before its memory is read.
+const (
+	maxServeTime = time.Minute
+	idleTime     = 3 * time.Second
+)
+
+// size measures an agent and an ingress with n nodes in etcd, and prints a row of the table.
 func size(n int, length time.Duration, seed uint64, dir string, spawn testbed.Spawn, w io.Writer) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	c, err := etcdstandin.New()
+	cluster, err := etcdstandin.New()
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	all := map[string]string{}
-	for i := range n { // nobody connects to them: there is no traffic
-		all[fmt.Sprintf("%snodes/n%05d", prefix, i)] = fmt.Sprintf(`{"addr":"127.0.0.%d:%d","zone":"a","weight":1}`, 2+i/30000, 1000+i%30000)
-	}
-	c.Do(all)
+	defer cluster.Close()
+	cluster.Do(sizeNodes(n))
 	listen, err := testbed.FreeAddr()
 	if err != nil {
 		return err
 	}
 	file := filepath.Join(dir, "agent.toml")
-	text := fmt.Sprintf("listen = %q\nstate = %q\nprefix = %q\nendpoints = [\"http://%s\"]\n", listen, filepath.Join(dir, "state"), prefix, c.Addr())
+	text := fmt.Sprintf("listen = %q\nstate = %q\nprefix = %q\nendpoints = [\"http://%s\"]\n", listen, filepath.Join(dir, "state"), prefix, cluster.Addr())
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -58,18 +61,8 @@
 		MemoryMB: 512, Sockets: 256, Direct: true}
 	cfg.Discovery = func(f *testbed.Fleet, _ string) (string, error) {
 		agent = f.NewProc("agent", "agent", file)
-		began := time.Now()
-		if err := agent.Start(); err != nil {
-			return "", err
-		}
-		for count(listen) < n {
-			if served = time.Since(began); served > time.Minute {
-				return "", fmt.Errorf("%d nodes are served after %v", count(listen), served)
-			}
-			time.Sleep(time.Millisecond)
-		}
-		served = time.Since(began)
-		return listen, nil
+		served, err = startServing(agent, listen, n)
+		return listen, err
 	}
 	f, err := testbed.StartFleet(cfg)
 	defer func() {
@@ -81,12 +74,49 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(3 * time.Second)
+	time.Sleep(idleTime)
+	ingress := f.Forwarders[0]
 	idle := agent.RSS()
-	ac, ic, began := agent.CPU(), f.Forwarders[0].CPU(), time.Now()
+	agentCPU, ingressCPU, began := agent.CPU(), ingress.CPU(), time.Now()
+	changes := toggleDrains(cluster, n, length, seed)
+	spent := time.Since(began).Seconds()
+	fmt.Fprintf(w, "| %d | %v | %.1f MB | %.2f%% | %.1f MB | %.2f%% | %.1f MB | %d |\n", n, served.Round(time.Millisecond), mb(idle),
+		100*(agent.CPU()-agentCPU).Seconds()/spent, mb(agent.RSS()), 100*(ingress.CPU()-ingressCPU).Seconds()/spent, mb(ingress.RSS()), changes)
+	return nil
+}
+
+// sizeNodes returns the keys of n nodes that nobody connects to: there is no traffic.
+func sizeNodes(n int) map[string]string {
+	nodes := map[string]string{}
+	for i := range n {
+		nodes[fmt.Sprintf("%snodes/n%05d", prefix, i)] = fmt.Sprintf(`{"addr":"127.0.0.%d:%d","zone":"a","weight":1}`, 2+i/30000, 1000+i%30000)
+	}
+	return nodes
+}
+
+// startServing starts an agent and returns how long it took until it served n nodes.
+func startServing(agent *testbed.Proc, listen string, n int) (time.Duration, error) {
+	began := time.Now()
+	if err := agent.Start(); err != nil {
+		return 0, err
+	}
+	for count(listen) < n {
+		if served := time.Since(began); served > maxServeTime {
+			return 0, fmt.Errorf("%d nodes are served after %v", count(listen), served)
+		}
+		time.Sleep(time.Millisecond)
+	}
+	return time.Since(began), nil
+}
+
+// toggleDrains marks a thousandth of the nodes as draining, or takes their marks back, ten times a second. It returns how many changes
+// it made.
+func toggleDrains(cluster *etcdstandin.Cluster, n int, length time.Duration, seed uint64) (changes int) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	marked, told := map[int]bool{}, 0
-	for tick := time.NewTicker(100 * time.Millisecond); time.Since(began) < length; <-tick.C {
+	marked := map[int]bool{}
+	tick := time.NewTicker(100 * time.Millisecond)
+	defer tick.Stop()
+	for began := time.Now(); time.Since(began) < length; <-tick.C {
 		values := map[string]string{}
 		for range max(1, n/1000) {
 			i := rng.IntN(n)
@@ -100,13 +130,10 @@
 				values[key] = ""
 			}
 		}
-		told += len(values)
-		c.Do(values)
+		changes += len(values)
+		cluster.Do(values)
 	}
-	spent := time.Since(began).Seconds()
-	fmt.Fprintf(w, "| %d | %v | %.1f MB | %.2f%% | %.1f MB | %.2f%% | %.1f MB | %d |\n", n, served.Round(time.Millisecond), mb(idle),
-		100*(agent.CPU()-ac).Seconds()/spent, mb(agent.RSS()), 100*(f.Forwarders[0].CPU()-ic).Seconds()/spent, mb(f.Forwarders[0].RSS()), told)
-	return nil
+	return changes
 }
 
 func mb(bytes int64) float64 { return float64(bytes) / (1 << 20) }
--- a/internal/testbed/fleet_layout.go
+++ b/internal/testbed/fleet_layout.go
@@ -119,77 +119,93 @@
 		p.Cells, p.LeaseS*1e3, p.HeartbeatS*1e3, p.LinkTimeoutS*1e3, p.LeaderWaitS*1e3, p.FailsafeDelayS*1e3, base, status)
 }
 
+// twoLevels adds the planners of a fleet, with the links to them, and its forwarders.
 func (f *Fleet) twoLevels() error {
 	f.cfg.Params.Name, f.cfg.Params.Forwarders, f.cfg.Params.Planners = "lab", f.cfg.Forwarders, f.cfg.Planners
 	if err := f.cfg.Params.Check(); err != nil {
 		return err
 	}
 	for i := range f.cfg.Planners {
-		name := "p" + strconv.Itoa(i)
-		listen, err := freeAddr()
-		if err != nil {
-			return err
-		}
-		status, err := freeAddr()
-		if err != nil {
-			return err
-		}
-		base, err := f.base(name, i, listen, nil)
-		if err != nil {
+		if err := f.addPlanner(i); err != nil {
 			return err
 		}
-		file := filepath.Join(f.cfg.Dir, name+".toml")
-		console, err := freeAddr()
-		if err != nil {
-			return err
-		}
-		text := f.common(i, base, status) + fmt.Sprintf("listen = %q\n", listen)
-		if f.cfg.Params.LeaseS <= maxAdminLeaseS {
-			text += fmt.Sprintf("console = %q\n", console)
-		}
-		if err := os.WriteFile(file, []byte(text+f.cfg.Operator), 0o600); err != nil {
-			return err
-		}
-		p := f.proc("planner", name, file, listen, status)
-		p.adminInterfaces = [2]adminInterface{{console, file}, {console, file}}
-		f.Planners = append(f.Planners, p)
-		var links []*Link
-		for range f.cfg.Forwarders {
-			k, err := NewLink(listen)
-			if err != nil {
-				return err
-			}
-			links = append(links, k)
-		}
-		f.Links = append(f.Links, links)
 	}
 	for i := range f.cfg.Forwarders {
-		listen, err := freeAddr()
-		if err != nil {
+		if err := f.addForwarder(i); err != nil {
 			return err
 		}
-		status, err := freeAddr()
-		if err != nil {
-			return err
-		}
-		base, err := f.base(f.Observer(i), i, listen, nil)
+	}
+	return nil
+}
+
+func (f *Fleet) addPlanner(i int) error {
+	name := "p" + strconv.Itoa(i)
+	listen, err := freeAddr()
+	if err != nil {
+		return err
+	}
+	status, err := freeAddr()
+	if err != nil {
+		return err
+	}
+	base, err := f.base(name, i, listen, nil)
+	if err != nil {
+		return err
+	}
+	file := filepath.Join(f.cfg.Dir, name+".toml")
+	console, err := freeAddr()
+	if err != nil {
+		return err
+	}
+	text := f.common(i, base, status) + fmt.Sprintf("listen = %q\n", listen)
+	if f.cfg.Params.LeaseS <= maxAdminLeaseS {
+		text += fmt.Sprintf("console = %q\n", console)
+	}
+	if err := os.WriteFile(file, []byte(text+f.cfg.Operator), 0o600); err != nil {
+		return err
+	}
+	p := f.proc("planner", name, file, listen, status)
+	p.adminInterfaces = [2]adminInterface{{console, file}, {console, file}}
+	f.Planners = append(f.Planners, p)
+	var links []*Link
+	for range f.cfg.Forwarders {
+		link, err := NewLink(listen)
 		if err != nil {
 			return err
 		}
-		var at []string
-		for p := range f.cfg.Planners {
-			at = append(at, strconv.Quote(f.Links[p][i].Addr()))
-		}
-		p := f.proc("forwarder", f.Observer(i), "", listen, status)
-		if err := f.addAdminInterfaces(p, "forwarder", base, func(n int, base string) (string, error) {
-			file := filepath.Join(f.cfg.Dir, fmt.Sprintf("%s-%d.toml", f.Observer(i), n))
-			text := f.common(i, base, status) + "planners_at = [" + strings.Join(at, ", ") + "]\n"
-			return file, os.WriteFile(file, []byte(text), 0o600)
-		}); err != nil {
-			return err
-		}
-		f.Forwarders = append(f.Forwarders, p)
+		links = append(links, link)
+	}
+	f.Links = append(f.Links, links)
+	return nil
+}
+
+func (f *Fleet) addForwarder(i int) error {
+	listen, err := freeAddr()
+	if err != nil {
+		return err
+	}
+	status, err := freeAddr()
+	if err != nil {
+		return err
+	}
+	base, err := f.base(f.Observer(i), i, listen, nil)
+	if err != nil {
+		return err
+	}
+	var planners []string
+	for _, links := range f.Links {
+		planners = append(planners, strconv.Quote(links[i].Addr()))
+	}
+	p := f.proc("forwarder", f.Observer(i), "", listen, status)
+	err = f.addAdminInterfaces(p, "forwarder", base, func(n int, base string) (string, error) {
+		file := filepath.Join(f.cfg.Dir, fmt.Sprintf("%s-%d.toml", f.Observer(i), n))
+		text := f.common(i, base, status) + "planners_at = [" + strings.Join(planners, ", ") + "]\n"
+		return file, os.WriteFile(file, []byte(text), 0o600)
+	})
+	if err != nil {
+		return err
 	}
+	f.Forwarders = append(f.Forwarders, p)
 	return nil
 }
 
--- a/internal/testbed/node/model.go
+++ b/internal/testbed/node/model.go
@@ -199,7 +199,8 @@
 				sum += s.work
 			}
 		}
-		m.sent = append(keep, sent{now, a.work})
+		keep = append(keep, sent{now, a.work})
+		m.sent = keep
 		if sum > m.cfg.Budget(age) {
 			m.Fall(now)
 			m.out.Ended(now, a, "down")
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"net"
 	"slices"
+	"sync"
 	"time"
 
 	"eiderspread/internal/controlplane/forwarder"
@@ -164,6 +165,9 @@
 	return Run(sc, log)
 }
 
+// settleTime is how long backends have to notice what was given up, after the last answer.
+const settleTime = 500 * time.Millisecond
+
 // RunWith is Run that calls ended while the fleet still runs, when clients and faults have come to their end.
 func RunWith(sc Scenario, log io.Writer, ended func()) (*Fleet, *oracle.Report, error) {
 	f, err := StartFleet(sc.FleetConfig)
@@ -177,67 +181,60 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), sc.Length)
 	defer end()
-	t := sc.Traffic
-	if sc.Peak.To > 0 { // by the history's clock, which runs since the fleet's start
-		began := f.Hist.Now()
-		f.cfg.Peak = oracle.Peak{From: began + sc.Peak.From, To: began + sc.Peak.To}
-	}
-	t.Accounts, t.Classes, t.ClassFractions, t.Units, t.Seed = sc.Accounts, sc.Classes, LabClassFractions, LabUnits, sc.Seed
-	t.Retries, f.accounts = 2, sc.Accounts
-	f.clients = NewClients(t, f.Hist, f.Front)
-	measured := make(chan struct{})
-	go func() {
-		defer close(measured)
-		f.lateness(ctx)
-	}()
-	faults := make(chan struct{})
+	f.addClients(sc)
 	faulty, mend := context.WithCancel(context.Background()) // until the last answers: what is mended all at once would meet requests under way
 	defer mend()
-	go func() {
-		defer close(faults)
-		f.play(ctx, faulty, sc.Faults, log)
-	}()
-	upgraded := make(chan struct{})
-	go func() {
-		defer close(upgraded)
-		if sc.Upgrades > 0 {
-			took, err := f.UpgradeAll(ctx, sc.Upgrades)
-			fmt.Fprintf(log, "upgraded whole %d times, in %v; %v\n", len(took), took, err)
-		}
-	}()
-	looked := make(chan struct{})
-	go func() {
-		defer close(looked)
-		if sc.look != nil {
-			select {
-			case <-time.After(sc.seen):
-				sc.look(f)
-			case <-ctx.Done():
-			}
-		}
-	}()
-	levels := make(chan struct{})
-	go func() {
-		defer close(levels)
-		if sc.MeasureOverload && sc.Operator != "" {
-			f.watchLevels(ctx)
-		}
-	}()
+	var beside sync.WaitGroup
+	beside.Go(func() { f.lateness(ctx) })
+	beside.Go(func() { f.play(ctx, faulty, sc.Faults, log) })
+	beside.Go(func() { f.upgradeAndLog(ctx, sc.Upgrades, log) })
+	beside.Go(func() { sc.lookAt(ctx, f) })
+	if sc.MeasureOverload && sc.Operator != "" {
+		beside.Go(func() { f.watchLevels(ctx) })
+	}
 	f.clients.Run(ctx)
 	mend()
-	<-looked
-	<-levels
-	<-faults
-	<-upgraded
-	<-measured
+	beside.Wait()
 	ended()
-	time.Sleep(500 * time.Millisecond) // for nodes to notice what was given up
+	time.Sleep(settleTime)
 	f.readCounts()
 	rules := f.Rules()
 	rules.MinOccasions = sc.Floors
 	return f, oracle.Check(f.Hist, rules), nil
 }
 
+// addClients makes the scenario's clients. Its peak counts from now on, by the history's clock, which runs since the fleet's start.
+func (f *Fleet) addClients(sc Scenario) {
+	if sc.Peak.To > 0 {
+		began := f.Hist.Now()
+		f.cfg.Peak = oracle.Peak{From: began + sc.Peak.From, To: began + sc.Peak.To}
+	}
+	t := sc.Traffic
+	t.Accounts, t.Classes, t.ClassFractions, t.Units, t.Seed = sc.Accounts, sc.Classes, LabClassFractions, LabUnits, sc.Seed
+	t.Retries, f.accounts = 2, sc.Accounts
+	f.clients = NewClients(t, f.Hist, f.Front)
+}
+
+// upgradeAndLog upgrades the whole fleet so many times.
+func (f *Fleet) upgradeAndLog(ctx context.Context, times int, log io.Writer) {
+	if times > 0 {
+		took, err := f.UpgradeAll(ctx, times)
+		fmt.Fprintf(log, "upgraded whole %d times, in %v; %v\n", len(took), took, err)
+	}
+}
+
+// lookAt calls look when clients have asked for as long as the scenario says.
+func (sc Scenario) lookAt(ctx context.Context, f *Fleet) {
+	if sc.look == nil {
+		return
+	}
+	select {
+	case <-time.After(sc.seen):
+		sc.look(f)
+	case <-ctx.Done():
+	}
+}
+
 const lateEvery = 20 * time.Millisecond
 
 // lateness measures for as long as ctx lasts how late the laboratory itself is: its timers, and its taking of connections.
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -206,21 +206,27 @@
 		s.every = every
 	}
 	sc.Name = name
-	sc.NodeConditions = node.Rough(s.faultyFraction)
-	sc.Traffic = Traffic{HangUps: s.hangUps, Batches: s.batches, Misbehaving: s.misbehaving}
-	if s.bound {
-		sc.Plans = Bound(sc.Plans)
+	s.setNodes(sc)
+	s.setClassesAndPlans(sc)
+	s.setAccounts(sc)
+	if s.every > 0 {
+		sc.Faults = Schedule(sc.Seed, sc.Length, s.every, sc.Planners > 0, s.kinds)
+		for i := range sc.Faults {
+			f := &sc.Faults[i]
+			f.X, f.For = cmp.Or(s.strength, f.X), cmp.Or(s.lasts, f.For)
+		}
 	}
-	if s.classes != nil {
-		sc.Classes = slices.Clone(sc.Classes)
-		s.classes(sc.Classes)
+	sc.Faults = append(sc.Faults, s.fixed...)
+	sc.Floors = map[string]int{}
+	for rule, n := range s.floors {
+		sc.Floors[rule] = int(float64(n) * sc.Length.Minutes())
 	}
+	return nil
+}
+
+func (s scenario) setNodes(sc *Scenario) {
+	sc.NodeConditions = node.Rough(s.faultyFraction)
 	sc.Zones = max(sc.Zones, s.zones)
-	sc.Exact, sc.Quota, sc.CapX, sc.PeerLoss = s.exact, s.quota, s.capX, s.loss
-	if s.plans != nil {
-		sc.Plans = slices.Clone(sc.Plans)
-		s.plans(sc.Plans)
-	}
 	sc.Node.ReportS = s.reportS
 	if s.keyedS > 0 {
 		sc.Node.KeyedS = s.keyedS
@@ -232,6 +238,26 @@
 			sc.Node.Work[class] *= s.work
 		}
 	}
+}
+
+func (s scenario) setClassesAndPlans(sc *Scenario) {
+	sc.Exact, sc.Quota, sc.CapX, sc.PeerLoss = s.exact, s.quota, s.capX, s.loss
+	if s.bound {
+		sc.Plans = Bound(sc.Plans)
+	}
+	if s.classes != nil {
+		sc.Classes = slices.Clone(sc.Classes)
+		s.classes(sc.Classes)
+	}
+	if s.plans != nil {
+		sc.Plans = slices.Clone(sc.Plans)
+		s.plans(sc.Plans)
+	}
+}
+
+// setAccounts sets the traffic and who makes it, for the nodes that were set.
+func (s scenario) setAccounts(sc *Scenario) {
+	sc.Traffic = Traffic{HangUps: s.hangUps, Batches: s.batches, Misbehaving: s.misbehaving}
 	if s.accounts != nil {
 		sc.Accounts = s.accounts(sc.Forwarders, sc.Seed)
 	}
@@ -251,17 +277,4 @@
 			sc.Accounts[i].Rate *= s.load
 		}
 	}
-	if s.every > 0 {
-		sc.Faults = Schedule(sc.Seed, sc.Length, s.every, sc.Planners > 0, s.kinds)
-		for i := range sc.Faults {
-			f := &sc.Faults[i]
-			f.X, f.For = cmp.Or(s.strength, f.X), cmp.Or(s.lasts, f.For)
-		}
-	}
-	sc.Faults = append(sc.Faults, s.fixed...)
-	sc.Floors = map[string]int{}
-	for rule, n := range s.floors {
-		sc.Floors[rule] = int(float64(n) * sc.Length.Minutes())
-	}
-	return nil
 }
