--- a/internal/decision/clienttimeout/clienttimeout.go
+++ b/internal/decision/clienttimeout/clienttimeout.go
@@ -1,5 +1,5 @@
-// Package clienttimeout learns how long the clients of a class wait, to tell first attempts from client
-// retries: a first attempt arrives with one of a few common shares of its deadline left, a retry with what its
+// Package clienttimeout learns how long the clients of a class wait, to distinguish first attempts from
+// client retries: a first attempt arrives with one of a few common shares of its deadline left, a retry with what its
 // first attempt has left over. The package decides nothing.
 package clienttimeout
 
--- a/internal/decision/failuredetector/failuredetector.go
+++ b/internal/decision/failuredetector/failuredetector.go
@@ -1,4 +1,4 @@
-// Package failuredetector tells from unanswered reports which peers have failed. A peer is suspected after a
+// Package failuredetector finds failed peers by their unanswered reports. A peer is suspected after a
 // number of unanswered reports in a row; the number grows with the share of reports that stay unanswered at
 // all peers, so that message loss alone rarely leads to a suspicion. A suspicion ends after a time, so that
 // the peer is tried again. The package does no I/O; times are seconds of the caller's clock.
--- a/internal/decision/loadshed/gossip.go
+++ b/internal/decision/loadshed/gossip.go
@@ -35,7 +35,7 @@
 	s.peers[from] = peerState{level, float64(phase) + phaseResolution, now}
 }
 
-// GossipState returns what this gateway tells its peers, for callers that carry it in messages of their own.
+// GossipState returns the state that this gateway sends to its peers, for callers that have messages of their own for it.
 func (s *Shedder) GossipState() (level float64, phase uint8) { return s.level, uint8(s.phase) }
 
 // AppendGossip appends this gateway's state to a peer message, if there is space left in it.
--- a/internal/decision/loadshed/level.go
+++ b/internal/decision/loadshed/level.go
@@ -29,7 +29,7 @@
 const swing = 0.1
 
 // advance updates the level. waiting is the number of requests that wait now and fractions the sum of their
-// wait fractions; idle tells that backends have idle cores.
+// wait fractions; idle is set if backends have idle cores.
 func (s *Shedder) advance(now float64, waiting int, fractions float64, idle bool) {
 	dt := min(max(now-s.updatedAt, 0), maxGapS)
 	s.updatedAt = now
--- a/internal/decision/outlier/outlier.go
+++ b/internal/decision/outlier/outlier.go
@@ -1,12 +1,11 @@
 // Package outlier scores the backends of one gateway for outlier ejection. For each class of request a
-// backend has an error score, which tells how likely it leaves the class unanswered and decays with time,
+// backend has an error score, the likelihood that it leaves the class unanswered, which decays with time,
 // a rate of errors, and the time of its last success. The package does no I/O and decides nothing; times are
 // seconds of the caller's clock.
 package outlier
 
 import "math"
 
-// Weights of one answer.
 const (
 	scoreMemoryS       = 4.0  // time constant of an error score's decay, seconds
 	errorRateWeight    = 0.25 // of one answer in the error rate
--- a/internal/observability/trace/analyse/table.go
+++ b/internal/observability/trace/analyse/table.go
@@ -77,7 +77,7 @@
 	"owner":   ownerRole,
 }
 
-// ownerRole tells who counted the account: the gateway itself, another one, or a stand-in of a suspected owner.
+// ownerRole returns who counted the account: the gateway itself, another one, or a stand-in of a suspected owner.
 func ownerRole(r Record) string {
 	switch {
 	case r.Owner != r.PrimaryOwner:
