--- a/cmd/eiderspread/main.go
+++ b/cmd/eiderspread/main.go
@@ -1,8 +1,13 @@
-// Command eiderspread is one real ingress: the decision module on sockets.
+// Command eiderspread is one ingress with the decision module in its own process.
+//
+// EDGE_CONFIG names the configuration file, EDGE_OPERATOR the operator's file, if there is one, and EDGE_CONSOLE the address at which operators
+// call, where the configuration names none. SIGHUP reads both files again, SIGTERM drains. With -check it reads the files, says what is wrong
+// with them, and ends.
 package main
 
 import (
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"log/slog"
@@ -12,13 +17,13 @@
 	"syscall"
 
 	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
-const (
-	// There is one core: a second processor took 1.84 s of CPU a calm day against 1.71 and 1.73 s,
-	// at the same result.
-	maxProcs = 1
-)
+// maxProcs is 1: an ingress has one core.
+const maxProcs = 1
+
+var errNoConfig = errors.New("EDGE_CONFIG names no configuration file")
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
@@ -35,7 +40,7 @@
 	}
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
-		return fmt.Errorf("EDGE_CONFIG names no configuration file")
+		return errNoConfig
 	}
 	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read when it is taken
 	signal.Notify(hup, syscall.SIGHUP)
@@ -49,7 +54,7 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("ingress", cfg.Name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	reread := make(chan ingress.Config)
+	reread := make(chan ingressconfig.Config)
 	done := make(chan struct{})
 	defer close(done)
 	go reloadOnSignal(hup, done, path, cfg, reread, log)
@@ -57,20 +62,18 @@
 }
 
 // readConfig reads the configuration, and the operator's file if EDGE_OPERATOR names one.
-func readConfig(path string) (ingress.Config, error) {
-	cfg, err := ingress.ReadConfig(path)
+func readConfig(path string) (ingressconfig.Config, error) {
+	cfg, err := ingressconfig.Read(path)
 	if cfg.AdminAddr == "" && err == nil {
-		cfg.AdminAddr, err = ingress.CheckAdminAddr(os.Getenv("EDGE_CONSOLE"))
+		cfg.AdminAddr, err = ingressconfig.CheckAdminAddr(os.Getenv("EDGE_CONSOLE"))
 	}
 	if file := os.Getenv("EDGE_OPERATOR"); file != "" && err == nil {
-		cfg.OperatorConfig, err = ingress.ReadOperatorConfig(file)
+		cfg.OperatorConfig, err = ingressconfig.ReadOperator(file)
 	}
 	return cfg, err
 }
 
-// reloadOnSignal reads the configuration again at each signal and hands it on. What can't be read is logged,
-// and the ingress goes on as it is.
-func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, path string, first ingress.Config,
-	to chan<- ingress.Config, log *slog.Logger) {
-	ingress.Reload(hup, done, func() (ingress.Config, error) { return readConfig(path) }, first, to, log)
+// reloadOnSignal reads the configuration again at each signal and hands it on, until done is closed.
+func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, path string, first ingressconfig.Config, to chan<- ingressconfig.Config, log *slog.Logger) {
+	ingressconfig.Reload(hup, done, func() (ingressconfig.Config, error) { return readConfig(path) }, first, to, log)
 }
--- a/internal/controlplane/cordon/coordinator.go
+++ b/internal/controlplane/cordon/coordinator.go
@@ -11,8 +11,10 @@
 
 // Errors of a call.
 var (
-	ErrTooMany        = errors.New("too many backends are held, or too many calls are under way")
-	ErrNoMajority     = errors.New("too few forwarders answered in time: it may hold or not, call again")
+	ErrTooMany = errors.New("too many backends are held, or too many calls are under way")
+	// ErrNoMajority leaves the call's outcome unknown: its state may have reached planners and forwarders, and may bind later or be replaced.
+	// The same call, made again, settles it.
+	ErrNoMajority     = errors.New("too few forwarders answered in time: outcome unknown, call again")
 	ErrUnknownBackend = errors.New("no backend of this id is listed or held") // returned by callers of a Coordinator, which know the list
 )
 
@@ -22,7 +24,8 @@
 	ReadRegister(forwarder int, operationID uint64, id string)
 	// WriteRegister asks a forwarder to merge a state. Unless operationID is 0, the register's state then goes to HandleState.
 	WriteRegister(forwarder int, operationID uint64, id string, state State)
-	// RegisterChanged tells that a newer state is known, which binds from now on.
+	// RegisterChanged notifies the planner of a newer state, which binds this planner from now on: with a call of its own even before a
+	// majority has the state. Other planners are bound once the call has ended with nil; until then its outcome is unknown.
 	RegisterChanged(id string, state State)
 }
 
@@ -70,7 +73,7 @@
 // Registers returns the latest states known to this planner. The caller must not change them.
 func (c *Coordinator) Registers() *Registers { return &c.registers }
 
-// LinkUp takes a link to a forwarder that knows cordons. It is told all registers, and what calls under way ask for.
+// LinkUp handles a new link to a forwarder that knows cordons: it sends all registers, and the requests of calls under way.
 func (c *Coordinator) LinkUp(forwarder int) {
 	c.linked[forwarder] = true
 	c.registers.Each(func(id string, state State) { c.out.WriteRegister(forwarder, 0, id, state) })
@@ -79,8 +82,8 @@
 	}
 }
 
-// LinkDown takes the end of a link. What the forwarder has acknowledged counts on: if its process ends and forgets, the next one promises
-// nothing for a lease.
+// LinkDown handles the end of a link. What the forwarder has acknowledged still counts: if its process ends, the next one promises nothing
+// for a lease.
 func (c *Coordinator) LinkDown(forwarder int) { c.linked[forwarder] = false }
 
 func (c *Coordinator) operationIDs() []uint64 { return slices.Sorted(maps.Keys(c.operations)) }
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// HandleState takes a register's state from a forwarder: the answer to an operation, or with operation 0 a change.
+// HandleState handles a register's state from a forwarder: the answer to an operation, or with operation 0 a change.
 func (c *Coordinator) HandleState(now float64, forwarder int, operationID uint64, backendID string, state State) {
 	c.merge(backendID, state)
 	op := c.operations[operationID]
@@ -142,7 +145,8 @@
 	}
 }
 
-// startWriting proposes a version above all that a majority knows.
+// startWriting proposes a version above all that a majority knows. It binds this planner at once, so that nothing is sent to a backend that is
+// being cordoned; if the call then ends with ErrNoMajority, that stays so and its outcome elsewhere is unknown.
 func (c *Coordinator) startWriting(operationID uint64, op *operation) {
 	highest := max(op.highestVersion, c.registers.Get(op.backendID).Version)
 	op.phase, op.proposed = writing, State{Version: nextVersion(highest, c.planner), Cordoned: op.cordoned}
@@ -158,7 +162,7 @@
 	}
 }
 
-// Tick ends the calls that hold, and those whose time is over.
+// Tick ends the calls that have become effective, and those whose time is over.
 func (c *Coordinator) Tick(now float64) {
 	for _, id := range c.operationIDs() {
 		switch op := c.operations[id]; {
--- a/internal/controlplane/forwarder/config.go
+++ b/internal/controlplane/forwarder/config.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"net/netip"
 
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/base/operatorconfig"
 	"eiderspread/internal/controlplane/topology"
-	"eiderspread/internal/controlplane/transport"
-	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
 // FileConfig is a forwarder's operators' file, checked.
@@ -17,8 +17,8 @@
 	PlannerAddrs []string // by planner
 	PlannerNames []string // with TLS: the name in each planner's certificate
 	StatusAddr   string   // of the status page; empty: none
-	TLS          transport.Identity
-	Ingress      ingress.Config
+	TLS          mutualtls.Identity
+	Ingress      ingressconfig.Config
 	IngressPath  string // where Ingress was read from
 }
 
@@ -59,13 +59,13 @@
 			return cfg, fmt.Errorf("planners_at: number %d: %w", planner, err)
 		}
 	}
-	if f.TLS != (transport.Identity{}) && len(f.PlannerNames) != f.Planners {
+	if f.TLS != (mutualtls.Identity{}) && len(f.PlannerNames) != f.Planners {
 		return cfg, fmt.Errorf("names: %d given for %d planners", len(f.PlannerNames), f.Planners)
 	}
 	if _, err := f.TLS.Config(); err != nil {
 		return cfg, fmt.Errorf("tls: %w", err)
 	}
-	if cfg.Ingress, err = ingress.ReadConfig(f.IngressPath); err != nil {
+	if cfg.Ingress, err = ingressconfig.Read(f.IngressPath); err != nil {
 		return cfg, err
 	}
 	cfg.Ingress.FleetMember = true
--- a/internal/controlplane/planner/config.go
+++ b/internal/controlplane/planner/config.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"net/netip"
 
+	"eiderspread/internal/base/mutualtls"
 	"eiderspread/internal/base/operatorconfig"
 	"eiderspread/internal/controlplane/topology"
-	"eiderspread/internal/controlplane/transport"
-	"eiderspread/internal/dataplane/ingress"
+	"eiderspread/internal/dataplane/ingressconfig"
 	"eiderspread/internal/decision/loadshed"
 	"eiderspread/internal/observability/trace"
 )
@@ -22,8 +22,8 @@
 	TraceFolder    string   // for traces of decisions; empty: none are written
 	TraceMB        int      // bound of each trace file
 	ForwarderNames []string // with TLS: the common name of each forwarder's certificate, by number
-	TLS            transport.Identity
-	Ingress        ingress.Config
+	TLS            mutualtls.Identity
+	Ingress        ingressconfig.Config
 }
 
 // operatorFile is deploy/planner.toml.
@@ -62,13 +62,13 @@
 	if f.Number < 0 || f.Number >= f.Planners {
 		return cfg, &topology.ParamError{Key: "number", Problem: fmt.Sprintf("is %d, want 0 to %d", f.Number, f.Planners-1)}
 	}
-	if f.TLS != (transport.Identity{}) && len(f.ForwarderNames) != f.Forwarders {
+	if f.TLS != (mutualtls.Identity{}) && len(f.ForwarderNames) != f.Forwarders {
 		return cfg, fmt.Errorf("allowed: %d names given for %d forwarders", len(f.ForwarderNames), f.Forwarders)
 	}
 	if _, err := f.TLS.Config(); err != nil {
 		return cfg, fmt.Errorf("tls: %w", err)
 	}
-	if cfg.Ingress, err = ingress.ReadConfig(f.IngressPath); err != nil {
+	if cfg.Ingress, err = ingressconfig.Read(f.IngressPath); err != nil {
 		return cfg, err
 	}
 	if cfg.AdminAddr, err = f.checkAdminAddr(cfg.LeaseS); err != nil {
@@ -83,7 +83,7 @@
 
 // checkAdminAddr checks the admin address and that a call there can end in time: it waits for a whole lease.
 func (f *operatorFile) checkAdminAddr(leaseS float64) (string, error) {
-	addr, err := ingress.CheckAdminAddr(f.AdminAddr)
+	addr, err := ingressconfig.CheckAdminAddr(f.AdminAddr)
 	if err == nil && addr != "" && leaseS > maxLeaseForCordonS {
 		err = fmt.Errorf("console: lease_ms must be %.0f at most with it", maxLeaseForCordonS*1e3)
 	}
--- a/internal/controlplane/planner/cordons.go
+++ b/internal/controlplane/planner/cordons.go
@@ -11,7 +11,7 @@
 // errIDTooLong rejects an id that the transport would cut off: the cordon would bind nobody.
 var errIDTooLong = fmt.Errorf("an id of over %d bytes can't be held", transport.MaxNameBytes)
 
-// cordonOverlay applies the operators' cordons to the backends that the modules are told of. That a cordon binds whichever planner leads
+// cordonOverlay applies the operators' cordons to the backends that the modules see. That a cordon binds whichever planner leads
 // is package cordon's matter.
 type cordonOverlay struct {
 	coordinator  *cordon.Coordinator
@@ -28,7 +28,8 @@
 }
 
 // apply returns a backend as the modules are to see it: draining while it is cordoned. One that is uncordoned may have been restarted
-// meanwhile, so it counts as started at that moment until discovery reports a start after the cordon.
+// meanwhile, so it counts as started at that moment until discovery reports a start after the cordon. cordontable.Table has the same rule for an
+// ingress without planners: on discovery's list, in milliseconds, and with no entry left for a backend that is terminated.
 func (o *cordonOverlay) apply(backend policy.Backend) policy.Backend {
 	cordonedAt, known := o.cordonedAt[backend.ID]
 	uncordonedAt, uncordoned := o.uncordonedAt[backend.ID]
--- a/internal/dataplane/ingress/golden_test.go
+++ b/internal/dataplane/ingress/golden_test.go
@@ -4,39 +4,19 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"io"
-	"net/netip"
 	"strings"
 	"testing"
 
-	"eiderspread/internal/decision/loadshed"
-	"eiderspread/internal/membership/discovery"
+	"eiderspread/internal/dataplane/callprotocol"
 	"eiderspread/internal/testbed/golden"
 	"eiderspread/policy"
 )
 
-// Guards the status, what goes with a hot restart's messages beside the snapshot, and the keys of the operator's file and of the configuration.
+// Guards the status, and what goes with a hot restart's messages beside the snapshot.
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "status.json", &Status{})
 	golden.JSON(t, "go.json", &goMessage{})
 	golden.JSON(t, "value.json", &valueTransfer{})
-	o, err := ReadOperatorConfig(golden.Path("ingress.toml"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden.Same(t, "operator's file", o, OperatorConfig{Status: "127.0.0.1:8610", Trace: "testdata", TraceMB: 256, Overload: loadshed.Config{Enabled: true, Floor: 0.05}})
-	c, err := ReadConfig(golden.Path("config.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.keys = nil
-	set := c.Settings.Settings
-	golden.Same(t, "settings", []any{set.Gateways, c.Settings.DialTimeoutS, c.Settings.ConnIdleS}, []any{2, 0.25, 15.0})
-	c.Settings = Config{}.Settings
-	golden.Same(t, "configuration", c, Config{Name: "n3", Listen: "127.0.0.1:6379", Discovery: "127.0.0.1:8500", AdminAddr: "127.0.0.1:9920",
-		Seed: 0x8c1f30d27a5be964, MemoryMB: 192, MaxDescriptors: 1025, PeerListen: netip.MustParseAddrPort("127.0.0.1:7946"),
-		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.1.1:7946"), netip.MustParseAddrPort("127.0.1.2:7946")}, PeerBroadcast: netip.MustParseAddrPort("127.0.1.255:7946"),
-		InitialEndpoints: discovery.List{Version: 41, Full: true, Endpoints: []discovery.Endpoint{{ID: "s", Addr: "127.0.0.1:1", State: "in_service", Zone: "z", Cell: 2, Weight: 3, StartedMS: 4}}}})
 }
 
 // Guards the names by which the status counts.
@@ -59,21 +39,21 @@
 
 // Guards what is read of a command and written to a backend, or said of one that can't be taken.
 func TestGoldenCommands(t *testing.T) {
-	words := newVocabulary(testConfig().Settings.Settings)
+	schema := callprotocol.NewSchema(testConfig().Settings.Settings)
 	var b bytes.Buffer
 	for i, line := range strings.Split(strings.TrimSpace(string(golden.Load(t, "commands.txt"))), "\n") {
 		var args [][]byte
 		for _, arg := range strings.Fields(line) {
 			args = append(args, []byte(arg))
 		}
-		c, err := words.parseCall(args)
+		c, err := schema.ParseCall(args)
 		if fmt.Fprintf(&b, "%d ", i); err != nil {
 			b.Write(errorReply(err))
 			continue
 		}
 		q := c.Request
-		fmt.Fprintln(&b, q.ID, q.Class, q.Plan, q.Account, q.FirstGateway, q.GatewayCount, q.Units, q.Retry, c.timeoutS)
-		b.Write(c.appendCommand(nil, c.timeoutS-0.0005))
+		fmt.Fprintln(&b, q.ID, q.Class, q.Plan, q.Account, q.FirstGateway, q.GatewayCount, q.Units, q.Retry, c.TimeoutS)
+		b.Write(c.AppendCommand(nil, c.TimeoutS-0.0005))
 	}
 	in := &Ingress{}
 	b.Write(in.appendCommand(nil, &attempt{}))
@@ -86,12 +66,16 @@
 func TestGoldenReplies(t *testing.T) {
 	var b strings.Builder
 	for _, line := range strings.Split(strings.TrimSpace(string(golden.Load(t, "replies.txt"))), "\n") {
-		res := parseReply([]byte(strings.ReplaceAll(line, "|", "\r\n")))
-		text, err := json.Marshal(res.load)
+		res := callprotocol.ParseReply([]byte(strings.ReplaceAll(line, "|", "\r\n")))
+		text, err := json.Marshal(res.Load)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&b, "%d %q %v %q %s\n", res.status, res.value, res.isProbe, res.malformed, text)
+		malformed := ""
+		if res.Err != nil {
+			malformed = res.Err.Error()
+		}
+		fmt.Fprintf(&b, "%d %q %v %q %s\n", res.Status, res.Value, res.Probe, malformed, text)
 	}
 	golden.Check(t, "replies.out", []byte(b.String()))
 }
@@ -118,7 +102,7 @@
 	c.send("NOVEL")
 	b := receive(t, conns)
 	b.command()
-	io.WriteString(b, "*3\r\n$5\r\nvalue\r\n$7\r\nfigures\r\n$13\r\ncpu_share=0.5\r\n")
+	write(b, "*3\r\n$5\r\nvalue\r\n$7\r\nfigures\r\n$13\r\ncpu_share=0.5\r\n")
 	var got []byte
 	read := func(w *testConn, lines int) {
 		for range lines {
--- a/internal/dataplane/ingress/reload.go
+++ b/internal/dataplane/ingress/reload.go
@@ -1,34 +1,33 @@
 package ingress
 
 import (
-	"log/slog"
-	"os"
+	"slices"
+
+	"eiderspread/internal/dataplane/callprotocol"
+	"eiderspread/internal/dataplane/ingressconfig"
 )
 
-// Reload reads the configuration again at each signal and hands it on, until done is closed. What can't be read or used is logged, and the ingress
-// goes on as it is; first is the configuration that it started with.
-func Reload(hup <-chan os.Signal, done <-chan struct{}, read func() (Config, error), first Config, to chan<- Config, log *slog.Logger) {
-	for {
-		select {
-		case <-hup:
-		case <-done:
-			return
-		}
-		cfg, err := read()
-		if err == nil {
-			err = cfg.CheckReload(first)
-		}
-		if err != nil {
-			log.Error("configuration not taken over", "error", err)
-			continue
-		}
-		if cfg.NeedsRestart(first) {
-			log.Warn("of the new configuration the address of discovery, classes and attempts alone are taken over before a restart")
-		}
-		select {
-		case to <- cfg:
-		case <-done:
-			return
-		}
+// applySettings takes the classes and the number of attempts of a configuration, all or nothing. Loop only.
+func (in *Ingress) applySettings(cfg ingressconfig.Config) error {
+	if slices.Equal(cfg.Settings.Classes, in.classes) && cfg.Settings.MaxAttempts == in.maxAttempts {
+		return nil
+	}
+	decider, ok := in.decider.(ReconfigurableDecider)
+	if !ok {
+		in.log.Warn("classes and attempts are not taken over by this program before a restart")
+		return nil
+	}
+	if err := decider.UpdateClasses(in.now, cfg.Settings.Classes, cfg.Settings.MaxAttempts); err != nil {
+		return err
+	}
+	in.classes, in.maxAttempts = cfg.Settings.Classes, cfg.Settings.MaxAttempts
+	settings := in.cfg.Settings.Settings
+	settings.Classes = in.classes
+	in.schema.Store(callprotocol.NewSchema(settings))
+	var names []string
+	for _, class := range in.classes {
+		names = append(names, class.Name)
 	}
+	in.log.Info("settings taken over", "classes", names, "attempts", in.maxAttempts)
+	return nil
 }
--- a/internal/membership/agent/etcd_test.go
+++ b/internal/membership/agent/etcd_test.go
@@ -26,7 +26,7 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 var (
 	etcdFor  = flag.Duration("etcd-for", 6*time.Second, "how long etcd is compacted, cut and restarted")
@@ -65,7 +65,7 @@
 
 func (e *etcd) do(f func(ctx context.Context) error) {
 	e.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(testTimeout)
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		err := f(ctx)
@@ -107,7 +107,9 @@
 				marks[id] = true
 			} else {
 				var v struct{ Addr string }
-				json.Unmarshal(kv.Value, &v)
+				if err := json.Unmarshal(kv.Value, &v); err != nil {
+					return err
+				}
 				nodes[strings.TrimPrefix(key, "nodes/")] = v.Addr
 			}
 		}
@@ -145,7 +147,7 @@
 	cfg := Config{Listen: "127.0.0.1:0", Roster: rosterAddr,
 		Etcd: etcdsource.Config{Endpoints: []string{"http://" + endpoint}, Prefix: prefix, ProgressInterval: 150 * time.Millisecond, ReadTimeout: 2 * time.Second,
 			MaxRetryDelay: 300 * time.Millisecond},
-		Merge: merge.Config{StaleAfterS: map[string]float64{etcdName: 0.8}, OrphanAfterS: 3600, FlapWindowS: 0.001, MaxFlapHoldS: 0.001}}
+		Merge: merge.Config{StaleAfterS: map[string]float64{etcdName: 0.8}, OrphanAfterS: 3600, FlapWindowS: 0.001, MaxFlapDelayS: 0.001}}
 	if rosterAddr != "" {
 		cfg.Merge.StaleAfterS[rosterName] = 5
 	}
@@ -161,7 +163,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); a.Run(ctx) }()
+	go func() {
+		defer close(done)
+		if err := a.Run(ctx); err != nil {
+			t.Error(err)
+		}
+	}()
 	stop = func() { cancel(); <-done }
 	t.Cleanup(stop)
 	return a, stop
@@ -172,7 +179,7 @@
 	e.t.Helper()
 	began := time.Now()
 	want, rev := e.truth()
-	for time.Since(began) < patience {
+	for time.Since(began) < testTimeout {
 		if st := a.EtcdStatus(); st.Revision >= rev && describe(a.EndpointList()) == want {
 			return time.Since(began)
 		}
@@ -284,8 +291,8 @@
 		t.Fatal(err)
 	}
 	defer link.Close()
-	hist := oracle.New()
-	ros := testbed.NewRoster(hist)
+	hist := oracle.NewHistory()
+	ros := testbed.NewDiscovery(hist)
 	defer ros.Close()
 	addr, err := ros.For("a")
 	if err != nil {
@@ -299,7 +306,7 @@
 	a := startAgent(t, link.Addr(), addr)
 	state := func(id, want string) {
 		t.Helper()
-		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			got := ""
 			for _, s := range a.EndpointList().Endpoints {
 				if s.ID == id {
--- a/internal/membership/agent/moves_test.go
+++ b/internal/membership/agent/moves_test.go
@@ -23,7 +23,7 @@
 // waitFor waits for what an agent serves to be so.
 func waitFor(t *testing.T, a *Agent, what string, ok func(l discovery.List) bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok(a.EndpointList()) {
 			return
 		}
@@ -163,7 +163,7 @@
 			t.Fatal(err)
 		}
 		defer link.Close()
-		ros := testbed.NewRoster(oracle.New())
+		ros := testbed.NewDiscovery(oracle.NewHistory())
 		defer ros.Close()
 		addr, err := ros.For("a")
 		if err != nil {
@@ -189,8 +189,9 @@
 			}
 			m.Version += 3.6e6 // as a clock that was an hour ahead would have had it
 			version = m.Version
-			text, _ := json.Marshal(m)
-			os.WriteFile(cfg.State, text, 0o600)
+			if err := writeState(cfg.State, m); err != nil {
+				t.Fatal(err)
+			}
 		}
 		b, _ := startWith(t, cfg)
 		ros.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "terminating", Weight: 1})
@@ -219,7 +220,7 @@
 	}
 	defer link.Close()
 	link.Cut()
-	ros := testbed.NewRoster(oracle.New())
+	ros := testbed.NewDiscovery(oracle.NewHistory())
 	defer ros.Close()
 	addr, err := ros.For("a")
 	if err != nil {
@@ -233,7 +234,9 @@
 		}
 		defer r.Body.Close()
 		var l discovery.List
-		json.NewDecoder(r.Body).Decode(&l)
+		if err := json.NewDecoder(r.Body).Decode(&l); err != nil && r.StatusCode == http.StatusOK {
+			t.Fatal(err)
+		}
 		return r.StatusCode, l
 	}
 	cfg := config(link.Addr(), addr)
@@ -279,7 +282,7 @@
 	go w.Run(ctx, nil)
 	<-lists
 	link.Cut()
-	for end := time.Now().Add(patience); w.Age().ReportedAgeS < 2; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); w.Age().ReportedAgeS < 2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%+v", w.Age())
 		}
--- a/internal/membership/agent/cutoff_test.go
+++ b/internal/membership/agent/outage_test.go
@@ -68,14 +68,14 @@
 	}
 	go func() {
 		defer close(done)
-		testbed.NewClients(testbed.Traffic{Accounts: accounts, Classes: cfg.Classes, Shares: map[string]float64{"zone-check": 0.4, "slot-hold": 0.3, "courier-send": 0.3},
+		testbed.NewClients(testbed.Traffic{Accounts: accounts, Classes: cfg.Classes, ClassFractions: map[string]float64{"zone-check": 0.4, "slot-hold": 0.3, "courier-send": 0.3},
 			Units: map[string]int{"zone-check": 1, "slot-hold": 1, "courier-send": 1}, Seed: 1}, f.Hist, f.Front).Run(ctx)
 	}()
 	time.Sleep(2 * time.Second)
 	set := func(n *testbed.Node, state string) {
 		switch {
 		case e == nil:
-			f.Roster.Set(discovery.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: "a", State: state, Weight: 1})
+			f.Discovery.Set(discovery.Endpoint{ID: n.ID, Addr: n.Addr(), Zone: "a", State: state, Weight: 1})
 		case state == "in_service":
 			e.del("drain/" + n.ID)
 		default:
@@ -103,7 +103,7 @@
 	cancel()
 	<-done
 	slices.Sort(delays)
-	tries := len(f.Hist.Tries)
+	tries := len(f.Hist.Requests)
 	t.Logf("%s: %d drains at %.0f requests a second (%d in all): last new work after %v in the median, %v at p99, %v at worst", by, len(delays),
 		*cutoffRate, tries, delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1])
 	if strings.Contains(by, "etcd") && delays[len(delays)-1] > 300*time.Millisecond {
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -37,15 +37,15 @@
 
 // Traffic is what Clients send.
 type Traffic struct {
-	Accounts []Account
-	Classes  []policy.Class
-	Shares   map[string]float64 // of the requests, by class
-	Units    map[string]int     // by class
-	Retries  int                // of a client, after its first try
-	HangUps  float64            // share of the tries whose client hangs up at a random moment
-	Batches  float64            // share of the requests that go out in threes on one connection
-	Rude     int                // clients that send what they should not
-	Seed     uint64
+	Accounts       []Account
+	Classes        []policy.Class
+	ClassFractions map[string]float64 // of the requests, by class
+	Units          map[string]int     // by class
+	Retries        int                // of a client, after its first try
+	HangUps        float64            // share of the tries whose client hangs up at a random moment
+	Batches        float64            // share of the requests that go out in threes on one connection
+	Misbehaving    int                // clients that send what they should not
+	Seed           uint64
 }
 
 // Clients stand in for restaurants' programs: each account asks by chance at its rate, each request on a connection
@@ -60,19 +60,19 @@
 	open   map[*clientConn]bool  // all that are
 	rng    *rand.Rand
 	next   uint64
-	last   *oracle.Try
+	last   *oracle.Request
 	floods map[string]float64 // factor by account
 	wg     sync.WaitGroup     // bounded by the run's length and rates
 }
 
 type clientConn struct {
 	net.Conn
-	r         *bufio.Reader
-	idleAt    time.Time
-	life      int  // of the forwarder's program
-	used      bool // it has carried a request before
-	forwarder int
-	of        *Clients
+	reader      *bufio.Reader
+	idleAt      time.Time
+	incarnation int  // of the forwarder's program
+	used        bool // it has carried a request before
+	forwarder   int
+	clients     *Clients
 
 	// Under the Clients' lock.
 	sentAt time.Time // the last request
@@ -81,16 +81,16 @@
 
 // Close ends the connection.
 func (k *clientConn) Close() error {
-	k.of.mu.Lock()
-	delete(k.of.open, k)
-	k.of.mu.Unlock()
+	k.clients.mu.Lock()
+	delete(k.clients.open, k)
+	k.clients.mu.Unlock()
 	return k.Conn.Close()
 }
 
-// waits notes that a request has gone out on it, or that all are answered.
-func (k *clientConn) waits(awaits bool) {
-	k.of.mu.Lock()
-	defer k.of.mu.Unlock()
+// setAwaiting notes that a request has gone out on it, or that all are answered.
+func (k *clientConn) setAwaiting(awaits bool) {
+	k.clients.mu.Lock()
+	defer k.clients.mu.Unlock()
 	if k.awaits = awaits; awaits {
 		k.sentAt = time.Now()
 	}
@@ -110,8 +110,8 @@
 	return ended || err != nil
 }
 
-// heldConns returns the connections to a forwarder that break what operators are promised of a drain: idle, or with a request that is younger than recent.
-func (c *Clients) heldConns(forwarder int, recent time.Duration) map[*clientConn]string {
+// overdueConns returns the connections to a forwarder that break what operators are promised of a drain: idle, or with a request that is younger than recent.
+func (c *Clients) overdueConns(forwarder int, recent time.Duration) map[*clientConn]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := map[*clientConn]string{}
@@ -139,7 +139,7 @@
 		return false
 	}
 	_ = k.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
-	_, err := k.r.Peek(1)
+	_, err := k.reader.Peek(1)
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
@@ -166,11 +166,11 @@
 			c.account(ctx, a, rand.New(rand.NewPCG(c.cfg.Seed, uint64(i)+100)))
 		}()
 	}
-	for i := range c.cfg.Rude {
+	for i := range c.cfg.Misbehaving {
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			c.rude(ctx, rand.New(rand.NewPCG(c.cfg.Seed, uint64(i)+1<<20)))
+			c.misbehave(ctx, rand.New(rand.NewPCG(c.cfg.Seed, uint64(i)+1<<20)))
 		}()
 	}
 	c.wg.Wait()
@@ -188,7 +188,7 @@
 // account draws the times of one account's requests ahead of any answer.
 func (c *Clients) account(ctx context.Context, a Account, rng *rand.Rand) {
 	mean := 0.0
-	for class, share := range c.cfg.Shares {
+	for class, share := range c.cfg.ClassFractions {
 		mean += share * float64(c.cfg.Units[class])
 	}
 	began := time.Now()
@@ -215,7 +215,7 @@
 		if a.To > 0 && time.Since(began) > a.To {
 			return
 		}
-		class := ClassOf(a, c.cfg.Classes, c.cfg.Shares, rng.Float64())
+		class := ClassOf(a, c.cfg.Classes, c.cfg.ClassFractions, rng.Float64())
 		key := strconv.FormatUint(rng.Uint64(), 16)
 		batch := rng.Float64() < c.cfg.Batches
 		c.wg.Add(1)
@@ -262,8 +262,8 @@
 		if first == "" {
 			first = id
 		}
-		r, hint := c.try(a, class, c.front.Pick(a), id, first, key, left)
-		if r == oracle.Served || r == oracle.Alien || r == oracle.Left || (r == oracle.Failed || r == oracle.Broken) && class.Idempotency == policy.NonIdempotent {
+		r, hint := c.sendRequest(a, class, c.front.Pick(a), id, first, key, left)
+		if r == oracle.Served || r == oracle.ForeignReply || r == oracle.Disconnected || (r == oracle.Failed || r == oracle.ConnectionLost) && class.Idempotency == policy.NonIdempotent {
 			return
 		}
 		if a.Once {
@@ -298,12 +298,12 @@
 		k := list[len(list)-1]
 		c.idle[f] = list[:len(list)-1]
 		c.mu.Unlock()
-		if k.life == c.front.Life(f) && k.open() { // one to an earlier program has ended, whether or not that is seen here
+		if k.incarnation == c.front.Incarnation(f) && k.open() { // one to an earlier program has ended, whether or not that is seen here
 			return k, nil
 		}
 		k.Close()
 	}
-	life := c.front.Life(f)
+	life := c.front.Incarnation(f)
 	if c.front.Leaves(f) {
 		return nil, errLeaves
 	}
@@ -311,7 +311,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &clientConn{Conn: conn, r: bufio.NewReader(conn), life: life, forwarder: f, of: c}
+	k := &clientConn{Conn: conn, reader: bufio.NewReader(conn), incarnation: life, forwarder: f, clients: c}
 	c.mu.Lock()
 	c.open[k] = true
 	c.mu.Unlock()
@@ -346,10 +346,10 @@
 }
 
 // sent records a try as sent now.
-func (c *Clients) sent(t *oracle.Try, left time.Duration) {
-	t.Sent = c.hist.Now()
-	t.Deadline = t.Sent + left
-	c.hist.Sent(t)
+func (c *Clients) sent(t *oracle.Request, left time.Duration) {
+	t.SentAt = c.hist.Now()
+	t.Deadline = t.SentAt + left
+	c.hist.RequestSent(t)
 	c.mu.Lock()
 	c.last = t
 	c.mu.Unlock()
@@ -362,18 +362,18 @@
 		return oracle.Served, 0
 	case strings.HasPrefix(answer, "-BUSY"):
 		hint, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(answer, "-BUSY")))
-		return oracle.Refused, time.Duration(hint) * time.Millisecond
+		return oracle.Rejected, time.Duration(hint) * time.Millisecond
 	case strings.HasPrefix(answer, "-"):
 		return oracle.Failed, 0
 	}
-	return oracle.Alien, 0
+	return oracle.ForeignReply, 0
 }
 
-// try sends one request and reads its answer. On a connection that the forwarder closed between requests, while the same
+// sendRequest sends one request and reads its answer. On a connection that the forwarder closed between requests, while the same
 // program still runs, it is sent once more on a new one.
-func (c *Clients) try(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (oracle.Result, time.Duration) {
+func (c *Clients) sendRequest(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (oracle.Result, time.Duration) {
 	command := c.command(a, class, id, key, left)
-	t := &oracle.Try{ID: id, First: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
+	t := &oracle.Request{ID: id, OriginalID: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
 		Units: float64(c.cfg.Units[class.Name])}
 	c.sent(t, left)
 	hangUp := time.Duration(0)
@@ -383,7 +383,7 @@
 	for again := range 2 {
 		k, err := c.dial(f, again > 0)
 		if err != nil {
-			t.Untaken = true
+			t.NotAccepted = true
 			break
 		}
 		_ = k.SetDeadline(time.Now().Add(left + 2*time.Second))
@@ -393,28 +393,28 @@
 			defer timer.Stop()
 		}
 		asked := time.Now()
-		answer, err := k.ask(command)
+		answer, err := k.roundTrip(command)
 		if err == nil {
 			r, hint := result(answer, id)
-			c.hist.Answer(t, r)
+			c.hist.RequestAnswered(t, r)
 			c.release(f, k)
 			return r, hint
 		}
 		k.Close()
 		if left.Load() {
-			c.hist.Answer(t, oracle.Left)
-			return oracle.Left, 0
+			c.hist.RequestAnswered(t, oracle.Disconnected)
+			return oracle.Disconnected, 0
 		}
 		if c.front.Unreached(k.LocalAddr().String()) {
-			t.Untaken = true
+			t.NotAccepted = true
 			break
 		}
-		if !k.used || !c.front.Whole(f, k.life, asked) || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !k.used || !c.front.Continuous(f, k.incarnation, asked) || errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
 	}
-	c.hist.Answer(t, oracle.Broken)
-	return oracle.Broken, 0
+	c.hist.RequestAnswered(t, oracle.ConnectionLost)
+	return oracle.ConnectionLost, 0
 }
 
 // batch sends one request of each class at once on one connection and reads the answers, which must come in order.
@@ -426,19 +426,19 @@
 	}
 	defer k.Close()
 	var commands strings.Builder
-	var tries []*oracle.Try
+	var tries []*oracle.Request
 	most := time.Duration(0)
 	for i, class := range c.cfg.Classes {
 		id, left := c.newID(), seconds(class.DeadlineS)
 		most = max(most, left)
 		commands.WriteString(c.command(a, class, id, key, left))
-		t := &oracle.Try{ID: id, First: id, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f, Units: float64(c.cfg.Units[class.Name]),
-			Batch: i + 1}
+		t := &oracle.Request{ID: id, OriginalID: id, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f, Units: float64(c.cfg.Units[class.Name]),
+			BatchIndex: i + 1}
 		tries = append(tries, t)
 		c.sent(t, left)
 	}
 	_ = k.SetDeadline(time.Now().Add(most + 2*time.Second))
-	k.waits(true)
+	k.setAwaiting(true)
 	_, err = io.WriteString(k, commands.String())
 	for _, t := range tries {
 		var answer string
@@ -446,18 +446,18 @@
 			answer, err = k.answer()
 		}
 		if err != nil {
-			t.Untaken = c.front.Unreached(k.LocalAddr().String())
-			c.hist.Answer(t, oracle.Broken)
+			t.NotAccepted = c.front.Unreached(k.LocalAddr().String())
+			c.hist.RequestAnswered(t, oracle.ConnectionLost)
 			continue
 		}
 		r, _ := result(answer, t.ID)
-		c.hist.Answer(t, r)
+		c.hist.RequestAnswered(t, r)
 	}
 }
 
-// ask sends a command and returns the value, or the error's line.
-func (k *clientConn) ask(command string) (string, error) {
-	k.waits(true)
+// roundTrip sends a command and returns the value, or the error's line.
+func (k *clientConn) roundTrip(command string) (string, error) {
+	k.setAwaiting(true)
 	if _, err := io.WriteString(k, command); err != nil {
 		return "", err
 	}
@@ -466,7 +466,7 @@
 
 // answer reads one answer.
 func (k *clientConn) answer() (string, error) {
-	line, err := k.r.ReadString('\n')
+	line, err := k.reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "$") {
 		return strings.TrimRight(line, "\r\n"), err
 	}
@@ -475,7 +475,7 @@
 		return "", err
 	}
 	value := make([]byte, n+2)
-	if _, err := io.ReadFull(k.r, value); err != nil {
+	if _, err := io.ReadFull(k.reader, value); err != nil {
 		return "", err
 	}
 	return string(value[:n]), nil
--- a/internal/testbed/simulation/erring_test.go
+++ b/internal/testbed/simulation/erring_test.go
@@ -22,16 +22,16 @@
 	s.after(4, func() {
 		n := s.nodes[int(seed)%len(s.nodes)]
 		n.do(func(m *node.Model) {
-			m.Advance(s.t)
-			w := node.Weather{}
-			w.Shares[node.Error] = 0.65
-			m.SetWeather(w)
+			m.Advance(s.now)
+			w := node.Conditions{}
+			w.Fractions[node.Error] = 0.65
+			m.SetConditions(w)
 		})
 	})
 	bad := s.nodes[int(seed)%len(s.nodes)].id
 	rep := s.Run()
-	if len(rep.Counts) > 0 {
-		t.Errorf("%v", rep.Counts)
+	if len(rep.ViolationCounts) > 0 {
+		t.Errorf("%v", rep.ViolationCounts)
 	}
 	all, there, unsafe, lost := 0.0, 0.0, 0.0, 0.0
 	for _, a := range s.Hist.Attempts {
@@ -43,7 +43,7 @@
 		}
 		if a.Class == "courier-send" {
 			unsafe++
-			if a.How != "served" {
+			if a.Outcome != "served" {
 				lost++
 			}
 		}
--- a/internal/testbed/simulation/flood_test.go
+++ b/internal/testbed/simulation/flood_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		cfg.Plans = []policy.Plan{plan}
-		cfg.Weather, cfg.Nodes = node.Weather{}, 12
+		cfg.NodeConditions, cfg.Nodes = node.Conditions{}, 12
 		cfg.Accounts = []testbed.Account{{Name: "one", Plan: "chaine", Rate: 70, First: 0, Spread: 3}}
 		const restart, flood, over = 1.5, 1.8, 3.0
 		for i := range 4 {
@@ -37,7 +37,7 @@
 		}
 		cfg.Trace = func(i int, d reason.Decision) { files[i].Decisions = append(files[i].Decisions, d) }
 		rep := New(cfg).Run()
-		if len(rep.Counts) > 0 {
+		if len(rep.ViolationCounts) > 0 {
 			t.Fatalf("seed %d: %v", seed, rep.Verdict())
 		}
 		asked := 0.0
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -4,21 +4,12 @@
 package simulation
 
 import (
-	"cmp"
-	"container/heap"
 	"fmt"
-	"maps"
-	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"eiderspread/internal/base/peerprotocol"
-	"eiderspread/internal/base/snapshot"
-	"eiderspread/internal/controlplane/forwarder"
-	"eiderspread/internal/controlplane/planner"
 	"eiderspread/internal/controlplane/topology"
-	"eiderspread/internal/controlplane/transport"
 	"eiderspread/internal/decision/loadshed"
 	"eiderspread/internal/decision/reason"
 	"eiderspread/internal/testbed"
@@ -34,9 +25,9 @@
 	Classes                            []policy.Class
 	Plans                              []policy.Plan
 	Node                               node.Config
-	Weather                            node.Weather
+	NodeConditions                     node.Conditions
 	Accounts                           []testbed.Account
-	Shares                             map[string]float64
+	ClassFractions                     map[string]float64
 	Units                              map[string]int
 	LengthS                            float64
 	Faults                             []testbed.Fault
@@ -47,94 +38,62 @@
 	CapX                               float64        // of the rule on caps; 0: 2 in two levels, not judged in one
 	Seed                               uint64
 	Overload                           loadshed.Config // of ingresses
-	Rush                               bool            // see lab.FleetConfig
+	MeasureOverload                    bool            // see lab.FleetConfig
 	Peak                               oracle.Peak
-	Stated                             oracle.Stated
+	Stated                             oracle.LoadSheddingBounds
 	Trace                              func(decider int, d reason.Decision) // told of each decision of an ingress, in two levels of a planner, if not nil; true times
 }
 
-// Drift is what the fastest clock makes of a second.
-const Drift = 1.02
-
-type event struct {
-	at  float64
-	seq int
-	do  func()
-}
-
-type queue []event
-
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
-}
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	e := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return e
-}
-
 // Sim is the world. True time is t; each party has its own clock.
 type Sim struct {
-	cfg        Config
-	Hist       *oracle.History
-	rng        *rand.Rand
-	t          float64
-	seq        int
-	queue      queue
-	p          topology.Params
-	planners   []*simPlanner
-	fwds       []*simForwarder
-	links      [][]*simLink // by planner and forwarder
-	nodes      []*simNode   // in the order of their first start
-	keys       *node.Keys
-	nextNode   int
-	nextID     int
-	peerWay    testbed.Weather // of datagrams between ingresses of different halves
-	fog        testbed.Weather // of all
-	liar       int             // an ingress that lies of overload, from 1; 0: none
-	lateS      float64         // how late the roster tells
-	floods     map[string]float64
-	accounts   map[string]testbed.Account
-	asks       map[string]*asked // by first try; as many as the run has
-	breach     map[string]int
-	first      string
-	Leads      int             // moments at which a cell was found led: that fencing was looked at
-	byHand     map[string]bool // nodes on which operators are at work
-	Messages   int             // between ingresses that came, and of these, beyond what one takes in
-	Drowned    int
-	Handshakes int            // connections to nodes that were opened
-	Kinds      map[string]int // of messages sent between ingresses
-	Held       int            // nodes that operators took out with a yes
-}
-
-type clock struct{ offset, speed float64 }
-
-func (c clock) at(t float64) float64 { return 1e6 + c.offset + t*c.speed }
-
-func (s *Sim) after(d float64, do func()) {
-	s.seq++
-	heap.Push(&s.queue, event{s.t + d, s.seq, do})
+	cfg              Config
+	Hist             *oracle.History
+	rng              *rand.Rand
+	now              float64
+	seq              int
+	queue            queue
+	params           topology.Params
+	planners         []*simPlanner
+	fwds             []*simForwarder
+	links            [][]*simLink // by planner and forwarder
+	nodes            []*simNode   // in the order of their first start
+	keys             *node.Keys
+	nextNode         int
+	nextID           int
+	peerWay          testbed.PacketConditions // of datagrams between ingresses of different halves
+	packetConditions testbed.PacketConditions // of all
+	liar             int                      // an ingress that lies of overload, from 1; 0: none
+	lateS            float64                  // how late the roster tells
+	floods           map[string]float64
+	accounts         map[string]testbed.Account
+	clientRequests   map[string]*clientRequest // by first try; as many as the run has
+	breach           map[string]int
+	first            string
+	Leads            int             // moments at which a cell was found led: that fencing was looked at
+	byHand           map[string]bool // nodes on which operators are at work
+	Messages         int             // between ingresses that came, and of these, beyond what one takes in
+	Drowned          int
+	Handshakes       int            // connections to nodes that were opened
+	Kinds            map[string]int // of messages sent between ingresses
+	Cordoned         int            // nodes that operators took out with a yes
 }
 
 func (s *Sim) breaks(rule, format string, args ...any) {
 	if s.breach[rule]++; s.first == "" {
-		s.first = fmt.Sprintf("%.3f %s: ", s.t, rule) + fmt.Sprintf(format, args...)
+		s.first = fmt.Sprintf("%.3f %s: ", s.now, rule) + fmt.Sprintf(format, args...)
 	}
 }
 
 // New makes a fleet that has just been started.
 func New(cfg Config) *Sim {
-	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), breach: map[string]int{}, keys: node.NewKeys(), floods: map[string]float64{}, asks: map[string]*asked{}, byHand: map[string]bool{}, Kinds: map[string]int{}, accounts: map[string]testbed.Account{}}
+	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), breach: map[string]int{}, keys: node.NewKeys(), floods: map[string]float64{}, clientRequests: map[string]*clientRequest{}, byHand: map[string]bool{}, Kinds: map[string]int{}, accounts: map[string]testbed.Account{}}
 	for _, a := range cfg.Accounts {
 		s.accounts[a.Name] = a
 	}
-	s.Hist = oracle.NewAt(func() time.Duration { return time.Duration(s.t * float64(time.Second)) })
+	s.Hist = oracle.NewHistoryWithClock(func() time.Duration { return time.Duration(s.now * float64(time.Second)) })
 	if cfg.Planners > 0 {
-		s.p = topology.Params{Name: "sim", Forwarders: cfg.Forwarders, Planners: cfg.Planners, Cells: cfg.Cells}
-		if err := s.p.Check(); err != nil {
+		s.params = topology.Params{Name: "sim", Forwarders: cfg.Forwarders, Planners: cfg.Planners, Cells: cfg.Cells}
+		if err := s.params.Check(); err != nil {
 			panic(err)
 		}
 	}
@@ -143,18 +102,18 @@
 	}
 	clocks := func() clock { return clock{s.rng.Float64() * 100, 1 + 0.04*(s.rng.Float64()-0.5)} }
 	for n := range cfg.Planners {
-		p := &simPlanner{s: s, n: n, clock: clocks()}
-		s.planners = append(s.planners, p)
-		p.start()
+		planner := &simPlanner{sim: s, number: n, clock: clocks()}
+		s.planners = append(s.planners, planner)
+		planner.start()
 		s.links = append(s.links, nil)
 		for f := range cfg.Forwarders {
-			s.links[n] = append(s.links[n], &simLink{s: s, p: n, f: f})
+			s.links[n] = append(s.links[n], &simLink{sim: s, plannerIndex: n, forwarderIndex: f})
 		}
 	}
 	for n := range cfg.Forwarders {
-		f := &simForwarder{s: s, n: n, clock: clocks()}
-		s.fwds = append(s.fwds, f)
-		f.start()
+		forwarder := &simForwarder{sim: s, number: n, clock: clocks()}
+		s.fwds = append(s.fwds, forwarder)
+		forwarder.start()
 	}
 	for n := range cfg.Planners {
 		for f := range cfg.Forwarders {
@@ -167,250 +126,16 @@
 // settings are the module's, for gateway me of so many.
 func (s *Sim) settings(me, gateways int, peers bool) policy.Settings {
 	return policy.Settings{Self: me, Gateways: gateways, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRequestUnits: 6, PeerMessages: peers, PeerMessageRate: peerIntake,
-		LoadShedding: s.cfg.Overload, CancelAllowed: true, RetryAfterAllowed: true, MaxAttempts: testbed.MaxAttempts, MaxRetryAfterS: 1, LoadReportInResponse: true, ResponseSlackS: 0.02, SlowStartMinFraction: testbed.StatedColdFrom,
-		SlowStartS: testbed.StatedColdS, CollapseMultiple: testbed.StatedMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
-}
-
-// ---- Nodes and the roster ----
-
-// simNode is one node under its id, through all its lives.
-type simNode struct {
-	s       *Sim
-	id      string
-	model   *node.Model // nil while it is down
-	life    int
-	born    float64 // true time; 0: long ago
-	cut     [2]bool // from forwarders of even and of odd numbers
-	open    map[uint64]*simAttempt
-	handles uint64
-	listed  bool // runs, and does not drain
-	wakeAt  float64
-}
-
-func (s *Sim) addNode(cold bool) *simNode {
-	s.nextNode++
-	n := &simNode{s: s, id: fmt.Sprint("z", s.nextNode)}
-	s.nodes = append(s.nodes, n)
-	n.start(cold)
-	return n
-}
-
-func (n *simNode) start(cold bool) {
-	s := n.s
-	born, started := -1e6, -1e6*time.Second
-	if n.born = 0; cold {
-		born, started = s.t, s.Hist.Now()
-		n.born = s.t
-	}
-	cfg := s.cfg.Node
-	cfg.Zone = testbed.ZoneOf(n.id, s.cfg.Zones)
-	n.life = s.Hist.Life(oracle.Life{Node: n.id, Started: started, Capacity: float64(cfg.Cores) * cfg.Speed, ColdFrom: cfg.ColdFrom, ColdS: cfg.ColdS})
-	n.open, n.wakeAt, n.listed = map[uint64]*simAttempt{}, math.Inf(1), true
-	n.model = node.New(cfg, s.keys, s.rng.Uint64(), born, n)
-	n.model.SetWeather(s.cfg.Weather)
-	n.tell(policy.Up)
-}
-
-// stop ends the node as a crash would.
-func (n *simNode) stop(how string) {
-	if n.model == nil {
-		return
-	}
-	n.model, n.listed = nil, false
-	for _, h := range slices.Sorted(maps.Keys(n.open)) {
-		a := n.open[h]
-		delete(n.open, h)
-		n.s.Hist.Done(a.rec, how)
-		n.s.after(n.s.hop(), func() { a.f.finish(a, policy.Reset) })
-	}
-}
-
-// do runs something on the model and sees to it that it is woken in time.
-func (n *simNode) do(f func(m *node.Model)) {
-	if n.model == nil {
-		return
-	}
-	m := n.model
-	f(m)
-	if n.model != m {
-		return
-	}
-	if next := m.Next(); next < n.wakeAt {
-		n.wakeAt = next
-		n.s.after(max(next-n.s.t, 0), func() {
-			if n.model == m && n.wakeAt <= n.s.t {
-				n.wakeAt = math.Inf(1)
-				n.do(func(m *node.Model) { m.Advance(n.s.t) })
-			}
-		})
-	}
-}
-
-// Began implements node.Out.
-func (n *simNode) Began(_ float64, a *node.Attempt, work float64, repeat bool) {
-	n.s.Hist.Began(n.open[a.Handle].rec, work, repeat)
-}
-
-// Answer implements node.Out.
-func (n *simNode) Answer(_ float64, a *node.Attempt, f node.Fate, load float64) {
-	x := n.open[a.Handle]
-	status := policy.Error
-	switch f {
-	case node.Served, node.Late, node.Copy, node.AbsurdLoad:
-		status = policy.OK
-		n.s.Hist.Wrote(x.rec)
-	case node.Full:
-		status = policy.Rejected
-	case node.ResetUnrun, node.ResetRan, node.ResetMid:
-		status = policy.Reset
-	}
-	x.load = &policy.Load{InFlight: -1, Queue: -1, Utilization: load, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
-	if n.isCut(x.f.n) {
-		return
-	}
-	n.s.after(n.s.hop(), func() { x.f.finish(x, status) })
-}
-
-// Ended implements node.Out.
-func (n *simNode) Ended(_ float64, a *node.Attempt, how string) {
-	x := n.open[a.Handle]
-	if x == nil {
-		return
-	}
-	delete(n.open, a.Handle)
-	n.s.Hist.Done(x.rec, how)
-	if how == "down" {
-		n.s.after(n.s.hop(), func() { x.f.finish(x, policy.Reset) })
-	}
-}
-
-// Fell implements node.Out.
-func (n *simNode) Fell(float64) {
-	s := n.s
-	s.Hist.Fell(n.life)
-	s.Hist.Fault("node " + n.id + " fell over")
-	n.listed = false
-	s.after(2, func() { n.tell(policy.Removed) })
-}
-
-func (n *simNode) isCut(f int) bool { return n.cut[f%2] }
-
-// hop is how long a message takes.
-func (s *Sim) hop() float64 { return 0.0002 + 0.002*s.rng.Float64() }
-
-// tell has the roster tell all parties of a node, each at a time of its own.
-func (n *simNode) tell(state policy.BackendState) {
-	s := n.s
-	for _, f := range s.fwds {
-		s.after(s.lateS+0.05*s.rng.Float64(), func() { f.told(n, state) })
-	}
-	for _, p := range s.planners {
-		s.after(s.lateS+0.05*s.rng.Float64(), func() {
-			if host := p.host; host != nil {
-				p.do(func() {
-					if p.host == host {
-						host.UpdateBackends(p.now(), []policy.Backend{n.entry(p.clock, state)}, false)
-					}
-				})
-			}
-		})
-	}
-}
-
-var stateNames = map[policy.BackendState]string{policy.Up: "in_service", policy.Draining: "terminating", policy.Removed: "terminated"}
-
-// entry is a node as a party sees it: times by its own clock.
-func (n *simNode) entry(c clock, state policy.BackendState) policy.Backend {
-	e := policy.Backend{ID: n.id, Zone: testbed.ZoneOf(n.id, n.s.cfg.Zones), State: state, Weight: 1}
-	if n.born > 0 {
-		e.StartedAt = c.at(n.born)
-	}
-	return e
-}
-
-// list is the whole list by a clock, those that drain not in it.
-func (s *Sim) list(c clock) (list []policy.Backend) {
-	for _, n := range s.nodes {
-		if n.listed {
-			list = append(list, n.entry(c, policy.Up))
-		}
-	}
-	return list
-}
-
-func (s *Sim) node(id string) *simNode {
-	for _, n := range s.nodes {
-		if n.id == id {
-			return n
-		}
-	}
-	return nil
-}
-
-// ---- Planners ----
-
-type simPlanner struct {
-	s      *Sim
-	n      int
-	host   *planner.Core
-	clock  clock
-	life   uint64
-	paused bool
-	inbox  []func() // what came while it was paused
-}
-
-func (p *simPlanner) now() float64 { return p.clock.at(p.s.t) }
-
-func (p *simPlanner) start() {
-	p.life++
-	life := p.life
-	host, err := planner.NewCore(planner.Config{Params: p.s.p, Number: p.n, Seed: p.s.rng.Uint64(), Settings: p.s.settings(0, 1, false)}, p.now(), p)
-	if err != nil {
-		panic(err)
-	}
-	p.host = host
-	if p.s.cfg.Trace != nil {
-		host.SetTracer(func(d reason.Decision) {
-			d.At = p.s.t
-			p.s.cfg.Trace(p.n, d)
-		})
-	}
-	host.UpdateBackends(p.now(), p.s.list(p.clock), true)
-	var tick func()
-	tick = func() {
-		if p.life != life {
-			return
-		}
-		p.do(func() { p.host.Tick(p.now()) })
-		p.s.after(planner.TickIntervalS, tick)
-	}
-	p.s.after(p.s.rng.Float64()*planner.TickIntervalS, tick)
-}
-
-// do runs something on the planner's loop: once it runs again, if it is paused.
-func (p *simPlanner) do(f func()) {
-	if p.paused {
-		p.inbox = append(p.inbox, f)
-		return
-	}
-	f()
-	p.s.check()
-}
-
-// SendToForwarder implements planner.Out.
-func (p *simPlanner) SendToForwarder(f int, msgs ...transport.Message) {
-	p.s.links[p.n][f].send(true, msgs)
+		LoadShedding: s.cfg.Overload, CancelAllowed: true, RetryAfterAllowed: true, MaxAttempts: testbed.MaxAttempts, MaxRetryAfterS: 1, LoadReportInResponse: true, ResponseSlackS: 0.02, SlowStartMinFraction: testbed.StatedSlowStartMinFraction,
+		SlowStartS: testbed.StatedSlowStartS, CollapseMultiple: testbed.StatedMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
 }
 
-// Log implements planner.Out.
-func (p *simPlanner) Log(string, ...any) {}
-
 // check is the heart of fencing: no cell has two planners that may decide now.
 func (s *Sim) check() {
-	for c := range s.p.Cells {
+	for c := range s.params.Cells {
 		n := 0
-		for _, p := range s.planners {
-			if !p.paused && p.host != nil && p.host.IsLeader(p.now(), c) {
+		for _, planner := range s.planners {
+			if !planner.paused && planner.host != nil && planner.host.IsLeader(planner.now(), c) {
 				n++
 			}
 		}
@@ -421,410 +146,8 @@
 	}
 }
 
-// ---- Forwarders and ingresses ----
-
-// simForwarder does what an ingress does round its Gateway, without sockets.
-type simForwarder struct {
-	s     *Sim
-	n     int
-	core  *forwarder.Core // of two levels; nil while nothing runs, as gate
-	gate  *policy.Gateway // of one level
-	clock clock
-	run   int                     // from one start to the next, over replacements
-	life  int                     // of the process that decides
-	lives map[int]map[string]bool // of processes that hold requests: the nodes that operators hold, as each has heard
-	last  int                     // life given out
-	known uint64                  // the life that planners are told
-	succession
-	open    map[string]*simRequest
-	up      map[string]policy.BackendState // of nodes, as told
-	pending []func()                       // outcomes that an action yielded, for when its event has returned
-	busy    bool
-	downAt  float64
-	intake  intake
-	conns   map[string][]float64 // to nodes, idle since then, by node and life
-}
-
-// peerIntake is how many messages of others an ingress takes in a second, as on the platform; what comes beyond is lost.
-const peerIntake = 40
-
-type intake struct{ left, at float64 }
-
-func (i *intake) take(now float64) bool {
-	i.left = min(i.left+peerIntake*(now-i.at), peerIntake/4)
-	if i.at = now; i.left < 1 {
-		return false
-	}
-	i.left--
-	return true
-}
-
-// simRequest is one try that a forwarder has taken.
-type simRequest struct {
-	policy.Request
-	try      *oracle.Try
-	life     int // of the process that holds it
-	attempts []*simAttempt
-	over     bool
-}
-
-// simAttempt is one send.
-type simAttempt struct {
-	node.Attempt
-	f      *simForwarder
-	r      *simRequest
-	number int
-	n      *simNode
-	at     float64 // by the forwarder's clock
-	rec    *oracle.Attempt
-	done   bool
-	load   *policy.Load
-	way    string // of its connection
-}
-
-func (f *simForwarder) now() float64 { return f.clock.at(f.s.t) }
-func (f *simForwarder) runs() bool   { return f.core != nil || f.gate != nil }
-
-func (f *simForwarder) start() {
-	s := f.s
-	f.run++
-	run := f.run
-	f.lives, f.succession = map[int]map[string]bool{}, succession{}
-	f.life = f.begin()
-	f.known = uint64(f.life)
-	f.open, f.up, f.pending, f.conns = map[string]*simRequest{}, map[string]policy.BackendState{}, nil, map[string][]float64{}
-	for _, n := range s.nodes {
-		if n.listed {
-			f.up[n.id] = policy.Up
-		}
-	}
-	if s.cfg.Planners > 0 {
-		f.core = f.newCore()
-		var tick func()
-		tick = func() {
-			if f.run == run {
-				if !f.moving {
-					f.do(func() { f.core.Tick(f.now()) })
-				}
-				s.after(forwarder.TickIntervalS, tick)
-			}
-		}
-		s.after(s.rng.Float64()*forwarder.TickIntervalS, tick)
-		return
-	}
-	var err error
-	if f.gate, err = policy.New(s.settings(f.n, s.cfg.Forwarders, true), s.rng.Uint64(), f.now(), f); err != nil {
-		panic(err)
-	}
-	f.gate.SetTracer(func(d reason.Decision) {
-		if r := f.open[d.ID]; r != nil {
-			r.try.Queued = r.try.Queued || d.Step == reason.StepQueued
-			if d.Step == reason.StepRejected {
-				r.try.Why = int(d.Reason)
-			}
-		}
-		if d.At = s.t; s.cfg.Trace != nil {
-			s.cfg.Trace(f.n, d)
-		}
-	})
-	f.gate.UpdateBackends(f.now(), s.list(f.clock), true)
-}
-
-func (f *simForwarder) newCore() *forwarder.Core {
-	s := f.s
-	return forwarder.NewCore(forwarder.Config{Params: s.p, Number: f.n, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRetryAfterS: 1,
-		MaxAttempts: testbed.MaxAttempts, Seed: s.rng.Uint64()}, f.now(), f)
-}
-
-// begin gives a process its life.
-func (f *simForwarder) begin() int {
-	f.last++
-	f.lives[f.last] = map[string]bool{}
-	return f.last
-}
-
-// do runs one event on the forwarder's loop, and what it left to do.
-func (f *simForwarder) do(event func()) {
-	if !f.runs() {
-		return
-	}
-	if f.busy {
-		f.pending = append(f.pending, event)
-		return
-	}
-	f.busy = true
-	event()
-	for len(f.pending) > 0 && f.runs() {
-		next := f.pending[0]
-		f.pending = f.pending[1:]
-		next()
-	}
-	f.busy = false
-}
-
-// told takes the roster's word on a node.
-func (f *simForwarder) told(n *simNode, state policy.BackendState) {
-	if !f.runs() {
-		return
-	}
-	f.s.Hist.Tell(oracle.Party(f.n), n.id, stateNames[state])
-	f.up[n.id] = state
-	if f.gate != nil {
-		f.do(func() { f.gate.UpdateBackends(f.now(), []policy.Backend{n.entry(f.clock, state)}, false) })
-	}
-}
-
-// SendToPlanner implements forward.Out.
-func (f *simForwarder) SendToPlanner(p int, msgs ...transport.Message) {
-	f.s.links[p][f.n].send(false, msgs)
-}
-
-// PlannerWritable implements forward.Out.
-func (f *simForwarder) PlannerWritable(p int) bool { return f.s.links[p][f.n].fUp }
-
-// answer gives a client its answer; the first of a request stands, as in the ingress.
-func (f *simForwarder) answer(id string, how oracle.Result) {
-	r := f.open[id]
-	if r == nil {
-		f.s.breaks(oracle.Answer, "%v for %s, which is not open", how, id)
-		return
-	}
-	if r.over && how == oracle.Served {
-		return
-	}
-	if r.over {
-		f.s.breaks(oracle.Answer, "%s has a second answer", id)
-	}
-	r.over = true
-	f.s.Hist.Answer(r.try, how)
-}
-
-// Reject implements policy.Actions.
-func (f *simForwarder) Reject(id string, retryS float64) {
-	if !f.order(id, snapshot.Order{Kind: snapshot.OrderReject, ID: id, DelayS: retryS}) {
-		f.refuse(id, retryS)
-	}
-}
-
 // What follows carries actions out, whichever process decided on them.
 
-func (f *simForwarder) refuse(id string, retryS float64) {
-	if r := f.open[id]; r != nil && !r.over {
-		try, s := r.try, f.s
-		wait := max(retryS, 0.1) + 0.2*s.rng.Float64()
-		if s.accounts[try.Account].Deaf {
-			wait = 0.1 + 0.2*s.rng.Float64()
-		}
-		s.after(wait, func() { s.again(try) })
-	}
-	f.answer(id, oracle.Refused)
-}
-
-// Fail implements policy.Actions.
-func (f *simForwarder) Fail(id string) {
-	if !f.order(id, snapshot.Order{Kind: snapshot.OrderFail, ID: id}) {
-		f.answer(id, oracle.Failed)
-	}
-}
-
-// SetTimer implements policy.Actions.
-func (f *simForwarder) SetTimer(token uint64, d float64) {
-	run := f.run
-	f.s.after(max(d, 0), func() {
-		if f.run == run && f.gate != nil {
-			f.do(func() { f.gate.HandleTimer(f.now(), token) })
-		}
-	})
-}
-
-// SetCordoned implements forward.Out.
-func (f *simForwarder) SetCordoned(server string, held bool) {
-	f.lives[f.life][server] = held
-	if f.old != nil {
-		f.send(snapshot.Order{Kind: snapshot.OrderCordon, ID: server, Cordoned: held})
-	}
-}
-
-// Probe implements policy.Actions.
-func (f *simForwarder) Probe(string) {}
-
-// Log implements policy.Actions.
-func (f *simForwarder) Log(string) {}
-
-// SendPeerMessage implements policy.Actions: a datagram, that may be lost, late and doubled.
-func (f *simForwarder) SendPeerMessage(to int, data []byte) {
-	s := f.s
-	s.sort(data)
-	if s.liar == f.n+1 {
-		testbed.Lie(data, s.t)
-	}
-	for g := range s.fwds {
-		if g == f.n || to != policy.Broadcast && g != to {
-			continue
-		}
-		if s.peerWay.Cut && g%2 != f.n%2 || s.rng.Float64() < s.fog.Loss+cmp.Or(s.cfg.PeerLoss, 0.03) {
-			continue
-		}
-		for range 1 + boolInt(s.rng.Float64() < s.fog.Double) {
-			d := 0.0023 + 0.01*s.rng.Float64() + s.fog.Delay.Seconds() + s.rng.Float64()*s.fog.Jitter.Seconds()
-			s.after(d, func() {
-				if x := s.fwds[g]; x.gate != nil && x.hear() {
-					x.do(func() { x.gate.HandlePeerMessage(x.now(), f.n, data) })
-				}
-			})
-		}
-	}
-}
-
-func boolInt(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
-}
-
-// Cancel implements policy.Actions.
-func (f *simForwarder) Cancel(id string, attempt int) {
-	if !f.order(id, snapshot.Order{Kind: snapshot.OrderCancel, ID: id, Attempt: attempt}) {
-		f.cancel(id, attempt)
-	}
-}
-
-func (f *simForwarder) cancel(id string, attempt int) {
-	if r := f.open[id]; r != nil && attempt < len(r.attempts) {
-		f.finish(r.attempts[attempt], policy.Cancelled)
-	}
-}
-
-// Send implements policy.Actions.
-func (f *simForwarder) Send(id, server string, timeoutS float64) {
-	if !f.order(id, snapshot.Order{Kind: snapshot.OrderSend, ID: id, Backend: server, DelayS: timeoutS}) {
-		f.write(id, server, timeoutS)
-	}
-}
-
-func (f *simForwarder) write(id, server string, timeoutS float64) {
-	s, r := f.s, f.open[id]
-	if r == nil || r.over {
-		s.breaks(oracle.Answer, "%s is sent after its end", id)
-		return
-	}
-	class := s.class(r.Class)
-	a := &simAttempt{f: f, r: r, number: len(r.attempts), n: s.node(server), at: f.now(),
-		Attempt: node.Attempt{Request: id, Account: r.Account, Class: r.Class}}
-	if class.Idempotency == policy.KeyedIdempotent {
-		a.Key = r.try.First
-	}
-	r.attempts = append(r.attempts, a)
-	if a.n == nil || f.up[server] != policy.Up || f.lives[r.life][server] {
-		f.finish(a, policy.NotSent)
-		return
-	}
-	s.after(max(min(timeoutS, r.DeadlineAt-f.now()), 0), func() { f.finish(a, policy.Timeout) }) // as the ingress bounds it
-	s.after(s.hop()+f.connect(a), func() { a.arrive() })
-}
-
-// Connections to nodes, as the ingress keeps them: one attempt at a time on each, those that ended well are used again for so long.
-const (
-	connIdleS  = 7.5
-	handshakeS = 0.004
-)
-
-// connect finds a connection for an attempt and returns how long it takes to have it.
-func (f *simForwarder) connect(a *simAttempt) float64 {
-	s := f.s
-	a.way = fmt.Sprint(a.n.id, "/", a.n.life)
-	list := f.conns[a.way]
-	for len(list) > 0 && s.t-list[0] > connIdleS {
-		list = list[1:]
-	}
-	if n := len(list); n > 0 {
-		f.conns[a.way] = list[:n-1]
-		return 0
-	}
-	s.Handshakes++
-	return handshakeS * (1 + s.rng.Float64())
-}
-
-// release keeps the connection of an attempt that ended with an answer.
-func (f *simForwarder) release(a *simAttempt, status policy.Status) {
-	if a.way != "" && (status == policy.OK || status == policy.Error || status == policy.Rejected) {
-		f.conns[a.way] = append(f.conns[a.way], f.s.t)
-	}
-}
-
-// arrive brings an attempt to its node.
-func (a *simAttempt) arrive() {
-	s, n := a.f.s, a.n
-	switch {
-	case n.isCut(a.f.n):
-		if s.rng.Float64() < 0.5 { // on a new connection, which never comes up; else on an open one, silently
-			s.after(0.25, func() { a.f.finish(a, policy.ConnectFailed) })
-		}
-		return
-	case n.model == nil || n.model.Fallen():
-		s.after(s.hop(), func() { a.f.finish(a, policy.ConnectFailed) })
-		return
-	case n.model.Breaks():
-		s.after(s.hop(), func() { a.f.finish(a, policy.Reset) })
-		return
-	}
-	n.handles++
-	a.Handle = n.handles
-	a.rec = &oracle.Attempt{ID: a.r.ID, Node: n.id, Account: a.r.Account, Class: a.r.Class, Plan: a.r.Plan, Units: a.r.Units, Life: n.life,
-		Conn: fmt.Sprintf("%d/%s/%d", a.f.n, a.r.ID, a.number)}
-	n.open[a.Handle] = a
-	s.Hist.Came(a.rec)
-	n.do(func(m *node.Model) { s.Hist.Weighed(a.rec, m.Arrive(s.t, &a.Attempt)) })
-	if a.done { // given up on the way
-		a.leave()
-	}
-}
-
-// leave takes the end of an attempt's connection to the node.
-func (a *simAttempt) leave() {
-	if a.rec == nil {
-		return
-	}
-	s, n := a.f.s, a.n
-	s.Hist.ConnEnd(a.rec.Conn)
-	if n.isCut(a.f.n) {
-		return
-	}
-	s.after(s.hop(), func() {
-		if n.open[a.Handle] == a {
-			n.do(func(m *node.Model) { m.Leave(s.t, &a.Attempt) })
-		}
-	})
-}
-
-// finish ends an attempt at the forwarder, the first time that it is called.
-func (f *simForwarder) finish(a *simAttempt, status policy.Status) {
-	if a.done {
-		return
-	}
-	a.done = true
-	f.release(a, status)
-	a.leave()
-	r := a.r
-	if f.lives[r.life] == nil {
-		return
-	}
-	if status == policy.OK {
-		f.answer(r.ID, oracle.Served)
-	}
-	f.happen(r, func(g gateway) {
-		g.HandleOutcome(f.now(), policy.Outcome{ID: r.ID, Backend: a.n.idOr(), Attempt: a.number, Status: status, Completed: r.over, LatencyS: f.now() - a.at, Load: a.load})
-	})
-}
-
-func (n *simNode) idOr() string {
-	if n == nil {
-		return ""
-	}
-	return n.id
-}
-
 func (s *Sim) class(name string) policy.Class {
 	for _, c := range s.cfg.Classes {
 		if c.Name == name {
@@ -834,39 +157,6 @@
 	return policy.Class{}
 }
 
-// request has a forwarder take a try.
-func (f *simForwarder) request(q policy.Request, first string, left float64) {
-	s := f.s
-	try := &oracle.Try{ID: q.ID, First: first, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.n, Units: q.Units,
-		Sent: s.Hist.Now(), Deadline: s.Hist.Now() + time.Duration(left*float64(time.Second))}
-	s.Hist.Sent(try)
-	if !f.runs() {
-		try.Untaken = true
-		s.Hist.Answer(try, oracle.Broken)
-		return
-	}
-	q.DeadlineAt = f.clock.at(s.t + left)
-	r := &simRequest{Request: q, try: try, life: f.life}
-	f.open[q.ID] = r
-	run := f.run
-	f.happen(r, func(g gateway) { g.HandleRequest(f.now(), q) })
-	s.after(left+0.05, func() {
-		if f.run != run || f.lives[r.life] == nil {
-			return
-		}
-		if !r.over {
-			r.over = true
-			s.Hist.Answer(try, oracle.Broken)
-			f.happen(r, func(g gateway) { g.HandleDisconnect(f.now(), q.ID) })
-		}
-		s.after(6, func() {
-			if f.run == run {
-				delete(f.open, q.ID)
-			}
-		})
-	})
-}
-
 // sort counts what messages between ingresses are for, by the first record that says most.
 func (s *Sim) sort(data []byte) {
 	_, _, recs, _, ok := peerprotocol.Parse(data, 0)
@@ -893,13 +183,3 @@
 	}
 	s.Kinds[kind]++
 }
-
-// hear tells whether an ingress takes in a message of another one.
-func (f *simForwarder) hear() bool {
-	f.s.Messages++
-	if f.intake.take(f.s.t) {
-		return true
-	}
-	f.s.Drowned++
-	return false
-}
--- a/policy/quota_member_test.go
+++ b/policy/quota_member_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Units that were granted in advance are admitted without a quota request, no more than they are, and return to the owner in
-// the end.
+// Units that were granted in advance are admitted without a quota request, no more than they are, and return
+// to the owner in the end.
 func TestPrefetch_AdmitsWithoutRequest(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	g.adaptiveLimit = 9
@@ -91,7 +91,8 @@
 	}
 }
 
-// A request that a grant did not reach is requested again in time, though other accounts have urgent reports all the while.
+// A request that a grant did not reach is requested again in time, though other accounts have urgent reports
+// all the while.
 func TestQuotaRequest_RetryIsNotStarved(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	g.adaptiveLimit = 9
@@ -145,7 +146,8 @@
 	}
 }
 
-// newQuotaMember returns a gateway, and a function that submits a request of an account that another gateway owns.
+// newQuotaMember returns a gateway, and a function that submits a request of an account that another gateway
+// owns.
 func newQuotaMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *accountState) {
 	t.Helper()
 	g, r := newTestGateway(t, change)
@@ -234,3 +236,27 @@
 		t.Fatalf("%d units sent without peers, a fourth of the quota is 33, the whole 108", n)
 	}
 }
+
+func TestKindOfReply(t *testing.T) {
+	for _, tc := range []struct {
+		name           string
+		pending        int
+		maxConcurrency int
+		reply          record
+		want           replyKind
+	}{
+		{"nothing was requested", 0, 0, record{Requested: 3}, replyState},
+		{"no answer to the request", 1, 0, record{}, replyState},
+		{"grant", 1, 0, record{Requested: 3}, replyGrant},
+		{"empty grant", 1, 0, record{Requested: emptyGrantUnits, BackoffS: 1}, replyGrant},
+		{"grant with prefetched units", 1, 0, record{Requested: 3, LeaseS: 1}, replyGrant},
+		{"wait queue", 1, 2, record{Requested: emptyGrantUnits, LeaseS: 1, BackoffS: 1}, replyWaitQueue},
+		{"slots", 1, 2, record{Requested: 1, LeaseS: 1, Slots: 1}, replyGrant},
+		{"at the limit, without slot leases", 1, 2, record{Requested: emptyGrantUnits}, replyGrant},
+	} {
+		account := &accountState{reportedPending: tc.pending, plan: &planState{Plan: Plan{MaxConcurrency: tc.maxConcurrency}}}
+		if got := kindOfReply(account, tc.reply); got != tc.want {
+			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+		}
+	}
+}
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,7 +9,7 @@
 )
 
 // latestStartFraction is the fraction of the time between its arrival and its deadline after which a request
-// that was never written to a backend is given up: its client still has time to retry elsewhere.
+// that is not known to have reached a backend is given up: its client still has time to retry elsewhere.
 const latestStartFraction = 0.45
 
 // requestPhase is how far a request has come. Each phase is reached from an earlier one only.
@@ -52,18 +52,18 @@
 	latestStart       float64 // a first attempt is written by then, or never
 	priority          float64 // in the queue, higher first
 	lowPriority       float64 // 0 for the class of the highest priority weight, towards 1
-	clientRetry       bool    // taken for the client's own retry
+	clientRetry       bool    // taken for the client's own retry, by its timing: Request.Retry is not read
 
 	attempts        []attemptState
 	inFlight        int           // of attempts
-	written         bool          // an attempt has reached a backend
+	reachedBackend  bool          // by an outcome that proves it: false while the first attempt is in flight
 	firstRan        *backendState // of the first attempt that may have run; nil: none
 	firstRanAt      float64       // when that attempt was sent
 	streaming       bool          // the answer is being passed on to the client
 	hardLimitUnpaid bool          // its units are still to be taken from a bucket of the hard limit
 }
 
-// HandleRequest takes a client's request. It gets one final answer, by Reject, Fail or the outcome of an
+// HandleRequest handles a client's request. It gets one final answer, by Reject, Fail or the outcome of an
 // attempt.
 func (g *Gateway) HandleRequest(now float64, incoming Request) {
 	g.advanceClock(now)
@@ -141,8 +141,8 @@
 	return r.objectiveDeadline + r.class.LateWeightFraction*max(r.DeadlineAt-r.objectiveDeadline, 0)
 }
 
-// unsentAdmission tells that the request was charged to its quota and never sent.
-func (r *request) unsentAdmission() bool {
+// awaitsFirstSend reports whether the request was charged to its quota and has not been sent yet.
+func (r *request) awaitsFirstSend() bool {
 	return r.account != nil && r.phase == phaseAdmitted && len(r.attempts) == 0
 }
 
@@ -184,7 +184,7 @@
 	})
 }
 
-// queueReason tells why no backend was picked for a request.
+// queueReason is the reason why no backend was picked for a request.
 func (g *Gateway) queueReason(req *request) reason.Reason {
 	switch {
 	case req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account):
@@ -211,7 +211,7 @@
 		g.actions.Fail(req.ID)
 	} else {
 		g.trace(reason.StepRejected, cause, req, noAttempt)
-		if req.unsentAdmission() { // no backend could take it in time
+		if req.awaitsFirstSend() { // no backend could take it in time
 			g.shedder.ObserveWait(g.now, 1)
 		}
 		g.actions.Reject(req.ID, g.shedder.RetryAfterS(req.AdmissionPriority, g.settings.MaxRetryAfterS))
@@ -237,7 +237,7 @@
 // complete notes that a request has its final answer. What was admitted and never sent is given back to the
 // quota. The request is forgotten once no attempt is in flight.
 func (g *Gateway) complete(req *request) {
-	unsent := req.unsentAdmission()
+	unsent := req.awaitsFirstSend()
 	req.phase = phaseCompleted
 	if req.hardLimitUnpaid {
 		req.hardLimitUnpaid = false
@@ -252,7 +252,7 @@
 	}
 }
 
-// HandleResponseStart takes the start of a streamed answer: from now on the request depends on that attempt
+// HandleResponseStart handles the start of a streamed answer: from now on the request depends on that attempt
 // alone.
 func (g *Gateway) HandleResponseStart(now float64, id string, attempt int) {
 	g.advanceClock(now)
@@ -261,7 +261,7 @@
 	}
 }
 
-// HandleDisconnect takes the end of a client's connection: its request needs no answer.
+// HandleDisconnect handles the end of a client's connection: its request needs no answer.
 func (g *Gateway) HandleDisconnect(now float64, id string) {
 	g.advanceClock(now)
 	if req := g.requests[id]; req != nil && req.phase != phaseCompleted {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -45,15 +45,17 @@
 // noAttempt, as the index of an attempt, stands for none.
 const noAttempt = -1
 
-// attemptBlocked tells why the request may have no further attempt, or why none is worth it; None if it may.
+// attemptBlocked is the reason why the request may have no further attempt, or why none is worth it; None if
+// it may.
 func (g *Gateway) attemptBlocked(req *request) reason.Reason {
 	switch {
 	case len(req.attempts) >= max(1, g.settings.MaxAttempts):
 		return reason.AttemptLimit
 	case g.now+req.class.meanLatency > req.expiresAt():
 		return reason.ObjectiveMissed
-	case !req.written && g.now > req.latestStart:
+	case !req.reachedBackend && g.now > req.latestStart:
 		return reason.LatestStartPassed
+	// The key's time is checked when deciding; Attempt.LatestStart checks it again at the write.
 	case req.firstRan == nil || req.class.Idempotency == Idempotent ||
 		req.class.Idempotency == KeyedIdempotent && g.now <= req.firstRanAt+req.class.KeyTTLS-maxStallS:
 		return reason.None
@@ -61,18 +63,13 @@
 	return reason.MayHaveRun
 }
 
-// MayReject tells that a request may be rejected, which promises that a retry is harmless, though an attempt
-// of it may have run.
+// MayReject reports whether a request may be rejected, which promises its client that a retry is harmless; else
+// it has to fail. mayHaveRun is whether an attempt of it may have run, or still may.
 func MayReject(class Class, mayHaveRun bool) bool {
 	return !mayHaveRun || class.Idempotency == Idempotent ||
 		class.Idempotency == KeyedIdempotent && class.KeyScope == ScopeAll
 }
 
-// neverRan tells that an attempt that ended so has certainly not run.
-func neverRan(status Status) bool {
-	return status == Rejected || status == ConnectFailed || status == NotSent
-}
-
 // sendAttempt starts the request's next attempt. pickBackend or selectBackend has seen to it that the backend
 // can take it, and that a bucket of the hard limit pays for it.
 func (g *Gateway) sendAttempt(req *request, backend *backendState) {
@@ -97,7 +94,7 @@
 	g.inFlight++
 	req.inFlight++
 	g.lastSentAt, backend.lastSentAt = g.now, g.now
-	if req.unsentAdmission() {
+	if req.awaitsFirstSend() {
 		req.account.unsentAdmitted--
 	}
 	g.addInFlight(req, 1)
@@ -131,7 +128,7 @@
 	}
 }
 
-// HandleOutcome takes the end of an attempt. The request is completed by it, or gets another attempt once
+// HandleOutcome handles the end of an attempt. The request is completed by it, or gets another attempt once
 // none is in flight. Outcomes of unknown attempts are ignored.
 func (g *Gateway) HandleOutcome(now float64, outcome Outcome) {
 	g.advanceClock(now)
@@ -142,8 +139,8 @@
 	g.traceOutcome(req, outcome)
 	g.applyLoadReport(attempt.backend, outcome.Load)
 	g.recordOutcome(req, attempt.backend, outcome)
-	req.written = req.written || outcome.Status != ConnectFailed && outcome.Status != NotSent
-	if !neverRan(outcome.Status) && req.firstRan == nil {
+	req.reachedBackend = req.reachedBackend || outcome.Status != ConnectFailed && outcome.Status != NotSent
+	if !outcome.Status.NeverRan() && req.firstRan == nil {
 		req.firstRan, req.firstRanAt = attempt.backend, attempt.sentAt
 	}
 	if outcome.Status == OK && g.settings.UnitsFromResponse && req.account != nil && outcome.Units > 0 {
@@ -157,10 +154,10 @@
 	g.drainQueue()
 }
 
-// recordOutcome takes in what the end of an attempt tells of its backend and of all of them.
+// recordOutcome updates the statistics of the backend, and of all backends, with the end of an attempt.
 func (g *Gateway) recordOutcome(req *request, backend *backendState, outcome Outcome) {
 	class := req.class
-	// A timeout at an unhealthy backend tells nothing of the others.
+	// A timeout at an unhealthy backend says nothing about the others.
 	informative := outcome.Status == OK ||
 		outcome.Status == Timeout && backend.ErrorScore(class.index, g.now) < unhealthyScore
 	switch outcome.Status {
@@ -178,7 +175,7 @@
 		g.recordRejection(backend)
 	}
 	if informative {
-		g.updateAdaptiveLimit(class, outcome)
+		g.updateAdaptiveLimit(class, outcome.LatencyS, outcome.Status == Timeout)
 	}
 }
 
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -35,36 +35,34 @@
 // nil if there is none.
 //
 // With many gateways each looks at few backends: all of them would pick the same one by the same gossip. It
-// begins with those that it prefers, so that connections are used again, at a random one, and goes on with
-// the others while those can't take more.
+// goes on looking, in the order of newBackendScan, while those that it looked at can't take more.
 func (g *Gateway) selectBackend(req *request) *backendState {
 	if g.atAdaptiveLimit(req) {
 		return nil
 	}
 	n := len(g.backends.Listed)
-	size := subset.Size(g.settings.Gateways, n, gatewaysPerBackend, minSubsetSize)
-	preferred := g.backends.Preferred(g.settings.Self, size, g.settings.Zone, g.settings.CrossZoneCost > 0)
+	scan := g.newBackendScan()
 	remaining := max(minCandidates, n*fullScanGateways/g.settings.Gateways)
-	start := g.rng.IntN(max(1, n))
-	sharing := float64(g.settings.Gateways*len(preferred))/float64(max(1, n)) - 1
+	limit := backendLimitWeight * g.adaptiveLimit / float64(n)
+	sharing := float64(g.settings.Gateways*len(scan.preferred))/float64(max(1, n)) - 1
 
 	var best, bestUnhealthy *backendState
 	lowest, lowestUnhealthy := math.Inf(1), math.Inf(1)
 	usable, healthy := 0, 0
-	for i := 0; i < len(preferred)+n*min(n-len(preferred), 1) && remaining > 0; i++ {
-		backend := g.backends.Listed[(start+i)%n]
-		if i < len(preferred) {
-			backend = preferred[(start+i)%len(preferred)]
-		}
+	for i := 0; i < scan.len() && remaining > 0; i++ {
+		backend := scan.at(i)
 		if backend.State != Up || g.now < backend.ejectedUntil {
 			continue
 		}
 		usable++
-		errorScore := g.errorScore(req, backend)
+		errorScore := backend.ErrorScore(req.class.index, g.now)
+		if req.class.Idempotency == NonIdempotent {
+			errorScore = g.worstErrorScore(backend, errorScore)
+		}
 		if errorScore < unhealthyScore {
 			healthy++
 		}
-		if !g.canTake(req, backend) {
+		if !g.canTake(req, backend, limit) {
 			continue
 		}
 		cost := g.attemptCost(req, backend, errorScore, sharing)
@@ -83,28 +81,57 @@
 	return best
 }
 
-// canTake tells that a backend can take the request's next attempt: within its slow-start budget and its
-// share of the adaptive limit, and inside the scope of the key if an attempt may have run.
-func (g *Gateway) canTake(req *request, backend *backendState) bool {
+// backendScan is the order in which selectBackend looks at backends: first the preferred ones, from a random
+// one on, then all listed ones, from the same index on. The preferred ones are listed too, and come twice.
+type backendScan struct {
+	preferred, listed []*backendState
+	start             int
+}
+
+// newBackendScan draws a scan order. The preferred backends come first so that connections are used again.
+func (g *Gateway) newBackendScan() backendScan {
+	listed := g.backends.Listed
+	size := subset.Size(g.settings.Gateways, len(listed), gatewaysPerBackend, minSubsetSize)
+	return backendScan{
+		preferred: g.backends.Preferred(g.settings.Self, size, g.settings.Zone, g.settings.CrossZoneCost > 0),
+		listed:    listed,
+		start:     g.rng.IntN(max(1, len(listed))),
+	}
+}
+
+// len is how many backends the scan has; where all are preferred, each comes once.
+func (s *backendScan) len() int {
+	if len(s.preferred) >= len(s.listed) {
+		return len(s.preferred)
+	}
+	return len(s.preferred) + len(s.listed)
+}
+
+// at is the backend at a position below len.
+func (s *backendScan) at(i int) *backendState {
+	if i < len(s.preferred) {
+		return s.preferred[(s.start+i)%len(s.preferred)]
+	}
+	return s.listed[(s.start+i)%len(s.listed)]
+}
+
+// canTake reports whether a backend can take the request's next attempt: within its slow-start budget, within
+// limit attempts from here if its latency is the mean, and inside the scope of the key if an attempt may have
+// run.
+func (g *Gateway) canTake(req *request, backend *backendState, limit float64) bool {
 	if !g.slowStartAllows(backend, req.class.meanLatency) {
 		return false
 	}
-	limit := backendLimitWeight * g.adaptiveLimit / float64(len(g.backends.Listed)) / backend.relativeLatency
-	if float64(backend.inFlight) >= math.Ceil(limit) {
+	if float64(backend.inFlight) >= math.Ceil(limit/backend.relativeLatency) {
 		return false
 	}
 	return req.firstRan == nil || req.class.Idempotency != KeyedIdempotent ||
 		req.class.KeyScope.Same(req.firstRan.Backend, backend.Backend)
 }
 
-// errorScore is how sure it is, from 0 to 1, that the request fails at a backend. A request that isn't
-// idempotent keeps off backends that fail any class: an error there costs others an attempt, and it
-// everything.
-func (g *Gateway) errorScore(req *request, backend *backendState) float64 {
-	score := backend.ErrorScore(req.class.index, g.now)
-	if req.class.Idempotency != NonIdempotent {
-		return score
-	}
+// worstErrorScore is the error score for a request that isn't idempotent. It keeps off backends that fail any
+// class: an error there costs others an attempt, and it everything.
+func (g *Gateway) worstErrorScore(backend *backendState, score float64) float64 {
 	for _, class := range g.classList {
 		score = max(score, min(backend.ErrorScore(class.index, g.now), backend.ErrorRate(class.index)))
 	}
