--- a/internal/decision/clienttimeout/clienttimeout.go
+++ b/internal/decision/clienttimeout/clienttimeout.go
@@ -1,4 +1,4 @@
-// Package clienttimeout learns how long the clients of a class wait, to tell first requests from client
+// Package clienttimeout learns how long the clients of a class wait, to distinguish first requests from client
 // retries: a first request arrives with one of a few common shares of its deadline left, a retry with what its
 // first request has left over. The package decides nothing.
 package clienttimeout
