--- a/internal/controlplane/forwarder/core.go
+++ b/internal/controlplane/forwarder/core.go
@@ -65,12 +65,15 @@
 
 // Stats counts events since the forwarder's start.
 type Stats struct {
-	Requests           uint64 `json:"Requests"`
-	Submitted          uint64 `json:"Told"`         // to planners
-	Resubmitted        uint64 `json:"Retold"`       // of these, after a change of leaders
-	Served             uint64 `json:"Served"`       // answered by a backend
-	StaleActions       uint64 `json:"Stale"`        // decisions of planners that are not followed
-	RejectedNoLeader   uint64 `json:"RefusedUnled"` // by the forwarder itself, as the next two
+	Requests     uint64 `json:"Requests"`
+	Submitted    uint64 `json:"Told"`   // to planners
+	Resubmitted  uint64 `json:"Retold"` // of these, after a change of leaders
+	Served       uint64 `json:"Served"` // answered by a backend
+	StaleActions uint64 `json:"Stale"`  // decisions of planners that are not followed
+	// RejectedNoLeader counts requests that the forwarder rejected by itself: no leader in time, no decision by the deadline, or no further
+	// attempt allowed after a change of leaders. FailedNoLeader counts those of them that may have run, and so failed.
+	RejectedNoLeader uint64 `json:"RefusedUnled"`
+	// RejectedAtCapacity counts requests that came while too many were open, or while the leader's link did not keep up.
 	RejectedAtCapacity uint64 `json:"RefusedFull"`
 	FailedNoLeader     uint64 `json:"FailedUnled"`
 	UsageReports       uint64 `json:"Tales"` // accounts reported on to new leaders
--- a/internal/controlplane/forwarder/promises.go
+++ b/internal/controlplane/forwarder/promises.go
@@ -103,8 +103,8 @@
 	c.submitWaiting(cell)
 }
 
-// becomeLeaderless stops following a cell's leader. Of its requests, those with nothing in flight wait for a successor; the others end
-// with their attempts, or wait then.
+// becomeLeaderless stops following a cell's leader. Of its requests, those with nothing in flight wait for the next leader, or get their final
+// answer if no retry is allowed; the others go on as orphans and do so when their last attempt has ended.
 func (c *Core) becomeLeaderless(cellID int) {
 	cell := &c.cells[cellID]
 	if !cell.hasLeader {
--- a/internal/controlplane/forwarder/requests.go
+++ b/internal/controlplane/forwarder/requests.go
@@ -205,7 +205,8 @@
 	cell.waiting = remaining
 }
 
-// waitedTooLong reports whether a request may wait for a leader no longer. One that may have run is given all of its time: it can only fail.
+// waitedTooLong reports whether a request may wait for a leader no longer: LeaderWaitS at most. One of which no attempt may have run ends at
+// leaderWaitFraction of its time already, as it can still be rejected; one that may have run can only fail.
 func (c *Core) waitedTooLong(request *openRequest) bool {
 	latestStart := request.receivedAt + leaderWaitFraction*(request.DeadlineAt-request.receivedAt)
 	return c.now >= request.waitingSince+c.cfg.LeaderWaitS || c.now >= latestStart && !request.mayHaveRun || c.overdue(request)
--- a/internal/dataplane/hotrestart/hotrestart.go
+++ b/internal/dataplane/hotrestart/hotrestart.go
@@ -17,7 +17,8 @@
 //	P -> S  Event       a request that was read late, the end of an attempt, a client that disconnected
 //	S -> P  Order       what is to be done to a request that the predecessor holds
 //
-// The link ends with either process. What that means follows from the messages that came before.
+// The link ends with either process, or when a side closes it because the other takes no message in time: its end is no proof that the other
+// process has ended. What it means follows from the messages that came before.
 package hotrestart
 
 import (
--- a/internal/dataplane/ingress/hot_restart.go
+++ b/internal/dataplane/ingress/hot_restart.go
@@ -7,11 +7,13 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-// A hot restart replaces a process without a request rejected, see docs/operating-days.md. hot_restart_successor.go is the old process's side,
-// toward its successor; hot_restart_predecessor.go the new one's, toward its predecessor.
+// A hot restart replaces a process without refusing a connection, see docs/operating-days.md. hot_restart_successor.go runs in the predecessor,
+// which serves its successor; hot_restart_predecessor.go in the successor, which fetches from its predecessor.
 
 const (
-	linkTimeout         = 2 * time.Second // for the other process's next message
+	// linkTimeout bounds each send on the link, and the waits for messages up to Proceed, but not the predecessor's wait for Ready; what is
+	// received after Proceed ends with the link.
+	linkTimeout         = 2 * time.Second
 	maxSnapshotParts    = 1 << 14
 	maxSnapshotBackends = 200 // that a snapshot may hold; in larger fleets they are learned anew
 	coexistFraction     = 0.5 // of memory and connections to backends, that either process has while both run
--- a/internal/dataplane/ingress/telemetry.go
+++ b/internal/dataplane/ingress/telemetry.go
@@ -35,7 +35,7 @@
 	rejectNoMemory                         // too much input waits
 	rejectOpenLimit                        // as many requests are open as the settings allow
 	rejectOpenID                           // a request of this id is open
-	rejectDraining                         // the ingress is being drained and this connection has to end
+	rejectDraining                         // 1.9 s or more into a drain, or the time of a shutdown or hot restart is over
 	rejectReasonsCount int          = iota
 )
 
--- a/internal/decision/quota/quota.go
+++ b/internal/decision/quota/quota.go
@@ -70,7 +70,7 @@
 
 // Charge takes units off Available; units below 0 are returned to it. Members may admit more than is
 // available: the excess becomes a debt that the refill pays first. A charge adds no debt beyond maxDebt, so
-// that the debt of a failure ends.
+// that the debt of a failure ends; units beyond it are forgiven.
 func (l *Ledger) Charge(units, maxDebt float64) {
 	l.Available = max(l.Available-units, min(l.Available, -maxDebt))
 }
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -187,7 +187,8 @@
 }
 
 // takeLocalWindow takes units from the account's local window, if it holds them: this gateway's share of rate
-// and burst, as the others may go on serving the account.
+// and burst, as the others may go on serving the account. The burst is at least the largest request, so that
+// with many gateways the local windows together exceed the plan's burst.
 func (g *Gateway) takeLocalWindow(account *accountState, units float64) bool {
 	plan, gateways := account.plan, float64(account.gatewayCount)
 	if plan.MaxConcurrency > 0 && account.inFlight+account.otherInFlight >= plan.MaxConcurrency {
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -12,7 +12,7 @@
 const (
 	memberTTLS      = 8.0  // seconds after which a member that reports nothing is forgotten
 	ledgerRecoveryS = 2.0  // seconds for which a new ledger takes over what members know of the window
-	maxDebtFraction = 0.5  // of the burst, that units admitted beyond the window count against it at most
+	maxDebtFraction = 0.5  // of the burst, up to which units admitted beyond the window are owed to it
 	emptyGrantUnits = 0.25 // in a reply to a quota request that grants nothing; the smallest value on the wire
 
 	// quotaRetryFraction is the fraction of the peer message rate that members may use to ask the same owner
@@ -23,8 +23,9 @@
 )
 
 // ledger is the owner's count of the account, brought up to now. The window opens evenly at the plan's rate.
-// A gateway that isn't the primary owner, and that no member reports to, may be cut off from the others: it
-// opens only its share.
+// A gateway that isn't the primary owner may be cut off from all others while no member reports to it: until
+// one does it opens 1/gatewayCount of the rate. After that it opens the whole rate, though the primary owner
+// may do the same beyond a split.
 func (g *Gateway) ledger(account *accountState) *quota.Ledger {
 	if account.ledger == nil {
 		account.ledger = quota.NewLedger(g.availableNow(account), g.now)
--- a/test.sh
+++ b/test.sh
@@ -23,6 +23,11 @@
   [ -e "$file" ] || { echo "deploy/balancer.toml names $file, which does not exist"; exit 1; }
 done
 
+for file in $(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '",'); do
+  long=$(awk '{ gsub(/\t/, " ") } length($0) > 110 { print NR }' "$file")
+  [ -z "$long" ] || { echo "$file: over 110 characters in lines" $long; exit 1; }
+done
+
 # KNOWN-RED.txt lists tests that fail for a real fault which is not mended yet, one a line:
 #   TestName: command and seed; what was seen; issue N
 # All others must pass; the listed ones are run apart and printed.
