--- a/policy/retry.go
+++ b/policy/retry.go
@@ -63,8 +63,8 @@
 	return reason.MayHaveRun
 }
 
-// MayReject reports whether a request may be rejected, which promises its client that a retry is harmless; else
-// it has to fail. mayHaveRun is whether an attempt of it may have run, or still may.
+// MayReject reports whether a request may be rejected, which promises its client that a retry is harmless;
+// else it has to fail. mayHaveRun is whether an attempt of it may have run, or still may.
 func MayReject(class Class, mayHaveRun bool) bool {
 	return !mayHaveRun || class.Idempotency == Idempotent ||
 		class.Idempotency == KeyedIdempotent && class.KeyScope == ScopeAll
