--- a/internal/base/monotime/monotime.go
+++ b/internal/base/monotime/monotime.go
@@ -1,5 +1,5 @@
-// Package monotime is the clock of a program: Unix seconds at its start, advanced by the monotonic clock alone, so that a step of the
-// machine's clock moves nothing.
+// Package monotime provides a program's clock. It starts at the machine's time, in Unix seconds, and advances by the monotonic clock
+// alone, so that a step of the machine's clock has no effect on it.
 package monotime
 
 import (
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is safe for concurrent use; copies tell the same time. The zero Clock is of no use: NewClock starts one.
+// Clock tells the time. It is safe for concurrent use; copies tell the same time. The zero Clock is not usable: NewClock starts one.
 type Clock struct {
 	start      time.Time
 	startUnixS float64
-	bootUnixS  float64 // 0: not known
+	bootUnixS  float64 // 0: unknown
 }
 
 // NewClock starts a clock.
@@ -27,9 +27,9 @@
 	return Clock{start, startUnixS, bootUnixS}
 }
 
-// BootTime is when the machine's monotonic clock stood at 0, in Unix seconds by this clock; 0 where there is no such clock. The clocks of two
-// programs of one machine differ by as much as their boot times do.
+// BootTime returns the time at which the machine's monotonic clock was at 0, in Unix seconds by this clock, or 0 if that clock can't be
+// read. The clocks of two programs on one machine differ by as much as their boot times do.
 func (c Clock) BootTime() float64 { return c.bootUnixS }
 
-// Now is the time in Unix seconds.
+// Now returns the time in Unix seconds.
 func (c Clock) Now() float64 { return c.startUnixS + time.Since(c.start).Seconds() }
--- a/internal/base/mutualtls/mutualtls.go
+++ b/internal/base/mutualtls/mutualtls.go
@@ -1,4 +1,5 @@
-// Package mutualtls reads the files of mutual TLS, as operators name them for links between programs and to etcd.
+// Package mutualtls reads the certificates and keys of mutual TLS from the files that operators name for the links between programs and
+// to etcd.
 package mutualtls
 
 import (
@@ -9,36 +10,36 @@
 	"os"
 )
 
-// Identity names the files of mutual TLS, all in PEM. The zero value stands for links in the clear.
+// Identity names the files of mutual TLS, all in PEM. The zero value stands for links without TLS.
 type Identity struct {
 	Cert string // this side's certificate
 	Key  string // its private key
-	CA   string // the authorities of which one must have signed the peer's certificate
+	CA   string // certificates of the authorities, one of which must have signed the peer's certificate
 }
 
-var errNoCertificate = errors.New("the file holds no certificate")
+var errNoCertificate = errors.New("the file has no valid PEM certificate")
 
-// Complete reports whether either all files are named or none.
+// Complete reports whether all files are named or none is.
 func (i Identity) Complete() bool {
 	return (i.Cert == "") == (i.Key == "") && (i.Key == "") == (i.CA == "")
 }
 
-// Config reads the files. It returns nil for the zero value.
+// Config reads the files into a configuration for clients and servers. It returns nil for the zero value.
 func (i Identity) Config() (*tls.Config, error) {
 	if i == (Identity{}) {
 		return nil, nil
 	}
 	cert, err := tls.LoadX509KeyPair(i.Cert, i.Key)
 	if err != nil {
-		return nil, fmt.Errorf("certificate: %w", err)
+		return nil, fmt.Errorf("certificate: load %s with key %s: %w", i.Cert, i.Key, err)
 	}
 	authorities, err := os.ReadFile(i.CA)
 	if err != nil {
-		return nil, fmt.Errorf("authority: %w", err)
+		return nil, fmt.Errorf("certificate authorities: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authorities) {
-		return nil, fmt.Errorf("authority: %s: %w", i.CA, errNoCertificate)
+		return nil, fmt.Errorf("certificate authorities: %s: %w", i.CA, errNoCertificate)
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
--- a/internal/base/operatorconfig/operatorconfig.go
+++ b/internal/base/operatorconfig/operatorconfig.go
@@ -8,13 +8,14 @@
 	"github.com/BurntSushi/toml"
 )
 
-// UnknownKeyError is a key in a file that the program does not know.
+// UnknownKeyError reports a key in a file that the program does not know.
 type UnknownKeyError struct{ Path, Key string }
 
 // Error implements error.
 func (e *UnknownKeyError) Error() string { return fmt.Sprintf("%s: unknown key %s", e.Path, e.Key) }
 
-// Decode reads the file at path into a struct. An error names the path; a key that the struct does not have is an *UnknownKeyError.
+// Decode reads the TOML file at path into a struct. Its errors name the path; for a key that the struct does not have it returns an
+// *UnknownKeyError.
 func Decode(path string, into any) error {
 	meta, err := toml.DecodeFile(path, into)
 	if err != nil {
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// NotLoopbackError is an address that can be reached from other machines and must not be.
+// NotLoopbackError reports an address that is not a loopback address and so can be reached from other machines.
 type NotLoopbackError struct {
 	Key  string // of the address in the file
 	Addr string
@@ -37,7 +38,8 @@
 	return fmt.Sprintf("%s must be a loopback address: %s is no loopback address", e.Key, e.Addr)
 }
 
-// CheckLoopback checks the address, with its port, that stands in a file under key. One of another machine is a *NotLoopbackError.
+// CheckLoopback checks that addr, an IP address with a port, is a loopback address; otherwise it returns a *NotLoopbackError. key is the
+// key of the address in its file.
 func CheckLoopback(key, addr string) error {
 	parsed, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/base/operatorconfig/operatorconfig_test.go
+++ b/internal/base/operatorconfig/operatorconfig_test.go
@@ -14,19 +14,19 @@
 		Number int `toml:"number"`
 	}
 	if err := Decode(path, &got); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("without a file: %v", err)
+		t.Errorf("missing file: error %v, want fs.ErrNotExist", err)
 	}
 	if err := os.WriteFile(path, []byte("number = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := Decode(path, &got); err != nil || got.Number != 3 {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded %+v with error %v, want number 3 without an error", got, err)
 	}
 	if err := os.WriteFile(path, []byte("number = 3\nnumbers = 4\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err, ok := errors.AsType[*UnknownKeyError](Decode(path, &got)); !ok || *err != (UnknownKeyError{path, "numbers"}) {
-		t.Errorf("an unknown key: %v", err)
+		t.Errorf("unknown key numbers: error %v, want an UnknownKeyError with the path and the key", err)
 	}
 }
 
@@ -34,10 +34,10 @@
 	for addr, want := range map[string]bool{"127.0.0.1:80": true, "[::1]:80": true, "192.0.2.1:80": false, "0.0.0.0:80": false} {
 		err := CheckLoopback("status", addr)
 		if _, other := errors.AsType[*NotLoopbackError](err); other == want || (err == nil) != want {
-			t.Errorf("%s: %v", addr, err)
+			t.Errorf("%s: error %v, want a NotLoopbackError for addresses other than loopback and none for loopback", addr, err)
 		}
 	}
 	if err := CheckLoopback("status", "nowhere"); err == nil {
-		t.Error("an address without a port is taken")
+		t.Error("CheckLoopback accepted an address without a port")
 	}
 }
--- a/internal/base/peerprotocol/doc.go
+++ b/internal/base/peerprotocol/doc.go
@@ -1,5 +1,5 @@
-// Package peerprotocol is the encoding of the messages between gateways. What is sent, when and to whom is decided in package
-// policy. The package does no I/O.
+// Package peerprotocol encodes and decodes the messages between gateways. Package policy decides what is sent, when and to
+// whom. The package does no I/O.
 //
 // A message has a header, then records of one account each, then gossip entries of one backend each, in at most MaxLen bytes.
 // Numbers are big-endian and are clamped to what their field holds. The layout, by the fields of the Go types:
@@ -18,7 +18,7 @@
 //	                    13     owner: LeaseS in steps of 0.05 s; member: Unacked in quarters of a unit
 //	                    14     Requested in quarters of a unit
 //	                    15     owner: BackoffS in steps of 0.05 s; member: FirstRequested in quarters of a unit, or LeaseS in
-//	                           steps of 0.05 s if it Leases and has not Requested
+//	                           steps of 0.05 s if Leases is set and Requested is 0
 //	                    16     owner: Slots; member: LowPriority times 255
 //
 //	entry (EntryLen)    0-1  BackendHash; 0xffff with UtilizationTag: the sender's load-shedding state
--- a/internal/base/peerprotocol/golden_test.go
+++ b/internal/base/peerprotocol/golden_test.go
@@ -6,7 +6,8 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the bytes between gateways: every field of a record, by each of the four ways that its last bytes are used, and items.
+// Guards the bytes that gateways of different versions exchange: every field of a record, in each of the four layouts of a record's
+// last bytes, and gossip entries.
 func TestGoldenMessage(t *testing.T) {
 	records := []Record{
 		{AccountKey: 0x01020304, Plan: 5, Known: true, Total: 600.25, Available: 7.75, Demand: 8.5, InFlight: 9, Unacked: 10.25, Requested: 11.5, FirstRequested: 12.75, LowPriority: 0.2},
@@ -27,16 +28,16 @@
 	gossip.Add(GossipEntry{BackendHash: MaxBackendHash, ClassTag: UtilizationTag, Value: 0.8, At: now - 1.2})
 	message = AppendLoadShedState(gossip.AppendNewest(message, 2, now, 5), 0.4, 200)
 	stored := golden.Check(t, "message.bin", message)
-	incarnation, sequence, gotRecs, entries, ok := Parse(stored, now)
+	incarnation, sequence, gotRecords, entries, ok := Parse(stored, now)
 	if !ok || incarnation != 77 || sequence != 0x0102 || len(entries) != 3 {
-		t.Fatalf("read as %d, %d, %d items, %v", incarnation, sequence, len(entries), ok)
+		t.Fatalf("parsed incarnation %d, sequence %d, %d entries, ok %v, want 77, 258, 3 and true", incarnation, sequence, len(entries), ok)
 	}
-	golden.Same(t, "records", gotRecs, records)
+	golden.Same(t, "records", gotRecords, records)
 	for i, want := range []GossipEntry{{MaxBackendHash, UtilizationTag, 0.8, now - 1.2}, {0x5152, ClassTag("read"), 0.6, now - 0.5}} {
-		golden.Same(t, "item", entries[i], want)
+		golden.Same(t, "entry", entries[i], want)
 	}
 	if level, phase, ok := entries[2].LoadShedState(now); !ok || level != 0.4 || phase != 200 {
-		t.Errorf("state is read as %g, %d, %v", level, phase, ok)
+		t.Errorf("load-shedding state parsed as level %g, phase %d, ok %v, want 0.4, 200 and true", level, phase, ok)
 	}
 	golden.Check(t, "count.bin", MemberReport(3, 4, "1f00000000000002", 5, 6.25, 7.5, 8))
 }
--- a/internal/base/peerprotocol/gossip.go
+++ b/internal/base/peerprotocol/gossip.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// UtilizationTag is the tag, in place of a class's, of entries that hold a backend's utilization.
+	// UtilizationTag takes the place of a class's tag in entries that hold a backend's utilization.
 	UtilizationTag = 255
 	// MaxBackendHash is the largest hash of a backend.
 	MaxBackendHash = loadShedHash - 1
 
-	// loadShedHash, in place of a backend's hash, marks an entry as the sender's load-shedding state. Earlier versions take
-	// it for the utilization of a backend that they don't know.
+	// loadShedHash, in place of a backend's hash, marks an entry as the sender's load-shedding state. Earlier versions read
+	// it as the utilization of a backend that they don't know.
 	loadShedHash = math.MaxUint16
 
 	entryAgeStepS    = 0.02 // seconds, unit of an entry's age
-	maxGossipEntries = 64   // kept for passing on
+	maxGossipEntries = 64   // largest length of Gossip
 )
 
 // GossipEntry is what the sender knows of a backend: its error score for a class or, with UtilizationTag, its utilization.
@@ -24,13 +24,13 @@
 	BackendHash uint16
 	ClassTag    int     // of the class, see ClassTag; or UtilizationTag
 	Value       float64 // 0 to 1
-	At          float64 // when that was known, in Unix seconds of the reader's clock
+	At          float64 // when the sender knew the value, in Unix seconds of the reader's clock
 }
 
-// ClassTag stands for a class's name in gossip.
+// ClassTag returns the tag that stands for a class's name in gossip, 0 to UtilizationTag-1.
 func ClassTag(class string) int { return int(HashPoint(class) % UtilizationTag) }
 
-// AppendGossipEntry appends an entry, behind all records.
+// AppendGossipEntry appends an entry. All records must come before the first entry.
 func AppendGossipEntry(message []byte, entry GossipEntry, now float64) []byte {
 	message = binary.BigEndian.AppendUint16(message, entry.BackendHash)
 	return append(message, byte(entry.ClassTag), clampByte(entry.Value*255), clampByte((now-entry.At)/entryAgeStepS))
@@ -50,7 +50,8 @@
 	return append(message, loadShedHash>>8, loadShedHash&255, UtilizationTag, levelByte(level), phase)
 }
 
-// OverwriteLoadShedState replaces the level and phase in a message, if it has them: for tests with gateways that lie.
+// OverwriteLoadShedState replaces the level and phase in a message, if it has them. It is for tests with gateways that report a wrong
+// state.
 func OverwriteLoadShedState(message []byte, level float64, phase uint8) {
 	if len(message) < HeaderLen || message[0] != Version {
 		return
@@ -64,24 +65,25 @@
 
 func levelByte(level float64) byte { return byte(math.Round(Clamp(level, 0, 1) * 255)) }
 
-// LoadShedState reads the sender's load-shedding level and phase, of an entry that Parse has read at now; ok is false for any other
+// LoadShedState returns the sender's load-shedding level and phase from an entry that Parse has read at now; ok is false for any other
 // entry.
 func (e GossipEntry) LoadShedState(now float64) (level float64, phase uint8, ok bool) {
 	phase = uint8(math.Round((now - e.At) / entryAgeStepS))
 	return e.Value, phase, e.BackendHash == loadShedHash && e.ClassTag == UtilizationTag
 }
 
-// Gossip holds the entries that a gateway passes on, newest last.
+// Gossip holds the entries that a gateway passes on to its peers, newest last.
 type Gossip []GossipEntry
 
-// Add adds an entry. The oldest one is dropped if there are too many.
+// Add adds an entry, and drops the oldest one beyond maxGossipEntries.
 func (g *Gossip) Add(entry GossipEntry) {
 	if *g = append(*g, entry); len(*g) > maxGossipEntries {
 		*g = (*g)[1:]
 	}
 }
 
-// AppendNewest fills the space left in a message with the newest entries, maxEntries at most, that are younger than maxAgeS seconds.
+// AppendNewest appends the newest entries to a message, newest first, as far as there is space: maxEntries at most, and only those that
+// are younger than maxAgeS seconds.
 func (g Gossip) AppendNewest(message []byte, maxEntries int, now, maxAgeS float64) []byte {
 	for i := len(g) - 1; i >= max(0, len(g)-maxEntries) && len(message)+EntryLen <= MaxLen; i-- {
 		if now-g[i].At < maxAgeS {
--- a/internal/base/peerprotocol/record.go
+++ b/internal/base/peerprotocol/record.go
@@ -5,20 +5,20 @@
 	"math"
 )
 
-// The form of a message.
+// The format of a message. Lengths and offsets are in bytes.
 const (
 	Version           = 2
 	HeaderLen         = 5
-	RecordCountOffset = 4 // of the byte that counts the records
+	RecordCountOffset = 4 // of the byte that holds the number of records
 	RecordLen         = 17
 	EntryLen          = 5
 	MaxLen            = 256
 
 	durationStepS = 0.05 // seconds, unit of durations
-	unitSteps     = 4    // steps of a unit
+	unitSteps     = 4    // steps in a unit
 )
 
-// The bits of a record's fifth byte; the lower four are the plan.
+// The flags in a record's fifth byte; its lower four bits are the plan.
 const (
 	flagFromOwner = 1 << (7 - iota)
 	flagKnown
@@ -32,60 +32,61 @@
 	AccountKey uint32 // upper half of the account's HashPoint
 	Plan       int    // index of the plan in the settings, 15 at most
 	FromOwner  bool   // the sender is the owner
-	Leases     bool   // the sender knows slot leases; earlier versions don't
+	Leases     bool   // the sender supports slot leases; earlier versions don't
 
-	// Total is the member's count of units since its start: what it admitted or, from the owner, what the owner has counted or
-	// set aside for it. In quarters, modulo 16384.
+	// Total is the count of the member's units since its start: from the member, those that it admitted; from the owner, those that
+	// the owner has counted or set aside for the member. In quarters of a unit, modulo 16384.
 	Total float64
 	// Known reports whether Available was counted, or was received from an owner.
 	Known bool
-	// Available is the units left in the window, as the sender knows it. In quarters, -64 to 8000.
+	// Available is the number of units left in the window, as the sender knows it. In quarters of a unit, -64 to 8000.
 	Available float64
-	// Demand is units a second that arrive at the member or, from the owner, at all other gateways. In quarters, up to 16383.
+	// Demand is the units a second that arrive at the member or, from the owner, at all other gateways. In quarters of a unit, up to
+	// 16383.
 	Demand float64
-	// InFlight is attempts of the member or, from the owner, of all other gateways. Up to 65535.
+	// InFlight is the number of attempts in flight of the member or, from the owner, of all other gateways. Up to 65535.
 	InFlight int
 
-	// Requested is units of the member's pending requests or, from the owner, above 0 in the reply to them. Up to 63.75.
+	// Requested is the units of the member's pending requests. From the owner, it is above 0 in the reply to them. Up to 63.75.
 	Requested float64
-	// FirstRequested is units of the first pending request, up to 63.75. Of members.
+	// FirstRequested is the units of the member's first pending request, up to 63.75. Only members set it.
 	FirstRequested float64
-	// LowPriority of the first pending request, 0 to 1. Of members.
+	// LowPriority is that of the member's first pending request, 0 to 1. Only members set it.
 	LowPriority float64
-	// Unacked is units that no owner has counted yet, up to 63.75. Of members.
+	// Unacked is the units that no owner has counted yet, up to 63.75. Only members set it.
 	Unacked float64
 	// SharedBucket reports, from a member, that the owner keeps the hard limit's shared bucket and, from the owner, that the
-	// grant was paid from it.
+	// grant was taken from that bucket.
 	SharedBucket bool
-	// BackoffS is seconds until another quota request makes sense, up to 12.75. Of owners.
+	// BackoffS is for how many seconds the member should not request quota again, up to 12.75. Only owners set it.
 	BackoffS float64
-	// Slots is how many slots are leased from now on, beside those that the member has. Of owners that lease.
+	// Slots is the number of slots leased from now on, in addition to those that the member has. Only owners that lease slots set it.
 	Slots int
-	// LeaseS is seconds for which Slots are leased or units are granted in advance or, from a member that requests no units,
-	// for which it needs slots for its attempts. Up to 12.75.
+	// LeaseS is a time in seconds, up to 12.75: from the owner, for which Slots are leased or units are granted in advance; from a
+	// member that requests no units, for which it needs slots for its attempts.
 	LeaseS float64
 }
 
-// Clamp is x, or the nearer of lo and hi if it lies outside of them.
+// Clamp returns x, limited to the range from lo to hi.
 func Clamp(x, lo, hi float64) float64 { return min(max(x, lo), hi) }
 
-// clampByte is x rounded down, within a byte.
+// clampByte returns x rounded down and limited to the range of a byte.
 func clampByte(x float64) byte { return byte(Clamp(x, 0, math.MaxUint8)) }
 
-// AppendHeader begins a message. The number of its records is to be set at RecordCountOffset.
+// AppendHeader begins a message. The caller sets the number of records at RecordCountOffset.
 func AppendHeader(message []byte, incarnation uint8, sequence uint16) []byte {
 	return append(message, Version, incarnation, byte(sequence>>8), byte(sequence), 0)
 }
 
 // AppendRecord appends a record.
 func AppendRecord(message []byte, record Record) []byte {
-	message = append(binary.BigEndian.AppendUint32(message, record.AccountKey), record.head())
+	message = append(binary.BigEndian.AppendUint32(message, record.AccountKey), record.flagsAndPlan())
 	message = binary.BigEndian.AppendUint16(message, uint16(int64(math.Floor(record.Total*unitSteps+0.5))))
 	message = binary.BigEndian.AppendUint16(message, uint16(int16(Clamp(record.Available*unitSteps, -256, 32000))))
 	message = binary.BigEndian.AppendUint16(message, uint16(Clamp(record.Demand*unitSteps, 0, math.MaxUint16)))
 	message = binary.BigEndian.AppendUint16(message, uint16(Clamp(float64(record.InFlight), 0, math.MaxUint16)))
 	requested := clampByte(math.Ceil(record.Requested * unitSteps))
-	leaseSteps := math.Floor(record.LeaseS/durationStepS + 1e-9) // rounded down: the lessor's slots end later
+	leaseSteps := math.Floor(record.LeaseS/durationStepS + 1e-9) // rounded down, so that the member's lease ends before the lessor's
 	if record.FromOwner {
 		return append(message, clampByte(leaseSteps), requested, clampByte(math.Ceil(record.BackoffS/durationStepS)),
 			clampByte(float64(record.Slots)))
@@ -97,8 +98,8 @@
 	return append(message, clampByte(record.Unacked*unitSteps), requested, clampByte(first), clampByte(record.LowPriority*255))
 }
 
-// head is a record's fifth byte.
-func (r Record) head() byte {
+// flagsAndPlan returns a record's fifth byte.
+func (r Record) flagsAndPlan() byte {
 	head := byte(r.Plan & planMask)
 	if r.FromOwner {
 		head |= flagFromOwner
@@ -147,8 +148,8 @@
 	return record
 }
 
-// MemberReport is a message that reports an account's units to its owner in the place of a member, for a sender that is no
-// gateway: total units in all, of which unacked ones (63 at most) are new to an owner that knows no member of this incarnation.
+// MemberReport returns a message that reports an account's units to its owner in place of a member, from a sender that is not a
+// gateway. total counts all units; unacked of them (63 at most) are new to an owner that knows no member of this incarnation.
 func MemberReport(incarnation uint8, sequence uint16, account string, plan int, total, unacked float64, inFlight int) []byte {
 	message := AppendRecord(AppendHeader(nil, incarnation, sequence), Record{AccountKey: uint32(HashPoint(account) >> 32), Plan: plan,
 		Total: total, Unacked: unacked, InFlight: inFlight})
@@ -156,7 +157,7 @@
 	return message
 }
 
-// Parse reads a message that was received at now, in Unix seconds. It returns false for anything but a complete message of this
+// Parse reads a message that was received at now, in Unix seconds. ok is false for anything but a complete message of this
 // version.
 func Parse(message []byte, now float64) (incarnation uint8, sequence uint16, records []Record, entries []GossipEntry, ok bool) {
 	if len(message) < HeaderLen || len(message) > MaxLen || message[0] != Version {
--- a/internal/base/peerprotocol/record_test.go
+++ b/internal/base/peerprotocol/record_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// A record is read as it was written, within the steps of its fields, and only the fields that its sender may set.
+// A record is parsed as it was written, to the precision of its fields, with each set of fields that a sender may set.
 func TestRecord_RoundTrip(t *testing.T) {
-	quarters := func(t *rapid.T, name string, most int) float64 {
-		return float64(rapid.IntRange(0, most).Draw(t, name)) / unitSteps
+	quarters := func(t *rapid.T, name string, maxQuarters int) float64 {
+		return float64(rapid.IntRange(0, maxQuarters).Draw(t, name)) / unitSteps
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		record := Record{
@@ -40,15 +40,15 @@
 		message[RecordCountOffset] = 1
 		incarnation, sequence, records, entries, ok := Parse(message, 100)
 		if !ok || incarnation != 3 || sequence != 9 || len(records) != 1 || len(entries) != 0 {
-			t.Fatalf("parsed %v: %d %d %v %v", ok, incarnation, sequence, records, entries)
+			t.Fatalf("parsed with ok %v: incarnation %d, sequence %d, records %v, entries %v, want one record of incarnation 3, sequence 9", ok, incarnation, sequence, records, entries)
 		}
 		got := records[0]
 		if math.Abs(got.BackoffS-record.BackoffS) > durationStepS*1.01 || math.Abs(got.LeaseS-record.LeaseS) > durationStepS*1.01 {
-			t.Fatalf("durations of %+v are read as %+v", record, got)
+			t.Fatalf("durations of %+v are parsed as %+v", record, got)
 		}
 		got.BackoffS, got.LeaseS = record.BackoffS, record.LeaseS
 		if got != record {
-			t.Fatalf("%+v is read as %+v", record, got)
+			t.Fatalf("%+v is parsed as %+v", record, got)
 		}
 	})
 }
@@ -57,7 +57,7 @@
 	_, _, records, _, ok := Parse(MemberReport(1, 2, "ada", 3, 10, 4, 5), 100)
 	want := Record{AccountKey: uint32(HashPoint("ada") >> 32), Plan: 3, Total: 10, Unacked: 4, InFlight: 5}
 	if !ok || len(records) != 1 || records[0] != want {
-		t.Errorf("read %v: %+v, want %+v", ok, records, want)
+		t.Errorf("parsed with ok %v: %+v, want %+v", ok, records, want)
 	}
 }
 
@@ -65,7 +65,7 @@
 	message := MemberReport(1, 2, "ada", 3, 10, 4, 5)
 	for i := range message {
 		if _, _, _, _, ok := Parse(message[:i], 100); ok {
-			t.Errorf("%d of %d bytes are read", i, len(message))
+			t.Errorf("Parse accepted the first %d of %d bytes", i, len(message))
 		}
 	}
 	for name, change := range map[string]func(b []byte) []byte{
@@ -74,7 +74,7 @@
 		"too long":        func(b []byte) []byte { return append(b, make([]byte, MaxLen)...) },
 	} {
 		if _, _, _, _, ok := Parse(change(append([]byte(nil), message...)), 100); ok {
-			t.Errorf("%s is read", name)
+			t.Errorf("%s: Parse accepted the message", name)
 		}
 	}
 }
--- a/internal/base/peerprotocol/sequence.go
+++ b/internal/base/peerprotocol/sequence.go
@@ -1,12 +1,13 @@
 package peerprotocol
 
-// SequenceTracker recognizes old and repeated messages of one sender. Its zero value accepts any first message.
+// SequenceTracker detects old and repeated messages of one sender. Its zero value accepts any first message.
 type SequenceTracker struct {
-	Incarnation uint8  // of the last message that was accepted
-	Sequence    uint16 // of the same; 0: none
+	Incarnation uint8  // of the last accepted message
+	Sequence    uint16 // of the last accepted message; 0: none
 }
 
-// Stale reports whether a message is older than one that was accepted already, or the same. Otherwise it is accepted.
+// Stale reports whether a message is the last accepted one of the same incarnation or an older one. Any other message is accepted and
+// recorded.
 func (t *SequenceTracker) Stale(incarnation uint8, sequence uint16) bool {
 	if incarnation == t.Incarnation && t.Sequence != 0 && int16(sequence-t.Sequence) <= 0 {
 		return true
--- a/internal/base/peerprotocol/sequence_test.go
+++ b/internal/base/peerprotocol/sequence_test.go
@@ -10,17 +10,17 @@
 		stale       bool
 	}{
 		{1, 5, false},
-		{1, 5, true}, // again
-		{1, 4, true}, // overtaken
+		{1, 5, true}, // repeated
+		{1, 4, true}, // overtaken by message 5
 		{1, 7, false},
-		{1, 65535, true}, // before 0, seen from 7
-		{2, 1, false},    // of a new process
+		{1, 65535, true}, // older than 7, modulo 65536
+		{2, 1, false},    // a new incarnation
 		{2, 30000, false},
 		{2, 60000, false},
-		{2, 2, false}, // wrapped
+		{2, 2, false}, // newer than 60000, modulo 65536
 	} {
 		if got := tracker.Stale(tc.incarnation, tc.sequence); got != tc.stale {
-			t.Errorf("message %d of incarnation %d: stale is %v", tc.sequence, tc.incarnation, got)
+			t.Errorf("message %d of incarnation %d: stale is %v, want %v", tc.sequence, tc.incarnation, got, tc.stale)
 		}
 	}
 }
--- a/internal/base/simprotocol/line.go
+++ b/internal/base/simprotocol/line.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// maxNumber bounds the magnitude of numbers that are read.
+// maxNumber is the largest magnitude of a number that OptNum accepts.
 const maxNumber = 1e18
 
-// Line is one message: its name and its fields, in the order in which they came. Required fields that are missing, and fields that
-// can't be read, are errors that name the message and the field.
+// Line is one message: its name and its fields, in the order of arrival. If a required field is missing or a field can't be parsed, its
+// methods return an error that names the message and the field.
 type Line struct {
 	Name   string
 	fields []field
@@ -20,7 +20,7 @@
 
 type field struct{ name, value string }
 
-// parse splits a line; a settings field runs to its end.
+// parse splits a line into its fields; a settings field extends to the end of the line.
 func (l *Line) parse(s string) error {
 	l.fields = l.fields[:0]
 	name, rest, more := strings.Cut(s, "\t")
@@ -58,11 +58,11 @@
 
 func (l *Line) missing(name string) error { return fmt.Errorf("%s: field %s is missing", l.Name, name) }
 
-func (l *Line) bad(name, v string) error {
+func (l *Line) invalid(name, v string) error {
 	return fmt.Errorf("%s: field %s cannot be read: %q", l.Name, name, v)
 }
 
-// Text returns a required text field.
+// Text returns a required text field, which must not be empty.
 func (l *Line) Text(name string) (string, error) {
 	v, ok := l.get(name)
 	if !ok || v == "" {
@@ -71,7 +71,7 @@
 	return v, nil
 }
 
-// Int returns a required whole number.
+// Int returns a required integer.
 func (l *Line) Int(name string) (int, error) {
 	if !l.Has(name) {
 		return 0, l.missing(name)
@@ -79,7 +79,7 @@
 	return l.OptInt(name)
 }
 
-// OptInt returns a whole number, 0 where it was left off.
+// OptInt returns an integer, 0 if the line does not have the field.
 func (l *Line) OptInt(name string) (int, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -87,12 +87,12 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		return 0, l.bad(name, v)
+		return 0, l.invalid(name, v)
 	}
 	return n, nil
 }
 
-// Uint returns a required whole number of up to 64 bits.
+// Uint returns a required unsigned integer of up to 64 bits.
 func (l *Line) Uint(name string) (uint64, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -100,7 +100,7 @@
 	}
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		return 0, l.bad(name, v)
+		return 0, l.invalid(name, v)
 	}
 	return n, nil
 }
@@ -113,7 +113,7 @@
 	return l.OptNum(name)
 }
 
-// OptNum returns a number, 0 where it was left off.
+// OptNum returns a number, 0 if the line does not have the field.
 func (l *Line) OptNum(name string) (float64, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -121,24 +121,24 @@
 	}
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(x) || math.Abs(x) > maxNumber {
-		return 0, l.bad(name, v)
+		return 0, l.invalid(name, v)
 	}
 	return x, nil
 }
 
-// OptBool returns a bool, false where it was left off.
+// OptBool returns a bool, written as 0 or 1; false if the line does not have the field.
 func (l *Line) OptBool(name string) (bool, error) {
 	v, ok := l.get(name)
 	if !ok || v == "0" {
 		return false, nil
 	}
 	if v != "1" {
-		return false, l.bad(name, v)
+		return false, l.invalid(name, v)
 	}
 	return true, nil
 }
 
-// Hex returns a required field of bytes.
+// Hex returns a required field of bytes in hexadecimal; "-" stands for none.
 func (l *Line) Hex(name string) ([]byte, error) {
 	v, ok := l.get(name)
 	if !ok {
@@ -149,12 +149,12 @@
 	}
 	b, err := hex.DecodeString(v)
 	if err != nil {
-		return nil, l.bad(name, v)
+		return nil, l.invalid(name, v)
 	}
 	return b, nil
 }
 
-// Pairs calls f for each name:value of an optional field.
+// Pairs calls f for each name:value pair of an optional field. It returns true if the field has any.
 func (l *Line) Pairs(name string, f func(name string, v float64)) (bool, error) {
 	v, ok := l.get(name)
 	if !ok || v == "" {
@@ -164,7 +164,7 @@
 		k, x, ok := strings.Cut(part, ":")
 		n, err := strconv.ParseFloat(x, 64)
 		if !ok || err != nil {
-			return false, l.bad(name, v)
+			return false, l.invalid(name, v)
 		}
 		f(k, n)
 	}
--- a/internal/base/simprotocol/reader.go
+++ b/internal/base/simprotocol/reader.go
@@ -9,7 +9,7 @@
 
 const readBufferBytes = 1 << 20
 
-// Reader reads lines.
+// Reader reads the messages of the simulator, one a line.
 type Reader struct {
 	buffered *bufio.Reader
 	long     []byte // a line that does not fit into the buffer
