--- a/internal/decision/errorbound/fault.go
+++ b/internal/decision/errorbound/fault.go
@@ -18,7 +18,7 @@
 
 var faultNames = [FaultKinds]string{"calm", "owner lost", "owner back", "member lost", "split", "fog"}
 
-// String returns the kind's name as reports and tables print it.
+// String returns the kind's name, as reports and tables print it.
 func (k FaultKind) String() string {
 	if k >= 0 && k < FaultKinds {
 		return faultNames[k]
--- a/internal/decision/reportqueue/reportqueue.go
+++ b/internal/decision/reportqueue/reportqueue.go
@@ -1,7 +1,7 @@
 // Package reportqueue paces the reports that a gateway sends to its peers. Items are queued by peer and sent in
 // batches; urgent ones are sent without waiting for the next batch. A token bucket limits the rate of all messages,
-// because each message takes a part of its receiver's intake. The package does no I/O; times are seconds of the
-// caller's clock. Package policy decides what is reported and what is urgent.
+// because each message uses a part of the rate at which its receiver accepts messages. The package does no I/O;
+// times are seconds of the caller's clock. Package policy decides what is reported and what is urgent.
 package reportqueue
 
 import "slices"
--- a/internal/decision/snapshot/snapshot.go
+++ b/internal/decision/snapshot/snapshot.go
@@ -1,6 +1,6 @@
 // Package snapshot defines the state that a process passes to its successor in a hot restart: a gateway's or a forwarder's, in parts that
-// each fit a message of the link. The values are plain and finite, so that every part has a JSON form. The struct tags hold the keys of that
-// form, which processes of two versions share. The package makes no decisions and does no I/O.
+// each fit a message of the link between the two processes. The values are plain and finite, so that every part has a JSON form. The struct
+// tags hold the keys of that form, which processes of two versions share. The package makes no decisions and does no I/O.
 //
 // Times are Unix seconds by the clock of the process that took the snapshot, unless a field says otherwise.
 package snapshot
