--- a/internal/controlplane/planner/actions.go
+++ b/internal/controlplane/planner/actions.go
@@ -5,8 +5,8 @@
 	"eiderspread/policy"
 )
 
-// cellActions implements policy.Actions for the module of one cell: what the module decides goes to the request's forwarder. A module is
-// called only while the cell is led here, so every action is sent under a lead that holds; see Core.advanceTo.
+// cellActions implements policy.Actions for the module of one cell. It sends the module's decisions to the forwarder of the request. A
+// module is called only while this planner leads its cell, so every action is sent under a valid lease; see Core.advanceTo.
 type cellActions struct {
 	core   *Core
 	cellID int
@@ -15,7 +15,7 @@
 
 var _ policy.Actions = (*cellActions)(nil)
 
-// findRequest returns the request of a module's id; nil if it has ended.
+// findRequest returns the open request with a module id, or nil if the request has ended.
 func (a *cellActions) findRequest(id string) *openRequest {
 	forwarder, handle, ok := parseModuleID(id)
 	if !ok || forwarder >= len(a.core.requests) {
@@ -28,7 +28,7 @@
 	return transport.Message{Kind: kind, Cell: uint16(a.cellID), Epoch: a.epoch, Handle: request.handle}
 }
 
-// Send implements policy.Actions. The message carries the account's debt, from which a successor starts.
+// Send implements policy.Actions. The message carries the account's debt, so that the forwarder can report it to the next leader.
 func (a *cellActions) Send(id, backend string, timeoutS float64) {
 	request := a.findRequest(id)
 	if request == nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// complete sends a request's final decision.
+// complete sends the final decision on a request to its forwarder.
 func (a *cellActions) complete(request *openRequest, msg transport.Message) {
 	request.completed = true
 	a.core.out.SendToForwarder(request.forwarder, msg)
@@ -87,7 +87,7 @@
 	cell.timers = append(cell.timers, moduleTimer{a.core.now + max(delayS, 0), token})
 }
 
-// Probe implements policy.Actions. The first linked forwarder carries it out.
+// Probe implements policy.Actions. It sends the probe to the linked forwarder with the lowest number.
 func (a *cellActions) Probe(backend string) {
 	for forwarder, linked := range a.core.linked {
 		if linked {
@@ -97,8 +97,8 @@
 	}
 }
 
-// SendPeerMessage implements policy.Actions and does nothing: a cell is the only gateway of its accounts, and the planner knows what a
-// module answers to Core.applyCounts.
+// SendPeerMessage implements policy.Actions and discards the message. A cell is the only gateway of its accounts, and the planner does
+// not need the module's replies to Core.applyCounts.
 func (a *cellActions) SendPeerMessage(int, []byte) {}
 
 // Log implements policy.Actions.
--- a/internal/controlplane/planner/admin.go
+++ b/internal/controlplane/planner/admin.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// cordonTimeoutS is how long a call to cordon may take, in seconds: an operator is answered within a second.
+	// cordonTimeoutS is the timeout of a call that cordons or uncordons a backend, in seconds. It lets an operator get the answer within a
+	// second.
 	cordonTimeoutS = 0.8
-	// maxLeaseForCordonS is the longest lease, in seconds, with which such a call can succeed in that time: it waits for older leads to end.
+	// maxLeaseForCordonS is the longest lease, in seconds, with which such a call can succeed before its timeout: the call waits until older
+	// leases have expired.
 	maxLeaseForCordonS = 0.6
 )
 
 var errNotReady = errors.New("this planner claims no cells, or is linked to too few forwarders")
 
-// adminAPI implements admin.Handler on the server's loop. Each method returns nil once what was asked for holds.
+// adminAPI implements admin.Handler. Its methods run on the server's event loop and return nil once the requested state is in effect.
 type adminAPI struct{ server *Server }
 
-// runOnLoop has the loop run do, which must see to it that result is sent one value, and returns that value.
-func (a *adminAPI) runOnLoop(ctx context.Context, do func(now float64, result chan<- error)) error {
+// runOnLoop runs fn on the event loop and returns the value that is sent to result. fn must arrange for exactly one value to be sent.
+func (a *adminAPI) runOnLoop(ctx context.Context, fn func(now float64, result chan<- error)) error {
 	result := make(chan error, 1)
 	select {
-	case a.server.events <- func(now float64) { do(now, result) }:
+	case a.server.events <- func(now float64) { fn(now, result) }:
 	case <-a.server.done:
 		return errNotReady
 	case <-ctx.Done():
@@ -70,7 +72,7 @@
 	})
 }
 
-// Drain implements admin.Handler: the planner gives up its cells and claims none.
+// Drain implements admin.Handler: the planner releases its cells and claims none.
 func (a *adminAPI) Drain(ctx context.Context) error {
 	return a.runOnLoop(ctx, func(now float64, result chan<- error) {
 		a.server.core.Drain(now)
--- a/internal/controlplane/planner/config.go
+++ b/internal/controlplane/planner/config.go
@@ -12,21 +12,21 @@
 	"eiderspread/internal/observability/trace"
 )
 
-// FileConfig is a planner's operators' file, checked.
+// FileConfig is the validated content of a planner's configuration file.
 type FileConfig struct {
 	topology.Params
-	Number         int // this planner's, from 0
-	ListenAddr     string
+	Number         int      // this planner's number, from 0
+	ListenAddr     string   // for links from forwarders
 	StatusAddr     string   // of the status page; empty: none
-	AdminAddr      string   // of the operators' HTTP interface; empty: none
-	TraceFolder    string   // for traces of decisions; empty: none are written
-	TraceMB        int      // bound of each trace file
-	ForwarderNames []string // with TLS: the common name of each forwarder's certificate, by number
+	AdminAddr      string   // of the operators' HTTP API; empty: none
+	TraceFolder    string   // for decision traces; empty: decisions are not traced
+	TraceMB        int      // size limit of each trace file, in megabytes
+	ForwarderNames []string // with TLS: the common name in each forwarder's certificate, by forwarder number
 	TLS            mutualtls.Identity
 	Ingress        ingressconfig.Config
 }
 
-// operatorFile is deploy/planner.toml.
+// operatorFile is the layout of a planner's configuration file, such as deploy/planner.toml.
 type operatorFile struct {
 	topology.File
 	ListenAddr     string          `toml:"listen"`
@@ -37,7 +37,8 @@
 	LoadShedding   loadshed.Config `toml:"overload"`
 }
 
-// ReadFile reads deploy/planner.toml and the configuration that it names. An error is one line that begins with a path.
+// ReadFile reads and validates a planner's configuration file and the ingress configuration that it names. An error is one line that
+// begins with a path.
 func ReadFile(path string) (FileConfig, error) {
 	var f operatorFile
 	if err := operatorconfig.Decode(path, &f); err != nil {
@@ -63,7 +64,7 @@
 		return cfg, &topology.ParamError{Key: "number", Problem: fmt.Sprintf("is %d, want 0 to %d", f.Number, f.Planners-1)}
 	}
 	if f.TLS != (mutualtls.Identity{}) && len(f.ForwarderNames) != f.Forwarders {
-		return cfg, fmt.Errorf("allowed: %d names given for %d forwarders", len(f.ForwarderNames), f.Forwarders)
+		return cfg, fmt.Errorf("allowed: %d names, want %d, one for each forwarder", len(f.ForwarderNames), f.Forwarders)
 	}
 	if _, err := f.TLS.Config(); err != nil {
 		return cfg, fmt.Errorf("tls: %w", err)
@@ -81,11 +82,12 @@
 	return cfg, f.LoadShedding.Check()
 }
 
-// checkAdminAddr checks the admin address and that a call there can end in time: it waits for a whole lease.
+// checkAdminAddr checks the admin address, and that the lease is short enough for a cordon call, which waits for a whole lease, to succeed
+// before its timeout.
 func (f *operatorFile) checkAdminAddr(leaseS float64) (string, error) {
 	addr, err := ingressconfig.CheckAdminAddr(f.AdminAddr)
 	if err == nil && addr != "" && leaseS > maxLeaseForCordonS {
-		err = fmt.Errorf("console: lease_ms must be %.0f at most with it", maxLeaseForCordonS*1e3)
+		err = fmt.Errorf("console: lease_ms is %.6g, must be at most %.0f when console is set", leaseS*1e3, maxLeaseForCordonS*1e3)
 	}
 	return addr, err
 }
--- a/internal/controlplane/planner/cordons.go
+++ b/internal/controlplane/planner/cordons.go
@@ -8,11 +8,11 @@
 	"eiderspread/policy"
 )
 
-// errIDTooLong rejects an id that the transport would cut off: the cordon would bind nobody.
-var errIDTooLong = fmt.Errorf("an id of over %d bytes can't be held", transport.MaxNameBytes)
+// errIDTooLong rejects a backend id that the transport would truncate. The cordon would then apply to another backend, or to none.
+var errIDTooLong = fmt.Errorf("a backend id of more than %d bytes can't be cordoned", transport.MaxNameBytes)
 
-// cordonOverlay applies the operators' cordons to the backends that the modules see. That a cordon binds whichever planner leads
-// is package cordon's matter.
+// cordonOverlay applies the operators' cordons to the backends that the modules see. Package cordon ensures that a cordon holds whichever
+// planner leads.
 type cordonOverlay struct {
 	coordinator  *cordon.Coordinator
 	cordonedAt   map[string]float64 // by backend: when this planner learned of its cordon; at most cordon.MaxRegisters
@@ -27,9 +27,10 @@
 	}
 }
 
-// apply returns a backend as the modules are to see it: draining while it is cordoned. One that is uncordoned may have been restarted
-// meanwhile, so it counts as started at that moment until discovery reports a start after the cordon. cordontable.Table has the same rule for an
-// ingress without planners: on discovery's list, in milliseconds, and with no entry left for a backend that is terminated.
+// apply returns a backend as the modules see it: draining while it is cordoned. The backend may have been restarted while it was
+// cordoned, so once uncordoned it counts as started at that moment, until discovery reports a start after the cordon. cordontable.Table
+// has the same rule for an ingress without planners; it works on discovery's endpoint list, in milliseconds, and keeps no entry for a
+// terminated backend.
 func (o *cordonOverlay) apply(backend policy.Backend) policy.Backend {
 	cordonedAt, known := o.cordonedAt[backend.ID]
 	uncordonedAt, uncordoned := o.uncordonedAt[backend.ID]
@@ -43,7 +44,7 @@
 	return backend
 }
 
-// update notes the present state of a backend's register.
+// update records the current state of a backend's cordon register.
 func (o *cordonOverlay) update(now float64, id string, cordoned bool) {
 	_, known := o.cordonedAt[id]
 	_, uncordoned := o.uncordonedAt[id]
@@ -56,9 +57,9 @@
 	}
 }
 
-// SetCordoned starts an operator's call to cordon or uncordon a backend. done is called by a later Tick, within timeoutS seconds: with nil
-// as soon as the call holds whichever planner leads, else with an error of package cordon. If SetCordoned itself returns an error, done is
-// not called.
+// SetCordoned starts an operator's call to cordon or uncordon a backend. A later Tick calls done within timeoutS seconds: with nil as
+// soon as the new state holds whichever planner leads, else with an error of package cordon. If SetCordoned itself returns an error, done
+// is not called.
 func (c *Core) SetCordoned(now, timeoutS float64, id string, cordoned bool, done func(error)) error {
 	c.advanceTo(now)
 	if len(id) > transport.MaxNameBytes {
@@ -70,10 +71,10 @@
 	return c.cordons.coordinator.SetCordoned(now, timeoutS, id, cordoned, done)
 }
 
-// Cordoned lists the ids of the backends that this planner knows to be cordoned, in order.
+// Cordoned returns the ids of the backends that this planner knows to be cordoned, sorted.
 func (c *Core) Cordoned() []string { return c.cordons.coordinator.Registers().Cordoned() }
 
-// cordonOutput implements cordon.Output over the links.
+// cordonOutput implements cordon.Output with messages to forwarders.
 type cordonOutput struct{ core *Core }
 
 // ReadRegister implements cordon.Output.
@@ -87,7 +88,7 @@
 		Epoch: state.Version, Flag: state.Cordoned})
 }
 
-// RegisterChanged implements cordon.Output: the modules learn of the change at once.
+// RegisterChanged implements cordon.Output. It passes the change to the modules at once.
 func (o cordonOutput) RegisterChanged(id string, state cordon.State) {
 	core := o.core
 	core.cordons.update(core.now, id, state.Cordoned)
--- a/internal/controlplane/planner/core.go
+++ b/internal/controlplane/planner/core.go
@@ -13,41 +13,41 @@
 	"eiderspread/policy"
 )
 
-// TickIntervalS is how often Core.Tick is to be called, in seconds.
+// TickIntervalS is the interval at which the caller must call Core.Tick, in seconds.
 const TickIntervalS = 0.01
 
-// Config is fixed for the life of a Core.
+// Config configures a Core. It does not change during the Core's lifetime.
 type Config struct {
 	topology.Params
 	Number   int             // this planner's number, from 0
-	Settings policy.Settings // the fleet's; Self, Gateways and PeerMessages are replaced for each cell
-	Seed     uint64          // of all that is drawn at random
+	Settings policy.Settings // of the fleet; Self, Gateways and PeerMessages are replaced for each cell
+	Seed     uint64          // of all random numbers
 }
 
-// Output carries out what a Core asks for. It is called only while one of the Core's methods runs.
+// Output performs the I/O that a Core requests. The Core calls it only from within its own methods.
 type Output interface {
-	// SendToForwarder queues messages in order; they are dropped silently if the forwarder's link is down.
+	// SendToForwarder queues messages in order. It drops them silently if the forwarder's link is down.
 	SendToForwarder(forwarder int, msgs ...transport.Message)
 	// Log writes a log line; args are alternating keys and values.
 	Log(text string, args ...any)
 }
 
-// Core holds the decisions of one planner: the leases on cells, and a decision module for each cell that it leads. It is not safe for
-// concurrent use. Times are seconds and never go back.
+// Core makes the decisions of one planner. It holds the leases on cells and a decision module for each cell that the planner leads. It is
+// not safe for concurrent use. Times are in seconds and never decrease.
 type Core struct {
 	cfg         Config
 	out         Output
-	now         float64 // of the present event
-	windowSpanS float64 // the longest time in which an empty quota window fills
+	now         float64 // time of the current event
+	windowSpanS float64 // longest time in which an empty quota window refills
 	leases      *leaseManager
 	cells       []hostedCell
 	linked      []bool                    // by forwarder
-	requests    []map[uint64]*openRequest // by forwarder and handle; bounded by what forwarders keep open
-	backends    map[string]policy.Backend // as discovery reported them last, without cordons
+	requests    []map[uint64]*openRequest // by forwarder and handle; bounded by the requests that forwarders keep open
+	backends    map[string]policy.Backend // by id: as last reported by discovery, without cordons
 	cordons     cordonOverlay
 	shedLevels  shedLevelBroadcast
-	modulesMade uint64                // part of each module's seed
-	incarnation []uint64              // by forwarder: the latest that was linked
+	modulesMade uint64                // number of modules created so far; part of each module's seed
+	incarnation []uint64              // by forwarder: of the process that linked last
 	trace       func(reason.Decision) // nil: decisions are not traced
 
 	Stats Stats
@@ -55,23 +55,23 @@
 
 // Stats counts events since the planner's start.
 type Stats struct {
-	Requests      uint64 // requests that forwarders submitted
-	Sends         uint64 // attempts that modules decided on
+	Requests      uint64 // requests submitted by forwarders
+	Sends         uint64 // attempts started by modules
 	Rejected      uint64 `json:"Refused"`
 	Failed        uint64
 	LeadsGained   uint64 `json:"Leads"`
 	LeadsLost     uint64 `json:"Lost"`
-	StaleMessages uint64 `json:"Ignored"` // for cells or epochs that are not led here
-	UsageReports  uint64 `json:"Tales"`   // accounts that forwarders reported on to a new lead
+	StaleMessages uint64 `json:"Ignored"` // messages for a cell or epoch that this planner does not lead
+	UsageReports  uint64 `json:"Tales"`   // usage reports received from forwarders, one per account
 }
 
-// hostedCell is what a planner keeps of a cell that it leads or claims. The zero value stands for any other cell.
+// hostedCell is the state of a cell that this planner leads or claims. It is the zero value for every other cell.
 type hostedCell struct {
 	epoch    uint64
 	module   *policy.Gateway // nil until the planner leads the cell
-	windows  *windowTable    // from the claim on
+	windows  *windowTable    // set from the claim on
 	countSeq uint16          // sequence number of the latest count reported to the module
-	timers   []moduleTimer   // that the module has set; one or two
+	timers   []moduleTimer   // set by the module; one or two
 }
 
 type moduleTimer struct {
@@ -79,7 +79,8 @@
 	token  uint64
 }
 
-// NewCore returns the decisions of a planner that has just started and leads nothing. An error is about settings that no module accepts.
+// NewCore returns the core of a planner that has just started and leads no cell. It returns an error if the decision module rejects the
+// settings.
 func NewCore(cfg Config, now float64, out Output) (*Core, error) {
 	c := &Core{
 		cfg:         cfg,
@@ -96,7 +97,7 @@
 	for i := range c.requests {
 		c.requests[i] = map[uint64]*openRequest{}
 	}
-	if _, err := c.newModule(0, now); err != nil { // made only to check the settings
+	if _, err := c.newModule(0, now); err != nil { // only to validate the settings
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	c.cells[0] = hostedCell{}
@@ -108,7 +109,8 @@
 	return c, nil
 }
 
-// newModule makes the decision module of a cell. To the module, the cell is the gateway, and the only one of each of its accounts.
+// newModule creates the decision module of a cell. The module sees the cell as its own gateway, and as the only gateway of each of the
+// cell's accounts.
 func (c *Core) newModule(cellID int, now float64) (*policy.Gateway, error) {
 	settings := c.cfg.Settings
 	settings.Self, settings.Gateways, settings.PeerMessages = cellID, c.cfg.Cells, false
@@ -117,16 +119,16 @@
 	return policy.New(settings, seed, now, &cellActions{c, cellID, c.cells[cellID].epoch})
 }
 
-// startClaim prepares for the usage reports that forwarders send with their grants.
+// startClaim prepares a cell for the usage reports that forwarders send with their grants.
 func (c *Core) startClaim(cellID int, epoch uint64) {
 	c.cells[cellID] = hostedCell{epoch: epoch, windows: newWindowTable(c.cfg.Forwarders, c.cfg.Settings.Plans, c.windowSpanS)}
 }
 
-// startLeading starts a new decision module for a cell: nothing but reported usage goes over from an earlier lead.
+// startLeading starts a new decision module for a cell. Reported usage is the only state that it takes over from earlier leaders.
 func (c *Core) startLeading(now float64, cellID int, epoch uint64) {
 	cell := &c.cells[cellID]
 	module, err := c.newModule(cellID, now)
-	if err != nil { // NewCore has accepted the same settings
+	if err != nil { // unexpected: NewCore has validated the same settings
 		c.out.Log("planner can't start the decision module of a cell", "cell", cellID, "epoch", epoch, "error", err)
 		return
 	}
@@ -143,12 +145,12 @@
 	c.out.Log("planner became leader of cell", "cell", cellID, "epoch", epoch, "missing_reports", cell.windows.missingReports)
 }
 
-// stopLeading drops a cell's module with everything that it knows, and the requests that were submitted to it.
+// stopLeading discards a cell's module with all its state, and the requests that were submitted to it.
 func (c *Core) stopLeading(cellID int) {
 	cell := &c.cells[cellID]
 	if cell.module != nil {
 		c.Stats.LeadsLost++
-		c.out.Log("planner lost the lead of cell", "cell", cellID, "epoch", cell.epoch)
+		c.out.Log("planner lost leadership of cell", "cell", cellID, "epoch", cell.epoch)
 	}
 	*cell = hostedCell{}
 	for _, byHandle := range c.requests {
@@ -156,14 +158,14 @@
 	}
 }
 
-// advanceTo sets the time and ends every lead whose lease has run out. It has to come before anything is decided: a promise that arrives
-// late can't make up for messages that were ignored in between.
+// advanceTo sets the time and ends every leadership whose lease has expired. It must run before any decision. A late grant can't restore
+// an expired leadership, because messages that arrived in between were ignored.
 func (c *Core) advanceTo(now float64) {
 	c.now = now
 	c.leases.expireLeases(now)
 }
 
-// leadingCell returns the cell if this planner may decide for it now under this epoch, else nil.
+// leadingCell returns the cell if this planner currently leads it under the given epoch, else nil.
 func (c *Core) leadingCell(cellID int, epoch uint64) *hostedCell {
 	if !c.leases.isLeader(c.now, cellID, epoch) {
 		c.Stats.StaleMessages++
@@ -175,15 +177,15 @@
 	return nil
 }
 
-// SetTracer has trace called with each decision of the modules that start from now on. In it a request's id is that of openRequest. trace
-// must return quickly.
+// SetTracer sets the function that receives each decision of the modules that start after this call. A decision's request id is
+// openRequest.moduleID. trace must return quickly.
 func (c *Core) SetTracer(trace func(reason.Decision)) { c.trace = trace }
 
-// LinkUp handles a new link to a forwarder. LinkDown must have been called for the one before.
+// LinkUp handles a new link to a forwarder. The caller must have called LinkDown for the forwarder's previous link.
 func (c *Core) LinkUp(now float64, forwarder int, incarnation uint64) {
 	c.advanceTo(now)
 	c.linked[forwarder] = true
-	if c.incarnation[forwarder] != incarnation { // the attempts of the former process ended with it
+	if c.incarnation[forwarder] != incarnation { // the previous process has ended, and its attempts with it
 		c.incarnation[forwarder] = incarnation
 		c.clearOrphans(forwarder)
 	}
@@ -191,8 +193,8 @@
 	c.leases.linkUp(now, forwarder)
 }
 
-// LinkDown handles the end of a forwarder's link. To the modules, all of its requests end. Its attempts may still be in flight: they count
-// as orphaned for a while, until the forwarder reports otherwise or starts anew.
+// LinkDown handles the end of a forwarder's link. For the modules, all requests of the forwarder end. Its attempts may still be in flight:
+// they count as orphaned for orphanReportTTLS seconds, or until the forwarder reports another number or restarts.
 func (c *Core) LinkDown(now float64, forwarder int) {
 	c.advanceTo(now)
 	c.linked[forwarder] = false
@@ -201,7 +203,7 @@
 	c.orphanRequests(forwarder)
 }
 
-// HandleMessage handles a message of a forwarder.
+// HandleMessage handles a message from a forwarder.
 func (c *Core) HandleMessage(now float64, forwarder int, msg *transport.Message) {
 	c.advanceTo(now)
 	switch msg.KindFromForwarder() {
@@ -241,7 +243,7 @@
 		LatencyS: msg.DurationS, Load: loadReport(msg)})
 }
 
-// UpdateBackends applies discovery's list of backends: all of them if full, else those that have changed.
+// UpdateBackends applies an endpoint list from discovery: all backends if full is true, else only those that have changed.
 func (c *Core) UpdateBackends(now float64, backends []policy.Backend, full bool) {
 	c.advanceTo(now)
 	if full {
@@ -268,7 +270,8 @@
 	}
 }
 
-// Tick runs the leases, the operators' calls and the modules' timers. It is to be called every TickIntervalS.
+// Tick advances the leases, the operators' cordon calls, the broadcast of load-shedding levels and the modules' timers. It must be called
+// every TickIntervalS.
 func (c *Core) Tick(now float64) {
 	c.advanceTo(now)
 	c.cordons.coordinator.Tick(now)
@@ -281,7 +284,7 @@
 	}
 }
 
-// fireTimers calls the module for each timer that has come due. A call may set new timers.
+// fireTimers calls the module for each timer that is due. The module may set new timers during a call.
 func (c *hostedCell) fireTimers(now float64) {
 	timers := c.timers
 	c.timers = nil
@@ -294,18 +297,18 @@
 	}
 }
 
-// IsLeader reports whether this planner may decide for a cell at this moment.
+// IsLeader reports whether this planner leads a cell at the time now.
 func (c *Core) IsLeader(now float64, cellID int) bool {
 	return c.leases.isLeader(now, cellID, c.leases.cells[cellID].epoch)
 }
 
-// Drain gives all cells up and claims none until Activate.
+// Drain releases all cells. The planner claims no cell until Activate is called.
 func (c *Core) Drain(now float64) {
 	c.advanceTo(now)
 	c.leases.drain(now)
 }
 
-// Activate ends what Drain began.
+// Activate reverts Drain: the planner claims cells again.
 func (c *Core) Activate(now float64) {
 	c.advanceTo(now)
 	c.leases.activate()
--- a/internal/controlplane/planner/core_test.go
+++ b/internal/controlplane/planner/core_test.go
@@ -22,22 +22,22 @@
 	{Name: "chain", Rate: 30, Burst: 60, Weight: 1, HardLimitRate: 55, HardLimitBurst: 110, HardLimitSlack: 11},
 }
 
-// recordingOutput encodes what is sent, as a link would, and keeps the sends.
+// recordingOutput is an Output that encodes the messages sent, as a link does, and records those of KindSend.
 type recordingOutput struct {
 	buf   []byte
 	sends []transport.Message
 }
 
-func (d *recordingOutput) SendToForwarder(_ int, msgs ...transport.Message) {
+func (o *recordingOutput) SendToForwarder(_ int, msgs ...transport.Message) {
 	for i := range msgs {
-		if d.buf = transport.AppendMessage(d.buf, &msgs[i]); msgs[i].Kind == transport.KindSend {
-			d.sends = append(d.sends, msgs[i])
+		if o.buf = transport.AppendMessage(o.buf, &msgs[i]); msgs[i].Kind == transport.KindSend {
+			o.sends = append(o.sends, msgs[i])
 		}
 	}
 }
-func (d *recordingOutput) Log(string, ...any) {}
+func (o *recordingOutput) Log(string, ...any) {}
 
-// newTestCore returns a core that leads all cells of a fleet with 20 forwarders, and a function that renews its leases.
+// newTestCore returns a core that leads all cells of a fleet with 20 forwarders, its output, and a function that renews its leases.
 func newTestCore(tb testing.TB, plan policy.Plan) (*Core, *recordingOutput, func(now float64)) {
 	p := topology.Params{Name: "b", Forwarders: 20, Planners: 1, Cells: 6}
 	if err := p.Check(); err != nil {
@@ -73,8 +73,8 @@
 	return core, out, renew
 }
 
-// What a forwarder had in flight counts towards the account's cap beyond its link's end, until the forwarder reports otherwise or starts
-// anew.
+// Guards against exceeding an account's concurrency limit after a link breaks. The forwarder's attempts remain in flight, so they must
+// count until the forwarder reports another number or restarts.
 func TestLinkDown_InFlightAttemptsKeepCountingTowardsCap(t *testing.T) {
 	core, out, renew := newTestCore(t, policy.Plan{Name: "p", Rate: 1e6, Burst: 1e6, MaxConcurrency: 2, Weight: 1})
 	handle := uint64(0)
@@ -83,7 +83,7 @@
 		out.sends = nil
 		handle++
 		core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: handle, Name: "c", DurationS: 2, Units: 1})
-		if sent = len(out.sends) > 0; !sent { // it waits for the cap; its client disconnects
+		if sent = len(out.sends) > 0; !sent { // it waits for a free slot until its client disconnects
 			core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindDisconnected, Handle: handle})
 		}
 		return sent
@@ -93,35 +93,35 @@
 	}
 	for range 2 {
 		if !request(1000, 0) {
-			t.Fatal("a request within the cap is not sent")
+			t.Fatal("a request within the concurrency limit was not sent")
 		}
 	}
 	if request(1000, 1) {
-		t.Fatal("the cap does not hold to begin with")
+		t.Fatal("a request beyond the concurrency limit was sent before any link broke")
 	}
 	core.LinkDown(1000.1, 0)
 	if request(1000.1, 1) {
-		t.Error("the cap is free as soon as a link breaks")
+		t.Error("a request was sent right after the link broke, want the forwarder's two attempts to fill the limit")
 	}
 	core.LinkUp(1000.1, 0, 1)
 	if reportOrphans(1000.1, 0, 1); !request(1000.1, 1) || request(1000.1, 1) {
-		t.Error("the forwarder reports one of two in flight")
+		t.Error("after the forwarder reported one orphaned attempt, want exactly one more request to be sent")
 	}
 	core.LinkDown(1000.2, 0)
 	core.LinkDown(1000.2, 1)
 	core.LinkUp(1000.2, 1, 2) // a new incarnation: its attempts ended with the old one
 	if !request(1000.2, 1) || request(1000.2, 1) {
-		t.Error("attempts of a dead forwarder count on")
+		t.Error("after a forwarder restarted with a new incarnation, want exactly one more request to be sent")
 	}
 	core.Tick(1000.2)
 	renew(1000.2)
 	core.HandleMessage(1000.2, 1, &transport.Message{Kind: transport.KindWithdraw, Handle: handle - 1})
 	if !request(1000.2, 1) {
-		t.Error("a withdrawn request holds its slot")
+		t.Error("no request was sent after another was withdrawn, want the withdrawn request to free its slot")
 	}
 }
 
-// Two forwarders may use the same handle at the same time.
+// Guards against mixing up the requests of two forwarders, which may use the same handle at the same time.
 func TestRequests_SameHandleAtTwoForwarders(t *testing.T) {
 	core, out, _ := newTestCore(t, policy.Plan{Name: "p", Rate: 1e6, Burst: 1e6, Weight: 1})
 	cellID := uint16(core.cfg.CellOf("c"))
@@ -130,16 +130,17 @@
 		core.HandleMessage(1000, forwarder, &transport.Message{Kind: transport.KindRequest, Cell: cellID, Epoch: core.cells[cellID].epoch, Handle: 7, Name: "c", DurationS: 2, Units: 1})
 	}
 	if len(out.sends) != 2 || core.Stats.Requests != 2 {
-		t.Fatalf("%d sends of %d requests", len(out.sends), core.Stats.Requests)
+		t.Fatalf("got %d sends and %d requests, want 2 and 2", len(out.sends), core.Stats.Requests)
 	}
 	core.HandleMessage(1000.1, 0, &transport.Message{Kind: transport.KindOutcome, Handle: 7, Flag: true})
 	if core.requests[0][7] != nil || core.requests[1][7] == nil {
-		t.Error("one request's end is taken for the other's")
+		t.Errorf("after the outcome from forwarder 0: request open at forwarder 0: %v, at forwarder 1: %v, want false and true",
+			core.requests[0][7] != nil, core.requests[1][7] != nil)
 	}
 }
 
-// BenchmarkCore measures a planner's work for a served request: reading the records, the module, writing the records. System calls of
-// the links are not in it.
+// BenchmarkCore measures a planner's work for one served request: decoding the records, running the module and encoding the records. It
+// leaves out the system calls of the links.
 func BenchmarkCore(b *testing.B) {
 	core, out, renew := newTestCore(b, policy.Plan{Name: "wide", Rate: 1e6, Burst: 1e6, Weight: 1})
 	p, now := core.cfg.Params, 1000.0
@@ -147,7 +148,7 @@
 	b.ResetTimer()
 	var frame []byte
 	for i := range b.N {
-		if now += 0.0001; i%100 == 0 { // 10,000 requests a second, with the ticks and renewals of a second
+		if now += 0.0001; i%100 == 0 { // 10,000 requests per second, with one tick and one lease renewal every 10 ms
 			core.Tick(now)
 			renew(now)
 		}
@@ -164,23 +165,24 @@
 		out.sends, out.buf = out.sends[:0], out.buf[:0]
 	}
 	if core.Stats.Sends < uint64(b.N)*9/10 {
-		b.Errorf("%d of %d were sent", core.Stats.Sends, b.N)
+		b.Errorf("got %d sends for %d requests, want at least 90%%", core.Stats.Sends, b.N)
 	}
 }
 
-// An id that the transport would cut off would cordon another backend.
+// Guards against cordoning the wrong backend: the transport truncates longer ids, and a truncated id may be the one of another backend.
 func TestSetCordoned_RejectsIDsTooLongForLink(t *testing.T) {
 	core, _, _ := newTestCore(t, policy.Plan{Name: "p", Rate: 1, Burst: 1, Weight: 1})
 	for n, ok := range map[int]bool{transport.MaxNameBytes: true, transport.MaxNameBytes + 1: false} {
 		id := strings.Repeat("z", n)
 		core.UpdateBackends(1000, []policy.Backend{{ID: id}}, false)
 		if err := core.SetCordoned(1000, 0.8, id, true, func(error) {}); (err == nil) != ok {
-			t.Errorf("%d bytes: %v", n, err)
+			t.Errorf("SetCordoned with an id of %d bytes returned %v, want success: %v", n, err, ok)
 		}
 	}
 }
 
-// Until the forwarders have reported, an account's quota window counts as empty at the start of the lead.
+// Guards against exceeding a quota after a change of leaders: the previous leader may have admitted units that the new one does not know
+// of. Until all forwarders have reported, an account's quota window must count as empty at the start of the leadership.
 func TestRequests_WaitForUsageReports(t *testing.T) {
 	core, out, _ := newTestCore(t, policy.Plan{Name: "p", Rate: 1, Burst: 4, Weight: 1})
 	cellID := core.cfg.CellOf("c")
@@ -190,7 +192,7 @@
 	}
 	request(1000.01, 1)
 	if len(out.sends) != 0 {
-		t.Fatal("units are admitted that another leader may have admitted")
+		t.Fatal("a request was sent before the usage reports, want the window to count as empty")
 	}
 	for forwarder := range core.cfg.Forwarders {
 		core.HandleMessage(1000.02, forwarder, &transport.Message{Kind: transport.KindUsageReportEnd, Cell: uint16(cellID),
@@ -198,11 +200,12 @@
 	}
 	request(1000.03, 2)
 	if len(out.sends) == 0 {
-		t.Error("the window is not handed back after all forwarders have reported")
+		t.Error("no request was sent after all forwarders reported no usage, want the window to be available")
 	}
 }
 
-// A cordoned backend is draining to the modules. Once uncordoned, it counts as started then until a later start is reported.
+// Guards the backend state that modules see: a cordoned backend is draining. Once uncordoned, it counts as started at that moment until
+// discovery reports a start after the cordon.
 func TestCordonOverlay(t *testing.T) {
 	overlay := cordonOverlay{cordonedAt: map[string]float64{}, uncordonedAt: map[string]float64{}}
 	backend := func(state policy.BackendState, startedAt float64) policy.Backend {
--- a/internal/controlplane/planner/golden_test.go
+++ b/internal/controlplane/planner/golden_test.go
@@ -7,7 +7,7 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// The status page and the operators' file keep their keys.
+// Guards the keys of the status page and of the configuration file: changed keys would break operators' tools and existing files.
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "status.json", &Status{})
 	f, err := ReadFile(golden.Path("planner.toml"))
--- a/internal/controlplane/planner/leases.go
+++ b/internal/controlplane/planner/leases.go
@@ -11,57 +11,59 @@
 )
 
 const (
-	// roundHistory is for how many renewals the time of sending is remembered; a grant of an older one counts for nothing.
+	// roundHistory is the number of latest renewals whose send times are kept. A grant of an older renewal is ignored.
 	roundHistory = 64
-	// handbackDelayS is how many seconds a cell is kept before it is handed back to a planner that ranks before this one.
+	// handbackDelayS is the time, in seconds, for which this planner leads a cell before it hands it back to a higher-ranked planner.
+	// Ranks are positions in the order in which planners claim a cell; rank 0 is the highest.
 	handbackDelayS = 2.0
-	// handbackRequestIntervalS is the time between two requests for a cell that a lower-ranked planner leads, in seconds.
+	// handbackRequestIntervalS is the time, in seconds, between two requests for a cell that a lower-ranked planner leads.
 	handbackRequestIntervalS = 0.2
 
-	// Two claims never have the same epoch: its order is followed by a draw and by the planner's number. A forwarder that had promised
-	// an epoch to a planner's former incarnation would otherwise take the same epoch of the new one for neither newer nor its own.
+	// An epoch consists of a counter, 32 random bits and the planner's number, so that no two claims have the same epoch. A forwarder that
+	// promised an epoch to a planner's previous incarnation would otherwise reject a claim of the new incarnation under the same epoch: the
+	// epoch is no newer, and the claim does not renew the promise.
 	epochStep        = 64 << 32
 	epochPlannerBits = 6 // topology.Params allows 64 planners
 )
 
-// leaseRole is a planner's standing in one cell.
+// leaseRole is a planner's role in one cell.
 type leaseRole uint8
 
 const (
-	follower  leaseRole = iota // no claim is made
-	candidate                  // a claim is made, and a majority has yet to promise
-	leader                     // a majority has promised; ends by time, see leaseManager.leaseEnd
+	follower  leaseRole = iota // has made no claim
+	candidate                  // has made a claim that a majority has not granted yet
+	leader                     // a majority has granted the claim; lasts until leaseManager.leaseEnd
 )
 
 // String returns the role's name.
 func (r leaseRole) String() string { return [...]string{"follower", "candidate", "leader"}[r] }
 
-// forwarderView is what a forwarder last reported of its promise for a cell.
+// forwarderView is a forwarder's latest report of its promise for a cell.
 type forwarderView struct {
-	known     bool // false until the first report over the present link, and once the view is about to change
+	known     bool // false before the first report over the current link, and when a changed report is expected
 	epoch     uint64
-	holder    int     // the planner that the cell is promised to; -1: none
-	freeAt    float64 // when the promise runs out
-	requester int     // a planner that asks for the cell; -1: none
+	holder    int     // the planner to which the cell is promised; -1: none
+	freeAt    float64 // when the promise expires
+	requester int     // a planner that requests the cell; -1: none
 }
 
 // cellLease is this planner's lease on one cell. Only leaseManager changes it.
 type cellLease struct {
 	role          leaseRole
-	epoch         uint64                // of the claim; 0 in a follower
-	round         uint32                // of the latest renewal that was sent
-	sentAt        [roundHistory]float64 // by round, modulo roundHistory
-	grantedSentAt []float64             // by forwarder: when the latest round that it granted was sent; -Inf: none
-	expiresAt     float64               // of a leader's lease; -Inf before any grant
-	roleSince     float64               // start of the candidacy or of the lead
+	epoch         uint64                // of the claim; 0 for a follower
+	round         uint32                // of the latest renewal sent
+	sentAt        [roundHistory]float64 // send time of each renewal, by round modulo roundHistory
+	grantedSentAt []float64             // by forwarder: send time of the latest round that it granted; -Inf: none
+	expiresAt     float64               // end of the lease by the grants so far; -Inf before any grant
+	roleSince     float64               // start of the candidacy or leadership
 
 	views               []forwarderView // by forwarder
-	freeSince           float64         // since when a majority reports the cell as free; +Inf: it does not
-	nextClaimAt         float64         // no claim is made earlier
+	freeSince           float64         // since when a majority has reported the cell as free; +Inf: no majority does
+	nextClaimAt         float64         // earliest time of the next claim
 	handbackRequestedAt float64
 }
 
-// leaseManager decides which cells this planner leads. It does no I/O; times are seconds of this machine's clock.
+// leaseManager decides which cells this planner leads. It does no I/O. Times are in seconds by the clock of this machine.
 type leaseManager struct {
 	params          topology.Params
 	planner         int // this planner's number
@@ -69,12 +71,12 @@
 	cells           []cellLease
 	linked          []bool // by forwarder
 	nextHeartbeatAt float64
-	draining        bool // no cell is claimed
+	draining        bool // claims no cell
 
 	send    func(forwarder int, msgs ...transport.Message)
-	onClaim func(cellID int, epoch uint64)              // a claim was made: usage reports may arrive
-	onLead  func(now float64, cellID int, epoch uint64) // a majority has promised
-	onLoss  func(cellID int)                            // the claim or the lead has ended; nothing may be decided under it any more
+	onClaim func(cellID int, epoch uint64)              // a claim was made; usage reports may arrive from now on
+	onLead  func(now float64, cellID int, epoch uint64) // a majority has granted the claim
+	onLoss  func(cellID int)                            // the claim or leadership has ended; no decision may be made under it any more
 }
 
 func newLeaseManager(params topology.Params, planner int, seed uint64) *leaseManager {
@@ -93,15 +95,16 @@
 	return m
 }
 
-// leaseEnd returns when the lease ends by what has been granted so far: topology.LeadFraction of the lease time after the oldest of a
-// majority's latest granted rounds was sent. It is the only rule of fencing on the planner's side.
+// leaseEnd returns when the lease expires by the grants so far. It takes the send time of the latest round that each forwarder has
+// granted, selects the majority with the latest times, and adds topology.LeadFraction of the lease time to the earliest of these. This is
+// the only fencing rule on the planner's side.
 func (m *leaseManager) leaseEnd(lease *cellLease) float64 {
 	sentTimes := slices.Clone(lease.grantedSentAt)
 	slices.SortFunc(sentTimes, func(a, b float64) int { return cmp.Compare(b, a) })
 	return sentTimes[m.params.Majority()-1] + m.params.LeaseS*topology.LeadFraction
 }
 
-// isLeader reports whether this planner may decide for the cell at this moment under this epoch.
+// isLeader reports whether this planner leads the cell under the given epoch at the time now, and so may make decisions for it.
 func (m *leaseManager) isLeader(now float64, cellID int, epoch uint64) bool {
 	if cellID < 0 || cellID >= len(m.cells) {
 		return false
@@ -110,8 +113,9 @@
 	return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)
 }
 
-// linkUp handles a new link to a forwarder. One that has promised a cell to this lead, before its link broke or its process was replaced,
-// need not wait for the next renewal to learn that the lead stands; no other follows by this message.
+// linkUp handles a new link to a forwarder, and announces to it the cells that this planner leads. A forwarder that promised such a cell
+// before its link broke or its process was replaced then resumes without waiting for the next renewal. Forwarders without such a promise
+// ignore the announcement.
 func (m *leaseManager) linkUp(now float64, forwarder int) {
 	m.linked[forwarder] = true
 	for i := range m.cells {
@@ -146,13 +150,14 @@
 	lease.views[forwarder] = forwarderView{known: true, epoch: msg.Epoch, holder: int(msg.Number) - 1, freeAt: now + msg.DurationS,
 		requester: int(msg.Requester) - 1}
 	if lease.role == leader && msg.Epoch > lease.epoch && msg.DurationS == 0 && now >= lease.roleSince+m.params.LeaseS {
-		// The forwarder has promised a claim that failed and will follow no lower epoch: only a higher claim gets it back.
-		m.releaseLead(now, int(msg.Cell))
+		// The forwarder has promised a higher epoch to a claim that failed, and follows no lower epoch. It follows this planner again only
+		// after a claim with a still higher epoch.
+		m.releaseCell(now, int(msg.Cell))
 		lease.nextClaimAt = now
 	}
 }
 
-// handleGrant handles a forwarder's promise, or its renewal.
+// handleGrant handles a forwarder's grant of a claim or of a renewal.
 func (m *leaseManager) handleGrant(now float64, forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(m.cells) {
 		return
@@ -168,7 +173,7 @@
 	}
 }
 
-// renewLease sends the next round of a claim, and of a leader its lead, to all forwarders.
+// renewLease sends the next round of a claim to all forwarders. A leader also announces its leadership.
 func (m *leaseManager) renewLease(now float64, cellID int) {
 	lease := &m.cells[cellID]
 	lease.round++
@@ -180,7 +185,7 @@
 	m.broadcast(msgs...)
 }
 
-// becomeCandidate claims a cell under an epoch above all that the forwarders have reported.
+// becomeCandidate claims a cell under an epoch above highestEpoch, the highest one that the forwarders have reported.
 func (m *leaseManager) becomeCandidate(now float64, cellID int, highestEpoch uint64) {
 	lease := &m.cells[cellID]
 	lease.role, lease.roleSince, lease.round = candidate, now, 0
@@ -193,7 +198,7 @@
 	m.renewLease(now, cellID)
 }
 
-// becomeLeader starts the lead of a cell, and renews the lease at once to announce it.
+// becomeLeader starts leading a cell, and renews the lease at once to announce the leadership.
 func (m *leaseManager) becomeLeader(now float64, cellID int) {
 	lease := &m.cells[cellID]
 	lease.role, lease.roleSince = leader, now
@@ -201,8 +206,8 @@
 	m.renewLease(now, cellID)
 }
 
-// becomeFollower ends a claim or a lead without notifying the forwarders. The next claim waits for a random time, so that candidates
-// that have hindered each other do not meet again.
+// becomeFollower ends a claim or a leadership without notifying the forwarders. The next claim waits for a random time of up to half a
+// lease, so that candidates that blocked each other do not collide again.
 func (m *leaseManager) becomeFollower(now float64, cellID int) {
 	lease := &m.cells[cellID]
 	lease.role, lease.epoch, lease.freeSince = follower, 0, math.Inf(1)
@@ -210,8 +215,8 @@
 	m.onLoss(cellID)
 }
 
-// expireLeases ends the leads whose lease has run out. It releases the promises: a forwarder whose promise still runs would otherwise
-// go on submitting requests to a planner that ignores them.
+// expireLeases ends each leadership whose lease has expired, and releases its promises. A forwarder whose promise has not expired yet
+// would otherwise continue to submit requests, which this planner ignores.
 func (m *leaseManager) expireLeases(now float64) {
 	for i := range m.cells {
 		if lease := &m.cells[i]; lease.role == leader && now >= lease.expiresAt && topology.Fenced {
@@ -222,37 +227,37 @@
 	}
 }
 
-// releaseLead gives up a claim or a lead: a successor need not wait until the promises have run out.
-func (m *leaseManager) releaseLead(now float64, cellID int) {
+// releaseCell ends a claim or a leadership and releases its promises, so that a successor need not wait until they expire.
+func (m *leaseManager) releaseCell(now float64, cellID int) {
 	lease := &m.cells[cellID]
 	epoch := lease.epoch
 	m.becomeFollower(now, cellID)
 	lease.nextClaimAt = now + m.params.LeaseS
 	for forwarder := range m.linked {
-		lease.views[forwarder].known = false // it is about to change
+		lease.views[forwarder].known = false // the release changes it
 	}
 	m.sendRelease(cellID, epoch)
 }
 
-// sendRelease notifies the forwarders that nothing more will be decided under an epoch.
+// sendRelease notifies the forwarders that this planner makes no more decisions under an epoch.
 func (m *leaseManager) sendRelease(cellID int, epoch uint64) {
 	m.broadcast(transport.Message{Kind: transport.KindRelease, Cell: uint16(cellID), Epoch: epoch})
 }
 
-// drain gives all cells up and claims none until activate.
+// drain releases all cells. No cell is claimed until activate is called.
 func (m *leaseManager) drain(now float64) {
 	m.draining = true
 	for i := range m.cells {
 		if m.cells[i].role != follower {
-			m.releaseLead(now, i)
+			m.releaseCell(now, i)
 		}
 	}
 }
 
-// activate lets cells be claimed again.
+// activate allows claims again after drain.
 func (m *leaseManager) activate() { m.draining = false }
 
-// tick claims, renews and gives up cells. It is to be called every few milliseconds.
+// tick claims, renews and releases cells. It must be called every few milliseconds.
 func (m *leaseManager) tick(now float64) {
 	heartbeat := now >= m.nextHeartbeatAt
 	if heartbeat {
@@ -265,7 +270,7 @@
 		case lease.role == candidate && now >= lease.roleSince+m.params.LeaseS:
 			m.becomeFollower(now, i)
 		case lease.role == leader && now >= lease.roleSince+handbackDelayS && m.handbackRequested(i):
-			m.releaseLead(now, i)
+			m.releaseCell(now, i)
 		case lease.role != follower:
 			if heartbeat {
 				m.renewLease(now, i)
@@ -276,7 +281,7 @@
 	}
 }
 
-// handbackRequested reports whether a majority of forwarders knows of a planner that ranks before this one and asks for the cell.
+// handbackRequested reports whether a majority of the forwarders reports a request for the cell from a higher-ranked planner.
 func (m *leaseManager) handbackRequested(cellID int) bool {
 	requests := 0
 	for forwarder, view := range m.cells[cellID].views {
@@ -292,15 +297,15 @@
 	return planner >= 0 && planner < m.params.Planners
 }
 
-// plannersToLetClaim returns how many of the planners that rank before this one may claim the cell first. The one that a majority had
-// promised the cell to last is not among them: it has given the cell up, or is dead or paused. If it claims all the same, one claim
-// fails and nothing else happens.
-func (m *leaseManager) plannersToLetClaim(lease *cellLease, cellID, rank int) int {
-	lastHolders := make([]int, m.params.Planners)
+// plannersAhead returns the number of higher-ranked planners that this planner lets claim the cell first. It leaves out a planner that
+// holds the latest promises of a majority, because that planner has released the cell, has failed or is paused. If it claims the cell
+// nevertheless, one claim fails, with no other effect.
+func (m *leaseManager) plannersAhead(lease *cellLease, cellID, rank int) int {
+	promisesByHolder := make([]int, m.params.Planners)
 	for forwarder, view := range lease.views {
 		if m.linked[forwarder] && view.known && m.validPlanner(view.holder) {
-			lastHolders[view.holder]++
-			if lastHolders[view.holder] >= m.params.Majority() && m.params.Rank(cellID, view.holder) < rank {
+			promisesByHolder[view.holder]++
+			if promisesByHolder[view.holder] >= m.params.Majority() && m.params.Rank(cellID, view.holder) < rank {
 				return rank - 1
 			}
 		}
@@ -308,7 +313,7 @@
 	return rank
 }
 
-// tickFollower claims a cell that a majority reports as free, after the planners that rank before this one, or asks for one that a
+// tickFollower claims a cell that a majority reports as free, after higher-ranked planners had time to claim it. It requests a cell that a
 // lower-ranked planner leads.
 func (m *leaseManager) tickFollower(now float64, cellID int) {
 	lease := &m.cells[cellID]
@@ -320,7 +325,7 @@
 		}
 		highestEpoch = max(highestEpoch, view.epoch)
 		switch {
-		case now >= view.freeAt, view.holder == m.planner: // this planner's own failed claim hinders nobody
+		case now >= view.freeAt, view.holder == m.planner: // a promise to this planner's own failed claim does not block a new claim
 			free++
 		case m.validPlanner(view.holder) && m.params.Rank(cellID, view.holder) > rank:
 			heldByLowerRank++
@@ -331,7 +336,7 @@
 	} else {
 		lease.freeSince = min(lease.freeSince, now)
 	}
-	claimAt := lease.freeSince + float64(m.plannersToLetClaim(lease, cellID, rank))*topology.ClaimStaggerS
+	claimAt := lease.freeSince + float64(m.plannersAhead(lease, cellID, rank))*topology.ClaimStaggerS
 	switch {
 	case now >= lease.nextClaimAt && now >= claimAt:
 		m.becomeCandidate(now, cellID, highestEpoch)
--- a/internal/controlplane/planner/links.go
+++ b/internal/controlplane/planner/links.go
@@ -12,7 +12,7 @@
 	"eiderspread/internal/controlplane/transport"
 )
 
-var errLinkReplaced = errors.New("another link of this forwarder")
+var errLinkReplaced = errors.New("replaced by a newer link from the same forwarder")
 
 // acceptLoop accepts connections until the listener is closed.
 func (s *Server) acceptLoop() {
@@ -43,15 +43,15 @@
 func (s *Server) serveLink(conn net.Conn) {
 	idleTimeout := s.cfg.LinkTimeout()
 	if s.tls != nil {
-		secured := tls.Server(conn, s.tls)
-		if err := transport.Handshake(context.Background(), secured, idleTimeout); err != nil {
+		tlsConn := tls.Server(conn, s.tls)
+		if err := transport.Handshake(context.Background(), tlsConn, idleTimeout); err != nil {
 			s.postLog("link rejected", "remote", conn.RemoteAddr(), "error", err)
 			return
 		}
-		conn = secured
+		conn = tlsConn
 	}
 	link := transport.NewConn(conn, idleTimeout)
-	forwarder := -1 // until its hello has been accepted
+	forwarder := -1 // unknown until its hello is accepted
 	err := link.Serve(func(msgs []transport.Message) {
 		if forwarder < 0 {
 			hello, err := s.checkHello(conn, &msgs[0])
@@ -79,8 +79,8 @@
 	})
 }
 
-// checkHello checks that a link's first message is of a forwarder of this fleet, and with TLS of the forwarder that the certificate names.
-// An error wraps transport.ErrHandshake.
+// checkHello checks that a link's first message is the hello of a forwarder of this fleet. With TLS, it also checks that the peer's
+// certificate is the one of that forwarder. An error wraps transport.ErrHandshake.
 func (s *Server) checkHello(conn net.Conn, msg *transport.Message) (transport.Hello, error) {
 	hello, err := transport.ParseHello(msg)
 	if err != nil {
@@ -88,33 +88,33 @@
 	}
 	switch {
 	case hello.Fleet != s.cfg.Name:
-		err = fmt.Errorf("%w: a forwarder of fleet %q", transport.ErrHandshake, hello.Fleet)
+		err = fmt.Errorf("%w: forwarder is of fleet %q, want %q", transport.ErrHandshake, hello.Fleet, s.cfg.Name)
 	case hello.Number >= s.cfg.Forwarders:
-		err = fmt.Errorf("%w: forwarder %d of %d", transport.ErrHandshake, hello.Number, s.cfg.Forwarders)
+		err = fmt.Errorf("%w: forwarder number is %d, want 0 to %d", transport.ErrHandshake, hello.Number, s.cfg.Forwarders-1)
 	case hello.Cells != s.cfg.Cells:
-		err = fmt.Errorf("%w: %d cells, want %d", transport.ErrHandshake, hello.Cells, s.cfg.Cells)
+		err = fmt.Errorf("%w: forwarder has %d cells, want %d", transport.ErrHandshake, hello.Cells, s.cfg.Cells)
 	}
-	if secured, ok := conn.(*tls.Conn); ok && err == nil {
-		name := secured.ConnectionState().PeerCertificates[0].Subject.CommonName
-		if slices.Index(s.cfg.ForwarderNames, name) != hello.Number {
-			err = fmt.Errorf("%w: certificate of %q is not on the list as forwarder %d", transport.ErrHandshake, name, hello.Number)
+	if tlsConn, ok := conn.(*tls.Conn); ok && err == nil {
+		commonName := tlsConn.ConnectionState().PeerCertificates[0].Subject.CommonName
+		if slices.Index(s.cfg.ForwarderNames, commonName) != hello.Number {
+			err = fmt.Errorf("%w: certificate name %q is not the one allowed for forwarder %d", transport.ErrHandshake, commonName, hello.Number)
 		}
 	}
 	return hello, err
 }
 
-// addLink makes a link the one of its forwarder, in place of any former one. Loop only.
+// addLink registers a forwarder's link and closes the forwarder's previous link, if any. It must run on the event loop.
 func (s *Server) addLink(now float64, forwarder int, incarnation uint64, link *transport.Conn) {
-	if former := s.links[forwarder]; former != nil {
+	if previous := s.links[forwarder]; previous != nil {
 		s.removeLink(now, forwarder)
-		former.Close(errLinkReplaced)
+		previous.Close(errLinkReplaced)
 	}
 	s.links[forwarder] = link
 	link.Send(transport.Hello{Fleet: s.cfg.Name, Cells: s.cfg.Cells, Number: s.cfg.Number, Incarnation: s.incarnation}.Message())
 	s.core.LinkUp(now, forwarder, incarnation)
 }
 
-// removeLink handles the end of a forwarder's link. Loop only.
+// removeLink handles the end of a forwarder's link. It must run on the event loop.
 func (s *Server) removeLink(now float64, forwarder int) {
 	s.closedBytesIn.Add(s.links[forwarder].BytesIn.Load())
 	s.closedBytesOut.Add(s.links[forwarder].BytesOut.Load())
--- a/internal/controlplane/planner/recovery.go
+++ b/internal/controlplane/planner/recovery.go
@@ -5,10 +5,10 @@
 	"eiderspread/internal/controlplane/transport"
 )
 
-// maxOrphanedAttempts bounds what is believed of one forwarder's report for one account.
+// maxOrphanedAttempts caps the orphaned attempts that are accepted from one forwarder for one account.
 const maxOrphanedAttempts = 1 << 15
 
-// handleUsageReport handles a part of a forwarder's usage report, which arrives after the claim, before or during the lead.
+// handleUsageReport handles one message of a forwarder's usage report. Reports arrive after the claim, before or during the leadership.
 func (c *Core) handleUsageReport(forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(c.cells) {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// applyCounts hands counts of earlier leads to a cell's module, in the form in which a member reports to a quota's owner.
+// applyCounts passes counts from earlier leaders to a cell's module, as the report that a member sends to the owner of a quota.
 func (c *Core) applyCounts(cellID int, counts []memberCount) {
 	cell := &c.cells[cellID]
 	if cell.module == nil {
@@ -38,15 +38,15 @@
 	}
 	member := (cellID + 1) % c.cfg.Cells
 	for _, count := range counts {
-		if cell.countSeq++; cell.countSeq == 0 { // 0 stands for no message
+		if cell.countSeq++; cell.countSeq == 0 { // sequence number 0 stands for no message
 			cell.countSeq++
 		}
 		cell.module.HandlePeerMessage(c.now, member,
-			peerprotocol.MemberReport(1, cell.countSeq, count.account, count.plan, count.total, count.fresh, count.orphans))
+			peerprotocol.MemberReport(1, cell.countSeq, count.account, count.plan, count.total, count.unacked, count.orphans))
 	}
 }
 
-// clearOrphans notes that none of a forwarder's attempts that were in flight are so any more.
+// clearOrphans removes a forwarder's orphaned attempts from all cells, as none of them is in flight any more.
 func (c *Core) clearOrphans(forwarder int) {
 	for cellID := range c.cells {
 		if windows := c.cells[cellID].windows; windows != nil {
--- a/internal/controlplane/planner/requests.go
+++ b/internal/controlplane/planner/requests.go
@@ -11,31 +11,31 @@
 	"eiderspread/policy"
 )
 
-// openRequest is a request that a forwarder has submitted, until it is completed and none of its attempts is in flight.
+// openRequest is a request that a forwarder has submitted. It is kept until it is completed and none of its attempts is in flight.
 type openRequest struct {
 	forwarder int
-	handle    uint64 // the forwarder's, for this submission
+	handle    uint64 // chosen by the forwarder for this submission
 	cellID    int
 	moduleID  string // the request's id in the module; see moduleID
 	account   string
 	plan      int     // index into the settings
-	units     float64 // 0 if they were counted by an earlier submission
+	units     float64 // 0 if an earlier submission has counted them
 	attempts  []attempt
 	inFlight  int  // attempts that have not ended
-	completed bool // the forwarder wants no more decisions, or has been given the final one
+	completed bool // no decision is needed any more, or the final one has been sent
 }
 
-// attempt is one attempt that the module has decided on.
+// attempt is an attempt that the module has started.
 type attempt struct {
 	backend string
 	ended   bool
 }
 
-// Handles are written in this base in a module's ids.
+// handleBase is the number base of handles in module ids.
 const handleBase = 36
 
-// moduleID returns the id of a request in the decision module: forwarders may use the same handle, and clients of two forwarders the
-// same id.
+// moduleID returns the id of a request in the decision module. It contains the forwarder's number, because two forwarders may use the same
+// handle, and their clients the same request id.
 func moduleID(forwarder int, handle uint64) string {
 	return strconv.Itoa(forwarder) + "/" + strconv.FormatUint(handle, handleBase)
 }
@@ -53,8 +53,8 @@
 	return forwarder, handle, err == nil
 }
 
-// handleRequest handles a request that a forwarder submits. One for a cell or an epoch that is not led here is ignored: the forwarder
-// submits it again to the next leader.
+// handleRequest handles a request that a forwarder submits. It ignores requests for a cell or epoch that this planner does not lead; the
+// forwarder submits them again to the next leader.
 func (c *Core) handleRequest(forwarder int, msg *transport.Message) {
 	cell := c.leadingCell(int(msg.Cell), msg.Epoch)
 	if cell == nil || int(msg.Class) >= len(c.cfg.Settings.Classes) || int(msg.Plan) >= len(c.cfg.Settings.Plans) ||
@@ -81,7 +81,7 @@
 	c.releaseIfDone(request)
 }
 
-// handleOutcome handles the end of an attempt.
+// handleOutcome handles a forwarder's report that an attempt has ended.
 func (c *Core) handleOutcome(forwarder int, msg *transport.Message) {
 	request := c.requests[forwarder][msg.Handle]
 	number := int(msg.Number)
@@ -101,7 +101,7 @@
 	c.releaseIfDone(request)
 }
 
-// handleWithdraw ends a request that the forwarder submits to another leader.
+// handleWithdraw abandons a request that the forwarder submits to another leader instead.
 func (c *Core) handleWithdraw(forwarder int, msg *transport.Message) {
 	request := c.requests[forwarder][msg.Handle]
 	if request != nil && c.leadingCell(request.cellID, c.cells[request.cellID].epoch) != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// disconnectRequest ends a request whose client has disconnected; its attempts may still be in flight.
+// disconnectRequest completes a request whose client has disconnected. Its attempts may still be in flight.
 func (c *Core) disconnectRequest(forwarder int, handle uint64) {
 	request := c.requests[forwarder][handle]
 	if request == nil {
@@ -126,7 +126,8 @@
 	c.releaseIfDone(request)
 }
 
-// abandonRequest ends a request about which the forwarder will send nothing more. To the module, its attempts are cancelled.
+// abandonRequest removes a request for which the forwarder sends no further messages. It reports the request's open attempts to the
+// module as cancelled.
 func (c *Core) abandonRequest(request *openRequest) {
 	delete(c.requests[request.forwarder], request.handle)
 	module := c.cells[request.cellID].module
@@ -146,7 +147,7 @@
 	}
 }
 
-// orphanRequests abandons all requests of a forwarder whose link has ended, and counts their attempts in flight as orphaned.
+// orphanRequests abandons all requests of a forwarder whose link has ended, and counts their in-flight attempts as orphaned.
 func (c *Core) orphanRequests(forwarder int) {
 	requests := slices.SortedFunc(maps.Values(c.requests[forwarder]), func(a, b *openRequest) int { return cmp.Compare(a.handle, b.handle) })
 	inFlight := map[string]int{} // by account
@@ -164,14 +165,14 @@
 	}
 }
 
-// releaseIfDone forgets a request that is completed and has no attempt in flight.
+// releaseIfDone removes a request that is completed and has no attempt in flight.
 func (c *Core) releaseIfDone(request *openRequest) {
 	if request.completed && request.inFlight == 0 && c.requests[request.forwarder][request.handle] == request {
 		delete(c.requests[request.forwarder], request.handle)
 	}
 }
 
-// loadReport returns the backend's load report that came with a message; nil if there was none.
+// loadReport returns the backend load report contained in a message, or nil if there is none.
 func loadReport(msg *transport.Message) *policy.Load {
 	if !msg.HasLoad {
 		return nil
--- a/internal/controlplane/planner/server.go
+++ b/internal/controlplane/planner/server.go
@@ -20,42 +20,42 @@
 )
 
 const (
-	// eventQueueSize bounds the events that wait for the loop; whoever posts a further one waits.
+	// eventQueueSize bounds the events that are queued for the event loop. A goroutine that posts to a full queue blocks.
 	eventQueueSize = 1024
-	// drainDelay is how long a planner that ends goes on serving its links, so that forwarders read its releases.
+	// drainDelay is how long a planner that shuts down keeps its links open, so that the forwarders can read its releases.
 	drainDelay = 300 * time.Millisecond
-	// maxLogLinesPerSecond bounds what Server.Log writes.
+	// maxLogLinesPerSecond bounds the log lines that Server.Log writes; it drops the others.
 	maxLogLinesPerSecond = 20
-	// spareConnSlots are connections beyond two for each forwarder, for peers that are about to be rejected.
+	// spareConnSlots is the number of connections accepted beyond two for each forwarder, for peers that are about to be rejected.
 	spareConnSlots = 8
-	// acceptRetryDelay is the pause after a failed accept: the process is out of descriptors, and others must end first.
+	// acceptRetryDelay is the pause after a failed accept: the process is out of file descriptors, and other connections must end first.
 	acceptRetryDelay = 5 * time.Millisecond
 )
 
-var errPlannerEnds = errors.New("planner ends")
+var errShuttingDown = errors.New("planner is shutting down")
 
-// Server is a planner on sockets. Its loop, in Serve, alone owns the core and the links.
+// Server runs a planner on the network. Only its event loop, which Serve runs, accesses the core and the links.
 type Server struct {
 	cfg         FileConfig
 	log         *slog.Logger
 	clock       monotime.Clock
 	core        *Core
 	events      chan func(now float64)
-	done        chan struct{} // closed when the loop has ended
+	done        chan struct{} // closed when the event loop has ended
 	listener    net.Listener
-	tls         *tls.Config // nil: links are in the clear
-	incarnation uint64      // of this process, drawn at its start
+	tls         *tls.Config // nil: links are unencrypted
+	incarnation uint64      // of this process; chosen at random at its start
 
-	links     []*transport.Conn // by forwarder, nil: none; loop only
-	connSlots chan struct{}     // one is taken before each accept and given back when the connection ends
+	links     []*transport.Conn // by forwarder; nil: none; used only on the event loop
+	connSlots chan struct{}     // acquired before each accept and released when the connection ends
 
 	closedBytesIn, closedBytesOut atomic.Uint64 // of links that have ended
 
-	logSecond int64 // the second to which logLines belongs; loop only
-	logLines  int   // lines logged in that second; loop only
+	logSecond int64 // the second in which logLines are counted; used only on the event loop
+	logLines  int   // lines logged in that second; used only on the event loop
 }
 
-// Run serves until ctx ends, and then gives up its cells.
+// Run opens a planner and serves until ctx ends. It then releases the planner's cells before it returns.
 func Run(ctx context.Context, cfg FileConfig, log *slog.Logger) error {
 	s, err := Open(cfg, log)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return s.Serve(ctx)
 }
 
-// Open returns a planner that listens for forwarders and does not serve them yet.
+// Open returns a planner that listens for forwarders but does not serve them before Serve is called.
 func Open(cfg FileConfig, log *slog.Logger) (*Server, error) {
 	s := &Server{
 		cfg:         cfg,
@@ -97,7 +97,7 @@
 	}
 }
 
-// Log implements Output. Lines beyond maxLogLinesPerSecond are dropped. Loop only.
+// Log implements Output. It drops lines beyond maxLogLinesPerSecond. It must run on the event loop.
 func (s *Server) Log(text string, args ...any) {
 	if second := int64(s.clock.Now()); second != s.logSecond {
 		s.logSecond, s.logLines = second, 0
@@ -107,23 +107,23 @@
 	}
 }
 
-// post has the loop run do, unless the loop has ended. It waits while the queue is full.
-func (s *Server) post(do func(now float64)) {
+// post queues fn to run on the event loop, and blocks while the queue is full. It drops fn if the loop has ended.
+func (s *Server) post(fn func(now float64)) {
 	select {
-	case s.events <- do:
+	case s.events <- fn:
 	case <-s.done:
 	}
 }
 
-// postLog has the loop log a line.
+// postLog queues a log line to be written by the event loop.
 func (s *Server) postLog(text string, args ...any) {
 	s.post(func(float64) { s.Log(text, args...) })
 }
 
-// Serve runs until ctx ends and the cells have been given up.
+// Serve runs the planner until ctx ends and the planner has released its cells.
 func (s *Server) Serve(ctx context.Context) error {
 	defer s.listener.Close()
-	// What serves the loop ends after the cells have been given up, not with ctx.
+	// The goroutines that feed the event loop must outlive ctx: they run until the cells have been released.
 	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	if s.cfg.StatusAddr != "" {
@@ -159,27 +159,27 @@
 	return nil
 }
 
-// loop handles events until ctx has ended and the forwarders have had time to read that the cells are given up.
+// loop handles events until drainDelay after ctx has ended, so that the forwarders have time to read the releases of the cells.
 func (s *Server) loop(ctx context.Context) {
 	tick := time.NewTicker(time.Duration(TickIntervalS * float64(time.Second)))
 	defer tick.Stop()
-	ended := ctx.Done()
-	var drained <-chan time.Time
+	ctxDone := ctx.Done()
+	var drainElapsed <-chan time.Time
 	for {
 		select {
-		case do := <-s.events:
-			do(s.clock.Now())
+		case fn := <-s.events:
+			fn(s.clock.Now())
 		case <-tick.C:
 			s.core.Tick(s.clock.Now())
-		case <-ended:
-			ended = nil
+		case <-ctxDone:
+			ctxDone = nil
 			s.log.Info("planner is draining")
 			s.core.Drain(s.clock.Now())
-			drained = time.After(drainDelay)
-		case <-drained:
+			drainElapsed = time.After(drainDelay)
+		case <-drainElapsed:
 			for _, link := range s.links {
 				if link != nil {
-					link.Close(errPlannerEnds)
+					link.Close(errShuttingDown)
 				}
 			}
 			return
@@ -187,7 +187,7 @@
 	}
 }
 
-// listenStatus serves the status until the returned server is closed.
+// listenStatus serves the status page until the returned server is closed.
 func (s *Server) listenStatus() (*http.Server, error) {
 	listener, err := net.Listen("tcp", s.cfg.StatusAddr)
 	if err != nil {
@@ -202,7 +202,7 @@
 	return srv, nil
 }
 
-// startTrace records the modules' decisions until ctx ends.
+// startTrace starts to record the modules' decisions. The recorder runs until ctx ends.
 func (s *Server) startTrace(ctx context.Context) (*trace.Recorder, error) {
 	settings := s.cfg.Ingress.Settings
 	recorder, err := trace.Start(ctx, s.cfg.TraceFolder, s.cfg.TraceMB, trace.Header{
@@ -220,7 +220,7 @@
 	return recorder, nil
 }
 
-// followDiscovery passes the endpoint list's changes to the loop until ctx ends.
+// followDiscovery applies changes of the endpoint list on the event loop until ctx ends.
 func (s *Server) followDiscovery(ctx context.Context) {
 	apply := func(list discovery.List) {
 		s.post(func(now float64) { s.core.UpdateBackends(now, list.Backends(), list.Full) })
--- a/internal/controlplane/planner/server_test.go
+++ b/internal/controlplane/planner/server_test.go
@@ -20,7 +20,7 @@
 
 const testTimeout = 20 * time.Second
 
-// authority issues certificates into a folder of the test.
+// authority issues certificates and fails the test on an error.
 type authority struct {
 	t *testing.T
 	*certs.Authority
@@ -42,7 +42,7 @@
 	return id
 }
 
-func serve(t *testing.T, id mutualtls.Identity) *Server {
+func startServer(t *testing.T, id mutualtls.Identity) *Server {
 	t.Helper()
 	cfg := FileConfig{Number: 1, ListenAddr: "127.0.0.1:0", TLS: id, ForwarderNames: []string{"f-0", "f-1"}, Ingress: ingressconfig.Config{Discovery: "127.0.0.1:1",
 		Settings: settings.Settings{Settings: policy.Settings{Gateways: 1, Classes: testClasses, Plans: testPlans, MaxAttempts: 5}}}}
@@ -66,8 +66,8 @@
 	return s
 }
 
-// greet sends a hello and reports whether the planner answers it.
-func greet(t *testing.T, conn net.Conn, hello transport.Message) bool {
+// exchangeHello sends a hello and reports whether the planner replies with its own. It fails the test if the link ends without an error.
+func exchangeHello(t *testing.T, conn net.Conn, hello transport.Message) bool {
 	t.Helper()
 	link := transport.NewConn(conn, testTimeout)
 	link.Send(hello)
@@ -86,11 +86,12 @@
 	return transport.Message{Kind: transport.KindHello, Plan: transport.Version, Name: "t", Number: number, Epoch: 5, Cell: 6}
 }
 
-// A link of another version, fleet, size or number is closed, and so is one that does not begin with a hello.
+// Guards against links from wrong peers: the planner must close a link whose hello has another version, fleet, number of cells or an
+// unknown forwarder number, and one that does not begin with a hello.
 func TestServer_RejectsMismatchedHello(t *testing.T) {
-	s := serve(t, mutualtls.Identity{})
+	s := startServer(t, mutualtls.Identity{})
 	for name, change := range map[string]func(*transport.Message){
-		"a member":        func(*transport.Message) {},
+		"valid hello":     func(*transport.Message) {},
 		"another version": func(msg *transport.Message) { msg.Plan++ },
 		"another fleet":   func(msg *transport.Message) { msg.Name = "u" },
 		"another number":  func(msg *transport.Message) { msg.Number = 2 },
@@ -103,26 +104,27 @@
 		}
 		msg := hello(0)
 		change(&msg)
-		if got := greet(t, conn, msg); got != (name == "a member") {
-			t.Errorf("%s: greeted %v", name, got)
+		if got := exchangeHello(t, conn, msg); got != (name == "valid hello") {
+			t.Errorf("%s: planner answered the hello: %v, want %v", name, got, !got)
 		}
 	}
 }
 
-// A certificate of the right authority is not enough: it must be the one of the forwarder's number.
+// Guards against a forwarder that poses as another: a certificate of the right authority is not enough, it must be the one configured for
+// the forwarder's number.
 func TestServer_MutualTLS(t *testing.T) {
-	good, other := newAuthority(t, "ca"), newAuthority(t, "other")
-	s := serve(t, good.issue("p-1"))
+	trustedCA, untrustedCA := newAuthority(t, "ca"), newAuthority(t, "other")
+	s := startServer(t, trustedCA.issue("p-1"))
 	for name, tc := range map[string]struct {
 		id     mutualtls.Identity
 		number uint32
 		want   bool
 	}{
-		"on the list":          {good.issue("f-0"), 0, true},
-		"as another":           {good.issue("f-0"), 1, false},
-		"not on the list":      {good.issue("f-9"), 0, false},
-		"of another authority": {other.issue("f-0"), 0, false},
-		"without one":          {mutualtls.Identity{}, 0, false},
+		"on the list":          {trustedCA.issue("f-0"), 0, true},
+		"as another forwarder": {trustedCA.issue("f-0"), 1, false},
+		"not on the list":      {trustedCA.issue("f-9"), 0, false},
+		"of another authority": {untrustedCA.issue("f-0"), 0, false},
+		"no certificate":       {mutualtls.Identity{}, 0, false},
 	} {
 		cfg := &tls.Config{MinVersion: tls.VersionTLS13}
 		if tc.id != (mutualtls.Identity{}) {
@@ -131,7 +133,7 @@
 				t.Fatal(err)
 			}
 		}
-		clientConfig, err := good.issue("f-0").Config()
+		clientConfig, err := trustedCA.issue("f-0").Config()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,8 +142,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := greet(t, tls.Client(conn, cfg), hello(tc.number)); got != tc.want {
-			t.Errorf("%s: greeted %v", name, got)
+		if got := exchangeHello(t, tls.Client(conn, cfg), hello(tc.number)); got != tc.want {
+			t.Errorf("%s: planner answered the hello: %v, want %v", name, got, tc.want)
 		}
 	}
 }
--- a/internal/controlplane/planner/shedlevels.go
+++ b/internal/controlplane/planner/shedlevels.go
@@ -8,19 +8,20 @@
 const (
 	// shedLevelIntervalS is the time between two broadcasts of load-shedding levels, in seconds.
 	shedLevelIntervalS = 0.25
-	// shedLevelPaths is how many forwarders relay each broadcast, so that one that is cut off does not matter.
-	shedLevelPaths = 2
+	// shedLevelRelays is how many forwarders relay each broadcast, so that it gets through if one of them is cut off.
+	shedLevelRelays = 2
 )
 
-// shedLevelBroadcast is when and by whom load-shedding levels are broadcast next. The modules of all cells keep one level together: each
-// sends its own to those of the same planner directly, and to those of other planners by way of some forwarders, others each time.
-// Forwarders relay the levels and keep none.
+// shedLevelBroadcast is the schedule for broadcasting load-shedding levels. The modules of all cells agree on one level. Each module
+// passes its own level directly to the modules of the same planner, and to those of other planners through shedLevelRelays forwarders,
+// which change with each broadcast. Forwarders relay the levels and store none.
 type shedLevelBroadcast struct {
 	nextAt        float64
-	lastForwarder int // the one that relayed last
+	lastForwarder int // the latest relay
 }
 
-// broadcastShedLevels sends the levels of the cells that are led here to the modules of all cells, if load shedding is on.
+// broadcastShedLevels sends the levels of the cells that this planner leads to the modules of all cells, if load shedding is on and a
+// broadcast is due.
 func (c *Core) broadcastShedLevels(now float64) {
 	if !c.cfg.Settings.LoadShedding.Enabled || now < c.shedLevels.nextAt {
 		return
@@ -37,14 +38,14 @@
 	if len(msgs) == 0 {
 		return
 	}
-	for range shedLevelPaths {
+	for range shedLevelRelays {
 		if forwarder, ok := c.nextRelay(); ok {
 			c.out.SendToForwarder(forwarder, msgs...)
 		}
 	}
 }
 
-// nextRelay returns the next linked forwarder in order of numbers; ok is false if none is linked.
+// nextRelay returns the next linked forwarder, in round-robin order by number; ok is false if none is linked.
 func (c *Core) nextRelay() (forwarder int, ok bool) {
 	for range c.linked {
 		c.shedLevels.lastForwarder = (c.shedLevels.lastForwarder + 1) % len(c.linked)
@@ -55,7 +56,7 @@
 	return 0, false
 }
 
-// applyShedLevel passes the level of one cell's module to those of all others that are led here.
+// applyShedLevel passes the level of one cell's module to the modules of all other cells that this planner leads.
 func (c *Core) applyShedLevel(cellID int, level float64, phase uint8) {
 	for i := range c.cells {
 		if shedder := c.loadShedder(i); shedder != nil && i != cellID {
@@ -64,7 +65,7 @@
 	}
 }
 
-// loadShedder returns the load shedder of a cell's module; nil if the cell is not led here, or load shedding is off.
+// loadShedder returns the load shedder of a cell's module. It returns nil if this planner does not lead the cell, or load shedding is off.
 func (c *Core) loadShedder(cellID int) *loadshed.Shedder {
 	if cell := &c.cells[cellID]; cell.module != nil && c.leases.isLeader(c.now, cellID, cell.epoch) {
 		return cell.module.Shedder()
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// ShedLevels returns the load-shedding levels of the cells that are led here, each from 0 to 1.
+// ShedLevels returns the load-shedding levels, each from 0 to 1, of the cells that this planner leads.
 func (c *Core) ShedLevels(now float64) (levels []float64) {
 	c.now = now
 	for i := range c.cells {
--- a/internal/controlplane/planner/status.go
+++ b/internal/controlplane/planner/status.go
@@ -7,13 +7,13 @@
 	"eiderspread/internal/decision/loadshed"
 )
 
-// Status is a planner's status page.
+// Status is the content of a planner's status page.
 type Status struct {
 	Kind     string       `json:"kind"` // "planner"
 	Number   int          `json:"number"`
-	Links    int          `json:"links"`    // forwarders that are linked
-	Requests int          `json:"requests"` // open
-	BytesIn  uint64       `json:"bytes_in"` // over all links since the start, as BytesOut
+	Links    int          `json:"links"`    // linked forwarders
+	Requests int          `json:"requests"` // open requests
+	BytesIn  uint64       `json:"bytes_in"` // over all links since the start; also BytesOut
 	BytesOut uint64       `json:"bytes_out"`
 	Stats    Stats        `json:"stats"`
 	Cordoned []string     `json:"held"`  // backends that operators have cordoned
@@ -21,18 +21,18 @@
 	Cells    []CellStatus `json:"cells"`
 }
 
-// CellStatus is a cell on the status page.
+// CellStatus describes one cell on the status page.
 type CellStatus struct {
 	Cell           int              `json:"cell"`
 	Epoch          uint64           `json:"epoch"` // of this planner's claim; 0: none
 	Leading        bool             `json:"leads"`
-	LeaseLeftS     float64          `json:"lead_left_s"`        // seconds; 0 if the cell is not led here
-	Rank           int              `json:"rank"`               // this planner's in the order in which planners claim the cell
+	LeaseLeftS     float64          `json:"lead_left_s"`        // seconds until the lease expires; 0 if this planner does not lead the cell
+	Rank           int              `json:"rank"`               // this planner's position, from 0, in the order in which planners claim the cell
 	MissingReports int              `json:"untold_forwarders"`  // forwarders without a complete usage report; 0 once recovery is over
-	Overload       *loadshed.Status `json:"overload,omitempty"` // nil: load shedding is off, or the cell is not led here
+	Overload       *loadshed.Status `json:"overload,omitempty"` // nil: load shedding is off, or this planner does not lead the cell
 }
 
-// CellStatuses returns how the cells stand, how many forwarders are linked and how many requests are open.
+// CellStatuses returns the status of every cell, the number of linked forwarders and the number of open requests.
 func (c *Core) CellStatuses(now float64) (cells []CellStatus, links, requests int) {
 	c.now = now
 	for i := range c.cells {
@@ -52,7 +52,7 @@
 	return cells, c.linkedForwarders(), requests
 }
 
-// status returns the status page. Loop only.
+// status returns the content of the status page. It must run on the event loop.
 func (s *Server) status(now float64) Status {
 	status := Status{
 		Kind:     "planner",
@@ -79,7 +79,7 @@
 	select {
 	case status := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status) // a client that has disconnected needs no status
+		_ = json.NewEncoder(w).Encode(status) // a client that has disconnected needs no response
 	case <-s.done:
 	case <-r.Context().Done():
 	}
--- a/internal/controlplane/planner/windows.go
+++ b/internal/controlplane/planner/windows.go
@@ -10,69 +10,69 @@
 )
 
 const (
-	// maxWindows bounds the accounts of one cell whose windows are tracked. A further account is taken to have had an empty window at
-	// the start of the lead.
+	// maxWindows bounds the number of accounts in one cell whose windows are tracked. While usage reports are missing, any other account is
+	// assumed to have had an empty window at the start of the leadership.
 	maxWindows = 64 << 10
-	// maxFreshUnits is how many units a module takes as newly counted in one message; see peerprotocol.MemberReport.
-	maxFreshUnits = 63
-	// countsPerUnit: counts cross to the module in quarters of a unit.
+	// maxUnackedUnits is the largest number of units that one message can report as newly counted; see peerprotocol.MemberReport.
+	maxUnackedUnits = 63
+	// countsPerUnit is the resolution of counts that are reported to the module: quarters of a unit.
 	countsPerUnit = 4
-	// sweepIntervalS is the time between two searches for windows that are full again, in seconds.
+	// sweepIntervalS is the minimum time between two sweeps that remove full windows, in seconds.
 	sweepIntervalS = 1.0
-	// orphanReportTTLS is for how many seconds a forwarder's report of orphaned attempts counts; the module's own bound is the same.
+	// orphanReportTTLS is how long a forwarder's report of orphaned attempts is valid, in seconds. The module uses the same bound.
 	orphanReportTTLS = 3.0
 )
 
-// reportState is how far a forwarder has come with its usage report on a cell.
+// reportState is the state of a forwarder's usage report on a cell.
 type reportState uint8
 
 const (
-	reportPending    reportState = iota // it may still report
-	reportComplete                      // it has reported everything that it passed on
-	reportIncomplete                    // it has ended its report, and something may be missing
+	reportPending    reportState = iota // more messages may follow
+	reportComplete                      // it covers everything that the forwarder sent for earlier leaders
+	reportIncomplete                    // it has ended, and usage may be missing
 )
 
-// windowTable is what the leader of a cell knows of its accounts' quota windows beside its module: what forwarders reported at the start
-// of the lead, and what was admitted since. From that it works out which units the module has to take as counted before the lead, and
-// the debt that is sent to forwarders with each admission, from which the next leader will start. The rule and its proof are in
-// docs/two-levels.md. Times are seconds.
+// windowTable tracks the quota windows of a cell's accounts for the cell's leader, in addition to its module: the usage that forwarders
+// reported at the start of the leadership, and the units admitted since. It computes the units that the module must count as used before
+// the leadership, and the debt that is sent to forwarders with each admission, from which the next leader starts. docs/two-levels.md has
+// the rule and its proof. Times are in seconds.
 type windowTable struct {
 	plans          []policy.Plan
-	spanS          float64       // the longest time in which an empty window fills
-	leadingSince   float64       // start of the lead; +Inf before
+	spanS          float64       // longest time in which an empty window refills
+	leadingSince   float64       // start of the leadership; +Inf before
 	reports        []reportState // by forwarder
-	missingReports int           // forwarders whose report is not complete
+	missingReports int           // number of forwarders whose report is not complete
 	byAccount      map[string]*accountWindow
 	sweptAt        float64
-	admissions     uint32 // under this lead; the sequence number of the latest
+	admissions     uint32 // number of admissions under this leadership; also the sequence number of the latest one
 }
 
 // accountWindow is the quota window of one account.
 type accountWindow struct {
 	plan int
 
-	// The latest admission that a forwarder has reported, by order of (epoch, reportedSeq).
-	reported    bool // there is one
+	// The latest admission that any forwarder has reported, in the order of (epoch, reportedSeq).
+	reported    bool // false: none was reported, and the next four fields are unset
 	epoch       uint64
 	reportedSeq uint32
-	debt        float64 // units taken and not yet refilled, at reportedAt
+	debt        float64 // units used and not yet refilled, at reportedAt
 	reportedAt  float64
 
-	orphans []orphanReport // attempts in flight that this lead did not decide on; one entry a forwarder at most
+	orphans []orphanReport // in-flight attempts that the module does not track; at most one entry per forwarder
 
-	inModule     bool    // the module knows the account; the fields below are valid
-	countedUnits float64 // units reported to the module as used before the lead, in quarters
-	available    float64 // at availableAt: units that are certainly left, debts of earlier leads deducted
+	inModule     bool    // the module has the account's initial counts; the fields below are valid
+	countedUnits float64 // units reported to the module as used before the leadership; a multiple of 1/countsPerUnit
+	available    float64 // at availableAt: units that are certainly left, after the debts of earlier leaders
 	availableAt  float64
 }
 
-// orphanReport is what one forwarder last reported of its attempts in flight that this lead did not decide on.
+// orphanReport is one forwarder's latest report of its in-flight attempts that the module does not track.
 type orphanReport struct {
 	forwarder, attempts int
 	reportedAt          float64
 }
 
-// orphanedAttempts returns the number of attempts in flight by the reports that still count.
+// orphanedAttempts returns the number of orphaned attempts in the reports that are still valid.
 func (w *accountWindow) orphanedAttempts(now float64) (attempts int) {
 	for _, report := range w.orphans {
 		if now < report.reportedAt+orphanReportTTLS {
@@ -82,12 +82,12 @@
 	return attempts
 }
 
-// memberCount is a count of an account that is reported to the module; see peerprotocol.MemberReport.
+// memberCount is a report to the module of an account's usage; see peerprotocol.MemberReport for the fields.
 type memberCount struct {
-	account      string
-	plan         int
-	total, fresh float64
-	orphans      int
+	account        string
+	plan           int
+	total, unacked float64
+	orphans        int
 }
 
 func newWindowTable(forwarders int, plans []policy.Plan, spanS float64) *windowTable {
@@ -95,14 +95,15 @@
 		missingReports: forwarders, byAccount: map[string]*accountWindow{}}
 }
 
-// recovered reports whether every window is full again whatever was used before the lead.
+// recovered reports whether every window has had time to refill completely since the start of the leadership, so that usage from before no
+// longer matters.
 func (t *windowTable) recovered(now float64) bool { return now > t.leadingSince+t.spanS }
 
-// startLeading notes the start of the lead. Reports of forwarders may have arrived before, since the claim.
+// startLeading sets the start of the leadership. Usage reports may have arrived earlier, from the claim on.
 func (t *windowTable) startLeading(now float64) { t.leadingSince = now }
 
-// applyReport applies one account of a forwarder's usage report. Of several reports the one of the latest admission holds: it was decided
-// by a leader that knew of all admissions before.
+// applyReport applies a forwarder's usage report for one account. If several forwarders report on an account, the report of the latest
+// admission counts, because the leader that made that admission knew of all earlier ones.
 func (t *windowTable) applyReport(now float64, forwarder int, msg *transport.Message) {
 	if t.reports[forwarder] != reportPending || int(msg.Plan) >= len(t.plans) {
 		return
@@ -123,8 +124,8 @@
 	}
 }
 
-// endReport handles the end of a forwarder's usage report. When the last missing one is complete, it returns the counts that hand back
-// to the module what initialCounts had deducted as unknown.
+// endReport handles the end of a forwarder's usage report. Once the reports of all forwarders are complete, it returns the counts that
+// credit the module with the units that initialCounts deducted only because reports were missing.
 func (t *windowTable) endReport(now float64, forwarder int, complete bool) (credits []memberCount) {
 	if t.reports[forwarder] != reportPending {
 		return nil
@@ -144,8 +145,8 @@
 		if !window.inModule || plan.Rate <= 0 {
 			continue
 		}
-		granted := t.refilledSinceLead(now, plan) // less what was admitted since, which both sides of the difference share
-		if credit := math.Floor((t.availableBefore(now, window)-granted)*countsPerUnit) / countsPerUnit; credit > 0 {
+		assumed := t.refilledSinceLead(now, plan) // both terms leave out units admitted since, as these cancel out in the difference
+		if credit := math.Floor((t.reportedAvailable(now, window)-assumed)*countsPerUnit) / countsPerUnit; credit > 0 {
 			window.countedUnits -= credit
 			t.refill(now, window)
 			window.available += credit
@@ -155,13 +156,13 @@
 	return credits
 }
 
-// refilledSinceLead returns the units in a window that was empty at the start of the lead.
+// refilledSinceLead returns the units that are available in a window that was empty at the start of the leadership and not used since.
 func (t *windowTable) refilledSinceLead(now float64, plan policy.Plan) float64 {
 	return min(plan.Burst, plan.Rate*(now-t.leadingSince))
 }
 
-// availableBefore returns the units that are left in a window by what was reported of it; all of them where nothing was.
-func (t *windowTable) availableBefore(now float64, window *accountWindow) float64 {
+// reportedAvailable returns the units that are left in a window according to the usage reports. A window without a report is full.
+func (t *windowTable) reportedAvailable(now float64, window *accountWindow) float64 {
 	plan := t.plans[window.plan]
 	if !window.reported {
 		return plan.Burst
@@ -175,8 +176,9 @@
 	window.availableAt = now
 }
 
-// initialCounts returns what has to be reported to the module of an account before its first request of the lead: two counts at most,
-// and none if the module knows the account. While reports are missing, the window is taken to have been empty at the start of the lead.
+// initialCounts returns the counts to report to the module before an account's first request under this leadership. There are at most
+// two, and none if the module already has them or nothing was used. While reports are missing, the window is assumed to have been empty
+// at the start of the leadership.
 func (t *windowTable) initialCounts(now float64, account string, planIndex int) []memberCount {
 	window := t.byAccount[account]
 	if window == nil {
@@ -195,7 +197,7 @@
 	plan := t.plans[planIndex]
 	window.available, window.availableAt = plan.Burst, now
 	if plan.Rate > 0 {
-		window.available = t.availableBefore(now, window)
+		window.available = t.reportedAvailable(now, window)
 		if t.missingReports > 0 {
 			window.available = min(window.available, t.refilledSinceLead(now, plan))
 		}
@@ -205,16 +207,16 @@
 	if window.countedUnits == 0 && orphans == 0 {
 		return nil
 	}
-	fresh := min(window.countedUnits, maxFreshUnits)
-	counts := []memberCount{{account, planIndex, fresh, fresh, orphans}}
-	if window.countedUnits > fresh {
+	unacked := min(window.countedUnits, maxUnackedUnits)
+	counts := []memberCount{{account, planIndex, unacked, unacked, orphans}}
+	if window.countedUnits > unacked {
 		counts = append(counts, memberCount{account, planIndex, window.countedUnits, 0, orphans})
 	}
 	return counts
 }
 
-// admit takes the units of an admitted request off its account's window. It returns the admission's sequence number and the window's
-// debt, which go to the forwarder; both are 0 for an account without a rate.
+// admit deducts the units of an admitted request from its account's window. It returns the admission's sequence number and the window's
+// debt, which are sent to the forwarder. Both are 0 if the account's plan has no rate or its window is not tracked.
 func (t *windowTable) admit(now float64, account string, units float64) (seq uint32, debt float64) {
 	window := t.byAccount[account]
 	if window == nil || !window.inModule || t.plans[window.plan].Rate <= 0 {
@@ -226,8 +228,8 @@
 	return t.admissions, max(t.plans[window.plan].Burst-window.available, 0)
 }
 
-// setOrphans applies a forwarder's report of an account's attempts in flight there that this lead did not decide on. It returns the count
-// to report to the module, if that knows the account.
+// setOrphans applies a forwarder's report of an account's in-flight attempts that the module does not track. It returns the count to
+// report to the module, or nil if the module does not have the account's initial counts yet.
 func (t *windowTable) setOrphans(now float64, forwarder int, account string, plan, attempts int) []memberCount {
 	window := t.byAccount[account]
 	if window == nil {
@@ -249,8 +251,8 @@
 	return []memberCount{{account, window.plan, window.countedUnits, 0, window.orphanedAttempts(now)}}
 }
 
-// clearOrphans notes that a forwarder has no such attempts any more. It calls apply with the counts of each account of which the
-// forwarder had reported some, by name.
+// clearOrphans removes a forwarder's orphaned attempts. It calls apply with the counts of each affected account, in the order of account
+// names.
 func (t *windowTable) clearOrphans(now float64, forwarder int, apply func([]memberCount)) {
 	for _, account := range slices.Sorted(maps.Keys(t.byAccount)) {
 		window := t.byAccount[account]
@@ -260,7 +262,8 @@
 	}
 }
 
-// sweep forgets windows that are full again, once nothing from before the lead matters.
+// sweep removes windows that are full again and have no orphaned attempts. It does nothing before recovered returns true, and at most one
+// sweep every sweepIntervalS seconds.
 func (t *windowTable) sweep(now float64) {
 	if !t.recovered(now) || now < t.sweptAt+sweepIntervalS {
 		return
--- a/internal/controlplane/planner/windows_test.go
+++ b/internal/controlplane/planner/windows_test.go
@@ -9,12 +9,13 @@
 	"eiderspread/policy"
 )
 
-// A successor admits no more than is certainly left of a window, and all of that once every forwarder has reported.
+// Guards against exceeding or wasting a quota after a change of leaders: the new leader must admit no more units than are certainly left
+// in a window, and all that are left once every forwarder has reported.
 func TestWindowTable_AvailableAfterLeaderChange(t *testing.T) {
 	plans := []policy.Plan{{Name: "p", Rate: 10, Burst: 100}, {Name: "open", MaxConcurrency: 2}}
-	report := func(table *windowTable, forwarder int, seq uint32, debt, age float64, outs int) {
+	report := func(table *windowTable, forwarder int, seq uint32, debt, age float64, orphans int) {
 		table.applyReport(100, forwarder, &transport.Message{Name: "c", Handle: 4, Round: seq, Units: debt, DurationS: age})
-		table.setOrphans(100, forwarder, "c", 0, outs)
+		table.setOrphans(100, forwarder, "c", 0, orphans)
 	}
 	total := func(counts []memberCount) (sum float64) {
 		for _, c := range counts {
@@ -26,32 +27,32 @@
 		table := newWindowTable(2, plans, 10)
 		table.startLeading(100)
 		counts := table.initialCounts(100, "c", 0)
-		if len(counts) != 2 || counts[0].fresh != maxFreshUnits || counts[0].total != maxFreshUnits || counts[1].fresh != 0 || total(counts) != 100 {
-			t.Errorf("%+v", counts)
+		if len(counts) != 2 || counts[0].unacked != maxUnackedUnits || counts[0].total != maxUnackedUnits || counts[1].unacked != 0 || total(counts) != 100 {
+			t.Errorf("got counts %+v, want %d units as unacked, then 100 in total", counts, maxUnackedUnits)
 		}
 		if repeated := table.initialCounts(100, "c", 0); repeated != nil {
-			t.Errorf("counted twice: %+v", repeated)
+			t.Errorf("second call returned %+v, want no counts", repeated)
 		}
 		if got := total(table.initialCounts(104, "d", 0)); got != 60 {
-			t.Errorf("4 s later %v are taken as used", got)
+			t.Errorf("4 s after the start, %v units are counted as used, want 60", got)
 		}
 	})
 	t.Run("all reported before the lead", func(t *testing.T) {
 		table := newWindowTable(2, plans, 10)
 		report(table, 0, 7, 80, 1, 0)
-		report(table, 1, 9, 50, 2, 3) // the later admission holds, though its report is older
+		report(table, 1, 9, 50, 2, 3) // the later admission counts, although its report is older
 		table.endReport(100, 0, true)
 		table.endReport(100, 1, true)
 		table.startLeading(100)
 		counts := table.initialCounts(100, "c", 0)
 		if total(counts) != 30 || counts[0].orphans != 3 {
-			t.Errorf("%+v", counts)
+			t.Errorf("got counts %+v, want 30 units in total and 3 orphans", counts)
 		}
 		if counts := table.initialCounts(100, "new", 0); counts != nil {
-			t.Errorf("an account without report: %+v", counts)
+			t.Errorf("got counts %+v for an account without a report, want none", counts)
 		}
-		if counts := table.setOrphans(100, 1, "c", 0, 2); len(counts) != 1 || counts[0].orphans != 2 || counts[0].total != 30 || counts[0].fresh != 0 {
-			t.Errorf("after the update: %+v", counts)
+		if counts := table.setOrphans(100, 1, "c", 0, 2); len(counts) != 1 || counts[0].orphans != 2 || counts[0].total != 30 || counts[0].unacked != 0 {
+			t.Errorf("after a new orphan report, got counts %+v, want one with 2 orphans, 30 units in total and 0 unacked", counts)
 		}
 	})
 	t.Run("reported late", func(t *testing.T) {
@@ -61,18 +62,18 @@
 		table.admit(101, "c", 10)
 		report(table, 0, 7, 20, 0, 0)
 		if credits := table.endReport(102, 0, true); credits != nil {
-			t.Errorf("one forwarder is missing: %+v", credits)
+			t.Errorf("got credits %+v while one report is missing, want none", credits)
 		}
 		credits := table.endReport(102, 1, true)
-		// The debt of 20 at 100 is gone by 102; 20 are free by the lead's start alone, so 80 come back.
+		// The debt of 20 units at time 100 is refilled by 102. A window that was empty at 100 has 20 units by then, so 80 are credited.
 		if len(credits) != 1 || credits[0].total != 10 {
-			t.Fatalf("%+v", credits)
+			t.Fatalf("got credits %+v, want one with 10 units in total", credits)
 		}
 		if seq, debt := table.admit(102, "c", 0); seq != 2 || debt != 10 {
-			t.Errorf("after the credit a debt of %v, admission %d", debt, seq)
+			t.Errorf("after the credit, got admission %d with a debt of %v, want 2 and 10", seq, debt)
 		}
 		if credits := table.endReport(103, 1, true); credits != nil {
-			t.Errorf("credited twice: %+v", credits)
+			t.Errorf("second end of a report returned credits %+v, want none", credits)
 		}
 	})
 	t.Run("an incomplete report", func(t *testing.T) {
@@ -81,7 +82,7 @@
 		table.endReport(100, 0, true)
 		table.endReport(100, 1, false)
 		if got := total(table.initialCounts(100, "c", 0)); got != 100 {
-			t.Errorf("%v are taken as used", got)
+			t.Errorf("%v units are counted as used, want 100", got)
 		}
 	})
 	t.Run("a plan without a rate", func(t *testing.T) {
@@ -90,13 +91,13 @@
 		table.applyReport(100, 0, &transport.Message{Name: "c", Plan: 9})
 		table.startLeading(100)
 		if counts := table.initialCounts(100, "c", 1); len(counts) != 1 || counts[0].orphans != 2 || counts[0].total != 0 {
-			t.Errorf("%+v", counts)
+			t.Errorf("got counts %+v, want one with 2 orphans and 0 units", counts)
 		}
 		if seq, _ := table.admit(100, "c", 5); seq != 0 {
-			t.Error("an admission without a rate has a number")
+			t.Errorf("admission under a plan without a rate has sequence number %d, want 0", seq)
 		}
 	})
-	t.Run("forgotten once full", func(t *testing.T) {
+	t.Run("removed once full", func(t *testing.T) {
 		table := newWindowTable(1, plans, 10)
 		table.startLeading(100)
 		table.endReport(100, 0, true)
@@ -105,12 +106,13 @@
 		table.initialCounts(110.5, "d", 0)
 		table.initialCounts(125, "e", 0)
 		if table.byAccount["c"] != nil || table.byAccount["e"] == nil {
-			t.Errorf("%d windows are kept", len(table.byAccount))
+			t.Errorf("window of c kept: %v, of e kept: %v, want false and true", table.byAccount["c"] != nil, table.byAccount["e"] != nil)
 		}
 	})
 }
 
-// To the module, units counted before the lead are not available, and units handed back are.
+// Guards the interface to the module: it must treat units that a member report counts as used as unavailable, and units that a later
+// report credits as available.
 func TestModule_AppliesMemberCounts(t *testing.T) {
 	plan := policy.Plan{Name: "p", Rate: 1e-6, Burst: 100, Weight: 1}
 	out := &sendCounter{}
@@ -123,7 +125,7 @@
 	module.HandlePeerMessage(10, 1, peerprotocol.MemberReport(1, 1, "c", 0, 63, 63, 0))
 	module.HandlePeerMessage(10, 1, peerprotocol.MemberReport(1, 2, "c", 0, 90, 0, 0))
 	n := 0
-	served := func() int {
+	admitted := func() int {
 		out.sent = 0
 		for range 30 {
 			n++
@@ -133,12 +135,12 @@
 		}
 		return out.sent
 	}
-	if got := served(); got != 10 {
-		t.Errorf("%d of 10 units that were left are admitted", got)
+	if got := admitted(); got != 10 {
+		t.Errorf("%d requests were admitted, want 10 for the units left", got)
 	}
 	module.HandlePeerMessage(10, 1, peerprotocol.MemberReport(1, 3, "c", 0, 85, 0, 0))
-	if got := served(); got != 5 {
-		t.Errorf("%d of 5 units that were handed back are admitted", got)
+	if got := admitted(); got != 5 {
+		t.Errorf("%d requests were admitted, want 5 for the units credited", got)
 	}
 }
 
