--- a/policy/api.go
+++ b/policy/api.go
@@ -11,21 +11,21 @@
 	Plan = config.Plan
 	// Idempotency is whether requests of a class may run more than once.
 	Idempotency = config.Idempotency
-	// KeyScope is the group of backends that drops repeats of an idempotency key.
+	// KeyScope is the group of backends that share idempotency keys and drop repeats of a key.
 	KeyScope = config.KeyScope
-	// Backend is an entry of the list of backends, see config.Backend.
+	// Backend is an entry of the endpoint list, see config.Backend.
 	Backend = config.Backend
 	// BackendState is a state of a Backend.
 	BackendState = config.BackendState
 	// Request is a client's request, see config.Request.
 	Request = config.Request
-	// Outcome is the end of an attempt, see config.Outcome.
+	// Outcome reports how an attempt ended, see config.Outcome.
 	Outcome = config.Outcome
-	// Status is how an attempt or a probe ended.
+	// Status is the result of an attempt or a probe.
 	Status = config.Status
 	// Load is a backend's load report, see config.Load.
 	Load = config.Load
-	// ProbeResult is the end of a probe, see config.ProbeResult.
+	// ProbeResult reports how a probe ended, see config.ProbeResult.
 	ProbeResult = config.ProbeResult
 )
 
@@ -62,30 +62,31 @@
 	NotSent       = config.NotSent
 )
 
-// Broadcast is the gateway number of SendPeerMessage that stands for every other gateway.
+// Broadcast, as the gateway number of SendPeerMessage, addresses every other gateway.
 const Broadcast = -1
 
-// Actions is what a Gateway asks of its caller. It is called only while one of the Gateway's methods runs, in
-// the order in which the actions are to take effect. Outcomes that an action causes at once are reported
-// after that method has returned.
+// Actions is implemented by the caller of a Gateway and carries out the Gateway's decisions. A Gateway calls
+// it only while one of its own methods runs, in the order in which the actions take effect. If an action has
+// an immediate outcome, the caller reports it after that method has returned.
 type Actions interface {
-	// Send starts the next attempt of a request. The attempt is given up after timeoutS seconds; with 0 it may
-	// last until the client's deadline, and below 0 it isn't written and its outcome is Timeout. A Gateway
-	// sends with more than 0; other deciders may not.
+	// Send starts the next attempt of a request, with a timeout of timeoutS seconds. With 0 the attempt may
+	// last until the client's deadline; with a negative value it isn't written, and its outcome is Timeout. A
+	// Gateway always passes a positive value; other callers may pass 0 or a negative value.
 	Send(id, backend string, timeoutS float64)
-	// Reject is a request's final answer and promises that a retry is harmless. retryAfterS is the hint for the
-	// client, in seconds; 0 gives none.
+	// Reject gives a request its final answer and promises the client that a retry is harmless. retryAfterS is
+	// the hint to the client when to retry, in seconds from now; 0 gives no hint.
 	Reject(id string, retryAfterS float64)
-	// Fail is a request's final answer and promises nothing.
+	// Fail gives a request its final answer. It does not promise that a retry is harmless.
 	Fail(id string)
-	// Cancel gives up an attempt, by its index among the request's attempts. Its Outcome still follows.
+	// Cancel cancels an attempt, given by its index among the request's attempts. Its Outcome still follows.
 	Cancel(id string, attempt int)
-	// SetTimer asks for HandleTimer with the token in delayS seconds.
+	// SetTimer schedules a call of HandleTimer with the token in delayS seconds.
 	SetTimer(token uint64, delayS float64)
-	// Probe asks a backend for its load. HandleProbeResult follows.
+	// Probe requests a backend's load report. HandleProbeResult follows.
 	Probe(backend string)
-	// SendPeerMessage sends a message to another gateway, or to all with Broadcast. It may be lost.
+	// SendPeerMessage sends a message to another gateway, or with Broadcast to all others. The message may be
+	// lost.
 	SendPeerMessage(gateway int, data []byte)
-	// Log reports something to operators.
+	// Log writes a message to the operators' log.
 	Log(text string)
 }
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -10,47 +10,48 @@
 )
 
 const (
-	utilizationTTLS = 3.0 // seconds for which a load report counts
+	utilizationTTLS = 3.0 // seconds for which a load report is valid
 
-	probeIntervalS   = 1.0  // seconds between load reports of a backend, where they come with probes alone
-	probesPerRequest = 0.25 // probes that each request allows
-	maxProbeTokens   = 2    // probes that may be saved up
+	probeIntervalS   = 1.0  // seconds between load reports of a backend, if it reports its load in probes only
+	probesPerRequest = 0.25 // probe tokens that each request adds
+	maxProbeTokens   = 2    // upper bound of the probe tokens
 )
 
-// backendState is what a gateway knows of one backend. Times are in Unix seconds.
+// backendState is the state of one backend at this gateway. Times are in Unix seconds.
 type backendState struct {
 	endpoints.Endpoint
 	outlier.Scores // by class
 
-	inFlight        int     // attempts from here
-	relativeLatency float64 // mean of latency over the class's mean latency
-	meanInFlight    float64 // attempts from here, mean with time constant meanInFlightTauS, as of lastSentAt
+	inFlight        int     // attempts in flight from here
+	relativeLatency float64 // mean of latency divided by the class's mean latency
+	meanInFlight    float64 // decaying mean of inFlight (meanInFlightTauS), as of lastSentAt
 	lastSentAt      float64
 	lastProbeAt     float64
-	utilization     float64 // of its cores, 0 to 1, as last reported
+	utilization     float64 // of its cores, 0 to 1, from the last load report
 	utilizationAt   float64
-	connectFailures int // connections that failed or broke since its last OK answer
-	rejections      int // attempts that it rejected since its last OK answer
+	connectFailures int // connections that failed or broke since the last OK answer
+	rejections      int // attempts that the backend rejected since the last OK answer
 	ejectedUntil    float64
 	slowStartLog    decay.Window // seconds of work sent during slow start
 }
 
 func (b *backendState) endpoint() *endpoints.Endpoint { return &b.Endpoint }
 
-// newBackend is a backend when it is first listed.
+// newBackend returns the state of a backend that is listed for the first time.
 func (g *Gateway) newBackend() *backendState {
 	backend := &backendState{relativeLatency: 1, utilizationAt: math.Inf(-1)}
 	backend.Grow(len(g.classList))
 	return backend
 }
 
-// resetBackend forgets what held for a backend's former process.
+// resetBackend clears the statistics of a backend whose process has restarted.
 func resetBackend(backend *backendState) {
 	backend.relativeLatency, backend.ejectedUntil, backend.connectFailures, backend.rejections = 1, 0, 0, 0
 	backend.Reset()
 }
 
-// UpdateBackends applies the list of backends: with complete all of them, else those that changed.
+// UpdateBackends applies an endpoint list. With complete the list has all backends, else only those that
+// changed. The adaptive limit is scaled with the number of listed backends.
 func (g *Gateway) UpdateBackends(now float64, list []Backend, complete bool) {
 	g.advanceClock(now)
 	before := float64(max(1, len(g.backends.Listed)))
@@ -61,7 +62,8 @@
 	g.drainQueue()
 }
 
-// applyLoadReport applies a backend's load report; nil is none.
+// applyLoadReport applies a backend's load report and adds it to the gossip. A nil report or one without a
+// utilization is ignored.
 func (g *Gateway) applyLoadReport(backend *backendState, load *Load) {
 	if load == nil || load.Utilization < 0 {
 		return
@@ -71,7 +73,8 @@
 		Value: load.Utilization, At: g.now})
 }
 
-// meanUtilization is the mean over the backends with a fresh load report; known reports whether there is any.
+// meanUtilization returns the mean utilization of the listed backends that have a valid load report; known is
+// false if there is none.
 func (g *Gateway) meanUtilization() (mean float64, known bool) {
 	n := 0.0
 	for _, backend := range g.backends.Listed {
@@ -83,7 +86,8 @@
 	return mean / max(n, 1), n > 0
 }
 
-// probeForLoad probes the backend whose load report is the oldest, where load reports come with probes alone.
+// probeForLoad probes the backend that was probed or reported its load least recently, if that is at least
+// probeIntervalS ago and backends report their load in probes.
 func (g *Gateway) probeForLoad() {
 	if !g.settings.ProbesAllowed || !g.settings.LoadReportInProbe || g.probeTokens < 1 {
 		return
@@ -102,7 +106,7 @@
 	}
 }
 
-// HandleProbeResult handles the end of a probe. One of an unknown backend is ignored.
+// HandleProbeResult handles the result of a probe. A result of an unknown backend is ignored.
 func (g *Gateway) HandleProbeResult(now float64, result ProbeResult) {
 	g.advanceClock(now)
 	backend := g.backends.ByID[result.Backend]
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -19,22 +19,24 @@
 	"eiderspread/internal/decision/slotlease"
 )
 
-// tickToken is the token of the only timer.
+// tickToken is the token of the tick, the only timer that a Gateway sets.
 const tickToken uint64 = 1
 
 const (
-	tickIntervalS = 0.02 // seconds between two ticks
-	ownStallS     = 0.1  // seconds without any event after which this process itself stood still
-	demandTauS    = 1.5  // seconds, time constant of demand and work rates
-	maxClassNames = 64   // class names known since the start
+	tickIntervalS   = 0.02 // seconds between two ticks
+	stallThresholdS = 0.1  // seconds without an event, above which this process is taken to have stalled
+	demandTauS      = 1.5  // seconds, time constant of the demand and work rates
+	maxClassNames   = 64   // highest number of class names known since the start
 
-	initialLatencyFraction = 0.15 // of its latency objective, that an unknown class is taken to need
+	// initialLatencyFraction, times the latency objective, is the mean latency assumed for a class without
+	// samples.
+	initialLatencyFraction = 0.15
 
-	// epsilon guards divisions and comparisons of units against rounding.
+	// epsilon prevents divisions by 0 and tolerates rounding errors in comparisons of units.
 	epsilon = 1e-9
 )
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	settings Settings
 	actions  Actions
@@ -44,77 +46,77 @@
 	now       float64 // time of the current event, in Unix seconds
 	startedAt float64 // Unix seconds
 	resumedAt float64 // end of this process's last stall, in Unix seconds
-	sweepAt   float64 // next eviction of unused state
+	sweepAt   float64 // time of the next eviction of unused state, in Unix seconds
 
 	// Requests.
-	requests map[string]*request // by ID, until completed and without attempts in flight
-	active   []*request          // the same in order of arrival; completed ones leave with the next tick
-	queue    []*request          // waiting for a backend or for a hard limit's bucket
+	requests map[string]*request // by ID; removed once completed with no attempt in flight
+	active   []*request          // the same in order of arrival; the tick removes completed ones
+	queue    []*request          // admitted, waiting for a backend or for a hard limit's bucket
 	shedder  *loadshed.Shedder   // nil: load shedding is off
 
 	// Configuration.
 	classes           map[string]*classState // by name
-	classList         []*classState          // by index; includes names that UpdateClasses removed
-	maxPriorityWeight float64                // of any class
-	plans             []*planState
+	classList         []*classState          // by index, including classes that UpdateClasses removed
+	maxPriorityWeight float64                // highest of the configured classes
+	plans             []*planState           // by index
 	plansByName       map[string]*planState
 
 	// Accounts.
 	accounts        map[accountKey]*accountState
-	prefetching     []*accountState // with units granted in advance
-	waitQueues      []*accountState // owned here, with members that wait for a slot
-	slotLeasingFrom float64         // Unix seconds; earlier slots that a former process leased may be in use
+	prefetching     []*accountState // accounts with prefetched units
+	waitQueues      []*accountState // accounts owned here with members in their wait queue
+	slotLeasingFrom float64         // Unix seconds; until then slots leased by a former process may be in use
 
 	// Peers.
 	ring            hashring.Ring
-	incarnation     uint8                            // of this process, in messages
-	sequence        uint16                           // of the last message
-	sequences       []peerprotocol.SequenceTracker   // of the messages of each peer
-	failureDetector failuredetector.Detector         // peers that leave reports unanswered
+	incarnation     uint8                            // of this process, sent in messages
+	sequence        uint16                           // number of the last message sent
+	sequences       []peerprotocol.SequenceTracker   // of messages received, by peer
+	failureDetector failuredetector.Detector         // suspects peers that leave reports unanswered
 	reports         reportqueue.Queue[*accountState] // due reports, by owner
-	awaitingReply   []*accountState                  // with reports that were not answered yet
-	messageRate     float64                          // of messages that come in, a second
-	messageRateAt   float64                          // Unix seconds of messageRate
-	gossip          peerprotocol.Gossip              // about backends, to be passed on
+	awaitingReply   []*accountState                  // accounts with unanswered reports
+	messageRate     float64                          // messages received a second, as of messageRateAt
+	messageRateAt   float64                          // Unix seconds
+	gossip          peerprotocol.Gossip              // entries about backends to be forwarded
 
 	// Backends.
 	backends           endpoints.Table[backendState]
-	backendsPerGateway float64    // listed ones, divided by the number of gateways
-	warmCapacity       float64    // sum over usable backends of the fraction that each can serve by now
-	admittedWork       decay.Rate // seconds of work a second that quotas admitted
-	completedWork      decay.Rate // seconds of work a second that was answered with OK
-	adaptiveLimit      float64    // attempts that may be in flight from here, at all backends together
-	inFlight           int        // attempts
-	latencyRatio       float64    // mean of latency over latency objective
-	meanLatency        float64    // seconds, mean until an answer or a timeout
-	lastSentAt         float64    // Unix seconds of the last attempt
-	probeTokens        float64    // probes that may be sent
+	backendsPerGateway float64    // number of listed backends, divided by the number of gateways
+	warmCapacity       float64    // sum of the warm fractions of all usable backends
+	admittedWork       decay.Rate // admitted work, in seconds of work a second
+	completedWork      decay.Rate // work answered with OK, in seconds of work a second
+	adaptiveLimit      float64    // highest number of attempts in flight from here, at all backends together
+	inFlight           int        // attempts in flight from here
+	latencyRatio       float64    // mean of latency divided by latency objective
+	meanLatency        float64    // seconds, mean time from a send until an answer or a timeout
+	lastSentAt         float64    // time of the last attempt, in Unix seconds
+	probeTokens        float64    // number of probes that may be sent now
 }
 
-// classState is a class and what was measured of it.
+// classState is a class of requests and its measured statistics.
 type classState struct {
 	Class
-	index         int     // at each backend's scores
-	tag           int     // names the class in gossip
-	lowerClasses  int     // classes of lower priority weight
+	index         int     // in Gateway.classList and in the error scores of each backend
+	tag           int     // identifies the class in gossip
+	lowerClasses  int     // number of classes with a lower priority weight
 	meanLatency   float64 // seconds, of OK answers
 	meanDeviation float64 // seconds, mean absolute deviation from meanLatency
-	samples       int     // OK answers
-	// clientTimeouts counts the fraction of the deadline that was left when requests arrived.
+	samples       int     // number of OK answers measured
+	// clientTimeouts counts requests by the fraction of their deadline that was left on arrival.
 	clientTimeouts clienttimeout.Histogram
 }
 
-// planState is a plan and its index, which names it in peer messages.
+// planState is a plan and its index, which identifies the plan in peer messages.
 type planState struct {
 	Plan
 	index int
 }
 
-// New returns a gateway at its start, at now in Unix seconds. Errors are those of Settings.Validate, or say
-// that actions is nil. The list of backends follows through UpdateBackends.
+// New returns a gateway that starts at now, in Unix seconds. It returns the error of Settings.Validate, or an
+// error if actions is nil. The gateway has no backends until the first call of UpdateBackends.
 func New(settings Settings, seed uint64, now float64, actions Actions) (*Gateway, error) {
 	if err := settings.Validate(); err != nil || actions == nil {
-		return nil, cmp.Or(err, errors.New("no actions given"))
+		return nil, cmp.Or(err, errors.New("actions must not be nil"))
 	}
 	g := &Gateway{
 		settings:        settings,
@@ -131,7 +133,7 @@
 		failureDetector: failuredetector.New(settings.Gateways),
 		reports:         reportqueue.New[*accountState](settings.Gateways, now),
 		slotLeasingFrom: now + slotlease.ReportLeaseS,
-		adaptiveLimit:   initialLimit / float64(settings.Gateways), // for one backend; UpdateBackends scales it
+		adaptiveLimit:   initialLimit / float64(settings.Gateways), // for one backend; scaled by UpdateBackends
 	}
 	g.incarnation = uint8(g.rng.Uint32())
 	g.settings.PeerMessageRate = cmp.Or(max(settings.PeerMessageRate, 0), unlimitedMessageRate)
@@ -146,19 +148,20 @@
 	return g, nil
 }
 
-// Shedder is this gateway's view of the fleet's overload; nil where load shedding is off.
+// Shedder returns this gateway's load-shedding state; nil if load shedding is off.
 func (g *Gateway) Shedder() *loadshed.Shedder { return g.shedder }
 
-// advanceClock sets the time of the current event, and notes the end of a stall of this process.
+// advanceClock sets the time of the current event. If the last event is more than stallThresholdS old, it
+// records now as the end of a stall of this process.
 func (g *Gateway) advanceClock(now float64) {
-	if now-g.now > ownStallS {
+	if now-g.now > stallThresholdS {
 		g.resumedAt = now
 	}
 	g.now = now
 }
 
-// HandleTimer handles a timer that was set by SetTimer: it does all work that no event brings. Unknown tokens
-// are ignored.
+// HandleTimer handles the expiry of a timer that Actions.SetTimer requested. Each tick schedules the next one
+// and does the periodic work. Unknown tokens are ignored.
 func (g *Gateway) HandleTimer(now float64, token uint64) {
 	g.advanceClock(now)
 	if token != tickToken {
@@ -180,7 +183,7 @@
 	}
 }
 
-// tickShedder moves the load-shedding level on, and sends it to a peer where the shedder asks for that.
+// tickShedder updates the load-shedding level, and sends it to the peer that the shedder selects, if any.
 func (g *Gateway) tickShedder() {
 	to := loadshed.Tick(g.shedder, g.now, g.queue, g.meanUtilization)
 	if to >= 0 && g.settings.PeerMessages {
@@ -188,8 +191,9 @@
 	}
 }
 
-// UpdateClasses applies other classes and another limit of attempts a request. Requests in progress keep the
-// class that they came with. On an error, that of config.Settings.WithClasses, nothing has changed.
+// UpdateClasses replaces the classes and the highest number of attempts of a request. Requests in progress
+// keep the class with which they arrived. On an error, that of config.Settings.WithClasses, the settings stay
+// unchanged.
 func (g *Gateway) UpdateClasses(now float64, classes []Class, maxAttempts int) error {
 	settings, err := g.settings.WithClasses(classes, maxAttempts, len(g.classList), maxClassNames)
 	if err != nil {
@@ -202,7 +206,7 @@
 	return nil
 }
 
-// setClasses applies the settings' classes. What was measured of a class goes by its name, and stays while
+// setClasses applies the settings' classes. Measured statistics belong to the class name, and are kept while
 // the class is not configured.
 func (g *Gateway) setClasses() {
 	g.maxPriorityWeight = 0
@@ -217,7 +221,7 @@
 				backend.Grow(len(g.classList))
 			}
 		} else if g.classList[i].Class != class {
-			updated := *g.classList[i] // requests in progress keep the old one
+			updated := *g.classList[i] // requests in progress keep the old configuration
 			updated.Class, g.classList[i] = class, &updated
 		}
 		g.classes[class.Name] = g.classList[i]
@@ -226,19 +230,21 @@
 	}
 }
 
-// newClass is a class of which nothing was measured yet.
+// newClass returns a class without samples.
 func newClass(class Class, index int) *classState {
 	return &classState{Class: class, index: index, tag: peerprotocol.ClassTag(class.Name),
 		meanLatency:   initialLatencyFraction * class.LatencyObjectiveS,
 		meanDeviation: initialLatencyFraction / 2 * class.LatencyObjectiveS}
 }
 
-// lowPriority is 0 for the class of the highest priority weight, towards 1 for lower ones.
+// lowPriority returns 0 for the class with the highest priority weight, and up to 1 for classes with a lower
+// one.
 func (g *Gateway) lowPriority(class *classState) float64 {
 	return 1 - class.PriorityWeight/max(g.maxPriorityWeight, epsilon)
 }
 
-// classByPriority is the class that requests of a lowPriority are likely to be of: peers report no class.
+// classByPriority returns the class whose lowPriority is closest to the given value. Peers report the
+// lowPriority of a request and not its class.
 func (g *Gateway) classByPriority(lowPriority float64) (best *classState) {
 	closest := math.Inf(1)
 	for _, class := range g.classList {
--- a/policy/request.go
+++ b/policy/request.go
@@ -8,21 +8,22 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// latestStartFraction is the fraction of the time between its arrival and its deadline after which a request
-// that is not known to have reached a backend is given up: its client still has time to retry elsewhere.
+// latestStartFraction is the fraction of the time between a request's arrival and its deadline after which a
+// request that is not known to have reached a backend gets no further attempt, so that its client still has
+// time to retry elsewhere.
 const latestStartFraction = 0.45
 
-// requestPhase is how far a request has come. Each phase is reached from an earlier one only.
+// requestPhase is the phase of a request. A request only moves on to later phases.
 type requestPhase uint8
 
 const (
-	phaseArrived       requestPhase = iota // no verdict yet
+	phaseArrived       requestPhase = iota // admission has not been decided
 	phaseAwaitingOwner                     // in its account's list of pending requests
 	phaseAdmitted                          // in the queue, or with attempts in flight
-	phaseCompleted                         // answered, or no answer is needed; attempts may be in flight
+	phaseCompleted                         // answered, or no longer needs an answer; may have attempts in flight
 )
 
-// String is the phase's name.
+// String returns the phase's name.
 func (p requestPhase) String() string {
 	switch p {
 	case phaseArrived:
@@ -37,41 +38,41 @@
 	return "unknown"
 }
 
-// request is a client's request. Times are in Unix seconds.
+// request is the state of a client's request. Times are in Unix seconds.
 type request struct {
 	Request
 	loadshed.AdmissionPriority // set if it has an account
-	loadshed.QueueWait         // how long it may wait for a backend
+	loadshed.QueueWait         // how long it has waited and may wait for a backend
 
-	class   *classState   // as it was when the request arrived
+	class   *classState   // as configured when the request arrived
 	plan    *planState    // nil: no quota
 	account *accountState // nil: no quota
 	phase   requestPhase
 
 	objectiveDeadline float64 // an answer by then earns its full weight
-	latestStart       float64 // a first attempt is written by then, or never
-	priority          float64 // in the queue, higher first
-	lowPriority       float64 // 0 for the class of the highest priority weight, towards 1
-	clientRetry       bool    // taken for the client's own retry, by its timing: Request.Retry is not read
+	latestStart       float64 // no attempt starts later, unless one is known to have reached a backend
+	priority          float64 // in the queue, highest first
+	lowPriority       float64 // 0 for the class with the highest priority weight, up to 1 for lower ones
+	clientRetry       bool    // taken for a client retry by its timing; Request.Retry is not read
 
 	attempts        []attemptState
-	inFlight        int           // of attempts
-	reachedBackend  bool          // by an outcome that proves it: false while the first attempt is in flight
-	firstRan        *backendState // of the first attempt that may have run; nil: none
-	firstRanAt      float64       // when that attempt was sent
-	streaming       bool          // the answer is being passed on to the client
-	hardLimitUnpaid bool          // its units are still to be taken from a bucket of the hard limit
+	inFlight        int           // number of attempts in flight
+	reachedBackend  bool          // the outcome of an attempt proves it; false while the first is in flight
+	firstRunBackend *backendState // backend of the first attempt that may have run; nil: none
+	firstRunAt      float64       // time at which that attempt was sent
+	streaming       bool          // the answer is being streamed to the client
+	hardLimitUnpaid bool          // its units have not been taken from a bucket of the hard limit yet
 }
 
-// HandleRequest handles a client's request. It gets one final answer, by Reject, Fail or the outcome of an
-// attempt.
+// HandleRequest handles a client's request, which gets exactly one final answer: Reject, Fail or the answer
+// to an attempt. A request whose ID is known already is ignored.
 func (g *Gateway) HandleRequest(now float64, incoming Request) {
 	g.advanceClock(now)
 	if g.requests[incoming.ID] != nil {
 		return
 	}
 	class := g.classes[incoming.Class]
-	if class == nil { // removed by UpdateClasses after the request was read
+	if class == nil { // UpdateClasses removed the class after the request was read
 		g.actions.Reject(incoming.ID, 0)
 		return
 	}
@@ -98,7 +99,7 @@
 	}
 }
 
-// newRequest works out a request's deadlines and priority.
+// newRequest returns the state of a new request, with its deadlines and priority.
 func (g *Gateway) newRequest(incoming Request, class *classState) *request {
 	req := &request{Request: incoming, class: class, plan: g.plansByName[incoming.Plan]}
 	req.latestStart = g.now + latestStartFraction*(incoming.DeadlineAt-g.now)
@@ -120,33 +121,37 @@
 		weight *= class.LateWeightFraction
 	}
 	req.QueueWait = loadshed.QueueWait{Since: g.now, MaxS: req.objectiveDeadline - class.meanLatency - g.now}
-	req.priority = class.PriorityWeight * weight // per unit of work: units stand for both work and worth
+	req.priority = class.PriorityWeight * weight // per unit: a unit measures work as well as value
 	req.lowPriority = g.lowPriority(class)
 	return req
 }
 
-// objectiveAfter is until when an answer to a request that began at start earns its full weight.
+// objectiveAfter returns the time until which an answer earns its full weight, for a request that began at
+// start.
 func (c *classState) objectiveAfter(start float64) float64 {
 	return start + c.LatencyObjectiveS + c.ObjectiveWorkFactor*c.meanLatency
 }
 
-// latestFirstSend is until when a first attempt is expected to meet the objective, and may be written.
+// latestFirstSend returns the latest time at which a first attempt may be sent and, at the class's mean
+// latency, still meets the latency objective.
 func (r *request) latestFirstSend() float64 {
 	return min(r.objectiveDeadline-r.class.meanLatency, r.latestStart)
 }
 
-// expiresAt is from when on an answer is not worth a backend's work: after the objective it earns a fraction
-// of its weight, and is waited for during that fraction of the time left until the deadline.
+// expiresAt returns the time from which an answer is no longer worth a backend's work. An answer after the
+// objective earns only LateWeightFraction of its weight, so that the gateway waits for it only during that
+// fraction of the time between the objective and the deadline.
 func (r *request) expiresAt() float64 {
 	return r.objectiveDeadline + r.class.LateWeightFraction*max(r.DeadlineAt-r.objectiveDeadline, 0)
 }
 
-// awaitsFirstSend reports whether the request was charged to its quota and has not been sent yet.
+// awaitsFirstSend reports whether the request was charged to its quota but not sent yet.
 func (r *request) awaitsFirstSend() bool {
 	return r.account != nil && r.phase == phaseAdmitted && len(r.attempts) == 0
 }
 
-// dispatch sends the next attempt of an admitted request, or queues it while no backend can take it.
+// dispatch sends the next attempt of an admitted request. It queues the request if no backend can take it
+// now, and rejects it if it may have no further attempt.
 func (g *Gateway) dispatch(req *request) {
 	if len(req.attempts) == 0 {
 		g.admittedWork.Add(g.now, req.class.meanLatency, demandTauS)
@@ -161,7 +166,8 @@
 	}
 }
 
-// drainQueue sends what waits, by priority, and rejects what can't meet its objective any more.
+// drainQueue sends queued requests in order of priority, as far as backends can take them, and rejects those
+// that may have no further attempt or can't meet their latency objective any more.
 func (g *Gateway) drainQueue() {
 	if len(g.queue) == 0 {
 		return
@@ -184,7 +190,7 @@
 	})
 }
 
-// queueReason is the reason why no backend was picked for a request.
+// queueReason returns the reason why no backend was picked for a request.
 func (g *Gateway) queueReason(req *request) reason.Reason {
 	switch {
 	case req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account):
@@ -197,8 +203,8 @@
 	return reason.NoBackend
 }
 
-// reject gives a request its final answer: Reject if a retry is harmless, else Fail. It does nothing for a
-// completed request.
+// reject completes a request without a backend's answer: with Reject if a retry is harmless, else with Fail.
+// It cancels the request's attempts in flight. It does nothing for a completed request.
 func (g *Gateway) reject(req *request, cause reason.Reason) {
 	if req.phase == phaseCompleted {
 		return
@@ -206,12 +212,12 @@
 	if req.account != nil {
 		req.account.rejectedAt = g.now
 	}
-	if mayHaveRun := req.firstRan != nil || req.inFlight > 0; !MayReject(req.class.Class, mayHaveRun) {
+	if mayHaveRun := req.firstRunBackend != nil || req.inFlight > 0; !MayReject(req.class.Class, mayHaveRun) {
 		g.trace(reason.StepFailed, cause, req, noAttempt)
 		g.actions.Fail(req.ID)
 	} else {
 		g.trace(reason.StepRejected, cause, req, noAttempt)
-		if req.awaitsFirstSend() { // no backend could take it in time
+		if req.awaitsFirstSend() { // no backend could take the request in time
 			g.shedder.ObserveWait(g.now, 1)
 		}
 		g.actions.Reject(req.ID, g.shedder.RetryAfterS(req.AdmissionPriority, g.settings.MaxRetryAfterS))
@@ -222,8 +228,8 @@
 	g.complete(req)
 }
 
-// rejectExpired rejects a request that arrived with too little time left. That does not count as a rejection
-// of the account: its client will not retry.
+// rejectExpired rejects a request that arrived with too little time left. The account's rejectedAt stays
+// unchanged, because the client of such a request will not retry.
 func (g *Gateway) rejectExpired(req *request, cause reason.Reason) {
 	if req.account == nil {
 		g.reject(req, cause)
@@ -234,8 +240,8 @@
 	req.account.rejectedAt = rejectedAt
 }
 
-// complete notes that a request has its final answer. What was admitted and never sent is given back to the
-// quota. The request is forgotten once no attempt is in flight.
+// complete marks a request as completed. If the request was admitted but never sent, its units are returned
+// to the quota. The request is removed once none of its attempts is in flight.
 func (g *Gateway) complete(req *request) {
 	unsent := req.awaitsFirstSend()
 	req.phase = phaseCompleted
@@ -252,8 +258,8 @@
 	}
 }
 
-// HandleResponseStart handles the start of a streamed answer: from now on the request depends on that attempt
-// alone.
+// HandleResponseStart handles the start of a streamed answer. From then on the request is neither hedged nor
+// retried.
 func (g *Gateway) HandleResponseStart(now float64, id string, attempt int) {
 	g.advanceClock(now)
 	if req := g.requests[id]; req != nil {
@@ -261,7 +267,7 @@
 	}
 }
 
-// HandleDisconnect handles the end of a client's connection: its request needs no answer.
+// HandleDisconnect handles a client's disconnect: its request needs no answer any more.
 func (g *Gateway) HandleDisconnect(now float64, id string) {
 	g.advanceClock(now)
 	if req := g.requests[id]; req != nil && req.phase != phaseCompleted {
@@ -269,7 +275,8 @@
 	}
 }
 
-// checkActive looks at all requests in progress, once a tick.
+// checkActive does the periodic checks of all requests in progress, once a tick: it rejects requests whose
+// owner did not reply in time, renews slot leases, detects unresponsive backends and hedges.
 func (g *Gateway) checkActive() {
 	done := func(req *request) bool { return req.phase == phaseCompleted && req.inFlight == 0 }
 	g.active = slices.DeleteFunc(g.active, done)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	deadlineMarginS        = 0.004 // seconds, the shortest timeout of an attempt
-	hedgeLatencyMultiple   = 4.0   // mean latencies after which an attempt at a healthy backend is hedged
-	hedgeObjectiveFraction = 0.4   // of the latency objective, before which no attempt is hedged or given up
+	deadlineMarginS        = 0.004 // seconds, lower bound of an attempt's timeout
+	hedgeLatencyMultiple   = 4.0   // age in mean latencies from which an attempt at a healthy backend is hedged
+	hedgeObjectiveFraction = 0.4   // of the latency objective, before which no attempt is hedged or cancelled
 )
 
-// attemptPhase is how far an attempt has come.
+// attemptPhase is the phase of an attempt.
 type attemptPhase uint8
 
 const (
 	attemptInFlight   attemptPhase = iota
-	attemptCancelling              // cancelled by this gateway; its outcome is still to come
+	attemptCancelling              // cancelled by this gateway; its outcome has not arrived yet
 	attemptDone
 )
 
-// String is the phase's name.
+// String returns the phase's name.
 func (p attemptPhase) String() string {
 	switch p {
 	case attemptInFlight:
@@ -34,19 +34,19 @@
 	return "unknown"
 }
 
-// attemptState is one attempt of a request.
+// attemptState is the state of one attempt of a request.
 type attemptState struct {
 	backend      *backendState
 	sentAt       float64 // Unix seconds
 	phase        attemptPhase
-	unresponsive bool // that its backend does not answer was counted
+	unresponsive bool // counted as an attempt that its backend leaves unanswered
 }
 
-// noAttempt, as the index of an attempt, stands for none.
+// noAttempt is the index that means no attempt.
 const noAttempt = -1
 
-// attemptBlocked is the reason why the request may have no further attempt, or why none is worth it; None if
-// it may.
+// attemptBlocked returns the reason why the request may have no further attempt, or why another one is not
+// worth it; None if it may have one.
 func (g *Gateway) attemptBlocked(req *request) reason.Reason {
 	switch {
 	case len(req.attempts) >= max(1, g.settings.MaxAttempts):
@@ -55,23 +55,24 @@
 		return reason.ObjectiveMissed
 	case !req.reachedBackend && g.now > req.latestStart:
 		return reason.LatestStartPassed
-	// The key's time is checked when deciding; Attempt.LatestStart checks it again at the write.
-	case req.firstRan == nil || req.class.Idempotency == Idempotent ||
-		req.class.Idempotency == KeyedIdempotent && g.now <= req.firstRanAt+req.class.KeyTTLS-maxStallS:
+	// The key's TTL is checked at the decision here; Attempt.LatestStart checks it again at the write.
+	case req.firstRunBackend == nil || req.class.Idempotency == Idempotent ||
+		req.class.Idempotency == KeyedIdempotent && g.now <= req.firstRunAt+req.class.KeyTTLS-maxStallS:
 		return reason.None
 	}
 	return reason.MayHaveRun
 }
 
-// MayReject reports whether a request may be rejected, which promises its client that a retry is harmless;
-// else it has to fail. mayHaveRun is whether an attempt of it may have run, or still may.
+// MayReject reports whether a request may be rejected, which promises its client that a retry is harmless.
+// Otherwise it must fail. mayHaveRun is whether an attempt of the request may have run, or may still run.
 func MayReject(class Class, mayHaveRun bool) bool {
 	return !mayHaveRun || class.Idempotency == Idempotent ||
 		class.Idempotency == KeyedIdempotent && class.KeyScope == ScopeAll
 }
 
-// sendAttempt starts the request's next attempt. pickBackend or selectBackend has seen to it that the backend
-// can take it, and that a bucket of the hard limit pays for it.
+// sendAttempt sends the request's next attempt to a backend. The caller gets the backend from pickBackend or
+// selectBackend, which checks that the backend can take the attempt; pickBackend also checks that a bucket of
+// the hard limit pays for the request.
 func (g *Gateway) sendAttempt(req *request, backend *backendState) {
 	if req.hardLimitUnpaid {
 		req.hardLimitUnpaid = false
@@ -88,7 +89,7 @@
 	g.actions.Send(req.ID, backend.ID, max(req.expiresAt()-g.now, deadlineMarginS))
 }
 
-// startAttempt counts an attempt as in flight.
+// startAttempt records a new attempt as in flight.
 func (g *Gateway) startAttempt(req *request, backend *backendState) {
 	backend.inFlight++
 	g.inFlight++
@@ -101,8 +102,8 @@
 	req.attempts = append(req.attempts, attemptState{backend: backend, sentAt: g.now})
 }
 
-// finishAttempt finds the attempt of an outcome and counts it as done; nil if it isn't known or was done
-// before.
+// finishAttempt returns the attempt of an outcome and its request, and marks the attempt as done. It returns
+// nil if the attempt is unknown or already done.
 func (g *Gateway) finishAttempt(outcome Outcome) (*request, *attemptState) {
 	req := g.requests[outcome.ID]
 	if req == nil || outcome.Attempt < 0 || outcome.Attempt >= len(req.attempts) {
@@ -120,7 +121,7 @@
 	return req, attempt
 }
 
-// cancelAttempt gives up an attempt that is in flight, where the settings allow it.
+// cancelAttempt cancels an attempt that is in flight, if the settings allow cancelling.
 func (g *Gateway) cancelAttempt(req *request, index int) {
 	if attempt := &req.attempts[index]; g.settings.CancelAllowed && attempt.phase == attemptInFlight {
 		attempt.phase = attemptCancelling
@@ -128,8 +129,9 @@
 	}
 }
 
-// HandleOutcome handles the end of an attempt. The request is completed by it, or gets another attempt once
-// none is in flight. Outcomes of unknown attempts are ignored.
+// HandleOutcome handles the end of an attempt. An OK answer completes the request, and so does an outcome
+// that is marked as Completed. Otherwise the request is retried, or rejected, once none of its attempts is in
+// flight. Outcomes of unknown attempts are ignored.
 func (g *Gateway) HandleOutcome(now float64, outcome Outcome) {
 	g.advanceClock(now)
 	req, attempt := g.finishAttempt(outcome)
@@ -140,8 +142,8 @@
 	g.applyLoadReport(attempt.backend, outcome.Load)
 	g.recordOutcome(req, attempt.backend, outcome)
 	req.reachedBackend = req.reachedBackend || outcome.Status != ConnectFailed && outcome.Status != NotSent
-	if !outcome.Status.NeverRan() && req.firstRan == nil {
-		req.firstRan, req.firstRanAt = attempt.backend, attempt.sentAt
+	if !outcome.Status.NeverRan() && req.firstRunBackend == nil {
+		req.firstRunBackend, req.firstRunAt = attempt.backend, attempt.sentAt
 	}
 	if outcome.Status == OK && g.settings.UnitsFromResponse && req.account != nil && outcome.Units > 0 {
 		g.charge(req.account, outcome.Units-req.Units)
@@ -154,10 +156,10 @@
 	g.drainQueue()
 }
 
-// recordOutcome updates the statistics of the backend, and of all backends, with the end of an attempt.
+// recordOutcome updates the backend's statistics and the adaptive limit with the outcome of an attempt.
 func (g *Gateway) recordOutcome(req *request, backend *backendState, outcome Outcome) {
 	class := req.class
-	// A timeout at an unhealthy backend says nothing about the others.
+	// A timeout at an unhealthy backend says nothing about the load of the other backends.
 	informative := outcome.Status == OK ||
 		outcome.Status == Timeout && backend.ErrorScore(class.index, g.now) < unhealthyScore
 	switch outcome.Status {
@@ -179,9 +181,10 @@
 	}
 }
 
-// hedge sends a copy of an idempotent request elsewhere, or gives its attempt up where the settings don't
-// allow two: when its backend is unhealthy or, as long as nothing waits in the queue, slow. Nothing is done
-// if another attempt would not be allowed, or no other backend can take it.
+// hedge sends a hedged attempt of a request to another backend if the backend of its only attempt in flight
+// is unhealthy, or slow while the queue is empty. If the settings allow no hedging, it cancels the attempt at
+// an unhealthy backend instead, so that the request is retried. It does nothing for a request of a
+// NonIdempotent class, if no further attempt is allowed, or if no other backend can take one.
 func (g *Gateway) hedge(req *request) {
 	if req.phase == phaseCompleted || req.streaming || req.inFlight != 1 ||
 		req.class.Idempotency == NonIdempotent {
@@ -196,10 +199,11 @@
 		age < hedgeObjectiveFraction*req.class.LatencyObjectiveS {
 		return
 	}
-	// The attempt in flight may have run, for the choice of a backend now and for good once there is a copy.
-	firstRan, firstRanAt := req.firstRan, req.firstRanAt
-	if req.firstRan == nil {
-		req.firstRan, req.firstRanAt = attempt.backend, attempt.sentAt
+	// The attempt in flight may have run: the selection of a backend depends on that. If no hedged attempt is
+	// sent and nothing is cancelled, the previous state is restored.
+	firstRunBackend, firstRunAt := req.firstRunBackend, req.firstRunAt
+	if req.firstRunBackend == nil {
+		req.firstRunBackend, req.firstRunAt = attempt.backend, attempt.sentAt
 	}
 	var backend *backendState
 	if g.attemptBlocked(req) == reason.None {
@@ -207,7 +211,7 @@
 	}
 	switch {
 	case backend == nil || backend == attempt.backend:
-		req.firstRan, req.firstRanAt = firstRan, firstRanAt
+		req.firstRunBackend, req.firstRunAt = firstRunBackend, firstRunAt
 	case g.settings.HedgingAllowed:
 		g.sendAttempt(req, backend)
 	default:
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,24 +6,24 @@
 	"eiderspread/internal/decision/subset"
 )
 
-// The choice of a backend. Costs count attempts in flight: what speaks against a backend is worth so many of
-// them.
+// Selection of a backend by cost. The unit of cost is one attempt in flight; every other disadvantage of a
+// backend is converted to that unit.
 const (
-	minCandidates      = 2    // healthy backends looked at for a request, at least
-	fullScanGateways   = 12   // gateways, up to which each looks at all backends
-	gatewaysPerBackend = 24   // gateways that prefer the same backend
-	minSubsetSize      = 8    // backends that a gateway prefers, at least
-	meanInFlightTauS   = 1.0  // seconds, time constant of a backend's mean attempts from here
-	backendLimitWeight = 1.0  // of its share of the adaptive limit by its latency, that a backend may hold
-	crossZoneWeight    = 25.0 // attempts for another zone, a unit of its cost
-	utilizationWeight  = 2.0  // attempts for a utilization of 1
-	sameBackendWeight  = 4.0  // attempts for each one of the request that the backend had already
-	errorScoreWeight   = 30.0 // factor on the cost, less 1, for an error score of 1
-	costJitter         = 0.02 // highest random fraction on the cost, to break ties
+	minCandidates      = 2    // lowest number of healthy backends that are compared for a request
+	fullScanGateways   = 12   // highest number of gateways at which each compares all backends
+	gatewaysPerBackend = 24   // number of gateways that prefer the same backend
+	minSubsetSize      = 8    // lowest number of backends that a gateway prefers
+	meanInFlightTauS   = 1.0  // seconds, time constant of backendState.meanInFlight
+	backendLimitWeight = 1.0  // fraction of its share of the adaptive limit that a backend may have in flight
+	crossZoneWeight    = 25.0 // attempts for a backend in another zone, per unit of CrossZoneCost
+	utilizationWeight  = 2.0  // attempts for a backend with a utilization of 1
+	sameBackendWeight  = 4.0  // attempts for each earlier attempt of the request at the same backend
+	errorScoreWeight   = 30.0 // an error score of 1 multiplies the cost by 1 plus this
+	costJitter         = 0.02 // upper bound of the random fraction that is added to the cost to break ties
 )
 
-// pickBackend picks a backend for the request's next attempt; nil if none can take it, or if no bucket pays
-// for it yet.
+// pickBackend returns the backend for the request's next attempt; nil if no backend can take the attempt, or
+// if the request still waits for a bucket of the hard limit.
 func (g *Gateway) pickBackend(req *request) *backendState {
 	if req.hardLimitUnpaid && !g.hardLimitPays(req) {
 		return nil
@@ -31,11 +31,12 @@
 	return g.selectBackend(req)
 }
 
-// selectBackend picks the backend of the lowest cost among those that can take the request's next attempt;
+// selectBackend returns the backend of the lowest cost among those that can take the request's next attempt;
 // nil if there is none.
 //
-// With many gateways each looks at few backends: all of them would pick the same one by the same gossip. It
-// goes on looking, in the order of newBackendScan, while those that it looked at can't take more.
+// Above fullScanGateways gateways, each compares only a part of the backends, because all of them would pick
+// the same backend by the same gossip. Only healthy backends that can take the attempt count for that part:
+// the scan skips all others, in the order of newBackendScan.
 func (g *Gateway) selectBackend(req *request) *backendState {
 	if g.atAdaptiveLimit(req) {
 		return nil
@@ -44,7 +45,7 @@
 	scan := g.newBackendScan()
 	remaining := max(minCandidates, n*fullScanGateways/g.settings.Gateways)
 	limit := backendLimitWeight * g.adaptiveLimit / float64(n)
-	sharing := float64(g.settings.Gateways*len(scan.preferred))/float64(max(1, n)) - 1
+	sharers := float64(g.settings.Gateways*len(scan.preferred))/float64(max(1, n)) - 1
 
 	var best, bestUnhealthy *backendState
 	lowest, lowestUnhealthy := math.Inf(1), math.Inf(1)
@@ -65,7 +66,7 @@
 		if !g.canTake(req, backend, limit) {
 			continue
 		}
-		cost := g.attemptCost(req, backend, errorScore, sharing)
+		cost := g.attemptCost(req, backend, errorScore, sharers)
 		if errorScore < unhealthyScore {
 			if remaining--; cost < lowest {
 				best, lowest = backend, cost
@@ -74,21 +75,24 @@
 			bestUnhealthy, lowestUnhealthy = backend, cost
 		}
 	}
-	// While most are healthy the request waits for one of them: what fails fast always has capacity.
+	// A backend that fails fast always has capacity. Unless most of the usable backends are unhealthy, the
+	// request therefore waits for a healthy one.
 	if best == nil && 2*healthy < usable {
 		return bestUnhealthy
 	}
 	return best
 }
 
-// backendScan is the order in which selectBackend looks at backends: first the preferred ones, from a random
-// one on, then all listed ones, from the same index on. The preferred ones are listed too, and come twice.
+// backendScan is the order in which selectBackend scans backends: the preferred ones first, then all listed
+// ones. Both lists are rotated by the same random start index. Preferred backends are listed too, and occur
+// twice in a scan.
 type backendScan struct {
 	preferred, listed []*backendState
 	start             int
 }
 
-// newBackendScan draws a scan order. The preferred backends come first so that connections are used again.
+// newBackendScan returns a scan with a random start. Preferred backends come first so that their connections
+// are reused.
 func (g *Gateway) newBackendScan() backendScan {
 	listed := g.backends.Listed
 	size := subset.Size(g.settings.Gateways, len(listed), gatewaysPerBackend, minSubsetSize)
@@ -99,7 +103,7 @@
 	}
 }
 
-// len is how many backends the scan has; where all are preferred, each comes once.
+// len returns the number of positions in the scan. If all backends are preferred, each occurs only once.
 func (s *backendScan) len() int {
 	if len(s.preferred) >= len(s.listed) {
 		return len(s.preferred)
@@ -107,7 +111,7 @@
 	return len(s.preferred) + len(s.listed)
 }
 
-// at is the backend at a position below len.
+// at returns the backend at a position from 0 to len-1.
 func (s *backendScan) at(i int) *backendState {
 	if i < len(s.preferred) {
 		return s.preferred[(s.start+i)%len(s.preferred)]
@@ -115,9 +119,10 @@
 	return s.listed[(s.start+i)%len(s.listed)]
 }
 
-// canTake reports whether a backend can take the request's next attempt: within its slow-start budget, within
-// limit attempts from here if its latency is the mean, and inside the scope of the key if an attempt may have
-// run.
+// canTake reports whether a backend can take the request's next attempt. The attempt must fit the backend's
+// slow-start budget. The attempts in flight there from here must be fewer than limit divided by the backend's
+// relative latency, rounded up. If an earlier attempt of a keyed request may have run, the backend must be in
+// the same key scope.
 func (g *Gateway) canTake(req *request, backend *backendState, limit float64) bool {
 	if !g.slowStartAllows(backend, req.class.meanLatency) {
 		return false
@@ -125,12 +130,13 @@
 	if float64(backend.inFlight) >= math.Ceil(limit/backend.relativeLatency) {
 		return false
 	}
-	return req.firstRan == nil || req.class.Idempotency != KeyedIdempotent ||
-		req.class.KeyScope.Same(req.firstRan.Backend, backend.Backend)
+	return req.firstRunBackend == nil || req.class.Idempotency != KeyedIdempotent ||
+		req.class.KeyScope.Same(req.firstRunBackend.Backend, backend.Backend)
 }
 
-// worstErrorScore is the error score for a request that isn't idempotent. It keeps off backends that fail any
-// class: an error there costs others an attempt, and it everything.
+// worstErrorScore returns a backend's error score for a request that isn't idempotent: the highest over all
+// classes, with other classes bounded by their error rate. An error costs other requests one attempt, but a
+// request that isn't idempotent fails.
 func (g *Gateway) worstErrorScore(backend *backendState, score float64) float64 {
 	for _, class := range g.classList {
 		score = max(score, min(backend.ErrorScore(class.index, g.now), backend.ErrorRate(class.index)))
@@ -138,11 +144,12 @@
 	return score
 }
 
-// attemptCost is what an attempt at a backend costs, in attempts in flight there. sharing is how many other
-// gateways prefer the same backend: what they have there is unknown, and taken to be what this one has.
-func (g *Gateway) attemptCost(req *request, backend *backendState, errorScore, sharing float64) float64 {
-	fading := math.Exp((backend.lastSentAt - g.now) / meanInFlightTauS)
-	load := float64(backend.inFlight) + 1 + sharing*backend.meanInFlight*fading
+// attemptCost returns the cost of an attempt at a backend, in attempts in flight there. sharers is how many
+// other gateways prefer the same backend. Their attempts there are unknown: each gateway is assumed to
+// have as many as this one has in the mean.
+func (g *Gateway) attemptCost(req *request, backend *backendState, errorScore, sharers float64) float64 {
+	decayFactor := math.Exp((backend.lastSentAt - g.now) / meanInFlightTauS)
+	load := float64(backend.inFlight) + 1 + sharers*backend.meanInFlight*decayFactor
 	if backend.Zone != g.settings.Zone {
 		load += crossZoneWeight * g.settings.CrossZoneCost
 	}
