--- a/policy/api.go
+++ b/policy/api.go
@@ -62,7 +62,7 @@
 	NotSent       = config.NotSent
 )
 
-// Broadcast, as the gateway number of SendPeerMessage, addresses every other gateway.
+// Broadcast is the gateway number by which SendPeerMessage addresses every other gateway.
 const Broadcast = -1
 
 // Actions is implemented by the caller of a Gateway and carries out the Gateway's decisions. A Gateway calls
--- a/policy/backend.go
+++ b/policy/backend.go
@@ -24,7 +24,7 @@
 
 	inFlight        int     // attempts in flight from here
 	relativeLatency float64 // mean of latency divided by the class's mean latency
-	meanInFlight    float64 // decaying mean of inFlight (meanInFlightTauS), as of lastSentAt
+	meanInFlight    float64 // estimated mean of inFlight (meanInFlightTauS), as of lastSentAt
 	lastSentAt      float64
 	lastProbeAt     float64
 	utilization     float64 // of its cores, 0 to 1, from the last load report
@@ -87,7 +87,7 @@
 }
 
 // probeForLoad probes the backend that was probed or reported its load least recently, if that is at least
-// probeIntervalS ago and backends report their load in probes.
+// probeIntervalS ago. It does nothing without a probe token, or unless backends report their load in probes.
 func (g *Gateway) probeForLoad() {
 	if !g.settings.ProbesAllowed || !g.settings.LoadReportInProbe || g.probeTokens < 1 {
 		return
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -4,12 +4,13 @@
 	"testing"
 )
 
-// What is decided at each time of a drain.
+// Each decision of a drain changes at its own time of the schedule, a repeated Begin must not restart the
+// schedule, and End must cancel it.
 func TestDrain_Schedule(t *testing.T) {
-	const call = 1000.0
-	for _, x := range []struct {
+	const begin = 1000.0
+	for _, tc := range []struct {
 		after                   float64
-		idle, rejected, closing bool // an idle connection is closed; a request is rejected; connections in use close
+		idle, rejected, closing bool // idle connections close; requests are rejected; connections in use close
 	}{
 		{0, false, false, false},
 		{0.49, false, false, false},
@@ -20,54 +21,56 @@
 		{3.71, true, true, true},
 		{60, true, true, true},
 	} {
-		d, now := Drain{}, call+x.after
-		d.Begin(call)
-		d.Begin(now) // a second call changes nothing
+		d, now := Drain{}, begin+tc.after
+		d.Begin(begin)
+		d.Begin(now) // has no effect on an active drain
 		_, reject := d.RejectRequest(now)
-		if got := d.CloseIdle(now, now-0.2, false); got != x.idle {
-			t.Errorf("after %v: an idle connection is closed: %v", x.after, got)
+		if got := d.CloseIdle(now, now-0.2, false); got != tc.idle {
+			t.Errorf("%v s after Begin: CloseIdle is %v for an idle connection, want %v", tc.after, got, tc.idle)
 		}
-		if got := d.CloseIdle(now, now-0.2, true); got != (x.after > 3.5) {
-			t.Errorf("after %v: a connection with half a request is closed: %v", x.after, got)
+		if got := d.CloseIdle(now, now-0.2, true); got != (tc.after > 3.5) {
+			t.Errorf("%v s after Begin: CloseIdle is %v for a connection with a partly received request", tc.after, got)
 		}
 		if d.CloseIdle(now, now-0.1, false) {
-			t.Errorf("after %v: a connection used just now is closed", x.after)
+			t.Errorf("%v s after Begin: CloseIdle is true for a connection used 0.1 s ago", tc.after)
 		}
-		if got := d.CloseAfterResponse(now); got != x.closing {
-			t.Errorf("after %v: connections in use end: %v", x.after, got)
+		if got := d.CloseAfterResponse(now); got != tc.closing {
+			t.Errorf("%v s after Begin: CloseAfterResponse is %v, want %v", tc.after, got, tc.closing)
 		}
-		if reject != x.rejected {
-			t.Errorf("after %v: rejected: %v", x.after, reject)
+		if reject != tc.rejected {
+			t.Errorf("%v s after Begin: RejectRequest is %v, want %v", tc.after, reject, tc.rejected)
 		}
-		if d.End(); d.Active() || d.CloseIdle(now, call, false) || d.CloseAfterResponse(now) || d.Elapsed(now) != 0 {
-			t.Errorf("after %v: a drain that has ended goes on", x.after)
+		if d.End(); d.Active() || d.CloseIdle(now, begin, false) || d.CloseAfterResponse(now) || d.Elapsed(now) != 0 {
+			t.Errorf("%v s after Begin: the drain is still in effect after End", tc.after)
 		}
 	}
 }
 
-// At the end of the time that operators allow no open request is younger than 2 s.
+// Operators allow no open request younger than 2 s at the end of a drain. A request that is accepted too late,
+// or that waits behind another one on its connection, would break that.
 func TestDrain_NoRecentRequestsAtEnd(t *testing.T) {
 	d := Drain{}
 	d.Begin(0)
 	for ms := range 4000 {
 		now := float64(ms) / 1000
 		if _, reject := d.RejectRequest(now); !reject && drainEndS-now < 2 {
-			t.Fatalf("a request is taken %v s after the call", now)
+			t.Fatalf("a request is accepted %v s after Begin, less than 2 s before the end of the drain", now)
 		}
 	}
 	if d.CloseBlocked(3.5, 3) || d.CloseBlocked(3.7, 1) || !d.CloseBlocked(3.7, 3) {
-		t.Error("what young requests wait behind: ", d.CloseBlocked(3.5, 3), d.CloseBlocked(3.7, 1), d.CloseBlocked(3.7, 3))
+		t.Error("CloseBlocked, want false before 3.6 s, false for an old request, true for a young one: ", d.CloseBlocked(3.5, 3), d.CloseBlocked(3.7, 1), d.CloseBlocked(3.7, 3))
 	}
 	if d.RemainingS(1) != 3 || d.RemainingS(9) != 0 || d.NextIdleCheckS(0) != 0.5 || d.NextIdleCheckS(2) != 0.1 {
-		t.Error(d.RemainingS(1), d.RemainingS(9), d.NextIdleCheckS(0), d.NextIdleCheckS(2))
+		t.Error("RemainingS(1), RemainingS(9), NextIdleCheckS(0), NextIdleCheckS(2), want 3, 0, 0.5, 0.1 s:",
+			d.RemainingS(1), d.RemainingS(9), d.NextIdleCheckS(0), d.NextIdleCheckS(2))
 	}
 }
 
-// The check at the end of a drain finds connections that break the rule, and no others.
+// The check at the end of a drain must find exactly the connections that break the operators' rule.
 func TestDrain_Overdue(t *testing.T) {
 	d := Drain{}
 	d.Begin(0)
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		now, accepted, used, last float64
 		idle, want                bool
 	}{
@@ -77,8 +80,8 @@
 		"with a recent request":      {4.05, 3, 3, 3, false, true},
 		"with a request of long ago": {4.05, 1, 1.5, 1.5, false, false},
 	} {
-		if got := d.Overdue(x.now, x.accepted, x.used, x.last, x.idle); got != x.want {
-			t.Errorf("%s: %v", name, got)
+		if got := d.Overdue(tc.now, tc.accepted, tc.used, tc.last, tc.idle); got != tc.want {
+			t.Errorf("%s: Overdue is %v, want %v", name, got, tc.want)
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,10 +6,10 @@
 	"eiderspread/policy"
 )
 
-// ingress is the least that an ingress has to do: carry out what the gateway asks.
+// ingress is a minimal implementation of policy.Actions that prints the decisions.
 type ingress struct {
 	name string
-	out  [][]byte // messages on their way
+	out  [][]byte // peer messages that are not delivered yet
 	sent []string
 }
 
@@ -27,15 +27,15 @@
 	in.out = append(in.out, data)
 }
 
-func settings(me, gateways int) policy.Settings {
+func settings(self, gateways int) policy.Settings {
 	return policy.Settings{
-		Self: me, Gateways: gateways, PeerMessages: gateways > 1, PeerMessageRate: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
+		Self: self, Gateways: gateways, PeerMessages: gateways > 1, PeerMessageRate: 40, MaxAttempts: 3, MaxRetryAfterS: 1,
 		Classes: []policy.Class{{Name: "read", LatencyObjectiveS: 1, DeadlineS: 2, PriorityWeight: 1, Idempotency: policy.Idempotent}},
 		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 3, Weight: 1, OverQuotaCostFraction: 1}},
 	}
 }
 
-// One gateway from its start to a final answer.
+// A single gateway sends a request, rejects one beyond the quota, and handles an outcome.
 func ExampleGateway() {
 	in := &ingress{name: "gateway"}
 	g, err := policy.New(settings(0, 1), 42, 10, in)
@@ -54,37 +54,37 @@
 	// gateway: reject r1
 }
 
-// Two gateways keep one account to one quota: what one admits is reported to the other.
+// Two gateways share the quota of an account: units that one of them admits also count at the other.
 func ExampleGateway_owners() {
-	ins := [2]*ingress{{name: "west"}, {name: "east"}}
-	var gates [2]*policy.Gateway
+	ingresses := [2]*ingress{{name: "west"}, {name: "east"}}
+	var gateways [2]*policy.Gateway
 	now := 10.0
-	for i := range gates {
-		gates[i], _ = policy.New(settings(i, 2), uint64(i), now, ins[i])
-		gates[i].UpdateBackends(now, []policy.Backend{{ID: "10.0.0.1:80"}}, true)
+	for i := range gateways {
+		gateways[i], _ = policy.New(settings(i, 2), uint64(i), now, ingresses[i])
+		gateways[i].UpdateBackends(now, []policy.Backend{{ID: "10.0.0.1:80"}}, true)
 	}
-	ask := func(gateway int, id string) {
-		gates[gateway].HandleRequest(now, policy.Request{ID: id, Class: "read", Plan: "basic", Account: "ada",
+	submit := func(gateway int, id string) {
+		gateways[gateway].HandleRequest(now, policy.Request{ID: id, Class: "read", Plan: "basic", Account: "ada",
 			DeadlineAt: now + 2, GatewayCount: 2, Units: 2})
 	}
-	ask(0, "first")
-	for range 30 { // the ingress's timers: 0.6 s, some batches each way
+	submit(0, "first")
+	for range 30 { // 0.6 s of timer ticks, with several batches of reports in each direction
 		now += 0.02
-		for i, g := range gates {
+		for i, g := range gateways {
 			g.HandleTimer(now, 1)
-			for _, data := range ins[1-i].out {
+			for _, data := range ingresses[1-i].out {
 				g.HandlePeerMessage(now, 1-i, data)
 			}
-			ins[1-i].out = nil
+			ingresses[1-i].out = nil
 		}
 	}
-	ask(1, "second")
+	submit(1, "second")
 	// Output:
 	// west: send first to 10.0.0.1:80
 	// east: reject second
 }
 
-// Invalid settings come back as an error.
+// New returns an error for invalid settings.
 func ExampleNew() {
 	settings := settings(0, 1)
 	settings.Plans[0].Burst = 0
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -9,7 +9,7 @@
 	"eiderspread/internal/base/peerprotocol"
 )
 
-// action is one call of Actions.
+// action is a recorded call of an Actions method.
 type action struct {
 	kind, id, backend string
 	to, attempt       int
@@ -17,7 +17,7 @@
 	data              []byte
 }
 
-// recorder keeps the actions of one gateway.
+// recorder implements Actions and records the calls of one gateway.
 type recorder struct{ actions []action }
 
 func (r *recorder) Send(id, backend string, t float64) {
@@ -46,7 +46,7 @@
 
 func (r *recorder) Log(string) {}
 
-// of returns the actions of a kind, for a request or with "" for all.
+// of returns the recorded actions of a kind, for one request ID, or for all if id is "".
 func (r *recorder) of(kind, id string) (list []action) {
 	for _, a := range r.actions {
 		if a.kind == kind && (id == "" || a.id == id) {
@@ -94,24 +94,24 @@
 func alone(settings *Settings) { settings.Gateways = 1 }
 
 func submit(g *Gateway, now float64, id, class, plan string, units float64) {
-	d := 2.0
+	deadlineS := 2.0
 	if class != "read" {
-		d = 4
+		deadlineS = 4
 	}
-	g.HandleRequest(now, Request{ID: id, Class: class, Plan: plan, Account: "c-" + plan, DeadlineAt: now + d,
+	g.HandleRequest(now, Request{ID: id, Class: class, Plan: plan, Account: "c-" + plan, DeadlineAt: now + deadlineS,
 		FirstGateway: 0, GatewayCount: g.settings.Gateways, Units: units})
 }
 
-// New settings apply to new requests: a class that became stricter, milder or was removed, and fewer
-// attempts.
+// UpdateClasses must not change the idempotency of requests in progress: a request that may have run could run
+// twice. New requests get the new classes, and the new attempt limit applies to all requests.
 func TestUpdateClasses_ActiveRequestsKeepTheirClass(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	submit(g, 100, "old-read", "read", "wide", 1)
 	submit(g, 100, "old-pay", "pay", "wide", 1)
 	submit(g, 100, "old-any", "any", "wide", 1)
 	classes := slices.Clone(g.settings.Classes)
-	classes[0].Idempotency = NonIdempotent // read grows stricter
-	classes[4].Idempotency = Idempotent    // pay grows milder
+	classes[0].Idempotency = NonIdempotent // stricter than before
+	classes[4].Idempotency = Idempotent    // less strict than before
 	classes = append(slices.Delete(classes, 3, 4), Class{Name: "new", LatencyObjectiveS: 1, DeadlineS: 2, PriorityWeight: 2, Idempotency: NonIdempotent})
 	if err := g.UpdateClasses(100.1, classes, 2); err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 	submit(g, 100.1, "new-read", "read", "wide", 1)
 	submit(g, 100.1, "new", "new", "wide", 1)
 	submit(g, 100.1, "gone", "any", "wide", 1)
-	fail := func(id string) string {
+	actionAfterError := func(id string) string {
 		first := r.of("send", id)[0]
 		r.actions = nil
 		g.HandleOutcome(100.2, Outcome{ID: id, Backend: first.backend, Status: Error, LatencyS: 0.1})
@@ -131,24 +131,25 @@
 		return "nothing"
 	}
 	if len(r.of("send", "gone")) > 0 {
-		t.Error("a class that was removed is served")
+		t.Error("a request of a removed class was sent")
 	}
 	sent := slices.Clone(r.actions)
 	for id, want := range map[string]string{"old-read": "send", "old-pay": "fail", "old-any": "send", "new-read": "fail", "new": "fail"} {
 		r.actions = sent
-		if got := fail(id); got != want {
-			t.Errorf("%s after an error: %s, want %s", id, got, want)
+		if got := actionAfterError(id); got != want {
+			t.Errorf("request %s: action after an error is %s, want %s", id, got, want)
 		}
 	}
-	// The second attempt was the last that is allowed now.
+	// The new limit is two attempts, and the second one has ended.
 	r.actions = nil
 	g.HandleOutcome(100.3, Outcome{ID: "old-read", Backend: "s1", Attempt: 1, Status: Rejected, LatencyS: 0.01})
 	if len(r.of("send", "old-read")) > 0 || len(r.of("reject", "old-read")) != 1 {
-		t.Error("more attempts than allowed")
+		t.Error("request old-read was not rejected after its last allowed attempt")
 	}
 }
 
-// What was measured of a class follows its name, and the number of names is bounded.
+// Measured statistics belong to a class name: an update that reorders classes must not assign them to another
+// class. Statistics of removed classes are kept, so that the number of class names must be bounded.
 func TestUpdateClasses_StateFollowsName(t *testing.T) {
 	g, _ := newTestGateway(t, alone)
 	g.recordFailure(g.backends.ByID["s2"], g.classes["pay"], 1)
@@ -159,25 +160,25 @@
 	}
 	if g.backends.ByID["s2"].ErrorScore(g.classes["pay"].index, g.now) < 0.9 || g.classes["pay"].meanLatency != 0.7 ||
 		g.backends.ByID["s2"].ErrorScore(g.classes["x"].index, g.now) != 0 {
-		t.Error("what was measured went by the index, not by the name")
+		t.Error("statistics of class pay were lost or assigned to another class")
 	}
 	for i := 0; ; i++ {
 		if err := g.UpdateClasses(100, []Class{{Name: fmt.Sprint("c", i), LatencyObjectiveS: 1, DeadlineS: 1}}, 3); err != nil {
 			break
 		}
 		if i > maxClassNames {
-			t.Fatal("class names are not bounded")
+			t.Fatal("the number of class names is not bounded")
 		}
 	}
 	for _, bad := range [][]Class{nil, {{Name: "x", LatencyObjectiveS: 1}}} {
 		if g.UpdateClasses(100, bad, 3) == nil {
-			t.Errorf("%+v was taken", bad)
+			t.Errorf("invalid classes %+v were accepted, want an error", bad)
 		}
 	}
 }
 
-// newPair joins two gateways by a network that loses nothing. pump runs their timers and delivers their
-// messages.
+// newPair returns two gateways connected by a network without message loss. pump runs the timers of both and
+// delivers their messages.
 func newPair(t *testing.T) (g [2]*Gateway, r [2]*recorder, pump func(now float64)) {
 	for i := range 2 {
 		g[i], r[i] = newTestGateway(t, func(settings *Settings) { settings.Self = i })
@@ -197,7 +198,7 @@
 	}
 }
 
-// answerAll answers with OK what was sent since the last call, and returns the request IDs.
+// answerAll answers all attempts sent since the last call with OK, and returns their request IDs.
 func answerAll(g *Gateway, r *recorder, seen *int, now float64) (ids []string) {
 	for ; *seen < len(r.actions); *seen++ {
 		if a := r.actions[*seen]; a.kind == "send" {
@@ -230,7 +231,7 @@
 	g.HandleProbeResult(100, ProbeResult{Backend: "none"})
 	g.HandleTimer(100, 77)
 	if len(r.actions) != n {
-		t.Fatalf("acted on invalid input: %v", r.actions[n:])
+		t.Fatalf("actions after invalid input: %v, want none", r.actions[n:])
 	}
 }
 
@@ -246,7 +247,7 @@
 		settings := testSettings()
 		change(&settings)
 		if _, err := New(settings, 1, 0, &recorder{}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want an error about %q, got %v", want, err)
+			t.Errorf("want an error that contains %q, got %v", want, err)
 		}
 	}
 }
@@ -268,6 +269,6 @@
 		logs[k] = fmt.Sprint(r.actions)
 	}
 	if logs[0] != logs[1] {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("two runs with the same events and seed produced different actions")
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -11,7 +11,8 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards what a gateway hands to its successor: which figure stands where.
+// The values of a snapshot are stored by position: with another order the successor process would read them as
+// other fields. The snapshot must match the stored one, and a gateway restored from it must return the same one.
 func TestGoldenSnapshot(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
 	for i, plan := range []string{"basic", "capped", "open"} {
@@ -31,15 +32,15 @@
 		*g.ledger(account) = quota.Ledger{Available: x + 50, UpdatedAt: 51, StartedAt: 52, Demand: 53, DemandAt: 54,
 			Members: map[int]*quota.Member{1: {Incarnation: 61, Total: 62, Demand: 63, ReportedAt: 64}}}
 	}
-	keep := func(g *Gateway) snapshot.Part {
+	takeSnapshot := func(g *Gateway) snapshot.Part {
 		parts := g.Snapshot(105)
 		if len(parts) != 1 {
-			t.Fatalf("%d parts", len(parts))
+			t.Fatalf("snapshot has %d parts, want 1", len(parts))
 		}
 		slices.SortFunc(parts[0].Accounts, func(a, b snapshot.Account) int { return cmp.Compare(a.Key, b.Key) })
 		return parts[0]
 	}
-	text, err := json.Marshal(keep(g))
+	text, err := json.Marshal(takeSnapshot(g))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,13 +50,13 @@
 	}
 	next, _ := newTestGateway(t, nil)
 	next.Restore(105, want)
-	got := keep(next)
+	got := takeSnapshot(next)
 	got.Sequence -= snapshot.SequenceMargin
-	for i := range got.Accounts { // attempts are out at the old one alone, and an owner has taken in its own total
+	for i := range got.Accounts { // the successor has no attempts in flight, and an owner has acknowledged its own units
 		x, was := &got.Accounts[i], want.Accounts[i]
-		const total, taken = 6, 7
-		if x.HasInFlight = was.HasInFlight; x.Values[taken] == was.Values[total] {
-			x.Values[taken] = was.Values[taken]
+		const admittedIndex, ackedIndex = 6, 7
+		if x.HasInFlight = was.HasInFlight; x.Values[ackedIndex] == was.Values[admittedIndex] {
+			x.Values[ackedIndex] = was.Values[ackedIndex]
 		}
 	}
 	golden.Same(t, "snapshot", got, want)
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -10,7 +10,7 @@
 // (package outlier). A penalty is the fraction of the distance to 1 by which a failure raises the score.
 const (
 	unhealthyScore          = 0.3 // score from which a backend gets attempts only if most are unhealthy
-	errorPenalty            = 0.5 // penalty of a timeout or repeated broken connections; least penalty of an error
+	errorPenalty            = 0.5 // penalty of a timeout and of repeated broken connections, lowest of an error
 	brokenConnectionPenalty = 0.1 // penalty of a single connection that failed or broke
 	unresponsivePenalty     = 1   // penalty of an attempt without an answer
 
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// A backend that rejects everything is left alone, the longer the more often it does so, and tried again in
-// the end. One broken connection ejects nothing, two in a row do.
+// A backend that rejects attempts or breaks connections fails fast, so that it has capacity and would attract
+// requests. It must be ejected, for longer with each rejection, and tried again in the end. A single broken
+// connection must not eject a backend; the second in a row must.
 func TestOutlier_RejectingOrBrokenBackendsAreEjected(t *testing.T) {
-	for status, most := range map[Status]int{Rejected: 12, Reset: 12, ConnectFailed: 12} {
+	for status, halfLimit := range map[Status]int{Rejected: 12, Reset: 12, ConnectFailed: 12} {
 		g, r := newTestGateway(t, alone)
-		at := map[string]int{}
+		attempts := map[string]int{}
 		for i := range 400 {
 			now := 100 + float64(i)*0.02
 			id := fmt.Sprint("q", i)
@@ -21,7 +22,7 @@
 					break
 				}
 				backend := list[n].backend
-				at[backend]++
+				attempts[backend]++
 				outcome := Outcome{ID: id, Backend: backend, Attempt: n, Status: OK, Completed: true, LatencyS: 0.1}
 				if backend == "s1" {
 					outcome.Status, outcome.Completed = status, false
@@ -30,8 +31,9 @@
 			}
 			g.HandleTimer(now, 1)
 		}
-		if at["s1"] < 1 || at["s1"] > 2*most || at["s2"] < 100 {
-			t.Errorf("status %v from s1: sent %v", status, at)
+		if attempts["s1"] < 1 || attempts["s1"] > 2*halfLimit || attempts["s2"] < 100 {
+			t.Errorf("s1 always ends attempts with status %v: attempts by backend %v, want 1 to %d at s1 and at least 100 at s2",
+				status, attempts, 2*halfLimit)
 		}
 	}
 	g, r := newTestGateway(t, alone)
@@ -39,19 +41,20 @@
 	submit(g, 100, "a", "pay", "wide", 1)
 	g.HandleOutcome(100.1, Outcome{ID: "a", Backend: "s1", Status: Reset})
 	if submit(g, 100.2, "b", "pay", "wide", 1); len(r.of("send", "b")) != 1 {
-		t.Error("the backend is ejected after one broken connection")
+		t.Error("the backend was ejected after one broken connection")
 	}
 	g.HandleOutcome(100.3, Outcome{ID: "b", Backend: "s1", Status: Reset})
 	if submit(g, 100.4, "c", "pay", "wide", 1); len(r.of("send", "c")) != 0 {
-		t.Error("the backend is not ejected after two in a row")
+		t.Error("the backend was not ejected after two broken connections in a row")
 	}
 }
 
-// A backend that leaves one class unanswered goes on serving the others.
+// A backend that leaves the requests of one class unanswered must get no more of them, but must still get those
+// of the other classes.
 func TestOutlier_ScoredPerClass(t *testing.T) {
 	g, r := newTestGateway(t, alone)
-	for _, cls := range g.classList {
-		cls.meanLatency, cls.samples = 0.05, 100
+	for _, state := range g.classList {
+		state.meanLatency, state.samples = 0.05, 100
 	}
 	failing := g.backends.ByID["s1"]
 	submit(g, 100, "q", "read", "wide", 1)
@@ -61,25 +64,25 @@
 		g.HandleTimer(now, 1)
 	}
 	if failing.ErrorScore(g.classes["read"].index, g.now) < 0.9 || failing.ErrorScore(g.classes["pay"].index, g.now) > 0 {
-		t.Fatal("a backend without answers in one class counts as one without any")
+		t.Fatal("error scores of s1, which leaves class read unanswered: want above 0.9 for read and 0 for pay")
 	}
 	if a := r.of("send", "q"); len(a) != 1 || a[0].backend == "s1" {
-		t.Fatalf("the attempt without an answer was not hedged: %v", a)
+		t.Fatalf("hedged attempts of the unanswered request: %v, want one at another backend than s1", a)
 	}
-	pays := 0
+	paySentToS1 := 0
 	for i := range 40 {
 		for _, class := range []string{"read", "pay"} {
 			id := fmt.Sprint(class, i)
 			submit(g, 100.5, id, class, "wide", 1)
-			at := r.of("send", id)[0].backend
-			if g.HandleOutcome(100.5, Outcome{ID: id, Status: OK, Completed: true, LatencyS: 0.05}); at == "s1" && class == "read" {
-				t.Fatal("a backend that fails a class was sent it")
-			} else if at == "s1" {
-				pays++
+			sentTo := r.of("send", id)[0].backend
+			if g.HandleOutcome(100.5, Outcome{ID: id, Status: OK, Completed: true, LatencyS: 0.05}); sentTo == "s1" && class == "read" {
+				t.Fatal("s1 got a request of class read, which it leaves unanswered")
+			} else if sentTo == "s1" {
+				paySentToS1++
 			}
 		}
 	}
-	if pays == 0 {
-		t.Fatal("the backend lost the classes that it serves")
+	if paySentToS1 == 0 {
+		t.Fatal("s1 got no requests of class pay, which it serves")
 	}
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// A client's retry with 5 ms left is answered at once, and not after its deadline.
+// A client retry that arrives with 5 ms left must be rejected at once: an answer at the next tick would come after
+// its deadline.
 func TestRequest_WithoutTimeLeftIsRejected(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	g.UpdateBackends(100, []Backend{{ID: "s1", Zone: "a", State: Draining}}, true)
 	g.HandleRequest(100, Request{ID: "x", Class: "read", Plan: "basic", Account: "c", DeadlineAt: 100.005, GatewayCount: 1, Units: 1})
 	if len(r.of("reject", "x")) != 1 {
-		t.Fatal("no answer in the batch of its arrival")
+		t.Fatal("the request was not rejected on arrival")
 	}
 }
 
@@ -23,7 +24,7 @@
 		g.HandleTimer(now, 1)
 	}
 	if len(r.of("reject", "w"))+len(r.of("fail", "w")) != 1 {
-		t.Fatalf("want one answer, got %v", r.actions)
+		t.Fatalf("want one final answer before the deadline, got actions %v", r.actions)
 	}
 }
 
@@ -33,7 +34,7 @@
 		submit(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
 	if len(g.queue) == 0 {
-		t.Fatal("nothing waits, the test shows nothing")
+		t.Fatal("the queue is empty, want queued requests for this test")
 	}
 	g.UpdateBackends(100.1, []Backend{{ID: "s1", Zone: "a", Cell: 1, State: Draining}, {ID: "s2", State: Removed}}, false)
 	before := len(r.actions)
@@ -48,31 +49,32 @@
 		if a.kind == "send" {
 			sentAfter++
 			if a.backend != "s3" {
-				t.Fatalf("sent to %s, which is draining", a.backend)
+				t.Fatalf("an attempt was sent to %s, which is draining or removed", a.backend)
 			}
 		}
 	}
 	if sentAfter == 0 {
-		t.Fatal("nothing was sent afterwards, the test shows nothing")
+		t.Fatal("no attempt was sent after the update, want some at s3 for this test")
 	}
 }
 
-// A request that was never written is rejected while its client has time to retry.
+// A request that was not written to a backend by its latest start must be rejected: otherwise its client has no
+// time left to retry elsewhere.
 func TestRequest_UnwrittenExpiresAtLatestStart(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	g.UpdateBackends(100, nil, true)
-	submit(g, 100, "a", "any", "wide", 1) // aim 3 s of 4 s
+	submit(g, 100, "a", "any", "wide", 1) // latency objective 3 s, deadline 4 s
 	g.HandleTimer(101.5, 1)
 	if len(r.of("reject", "a")) != 0 {
-		t.Error("given up early")
+		t.Error("the request was rejected before its latest start")
 	}
 	if g.HandleTimer(101.9, 1); len(r.of("reject", "a")) != 1 {
-		t.Error("not rejected by its latest start")
+		t.Error("the request was not rejected after its latest start")
 	}
 }
 
-// A class may be removed between the reading of a request and its arrival: the request was never sent, so
-// that it is rejected and not failed.
+// UpdateClasses may remove a class after a request was read and before it is handled. That request was never sent,
+// so that it must be rejected, not failed. A request in progress keeps its class.
 func TestRequest_UnknownClassIsRejected(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	submit(g, 100, "under way", "read", "wide", 1)
@@ -81,13 +83,14 @@
 	}
 	submit(g, 100.1, "a", "read", "wide", 1)
 	if len(r.of("reject", "a")) != 1 || len(r.of("fail", "a")) != 0 {
-		t.Errorf("%+v", r.actions)
+		t.Errorf("want the request of a removed class rejected, got actions %+v", r.actions)
 	}
 	backend := r.of("send", "under way")[0].backend
 	if g.HandleOutcome(100.2, Outcome{ID: "under way", Backend: backend, Status: Rejected}); len(r.of("send", "under way")) != 2 {
-		t.Error("a request under way is not served by the class that it came with")
+		t.Error("a request in progress was not retried under the class with which it arrived")
 	}
 }
+
 func TestPhases_HaveNames(t *testing.T) {
 	names := map[string]bool{}
 	for phase := phaseArrived; phase <= phaseCompleted; phase++ {
@@ -100,24 +103,25 @@
 		names["verdict "+verdict.String()] = true
 	}
 	if len(names) != 11 || names["unknown"] || names["verdict unknown"] || names[""] {
-		t.Errorf("names are %v", names)
+		t.Errorf("names of phases and verdicts are %v, want 11 different ones", names)
 	}
 	if requestPhase(99).String() != "unknown" || attemptPhase(99).String() != "unknown" || admission(99).String() != "unknown" {
-		t.Error("values out of range have a name")
+		t.Error("the name of an invalid phase or verdict is not \"unknown\"")
 	}
 }
 
-// A request goes through its phases in order, and ends in the last one whatever its answer.
+// A request moves through its phases in order, and must end in phaseCompleted whether it is answered or its client
+// disconnects: otherwise its state would never be removed.
 func TestRequest_Phases(t *testing.T) {
 	g, _, submit := newQuotaMember(t, withGateways(100))
 	submit(100, "pending", 2)
 	req := g.requests["pending"]
 	if req.phase != phaseAwaitingOwner {
-		t.Fatalf("a request without a reply is %v", req.phase)
+		t.Fatalf("phase without a reply of the owner: %v, want %v", req.phase, phaseAwaitingOwner)
 	}
 	g.HandleDisconnect(100.01, "pending")
 	if req.phase != phaseCompleted || len(g.requests) != 0 {
-		t.Errorf("after a disconnect it is %v, and %d are open", req.phase, len(g.requests))
+		t.Errorf("after a disconnect: phase %v with %d requests left, want %v with none", req.phase, len(g.requests), phaseCompleted)
 	}
 
 	g, r := newTestGateway(t, alone)
@@ -127,10 +131,10 @@
 	}
 	sent := submitTo("sent")
 	if sent.phase != phaseAdmitted || sent.attempts[0].phase != attemptInFlight {
-		t.Fatalf("a request that was sent is %v, its attempt %v", sent.phase, sent.attempts[0].phase)
+		t.Fatalf("after the send: phase %v, attempt %v, want admitted and in flight", sent.phase, sent.attempts[0].phase)
 	}
 	g.HandleOutcome(100.1, Outcome{ID: "sent", Backend: r.of("send", "sent")[0].backend, Status: OK, Completed: true, LatencyS: 0.1})
 	if sent.phase != phaseCompleted || sent.attempts[0].phase != attemptDone {
-		t.Errorf("a request that was answered is %v, its attempt %v", sent.phase, sent.attempts[0].phase)
+		t.Errorf("after the answer: phase %v, attempt %v, want completed and done", sent.phase, sent.attempts[0].phase)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -5,8 +5,10 @@
 	"testing"
 )
 
+// A request of a NonIdempotent class must not run twice: it is retried only after outcomes that prove that the
+// attempt did not run, and fails after all others.
 func TestRetry_NonIdempotentAfterEachOutcome(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		status Status
 		want   string
 	}{{Rejected, "send"}, {ConnectFailed, "send"}, {NotSent, "send"}, {Error, "fail"}, {Timeout, "fail"}, {Reset, "fail"}, {Cancelled, "fail"}} {
@@ -14,13 +16,15 @@
 		submit(g, 100, "p", "pay", "wide", 1)
 		first := r.of("send", "p")[0]
 		r.actions = nil
-		g.HandleOutcome(100.2, Outcome{ID: "p", Backend: first.backend, Status: c.status, LatencyS: 0.2})
-		if len(r.of(c.want, "p")) != 1 || len(r.of("send", "p"))+len(r.of("fail", "p"))+len(r.of("reject", "p")) != 1 {
-			t.Errorf("status %d: want one %s, got %v", c.status, c.want, r.actions)
+		g.HandleOutcome(100.2, Outcome{ID: "p", Backend: first.backend, Status: tc.status, LatencyS: 0.2})
+		if len(r.of(tc.want, "p")) != 1 || len(r.of("send", "p"))+len(r.of("fail", "p"))+len(r.of("reject", "p")) != 1 {
+			t.Errorf("after status %d: want one %s, got actions %v", tc.status, tc.want, r.actions)
 		}
 	}
 }
 
+// Backends drop repeats of an idempotency key only within its scope and until its TTL ends. A retry outside of
+// either could run the request twice.
 func TestRetry_KeyedStaysInScopeAndTTL(t *testing.T) {
 	zone := map[string]string{"s1": "a", "s2": "a", "s3": "b"}
 	for seed := range 20 {
@@ -32,7 +36,7 @@
 		g.HandleOutcome(100.2, Outcome{ID: id, Backend: first, Status: Reset, LatencyS: 0.2})
 		for _, a := range r.of("send", id) {
 			if zone[a.backend] != zone[first] {
-				t.Fatalf("retried from %s at %s, in another zone", first, a.backend)
+				t.Fatalf("first attempt at %s, retry at %s in another zone", first, a.backend)
 			}
 		}
 	}
@@ -42,7 +46,7 @@
 	g.HandleOutcome(100.2, Outcome{ID: "c", Backend: first, Status: Error, LatencyS: 0.2})
 	for _, a := range r.of("send", "c") {
 		if a.backend != first {
-			t.Fatalf("retried at %s, in another cell", a.backend)
+			t.Fatalf("retry at %s, in another cell than the first attempt", a.backend)
 		}
 	}
 	g, r = newTestGateway(t, alone)
@@ -50,10 +54,12 @@
 	first = r.of("send", "t")[0].backend
 	g.HandleOutcome(100.6, Outcome{ID: "t", Backend: first, Status: Error, LatencyS: 0.6})
 	if len(r.of("send", "t")) != 1 || len(r.of("reject", "t")) != 1 {
-		t.Fatalf("after the key's TTL: want a rejection and no retry, got %v", r.actions)
+		t.Fatalf("after the key's TTL: want a rejection and no retry, got actions %v", r.actions)
 	}
 }
 
+// A request whose attempt times out at the deadline gets its final answer at once. It may be rejected only if a
+// retry by the client is harmless, and must fail otherwise.
 func TestRetry_FinalAnswerAfterTimeout(t *testing.T) {
 	for class, want := range map[string]string{"read": "reject", "put": "fail", "any": "reject", "pay": "fail"} {
 		g, r := newTestGateway(t, alone)
@@ -62,7 +68,7 @@
 		r.actions = nil
 		g.HandleOutcome(104, Outcome{ID: "d", Backend: first, Status: Timeout, LatencyS: 4})
 		if len(r.of(want, "d")) != 1 || len(r.of("send", "d")) != 0 {
-			t.Errorf("%s: want one %s in the same batch, got %v", class, want, r.actions)
+			t.Errorf("class %s: want one %s at once, got actions %v", class, want, r.actions)
 		}
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -14,7 +14,7 @@
 	gatewaysPerBackend = 24   // number of gateways that prefer the same backend
 	minSubsetSize      = 8    // lowest number of backends that a gateway prefers
 	meanInFlightTauS   = 1.0  // seconds, time constant of backendState.meanInFlight
-	backendLimitWeight = 1.0  // fraction of its share of the adaptive limit that a backend may have in flight
+	backendLimitWeight = 1.0  // fraction of its latency-adjusted share of the adaptive limit that a backend may hold
 	crossZoneWeight    = 25.0 // attempts for a backend in another zone, per unit of CrossZoneCost
 	utilizationWeight  = 2.0  // attempts for a backend with a utilization of 1
 	sameBackendWeight  = 4.0  // attempts for each earlier attempt of the request at the same backend
@@ -36,7 +36,7 @@
 //
 // Above fullScanGateways gateways, each compares only a part of the backends, because all of them would pick
 // the same backend by the same gossip. Only healthy backends that can take the attempt count for that part:
-// the scan skips all others, in the order of newBackendScan.
+// the scan, in the order of newBackendScan, goes on until it has found enough of them.
 func (g *Gateway) selectBackend(req *request) *backendState {
 	if g.atAdaptiveLimit(req) {
 		return nil
@@ -122,7 +122,7 @@
 // canTake reports whether a backend can take the request's next attempt. The attempt must fit the backend's
 // slow-start budget. The attempts in flight there from here must be fewer than limit divided by the backend's
 // relative latency, rounded up. If an earlier attempt of a keyed request may have run, the backend must be in
-// the same key scope.
+// the key scope of that attempt's backend.
 func (g *Gateway) canTake(req *request, backend *backendState, limit float64) bool {
 	if !g.slowStartAllows(backend, req.class.meanLatency) {
 		return false
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// A backend that fails is quick about it and always has capacity: requests wait for a healthy one, as long as
-// most are.
+// A backend that fails fast always has capacity and would attract requests. While most backends are healthy,
+// requests must wait for a healthy one.
 func TestSelection_WaitsForHealthyBackend(t *testing.T) {
 	g, r := newTestGateway(t, alone)
-	g.adaptiveLimit = 4.5 // two at each backend
-	erring := func(id string, class string) {
+	g.adaptiveLimit = 4.5 // room for two attempts at each backend
+	failAtS1 := func(id string, class string) {
 		submit(g, 100, id, class, "wide", 1)
 		g.requests[id].attempts[0].backend = g.backends.ByID["s1"]
 		g.backends.ByID["s1"].inFlight++
@@ -20,10 +20,10 @@
 		g.HandleOutcome(100, Outcome{ID: id, Attempt: 1, Status: OK, Completed: true, LatencyS: 0.01})
 	}
 	for i := range 3 {
-		erring(fmt.Sprint("e", i), "read")
+		failAtS1(fmt.Sprint("e", i), "read")
 	}
 	if backend := g.backends.ByID["s1"]; backend.ErrorScore(g.classes["read"].index, g.now) < 0.5 || backend.ErrorRate(g.classes["read"].index) < 0.2 {
-		t.Fatalf("no occasion: %+v", backend)
+		t.Fatalf("s1 is not unhealthy, which this test requires: %+v", backend)
 	}
 	g.backends.ByID["s1"].inFlight = 0
 	for i := range 6 {
@@ -31,29 +31,29 @@
 	}
 	for _, a := range r.of("send", "") {
 		if strings.HasPrefix(a.id, "q") && a.backend == "s1" {
-			t.Errorf("%s went to the backend that fails", a.id)
+			t.Errorf("request %s was sent to s1, which is unhealthy", a.id)
 		}
 	}
 	if len(g.queue) == 0 {
-		t.Fatal("no occasion: nothing had to wait")
+		t.Fatal("the queue is empty, want queued requests for this test")
 	}
 	waiting := g.queue[0].ID
 	r.actions = nil
 	g.HandleOutcome(100.01, Outcome{ID: "q0", Status: OK, Completed: true, LatencyS: 0.01})
 	if a := r.of("send", waiting); len(a) != 1 || a[0].backend == "s1" {
-		t.Errorf("the request that waited went %v", a)
+		t.Errorf("attempts of the queued request: %v, want one at another backend than s1", a)
 	}
 	submit(g, 100.01, "unsafe", "pay", "wide", 1)
 	if a := r.of("send", "unsafe"); len(a) > 0 && a[0].backend == "s1" {
-		t.Error("a request that is not idempotent went to a backend that fails another class")
+		t.Error("a request that is not idempotent was sent to s1, which fails another class")
 	}
-	for _, id := range []string{"s2", "s3"} { // most are unhealthy: one that has capacity gets it
+	for _, id := range []string{"s2", "s3"} { // now most backends are unhealthy, and any with capacity may be used
 		g.recordFailure(g.backends.ByID[id], nil, 0.95)
 	}
 	r.actions = nil
 	g.HandleTimer(100.02, 1)
 	if len(r.of("send", "")) == 0 {
-		t.Error("nothing is sent though most backends are unhealthy")
+		t.Error("no request was sent while most backends are unhealthy")
 	}
 }
 
@@ -74,7 +74,7 @@
 			got = append(got, tc.scan.at(i))
 		}
 		if !slices.Equal(got, tc.want) {
-			t.Errorf("%s: %d backends, or another order", tc.name, len(got))
+			t.Errorf("%s: scan of %d backends has another order or length than wanted", tc.name, len(got))
 		}
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -5,13 +5,15 @@
 	"testing"
 )
 
+// A backend in slow start can serve less than a warm one, and collapses under too much work. It must not get more
+// attempts than a warm backend gets in the mean.
 func TestSlowStart_BudgetOverAnyWindow(t *testing.T) {
 	g, r := newTestGateway(t, alone)
-	at := func(id string) string { s := r.of("send", id); return s[len(s)-1].backend }
+	lastBackend := func(id string) string { sends := r.of("send", id); return sends[len(sends)-1].backend }
 	step := func(i int, now float64) string {
 		id := fmt.Sprint("q", i)
 		submit(g, now, id, "read", "wide", 1)
-		backend := at(id)
+		backend := lastBackend(id)
 		g.HandleOutcome(now+0.01, Outcome{ID: id, Backend: backend, Status: OK, Completed: true, LatencyS: 0.1})
 		g.HandleTimer(now+0.01, 1)
 		return backend
@@ -29,43 +31,44 @@
 		}
 	}
 	if starting > warm/2 {
-		t.Fatalf("a backend in slow start got %d attempts, two warm ones %d", starting, warm)
+		t.Fatalf("a backend in slow start got %d attempts and two warm ones %d together, want at most half as many", starting, warm)
 	}
 }
 
-// With every backend replaced by one in slow start there is no warm one to compare with: work goes on.
+// If all backends were replaced and are in slow start, there is no warm one to compare with. Their budgets must
+// still let nearly all requests through.
 func TestSlowStart_AllBackendsNew(t *testing.T) {
 	g, r := newTestGateway(t, alone)
-	list := func(now float64, name string) {
+	replaceBackends := func(now float64, name string) {
 		var all []Backend
 		for i := range 8 {
 			all = append(all, Backend{ID: fmt.Sprint(name, i), Zone: "a", StartedAt: now})
 		}
 		g.UpdateBackends(now, all, true)
 	}
-	due := map[int][]action{} // by the step at which the answer comes, 0.1 s after the send
+	answersDue := map[int][]action{} // by step of the answer, 5 steps (0.1 s) after the send
 	seen := 0
-	sent := func(from, until float64) (n int) {
+	countSent := func(from, until float64) (n int) {
 		for i := int(from * 50); i < int(until*50); i++ {
 			now := float64(i) / 50
 			submit(g, now, fmt.Sprint("q", i), "read", "wide", 1)
-			for _, a := range due[i] {
+			for _, a := range answersDue[i] {
 				g.HandleOutcome(now, Outcome{ID: a.id, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.1})
 			}
 			g.HandleTimer(now, 1)
 			for all := r.of("send", ""); seen < len(all); seen++ {
 				n++
-				due[i+5] = append(due[i+5], all[seen])
+				answersDue[i+5] = append(answersDue[i+5], all[seen])
 			}
 		}
 		return n
 	}
-	list(50, "old") // past slow start by now
-	if n := sent(100, 106); n < 290 {
-		t.Fatalf("%d of 300 sent to warm backends", n)
+	replaceBackends(50, "old") // past slow start at 100
+	if n := countSent(100, 106); n < 290 {
+		t.Fatalf("%d of 300 requests were sent to warm backends, want at least 290", n)
 	}
-	list(106, "new")
-	if n := sent(106, 111); n < 240 {
-		t.Errorf("%d of 250 sent while all backends were in slow start", n)
+	replaceBackends(106, "new")
+	if n := countSent(106, 111); n < 240 {
+		t.Errorf("%d of 250 requests were sent while all backends were in slow start, want at least 240", n)
 	}
 }
