--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -189,7 +189,7 @@
 		Edits: edit(rules+"slow_start.go", "\treturn backend.inFlight < slowStartInFlight &&\n\t\t(sent+workS <=", "\treturn true || backend.inFlight < slowStartInFlight &&\n\t\t(sent+workS <="),
 		Runs:  []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "under overload a cold server's part is of what is answered", Rule: "cold nodes stand",
-		Edits: edit(rules+"slow_start.go", "min(g.admittedWork.Now(g.now, demandTauS), maxDemandToCompleted*g.completedWork.Now(g.now, demandTauS))", "g.admittedWork.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
+		Edits: edit(rules+"slow_start.go", "min(g.admittedWork.Now(g.now, demandTauS), maxAdmittedToCompleted*g.completedWork.Now(g.now, demandTauS))", "g.admittedWork.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "no new work for a node that drains", Rule: "drains kept", // the module, the pool, the last check before a write and the guard at the write each hold it alone
 		Edits: []Edit{{rules + "selection.go", "if backend.State != Up || g.now < backend.ejectedUntil {", "if g.now < backend.ejectedUntil {"},
 			{in + "attempt.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -14,7 +14,7 @@
 	gatewaysPerBackend = 24   // number of gateways that prefer the same backend
 	minSubsetSize      = 8    // lowest number of backends that a gateway prefers
 	meanInFlightTauS   = 1.0  // seconds, time constant of backendState.meanInFlight
-	backendLimitWeight = 1.0  // fraction of its latency-adjusted share of the adaptive limit that a backend may hold
+	backendLimitWeight = 1.0  // fraction of its latency-adjusted share of the adaptive limit for a backend
 	crossZoneWeight    = 25.0 // attempts for a backend in another zone, per unit of CrossZoneCost
 	utilizationWeight  = 2.0  // attempts for a backend with a utilization of 1
 	sameBackendWeight  = 4.0  // attempts for each earlier attempt of the request at the same backend
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,16 +1,16 @@
 package policy
 
 const (
-	maxDemandToCompleted = 2.0 // upper bound of admitted work in the budget, as a multiple of completed work
-	slowStartChance      = 0.5 // factor on the probability of sending a request that exceeds the budget
-	slowStartInFlight    = 2   // highest number of attempts in flight from here at a backend in slow start
+	maxAdmittedToCompleted = 2.0 // upper bound of admitted work in the budget, as a multiple of completed work
+	slowStartChance        = 0.5 // factor on the probability of sending a request that exceeds the budget
+	slowStartInFlight      = 2   // highest number of attempts in flight from here at a backend in slow start
 )
 
 // slowStartAllows reports whether a backend can take workS more seconds of work; it always can after its slow
 // start. During slow start, the work that this gateway sent it within the last CollapseWindowS seconds must
 // stay within
 //
-//	budget = warm / max(warmCapacity, warm) * CollapseWindowS * min(admitted, maxDemandToCompleted*completed)
+//	budget = warm / max(warmCapacity, warm) * CollapseWindowS * min(admitted, maxAdmittedToCompleted*completed)
 //
 // seconds of work. warm is the backend's warm fraction (0 to 1), and warmCapacity the sum of the warm
 // fractions of all usable backends; admitted and completed are this gateway's rates, in seconds of work a
@@ -26,7 +26,7 @@
 	}
 	sent := backend.slowStartLog.Sum(g.now, g.settings.CollapseWindowS)
 	budget := warm / max(g.warmCapacity, warm) * g.settings.CollapseWindowS *
-		min(g.admittedWork.Now(g.now, demandTauS), maxDemandToCompleted*g.completedWork.Now(g.now, demandTauS))
+		min(g.admittedWork.Now(g.now, demandTauS), maxAdmittedToCompleted*g.completedWork.Now(g.now, demandTauS))
 	return backend.inFlight < slowStartInFlight &&
 		(sent+workS <= budget || sent == 0 && g.rng.Float64()*workS <= budget*slowStartChance)
 }
