--- a/internal/decision/clienttimeout/clienttimeout.go
+++ b/internal/decision/clienttimeout/clienttimeout.go
@@ -1,28 +1,28 @@
-// Package clienttimeout learns how long the clients of a class wait, to distinguish first requests from client
-// retries: a first request arrives with one of a few common shares of its deadline left, a retry with what its
-// first request has left over. The package decides nothing.
+// Package clienttimeout learns the client timeouts of a class of requests, which distinguish first requests from
+// client retries. A first request arrives with one of a few common fractions of the class's deadline left; a
+// client retry arrives with the time that its first request left over. The package makes no decisions.
 package clienttimeout
 
 const (
 	binCount = 101 // bins of 1% of the deadline each, from 0 to 100%
-	halveAt  = 128 // requests in the histogram; at this number all counts are halved, so that old ones lose weight
+	halveAt  = 128 // number of requests at which all counts are halved, so that old requests lose weight
 )
 
-// Histogram counts requests by the share of their deadline that was left on arrival. Its zero value is empty.
+// Histogram counts requests by the fraction of the class's deadline left on arrival. Its zero value is empty.
 type Histogram struct {
 	counts    [binCount]int
 	samples   int
 	modeCount int
 }
 
-// Samples returns how many requests the histogram holds.
+// Samples returns the number of requests in the histogram.
 func (h *Histogram) Samples() int { return h.samples }
 
-// ModeCount returns how many requests are within 1% of the most common share.
+// ModeCount returns the number of requests within one bin (1%) of the most common fraction.
 func (h *Histogram) ModeCount() int { return h.modeCount }
 
-// Observe adds a request that arrived with a share (0 to 1) of its deadline left. It returns how many
-// requests, with this one, are within 1% of that share.
+// Observe adds a request that arrived with the given share (0 to 1) of the class's deadline left. It returns the
+// number of requests, including this one, within one bin (1%) of that share.
 func (h *Histogram) Observe(share float64) int {
 	bin := int(min(max(share, 0), 1)*(binCount-1) + 0.5)
 	h.counts[bin]++
@@ -46,7 +46,7 @@
 	}
 }
 
-// countAround returns the count of a bin and its neighbours.
+// countAround returns the sum of the counts of a bin and its neighbours.
 func (h *Histogram) countAround(bin int) (n int) {
 	for i := max(bin-1, 0); i <= min(bin+1, binCount-1); i++ {
 		n += h.counts[i]
--- a/internal/decision/config/doc.go
+++ b/internal/decision/config/doc.go
@@ -1,3 +1,3 @@
-// Package config holds what a gateway is configured with (classes, plans, limits) and what events say about requests, backends and
-// outcomes. These are plain values. The settings are validated here; nothing is decided.
+// Package config defines a gateway's settings (classes, plans, limits) and the values that events carry (requests, backends, outcomes).
+// It validates the settings and makes no decisions.
 package config
--- a/internal/decision/endpoints/endpoints.go
+++ b/internal/decision/endpoints/endpoints.go
@@ -1,6 +1,5 @@
-// Package endpoints is a gateway's table of the backends in its endpoint list: by id, and by the short hash
-// with which gateways name them in gossip. It does no I/O; which backend gets a request is decided in package
-// policy.
+// Package endpoints provides a gateway's table of backends, indexed by id and by the short hash that identifies a
+// backend in gossip. It does no I/O; package policy selects the backend for a request.
 package endpoints
 
 import (
@@ -13,17 +12,17 @@
 	"eiderspread/internal/decision/subset"
 )
 
-// Endpoint is what the table keeps of a backend. The caller's own backend type embeds it.
+// Endpoint is the table's state of one backend. The caller's backend type embeds it.
 type Endpoint struct {
 	config.Backend
 	RingPoint uint64 // hash of the id
-	ShortHash uint16 // part of RingPoint, the backend's name in gossip
-	Listed    bool   // in the current endpoint list, draining or not
+	ShortHash uint16 // low 16 bits of RingPoint, at most peerprotocol.MaxBackendHash; identifies the backend in gossip
+	Listed    bool   // the backend is in the current endpoint list, possibly draining
 }
 
-// WarmFraction returns the part of its capacity, from initial to 1, that the backend must be able to serve by
-// now: it grows linearly over slowStartS seconds after its start. It is 1 if the start is unknown (StartedAt 0)
-// or slowStartS is not above 0.
+// WarmFraction returns the fraction of its capacity, from initial to 1, that the backend is expected to serve in
+// its slow start: it grows linearly over the slowStartS seconds after the backend's start. It is 1 if the start is
+// unknown (StartedAt 0) or slowStartS is not above 0.
 func (e *Endpoint) WarmFraction(now, slowStartS, initial float64) float64 {
 	age := now - e.StartedAt
 	if e.StartedAt <= 0 || age >= slowStartS || slowStartS <= 0 {
@@ -32,25 +31,25 @@
 	return initial + (1-initial)*max(age, 0)/slowStartS
 }
 
-// Table holds backends of the caller's type T. Backends that leave the list stay in the table until Prune
-// drops them.
+// Table holds backends of the caller's type T. Backends that leave the endpoint list stay in the table until
+// Prune drops them.
 type Table[T any] struct {
-	ByID   map[string]*T // listed or not
-	Listed []*T          // by id
+	ByID   map[string]*T // all backends, listed or not
+	Listed []*T          // listed backends, sorted by id
 
 	byShortHash    map[uint16]*T // nil for a hash that two backends share
 	endpointOf     func(*T) *Endpoint
 	preferred      []*T // cached result of Preferred
-	preferredStale bool // the list has changed since
+	preferredStale bool // the endpoint list has changed since preferred was computed
 }
 
-// NewTable returns an empty table; endpointOf returns the Endpoint that a backend embeds.
+// NewTable returns an empty table. endpointOf must return the Endpoint that a backend embeds.
 func NewTable[T any](endpointOf func(*T) *Endpoint) Table[T] {
 	return Table[T]{ByID: map[string]*T{}, byShortHash: map[uint16]*T{}, endpointOf: endpointOf}
 }
 
-// Update applies an endpoint list: the full list, or only the endpoints that changed. It calls create for each
-// backend not in the table, and restarted for each whose process has started anew.
+// Update applies an endpoint list: the full list if full is set, otherwise only the changed endpoints. It calls
+// create for each backend that is not in the table, and restarted for each backend with a newer StartedAt.
 func (t *Table[T]) Update(list []config.Backend, full bool, create func() *T, restarted func(*T)) {
 	for _, b := range t.Listed {
 		e := t.endpointOf(b)
@@ -85,9 +84,9 @@
 	return b
 }
 
-// Preferred returns the subset of the listed backends that this gateway prefers, size of them at most, those
-// of its own zone first if zoneFirst is set. Draining backends keep their places while they are listed; the
-// caller passes over them. The result is valid until the next call.
+// Preferred returns the subset of the listed backends that this gateway prefers, at most size backends, those of
+// its own zone first if zoneFirst is set. Draining backends stay in the subset while they are listed; the caller
+// skips them. The result is valid until the next call.
 func (t *Table[T]) Preferred(gateway, size int, zone string, zoneFirst bool) []*T {
 	if !t.preferredStale && len(t.preferred) == min(size, len(t.Listed)) {
 		return t.preferred
@@ -109,7 +108,7 @@
 	return t.preferred
 }
 
-// indexShortHash makes a backend known by its short hash. Of two with the same one neither is known by it.
+// indexShortHash indexes a backend by its short hash. If the hash is taken, it identifies no backend from then on.
 func (t *Table[T]) indexShortHash(b *T) {
 	hash := t.endpointOf(b).ShortHash
 	if _, taken := t.byShortHash[hash]; taken {
@@ -118,13 +117,13 @@
 	t.byShortHash[hash] = b
 }
 
-// ByShortHash returns the backend of a short hash; nil if there is none, or more than one.
+// ByShortHash returns the backend with a short hash; nil if no backend or more than one has it.
 func (t *Table[T]) ByShortHash(hash uint16) *T { return t.byShortHash[hash] }
 
-// Len returns how many backends are in the table, and how many short hashes they have.
+// Len returns the number of backends in the table and the number of their distinct short hashes.
 func (t *Table[T]) Len() (backends, shortHashes int) { return len(t.ByID), len(t.byShortHash) }
 
-// Prune drops backends that are neither listed nor in use.
+// Prune drops the backends that are neither listed nor in use.
 func (t *Table[T]) Prune(inUse func(*T) bool) {
 	before := len(t.ByID)
 	maps.DeleteFunc(t.ByID, func(_ string, b *T) bool { return !t.endpointOf(b).Listed && !inUse(b) })
--- a/internal/decision/loadshed/admission_test.go
+++ b/internal/decision/loadshed/admission_test.go
@@ -16,8 +16,8 @@
 		phase := rapid.Byte().Draw(t, "phase")
 		a, b := NewShedder(Config{Enabled: true}, 0, 8, 0, constantHalf), NewShedder(Config{Enabled: true}, 5, 8, 100, constantHalf)
 		a.level, b.level, a.phase, b.phase = level, level, float64(phase), float64(phase)
-		lower := NewShedder(Config{Enabled: true}, 0, 8, 0, constantHalf)
-		lower.level, lower.phase = level*rapid.Float64Range(0, 1).Draw(t, "part"), float64(phase)
+		lowerLevel := NewShedder(Config{Enabled: true}, 0, 8, 0, constantHalf)
+		lowerLevel.level, lowerLevel.phase = level*rapid.Float64Range(0, 1).Draw(t, "part"), float64(phase)
 		lowerRankAdmitted := false
 		for class := range 3 {
 			for _, clientRetry := range []bool{true, false} {
@@ -26,7 +26,7 @@
 				if admitted != b.Admit(101, p, 1) {
 					t.Fatalf("%+v: two gateways give two answers", p)
 				}
-				if admitted && !lower.Admit(1, p, 1) {
+				if admitted && !lowerLevel.Admit(1, p, 1) {
 					t.Fatalf("%+v is rejected at a lower level", p)
 				}
 				if lowerRankAdmitted && !admitted {
--- a/internal/decision/loadshed/gossip_test.go
+++ b/internal/decision/loadshed/gossip_test.go
@@ -9,7 +9,7 @@
 
 // All gateways that hear each other come to one level and phase, whatever one of them says.
 func TestShedder_PeersConverge(t *testing.T) {
-	const gateways, liar = 9, 0
+	const gateways, faulty = 9, 0
 	shedders := make([]*Shedder, gateways)
 	for i := range shedders {
 		shedders[i] = NewShedder(Config{Enabled: true}, i, gateways, 0, constantHalf)
@@ -22,7 +22,7 @@
 					continue
 				}
 				message := shedders[j].AppendGossip(peerprotocol.AppendHeader(nil, 1, 1))
-				if j == liar {
+				if j == faulty {
 					message[len(message)-2] = byte(255 * (int(now*2) % 2)) // level
 					message[len(message)-1] = byte(97 * now)               // phase
 				}
@@ -31,7 +31,7 @@
 					t.Fatal("gossip is not understood")
 				}
 			}
-			s.advance(now, 8, 8*0.2, false) // enough waits for the level to stay where it is
+			s.updateLevel(now, 8, 8*0.2, false) // enough waits for the level to stay where it is
 		}
 	}
 	low, high := 1.0, 0.0
--- a/internal/decision/loadshed/level.go
+++ b/internal/decision/loadshed/level.go
@@ -2,35 +2,35 @@
 
 import "math"
 
-// The level rises while requests wait for longer than targetWait, and falls while they wait for less.
+// The level rises while the mean wait is above targetWait and falls while it is below.
 const (
-	targetWait = 0.12  // mean wait for a backend, as a fraction of what requests may wait
-	minLevel   = 0.004 // below it nothing is shed
-	maxGapS    = 0.25  // a gateway that stood still for longer knows nothing of the time between, seconds
+	targetWait = 0.12  // mean wait for a backend, as a fraction of the maximum wait
+	minLevel   = 0.004 // nothing is shed below this level
+	maxGapS    = 0.25  // longest time that one update accounts for, seconds: a paused gateway has no data for the pause
 )
 
-// While the level rises.
+// Parameters of a rising level.
 const (
-	raiseS        = 0.1 // time in which the level comes to its target, seconds
-	drainMargin   = 0.8 // of the served units, that is admitted less while requests wait as long as they may: the queue drains
-	capacityUpS   = 0.5 // time constant of the capacity's estimate where it grows, seconds
-	capacityDownS = 2.0 // and where it shrinks: little is served also while little is admitted, seconds
+	targetTauS       = 0.1 // time constant with which the level approaches its target, seconds
+	drainMargin      = 0.8 // fraction of the served units by which admission is cut at the maximum wait, to drain the queue
+	capacityRiseTauS = 0.5 // time constant of the capacity estimate while it grows, seconds
+	capacityFallTauS = 2.0 // the same while it shrinks, seconds; longer, since low admission also lowers the served rate
 )
 
-// While the level falls. Rates are for requests that don't wait at all.
+// Parameters of a falling level. The fall rates apply at a mean wait of 0.
 const (
 	slowFallPerS    = 0.2 // levels per second
-	fastFallPerS    = 1.0 // the same while backends have idle cores, or after recoveredAfterS
-	recoveredAfterS = 1.5 // seconds without an overload
-	idleUtil        = 0.8 // mean utilisation of cores below which backends can do more
+	fastFallPerS    = 1.0 // the same while backends have idle cores, or later than recoveredAfterS
+	recoveredAfterS = 1.5 // seconds since the mean wait was last above targetWait
+	idleUtil        = 0.8 // mean utilisation of the backends' cores below which they count as idle
 )
 
-// swing is the least change of the level that Status counts as one.
-const swing = 0.1
+// minSwing is the smallest change of the level that counts as a swing for Status.Reversals.
+const minSwing = 0.1
 
-// advance updates the level. waiting is the number of requests that wait now and fractions the sum of their
-// wait fractions; idle is set if backends have idle cores.
-func (s *Shedder) advance(now float64, waiting int, fractions float64, idle bool) {
+// updateLevel estimates the level and converges it with the peers' levels. waiting is the number of requests in
+// the queue, fractions the sum of their wait fractions; idle reports whether backends have idle cores.
+func (s *Shedder) updateLevel(now float64, waiting int, fractions float64, idle bool) {
 	dt := min(max(now-s.updatedAt, 0), maxGapS)
 	s.updatedAt = now
 	samples, wait := s.meanWait.withQueue(now, waiting, fractions)
@@ -47,26 +47,27 @@
 	} else if s.sheddingSince == 0 {
 		s.sheddingSince = now
 	}
-	s.countSwings()
+	s.countReversals()
 }
 
-// raise moves the level up to where a little less is admitted than is served.
+// raise moves the level up towards the level that admits slightly less than is served, so that the queue drains.
 func (s *Shedder) raise(now, dt, wait float64) {
 	s.overloadedAt = now
 	capacity := s.servedAtLevel(now)
-	memoryS := capacityDownS
+	tauS := capacityFallTauS
 	if capacity > s.capacity {
-		memoryS = capacityUpS
+		tauS = capacityRiseTauS
 	}
-	s.capacity += (capacity - s.capacity) * min(dt/memoryS, 1)
+	s.capacity += (capacity - s.capacity) * min(dt/tauS, 1)
 	excess := (wait - targetWait) / (1 - targetWait)
 	if target := s.levelFor(now, capacity*(1-drainMargin*excess)); target > s.level {
-		s.level += (target - s.level) * min(dt/raiseS, 1)
+		s.level += (target - s.level) * min(dt/targetTauS, 1)
 	}
 }
 
-// lower moves the level down: the faster the less requests wait, and more slowly at a gateway with few requests,
-// which sees little. Where less is requested than could be served in the overload, it goes to its target.
+// lower moves the level down: faster for shorter waits, and more slowly at a gateway with few requests, whose
+// mean wait is unreliable. If the level that admits the capacity of the last overload is lower still, the level
+// approaches that one.
 func (s *Shedder) lower(now, dt, wait, samples float64, idle bool) {
 	fall := slowFallPerS * samples / (samples + priorSamples)
 	if idle || now-s.overloadedAt > recoveredAfterS {
@@ -74,26 +75,27 @@
 	}
 	s.level -= fall * (1 - wait/targetWait) * dt
 	if target := s.levelFor(now, s.capacity); s.capacity > 0 && target < s.level {
-		s.level += (target - s.level) * min(dt/raiseS, 1)
+		s.level += (target - s.level) * min(dt/targetTauS, 1)
 	}
 }
 
-// servedAtLevel returns the units per second that the level has to admit for as much to be served as is now:
-// quotas reject a part of what the level admits.
+// servedAtLevel returns the units per second that the level must admit to keep the served rate as it is. This
+// is more than the served rate if quotas reject a part of what the level admits.
 func (s *Shedder) servedAtLevel(now float64) float64 {
-	admitted := max(s.admitted.Now(now, rateMemoryS), 1e-9)
-	withinQuota := max(s.withinQuota.Now(now, rateMemoryS), 1e-9)
-	return s.served.Now(now, rateMemoryS) * (admitted / min(withinQuota, admitted))
+	admitted := max(s.admitted.Now(now, rateTauS), 1e-9)
+	withinQuota := max(s.withinQuota.Now(now, rateTauS), 1e-9)
+	return s.served.Now(now, rateTauS) * (admitted / min(withinQuota, admitted))
 }
 
-// levelFor returns the level that admits so many units per second of what is requested, by bisection.
+// levelFor returns, by bisection, the lowest level that admits at most units per second of the requested units;
+// 1 if none does.
 func (s *Shedder) levelFor(now, units float64) float64 {
-	const steps = 12 // to one part in four thousand
+	const steps = 12 // resolution of 1/4096
 	low, high := 0.0, 1.0
 	for range steps {
 		level, admitted := (low+high)/2, 0.0
 		for rank := range s.requested {
-			admitted += s.requested[rank].Now(now, rateMemoryS) * s.admittedFraction(level, rank, len(s.requested))
+			admitted += s.requested[rank].Now(now, rateTauS) * s.admittedFraction(level, rank, len(s.requested))
 		}
 		if admitted > units {
 			low = level
@@ -107,14 +109,14 @@
 	return high
 }
 
-// countSwings counts how often the level turns: changes of swing or more in alternating directions.
-func (s *Shedder) countSwings() {
-	d := s.level - s.turnLevel
-	if math.Abs(d) < swing {
+// countReversals counts changes of direction between swings of at least minSwing.
+func (s *Shedder) countReversals() {
+	d := s.level - s.lastSwingLevel
+	if math.Abs(d) < minSwing {
 		return
 	}
 	if d*s.lastSwing < 0 {
 		s.reversals++
 	}
-	s.turnLevel, s.lastSwing = s.level, d
+	s.lastSwingLevel, s.lastSwing = s.level, d
 }
--- a/internal/decision/loadshed/loadshed_test.go
+++ b/internal/decision/loadshed/loadshed_test.go
@@ -33,7 +33,7 @@
 		if s.ObserveWait(now, fraction); fraction == 1 {
 			backlog = capacity
 		}
-		s.advance(now, 0, 0, backlog == 0 && served < capacity*dt*0.8)
+		s.updateLevel(now, 0, 0, backlog == 0 && served < capacity*dt*0.8)
 	}
 	return now, admitted
 }
--- a/internal/decision/loadshed/status.go
+++ b/internal/decision/loadshed/status.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Status is what the status page shows operators. Rates are in units per second.
+// Status is the load-shedding section of the status page. Rates are in units per second.
 type Status struct {
 	Level         float64 `json:"level"`       // 0 to 1
-	SinceS        float64 `json:"since_s"`     // for how long load has been shed, seconds; 0: none is
-	WaitFraction  float64 `json:"wait"`        // mean wait for a backend here, as a fraction of what requests may wait
-	ActivePeers   int     `json:"heard"`       // gateways whose gossip has arrived lately
-	MinPeerLevel  float64 `json:"lowest"`      // of the active peers
-	MaxPeerLevel  float64 `json:"highest"`     // far above MinPeerLevel: some gateways can't reach each other
-	Reversals     int     `json:"swings"`      // how often the level has turned; many per minute: it oscillates
-	Rejected      []int   `json:"turned_away"` // requests, by admission rank: client retries of the lowest class, its first attempts with the client retries of the next, and so on
+	SinceS        float64 `json:"since_s"`     // how long load has been shed, seconds; 0: none is shed
+	WaitFraction  float64 `json:"wait"`        // mean wait for a backend at this gateway, as a fraction of the maximum wait
+	ActivePeers   int     `json:"heard"`       // gateways with recent gossip
+	MinPeerLevel  float64 `json:"lowest"`      // lowest level of the active peers
+	MaxPeerLevel  float64 `json:"highest"`     // highest level; far above MinPeerLevel: some gateways can't reach each other
+	Reversals     int     `json:"swings"`      // how often the level has changed direction; many per minute: it oscillates
+	Rejected      []int   `json:"turned_away"` // number of requests, by admission rank, lowest first; AdmissionPriority describes the order
 	RequestedPerS float64 `json:"asked_per_s"`
-	AdmittedPerS  float64 `json:"let_per_s"` // by the level
+	AdmittedPerS  float64 `json:"let_per_s"` // admitted by the level, before quotas
 	ServedPerS    float64 `json:"served_per_s"`
 }
 
@@ -27,14 +27,14 @@
 		WaitFraction: s.waitFraction,
 		Reversals:    s.reversals,
 		Rejected:     slices.Clone(s.rejected),
-		AdmittedPerS: s.admitted.Now(now, rateMemoryS),
-		ServedPerS:   s.served.Now(now, rateMemoryS),
+		AdmittedPerS: s.admitted.Now(now, rateTauS),
+		ServedPerS:   s.served.Now(now, rateTauS),
 	}
 	if s.sheddingSince > 0 {
 		status.SinceS = now - s.sheddingSince
 	}
 	for rank := range s.requested {
-		status.RequestedPerS += s.requested[rank].Now(now, rateMemoryS)
+		status.RequestedPerS += s.requested[rank].Now(now, rateTauS)
 	}
 	for _, p := range s.peers {
 		if now-p.receivedAt >= peerStateMaxAgeS {
--- a/internal/decision/outlier/outlier_test.go
+++ b/internal/decision/outlier/outlier_test.go
@@ -20,7 +20,7 @@
 	if got := s.ErrorScore(1, 10); got != 0 {
 		t.Errorf("score of another class: %v", got)
 	}
-	if got := s.ErrorScore(0, 10+scoreMemoryS); math.Abs(got-0.75/math.E) > 1e-9 {
+	if got := s.ErrorScore(0, 10+scoreTauS); math.Abs(got-0.75/math.E) > 1e-9 {
 		t.Errorf("score after one time constant: %v, want %v", got, 0.75/math.E)
 	}
 	if s.RecordSuccess(0, 20); s.ErrorScore(0, 20) != 0 || s.LastSuccessAt(0) != 20 {
--- a/internal/decision/quota/quota_test.go
+++ b/internal/decision/quota/quota_test.go
@@ -84,10 +84,10 @@
 	l.Members[4] = &Member{Incarnation: 9}
 	l.Charge(l.ApplyReport(l.Members[4], 5, 2.5, 6, 1.5), 1)
 	figures, members := l.Snapshot()
-	was, is := *l, *RestoreLedger(figures, members)
-	m := is.Members[4]
-	if was.Members, is.Members = nil, nil; !reflect.DeepEqual(was, is) || *m != *l.Members[4] {
-		t.Errorf("%+v became %+v, %+v became %+v", was, is, *l.Members[4], *m)
+	original, restored := *l, *RestoreLedger(figures, members)
+	m := restored.Members[4]
+	if original.Members, restored.Members = nil, nil; !reflect.DeepEqual(original, restored) || *m != *l.Members[4] {
+		t.Errorf("%+v became %+v, %+v became %+v", original, restored, *l.Members[4], *m)
 	}
 	if empty := RestoreLedger(nil, nil); empty.Available != 0 || empty.Members == nil {
 		t.Errorf("restored from nothing: %+v", empty)
--- a/internal/decision/reason/reason.go
+++ b/internal/decision/reason/reason.go
@@ -1,62 +1,62 @@
-// Package reason names the steps of a decision and the reasons for it, and is the record of one decision. The lists are closed: a
-// table over all reasons adds up to all decisions. Numbers and names are stored in trace files and don't change. The package does
-// no I/O and decides nothing.
+// Package reason defines the record of a decision in the decision trace, with its steps and reasons. Both lists are exhaustive, so that
+// the counts per reason add up to the number of decisions. Their numbers and names are stored in trace files and don't change. The package
+// does no I/O and makes no decisions.
 package reason
 
-// Step is what was decided, or what came of it.
+// Step is the stage of a request, or an owner's reply, that a decision records.
 type Step uint8
 
 // The steps of a request, and an owner's replies to quota requests of other gateways.
 const (
-	StepArrived        Step = iota // a client's request was taken
-	StepQuotaRequested             // it waits for the account's owner
-	StepQueued                     // it waits for a backend
+	StepArrived        Step = iota // a client's request was accepted for processing
+	StepQuotaRequested             // the request waits for a reply of the account's owner
+	StepQueued                     // the request waits for a backend
 	StepSent                       // an attempt was sent
 	StepEnded                      // an attempt ended
-	StepRejected                   // final: a retry is harmless
-	StepFailed                     // final: promises nothing
-	StepGranted                    // this gateway, as owner, granted units to another one
-	StepDenied                     // this gateway, as owner, denied units to another one
+	StepRejected                   // final answer; the client can retry safely
+	StepFailed                     // final answer; a retry may run the request twice
+	StepGranted                    // this gateway, as owner, granted units to another gateway
+	StepDenied                     // this gateway, as owner, denied units to another gateway
 	stepCount
 )
 
-// Reason is why a step was taken.
+// Reason is the reason for a step.
 type Reason uint8
 
 // The reasons.
 const (
 	None                 Reason = iota
-	NoPlan                      // no quota counts the request
-	OwnerCount                  // this gateway owns the account, and its window has the units
+	NoPlan                      // the request has no plan, so that no quota applies
+	OwnerCount                  // this gateway owns the account, and its window holds the units
 	QuotaShare                  // the units fit this gateway's share of the owner's last reply
-	StaleReplyFits              // the reply is old, and the units fit all the same
-	NoRateLimit                 // the plan has no rate
+	StaleReplyFits              // the owner's last reply is stale, but every gateway of the account could admit the units
+	NoRateLimit                 // the plan has no rate quota
 	Granted                     // the owner granted the units
-	LocalWindow                 // the owner is silent: the local window has the units
-	Retry                       // a further attempt
-	WindowExhausted             // the owner's window does not have the units
-	PriorityReserve             // the owner's window keeps the rest for higher priorities, while demand is over the rate
-	ConcurrencyLimit            // as many attempts are in flight as the plan allows
-	HardLimitLocal              // the hard limit's local bucket is empty
-	HardLimitExhausted          // the hard limit's local and shared buckets are empty
-	HardLimitUnpaidGrant        // the owner granted the units, but no bucket of the hard limit pays
-	OwnerBackoff                // the owner denied units a moment ago, with a backoff
-	ReplyExhausted              // the owner's last reply is fresh and has no units left
-	ReplyShareTooSmall          // the units are beyond this gateway's share of a fresh reply
-	ReplyStale                  // the owner's last reply is too old
+	LocalWindow                 // the owner does not reply, and the local window holds the units
+	Retry                       // a further attempt of the request
+	WindowExhausted             // the owner's window does not hold the units
+	PriorityReserve             // the rest of the owner's window is reserved for higher priorities, as demand exceeds the rate
+	ConcurrencyLimit            // the plan's limit of attempts in flight is reached
+	HardLimitLocal              // the hard limit's local bucket does not hold the units
+	HardLimitExhausted          // no bucket of the hard limit at this gateway will hold the units in time
+	HardLimitUnpaidGrant        // the owner granted the units, but no bucket of the hard limit will hold them in time
+	OwnerBackoff                // the owner denied units and requested a backoff that has not ended
+	ReplyExhausted              // the owner's last reply is recent and leaves too few units
+	ReplyShareTooSmall          // the units exceed this gateway's share of a recent reply
+	ReplyStale                  // the owner's last reply is too old to admit the units
 	Denied                      // the owner denied the units
-	LocalWindowExhausted        // the owner is silent, and the local window does not have the units
+	LocalWindowExhausted        // the owner does not reply, and the local window does not hold the units
 	OwnerSilent                 // the owner did not reply in time
-	AdaptiveLimit               // as many attempts are in flight as the adaptive limit allows
-	NoBackend                   // no backend is up that can take it
-	ObjectiveMissed             // its latency objective can't be met any more
-	LatestStartPassed           // it was not written to a backend by its latest start
-	AttemptLimit                // it had as many attempts as are allowed
-	MayHaveRun                  // a retry could run it twice
-	UnknownClass                // its class is not configured
+	AdaptiveLimit               // the adaptive limit of attempts in flight is reached
+	NoBackend                   // no backend that is up can take the request
+	ObjectiveMissed             // the request can no longer meet its latency objective
+	LatestStartPassed           // the request was not written to a backend by its latest start
+	AttemptLimit                // the request has had its maximum number of attempts
+	MayHaveRun                  // a further attempt could run the request twice
+	UnknownClass                // the request's class is not configured
 	Prefetched                  // the owner granted the units in advance
-	WaitQueue                   // the owner leased no slot for it in time
-	LoadShed                    // the fleet is overloaded, and sheds requests of its priority
+	WaitQueue                   // the owner leased no slot for the request in time
+	LoadShed                    // the fleet is overloaded and sheds requests of this priority
 	reasonCount
 )
 
@@ -75,7 +75,7 @@
 	UnknownClass: "no-class", Prefetched: "ahead", WaitQueue: "line", LoadShed: "shed",
 }
 
-// String is the step's name in traces.
+// String returns the step's name in traces.
 func (s Step) String() string {
 	if s < stepCount {
 		return stepNames[s]
@@ -83,7 +83,7 @@
 	return "?"
 }
 
-// String is the reason's name in traces.
+// String returns the reason's name in traces.
 func (r Reason) String() string {
 	if r < reasonCount {
 		return reasonNames[r]
@@ -91,7 +91,7 @@
 	return "?"
 }
 
-// Reasons are all reasons, in their order.
+// Reasons returns all reasons in numerical order.
 func Reasons() []Reason {
 	list := make([]Reason, reasonCount)
 	for i := range list {
@@ -100,32 +100,32 @@
 	return list
 }
 
-// Decision is the record of one decision. What does not apply is zero.
+// Decision is the record of one decision. Fields that do not apply are zero.
 type Decision struct {
-	At                  float64 `cbor:"1,keyasint"` // Unix seconds by the gateway's clock
+	At                  float64 `cbor:"1,keyasint"` // Unix seconds of the gateway's clock
 	Step                Step    `cbor:"2,keyasint"`
 	Reason              Reason  `cbor:"3,keyasint,omitempty"`
-	ID                  string  `cbor:"4,keyasint,omitempty"` // of the request
+	ID                  string  `cbor:"4,keyasint,omitempty"` // id of the request
 	Account             uint32  `cbor:"5,keyasint,omitempty"` // hash of the account's name
 	Class               string  `cbor:"6,keyasint,omitempty"`
 	Plan                string  `cbor:"7,keyasint,omitempty"`
 	Units               float64 `cbor:"8,keyasint,omitempty"`
-	RemainingS          float32 `cbor:"9,keyasint,omitempty"`  // seconds until the client gives up
-	ObjectiveRemainingS float32 `cbor:"10,keyasint,omitempty"` // seconds until the latency objective is missed
-	MeanLatencyS        float32 `cbor:"11,keyasint,omitempty"` // seconds that the class is expected to take
-	ClientRetry         bool    `cbor:"12,keyasint,omitempty"` // taken for the client's own retry
-	Owner               int     `cbor:"13,keyasint,omitempty"` // gateway that counts the account
-	PrimaryOwner        int     `cbor:"14,keyasint,omitempty"` // gateway that counts it when all are reachable
-	WindowAvailable     float32 `cbor:"15,keyasint,omitempty"` // units in the window, as this gateway knows it
-	ReplyAgeS           float32 `cbor:"16,keyasint,omitempty"` // seconds since the owner's reply that this is from; 0 at the owner
-	LocalDemand         float32 `cbor:"17,keyasint,omitempty"` // units a second that arrive here
-	OtherDemand         float32 `cbor:"18,keyasint,omitempty"` // units a second that arrive at other gateways
+	RemainingS          float32 `cbor:"9,keyasint,omitempty"`  // seconds until the client's deadline
+	ObjectiveRemainingS float32 `cbor:"10,keyasint,omitempty"` // seconds until the deadline of the latency objective
+	MeanLatencyS        float32 `cbor:"11,keyasint,omitempty"` // mean latency of the class, seconds
+	ClientRetry         bool    `cbor:"12,keyasint,omitempty"` // the request is classified as a client retry
+	Owner               int     `cbor:"13,keyasint,omitempty"` // number of the account's current owner
+	PrimaryOwner        int     `cbor:"14,keyasint,omitempty"` // number of the owner when all gateways are reachable
+	WindowAvailable     float32 `cbor:"15,keyasint,omitempty"` // units in the window, as known to this gateway
+	ReplyAgeS           float32 `cbor:"16,keyasint,omitempty"` // age of the owner's reply with WindowAvailable, seconds; 0 at the owner
+	LocalDemand         float32 `cbor:"17,keyasint,omitempty"` // units per second requested at this gateway
+	OtherDemand         float32 `cbor:"18,keyasint,omitempty"` // units per second requested at other gateways
 	HardLimitLocal      float32 `cbor:"19,keyasint,omitempty"` // units in the hard limit's local bucket
-	HardLimitShared     float32 `cbor:"20,keyasint,omitempty"` // units in its shared bucket, where that is kept here
-	InFlight            int     `cbor:"21,keyasint,omitempty"` // attempts from here: of the account, or with StepQueued of all
-	InFlightLimit       float32 `cbor:"22,keyasint,omitempty"` // attempts that may be in flight from here, with StepQueued
-	Attempt             int     `cbor:"23,keyasint,omitempty"` // index of the attempt, or how many there were
+	HardLimitShared     float32 `cbor:"20,keyasint,omitempty"` // units in the hard limit's shared bucket, if this gateway keeps it
+	InFlight            int     `cbor:"21,keyasint,omitempty"` // attempts from this gateway: of the account; with StepQueued: of all accounts
+	InFlightLimit       float32 `cbor:"22,keyasint,omitempty"` // with StepQueued: this gateway's adaptive limit of attempts in flight
+	Attempt             int     `cbor:"23,keyasint,omitempty"` // index of the attempt, or number of attempts
 	Backend             string  `cbor:"24,keyasint,omitempty"`
-	Status              int     `cbor:"25,keyasint,omitempty"` // of StepEnded: policy.Status
-	Requester           int     `cbor:"26,keyasint,omitempty"` // of StepGranted and StepDenied: the other gateway
+	Status              int     `cbor:"25,keyasint,omitempty"` // with StepEnded: policy.Status of the attempt
+	Requester           int     `cbor:"26,keyasint,omitempty"` // with StepGranted and StepDenied: number of the requesting gateway
 }
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -44,7 +44,7 @@
 		Edits: []Edit{{shedLevel, "s.level -= fall * (1 - wait/targetWait) * dt", "s.level -= 0.01 * fall * (1 - wait/targetWait) * dt"}, {shedLevel, "if target := s.levelFor(now, s.capacity); s.capacity > 0 &&", "if target := s.levelFor(now, s.capacity); s.capacity > 1e9 &&"}},
 		Runs:  []string{simShed + "overload", simShed + "overload-low"}},
 	{Name: "gateways meet in one level", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
-		Edits: edit(shedGossip, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
+		Edits: edit(shedGossip, "s.level += (median(s.freshLevels) - s.level) * min(dt/convergeTauS, 1)", "s.level += 0 * (median(s.freshLevels) - s.level)"), Runs: []string{simShed + "overload", simShed + "overload-busy", simShed + "overload-low"}},
 	{Name: "cells of different planners meet in one level", Rule: "overload shed as one", Unit: "./internal/controlplane/planner",
 		Edits: edit(core, "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
