--- a/internal/decision/clienttimeout/clienttimeout_test.go
+++ b/internal/decision/clienttimeout/clienttimeout_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The counts are those of a plain list of attempts until they are halved, and the most common share is found
-// after that, too.
+// Guards against wrong counts in the histogram: until the counts are halved they must match those of a plain list
+// of requests, and after that the most common share must still be found.
 func TestHistogram_MatchesPlainList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var h Histogram
@@ -25,11 +25,12 @@
 			}
 		}
 		if got := h.Observe(share); got != want || h.Samples() != i+1 {
-			t.Fatalf("attempt %d: %d of %d have a similar share, want %d of %d", i, got, h.Samples(), want, i+1)
+			t.Fatalf("request %d: %d of %d requests have a similar share, want %d of %d", i, got, h.Samples(), want, i+1)
 		}
 	}
 	h.Observe(0.75)
 	if h.Samples() > halveAt/2 || h.ModeCount() < h.Samples()/3 {
-		t.Fatalf("after halving: %d attempts, %d with the most common share", h.Samples(), h.ModeCount())
+		t.Fatalf("after halving: %d requests, %d with the most common share, want at most %d, and a third of them with it",
+			h.Samples(), h.ModeCount(), halveAt/2)
 	}
 }
--- a/internal/decision/config/events.go
+++ b/internal/decision/config/events.go
@@ -16,7 +16,7 @@
 	Cell      int // number of the cell within the zone
 	State     BackendState
 	Weight    float64
-	StartedAt float64 // start of the backend's process in Unix seconds; 0: unknown, long ago
+	StartedAt float64 // start of the backend's process in Unix seconds; 0: unknown or long ago
 }
 
 // Request is a client's request, which receives one final answer. The snapshot for a successor process stores it under the names of its
@@ -30,7 +30,7 @@
 	FirstGateway int     `json:"First"`     // first of the account's GatewayCount gateways; their numbers are consecutive, modulo all gateways
 	GatewayCount int     `json:"Entries"`   // number of the account's gateways; 0: all
 	Units        float64 `json:"Units"`
-	Retry        bool    `json:"Retry"` // the client marked the request as a retry; not used by decisions
+	Retry        bool    `json:"Retry"` // the client marked the request as a retry; stored, not used by decisions
 }
 
 // Status is the result of an attempt or a probe.
--- a/internal/decision/config/settings_test.go
+++ b/internal/decision/config/settings_test.go
@@ -8,7 +8,7 @@
 func TestValidate_TypedErrors(t *testing.T) {
 	valid := Settings{Gateways: 1, Classes: []Class{{Name: "read", LatencyObjectiveS: 1, DeadlineS: 2}}, Plans: []Plan{{Name: "basic", Rate: 1, Burst: 3}}}
 	if err := valid.Validate(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("valid settings: %v", err)
 	}
 	for setting, change := range map[string]func(*Settings){
 		"gateways": func(s *Settings) { s.Gateways = 0 },
@@ -21,15 +21,15 @@
 		settings, invalid := valid, &InvalidError{}
 		change(&settings)
 		if err := settings.Validate(); !errors.As(err, &invalid) || invalid.Setting != setting {
-			t.Errorf("%s: %v", setting, err)
+			t.Errorf("invalid setting %s: got error %v, want an *InvalidError for it", setting, err)
 		}
 	}
 	invalid := &InvalidError{}
 	if _, err := valid.WithClasses(valid.Classes, 3, 9, 9); !errors.As(err, &invalid) || invalid.Setting != "classes" {
-		t.Errorf("too many classes: %v", err)
+		t.Errorf("one class more than maxClasses: got error %v, want an *InvalidError for classes", err)
 	}
 	if settings, err := valid.WithClasses(valid.Classes, 3, 8, 9); err != nil || settings.MaxAttempts != 3 {
-		t.Errorf("%+v: %v", settings, err)
+		t.Errorf("as many classes as maxClasses: got %+v and error %v, want MaxAttempts 3 and no error", settings, err)
 	}
 }
 
@@ -44,7 +44,7 @@
 		{Backend{Zone: "y", Cell: 1}, true, false, false},
 	} {
 		if ScopeAll.Same(a, tc.b) != tc.all || ScopeZone.Same(a, tc.b) != tc.zone || ScopeCell.Same(a, tc.b) != tc.cell {
-			t.Errorf("%+v and %+v", a, tc.b)
+			t.Errorf("Same of %+v and %+v: want all %v, zone %v, cell %v", a, tc.b, tc.all, tc.zone, tc.cell)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	for status, want := range map[Status]bool{OK: false, Error: false, Rejected: true, Timeout: false, ConnectFailed: true,
 		Reset: false, Cancelled: false, NotSent: true} {
 		if got := status.NeverRan(); got != want {
-			t.Errorf("status %d: %v, want %v", status, got, want)
+			t.Errorf("status %d: NeverRan is %v, want %v", status, got, want)
 		}
 	}
 }
--- a/internal/decision/endpoints/endpoints.go
+++ b/internal/decision/endpoints/endpoints.go
@@ -108,7 +108,7 @@
 	return t.preferred
 }
 
-// indexShortHash indexes a backend by its short hash. If the hash is taken, it identifies no backend from then on.
+// indexShortHash indexes a backend by its short hash. If another backend has the same hash, it identifies neither.
 func (t *Table[T]) indexShortHash(b *T) {
 	hash := t.endpointOf(b).ShortHash
 	if _, taken := t.byShortHash[hash]; taken {
--- a/internal/decision/hardlimit/hardlimit_test.go
+++ b/internal/decision/hardlimit/hardlimit_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Requests at any gateway at any time, units prefetched and used late: what all gateways pay for together
-// keeps to the limit's rate and burst.
+// Guards against buckets that together admit more than the limit: requests arrive at random gateways and times, and
+// prefetched units are used late. The units sent by all gateways must stay within the limit's rate and burst.
 func TestLimiter_BucketsAddUpToTheLimit(t *testing.T) {
 	const rate, burst, largest = 65.0, 143.0, 3.0
 	type prefetch struct{ usedAt, units float64 }
@@ -21,11 +21,11 @@
 			limiters[i] = NewLimiter(0)
 		}
 		var prefetched []prefetch
-		level, levelAt, now := 0.0, 0.0, 0.0 // of a single bucket with the whole limit
+		level, levelAt, now := 0.0, 0.0, 0.0 // reference: a single bucket with the whole limit
 		send := func(units float64) {
 			level, levelAt = min(burst, level+rate*(now-levelAt)), now
 			if level -= units; level < -1e-6 {
-				t.Fatalf("seed %d, %d gateways: %.2f units beyond the limit at %.2f s", seed, gateways, -level, now)
+				t.Fatalf("seed %d, %d gateways: units sent exceed the limit by %.2f at %.2f s", seed, gateways, -level, now)
 			}
 		}
 		paid := 0.0
@@ -57,11 +57,11 @@
 			}
 		}
 		if paid < 50 {
-			t.Errorf("seed %d: only %v units paid, the test proves nothing", seed, paid)
+			t.Errorf("seed %d: only %v units paid, want at least 50 for a meaningful test", seed, paid)
 		}
 		for i := range limiters {
 			if math.Abs(limiters[i].Unpaid) > 1e-9 {
-				t.Errorf("seed %d: %v units unpaid at the end", seed, limiters[i].Unpaid)
+				t.Errorf("seed %d: %v units unpaid at the end, want 0", seed, limiters[i].Unpaid)
 			}
 		}
 	}
@@ -82,11 +82,11 @@
 	} {
 		l.Unpaid = tc.unpaid
 		if got := l.CoversWithin(params, 0, tc.units, tc.withinS); got != tc.want {
-			t.Errorf("%v units after %v unpaid ones within %v s: %v", tc.units, tc.unpaid, tc.withinS, got)
+			t.Errorf("%v units after %v unpaid ones within %v s: covered is %v, want %v", tc.units, tc.unpaid, tc.withinS, got, tc.want)
 		}
 	}
 	if none := (Params{}); !l.CoversWithin(none, 0, 99, 0) || !l.LocalCovers(none, 0, 99) || l.SharedCovers(none, 0, 1) || !l.Full(none, 0) {
-		t.Error("an account without a limit is limited")
+		t.Error("an account without a hard limit is limited, has a shared bucket or is not full")
 	}
 }
 
@@ -96,19 +96,19 @@
 		want     float64
 	}{{0, SharedFraction}, {2, SharedFraction}, {23, SharedFraction}, {47, SharedFraction}, {48, 1}, {300, 1}} {
 		if got := (Params{Rate: 65, Burst: 143, Gateways: tc.gateways, LargestRequest: 3}).SharedFraction(); got != tc.want {
-			t.Errorf("%d gateways: %v of the limit is shared, want %v", tc.gateways, got, tc.want)
+			t.Errorf("%d gateways: shared fraction of the limit is %v, want %v", tc.gateways, got, tc.want)
 		}
 	}
 }
 
-// Units prefetched from full buckets may be sent at the same moment as all that the buckets hold later: the
-// buckets must not have filled up behind them.
+// Guards against a burst above the limit: a member may send prefetched units at the same moment as the buckets are
+// spent, so the shared bucket must not refill to its full capacity while the prefetched units can still be sent.
 func TestLimiter_PrefetchedUnitsReduceCapacity(t *testing.T) {
 	params := Params{Rate: 65, Burst: 143, Gateways: 1, OwnsShared: true, LargestRequest: 3}
 	l := NewLimiter(0)
 	prefetched := l.PrefetchShared(params, 100, 30)
 	if prefetched != 30 {
-		t.Fatalf("%v of 30 units prefetched from a full bucket", prefetched)
+		t.Fatalf("%v units prefetched from a full bucket, want 30", prefetched)
 	}
 	now, sent := 100+PrefetchS, prefetched
 	for l.LocalCovers(params, now, 1) || l.SharedCovers(params, now, 1) {
@@ -117,9 +117,9 @@
 		sent++
 	}
 	if sent > params.Burst {
-		t.Errorf("%v units sent at once, the burst is %v", sent, params.Burst)
+		t.Errorf("%v units sent at once, want at most the burst of %v", sent, params.Burst)
 	}
 	if !l.SharedCovers(params, now+10, params.Burst*params.SharedFraction()) {
-		t.Error("prefetched units reduce the capacity for ever")
+		t.Error("the shared bucket does not return to its full capacity after the prefetched units have expired")
 	}
 }
--- a/internal/decision/loadshed/admission_test.go
+++ b/internal/decision/loadshed/admission_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// At the same level and phase all gateways give the same answer. What is admitted is also admitted at a lower
-// level, and so is every request of higher rank.
+// Guards against gateways that disagree on admission, and against an order of admission other than by rank. At the
+// same level and phase two gateways must give the same answer; a request admitted at one level must be admitted at
+// a lower level, and so must the account's requests of higher rank at the same level.
 func TestShedder_AdmissionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		account := rapid.Uint32().Draw(t, "account")
@@ -24,13 +25,13 @@
 				p := AdmissionPriority{AccountKey: account, ClassRank: class, ClassCount: 3, ClientRetry: clientRetry}
 				admitted := a.Admit(1, p, 1)
 				if admitted != b.Admit(101, p, 1) {
-					t.Fatalf("%+v: two gateways give two answers", p)
+					t.Fatalf("%+v: admitted by one of two gateways with the same level and phase, want the same answer", p)
 				}
 				if admitted && !lowerLevel.Admit(1, p, 1) {
-					t.Fatalf("%+v is rejected at a lower level", p)
+					t.Fatalf("%+v: admitted at a level and rejected at a lower one", p)
 				}
 				if lowerRankAdmitted && !admitted {
-					t.Fatalf("%+v is rejected, a lower rank is not", p)
+					t.Fatalf("%+v: rejected although a lower rank of the account is admitted", p)
 				}
 				lowerRankAdmitted = admitted
 			}
@@ -38,7 +39,8 @@
 	})
 }
 
-// At the highest level each account is admitted in the floor's share of the time, in whole slices.
+// Guards against accounts that are starved at the highest level, and against admission that changes within a slice:
+// each account must be admitted in the floor's fraction of the steps, in whole slices.
 func TestShedder_FloorAndTimeSlices(t *testing.T) {
 	s := NewShedder(Config{Enabled: true}, 0, 1, 0, constantHalf)
 	s.level = 1
@@ -59,10 +61,10 @@
 			before = now
 		}
 		if share := float64(admitted) / phaseSteps; math.Abs(share-defaultFloor) > 0.02 || admitted == 0 {
-			t.Errorf("account %d: admitted in %d of %d steps", account, admitted, phaseSteps)
+			t.Errorf("account %d: admitted in %d of %d steps, want the fraction of the floor", account, admitted, phaseSteps)
 		}
 		if changes > 2*admitted/stepsPerSlice+2 {
-			t.Errorf("account %d: admitted in %d steps, with %d changes", account, admitted, changes)
+			t.Errorf("account %d: admitted in %d steps with %d changes, want whole slices", account, admitted, changes)
 		}
 	}
 	const accounts = 2000
@@ -73,11 +75,12 @@
 		}
 	}
 	if share := float64(admitted) / accounts; math.Abs(share-defaultFloor) > 0.015 {
-		t.Errorf("%.3f of all accounts are admitted at a time, want %.3f", share, defaultFloor)
+		t.Errorf("%.3f of all accounts are admitted in one step, want about %.3f", share, defaultFloor)
 	}
 }
 
-// Retry-After stays within its bound, is spread, and leads to a time at which the account is admitted.
+// Guards against Retry-After values out of bounds, against synchronized retries, and against retries at a time when
+// the account is still rejected.
 func TestShedder_RetryAfterS(t *testing.T) {
 	random := 0.0
 	s := NewShedder(Config{Enabled: true}, 0, 1, 0, func() float64 { random = math.Mod(random+0.37, 1); return random })
@@ -94,19 +97,19 @@
 		}
 		bySecond[int(retryAfter)]++
 		later := *s
-		if retryAfter < 5 { // the account's next slice is known
+		if retryAfter < 5 { // below 0.75 of the maximum: a step that admits the account was found
 			later.phase += math.Floor(retryAfter / phaseStepS)
 			if !later.Admit(retryAfter, p, 1) {
-				t.Errorf("account %d is rejected again after %g s", account, retryAfter)
+				t.Errorf("account %d is rejected again after a Retry-After of %g s", account, retryAfter)
 			}
 		}
 	}
 	for second, n := range bySecond {
 		if n > 150 {
-			t.Errorf("%d clients retry in second %d: %v", n, second, bySecond)
+			t.Errorf("%d clients retry in second %d, want 150 at most (clients by second: %v)", n, second, bySecond)
 		}
 	}
 	if len(bySecond) < 3 {
-		t.Errorf("retries are not spread: %v", bySecond)
+		t.Errorf("clients retry in fewer than 3 different seconds: %v", bySecond)
 	}
 }
--- a/internal/decision/loadshed/gossip_test.go
+++ b/internal/decision/loadshed/gossip_test.go
@@ -7,7 +7,8 @@
 	"eiderspread/internal/base/peerprotocol"
 )
 
-// All gateways that hear each other come to one level and phase, whatever one of them says.
+// Guards against one faulty gateway that keeps the others from converging: it sends alternating levels and
+// changing phases, and the others must still converge to one level and phase.
 func TestShedder_PeersConverge(t *testing.T) {
 	const gateways, faulty = 9, 0
 	shedders := make([]*Shedder, gateways)
@@ -28,10 +29,10 @@
 				}
 				_, _, _, entries, ok := peerprotocol.Parse(message, now)
 				if !ok || len(entries) != 1 || !s.ApplyGossip(now, j, entries[0]) {
-					t.Fatal("gossip is not understood")
+					t.Fatal("a message with gossip is not parsed or not applied")
 				}
 			}
-			s.updateLevel(now, 8, 8*0.2, false) // enough waits for the level to stay where it is
+			s.updateLevel(now, 8, 8*0.2, false) // waits that keep the estimated level about constant
 		}
 	}
 	low, high := 1.0, 0.0
@@ -39,11 +40,11 @@
 		low, high = min(low, s.Level()), max(high, s.Level())
 	}
 	if high-low > 0.1 || low < 0.1 || high > 0.9 {
-		t.Errorf("levels from %.2f to %.2f", low, high)
+		t.Errorf("levels range from %.2f to %.2f, want a range of at most 0.1 within 0.1 to 0.9", low, high)
 	}
 	for _, s := range shedders[1:] {
 		if math.Abs(phaseOffset(s.phase, shedders[1].phase)) > 1 {
-			t.Errorf("phases %.1f and %.1f", s.phase, shedders[1].phase)
+			t.Errorf("two gateways have phases %.1f and %.1f, want at most 1 step between them", s.phase, shedders[1].phase)
 		}
 	}
 }
--- a/internal/decision/loadshed/level.go
+++ b/internal/decision/loadshed/level.go
@@ -20,9 +20,9 @@
 // Parameters of a falling level. The fall rates apply at a mean wait of 0.
 const (
 	slowFallPerS    = 0.2 // levels per second
-	fastFallPerS    = 1.0 // the same while backends have idle cores, or later than recoveredAfterS
+	fastFallPerS    = 1.0 // the same while backends have idle cores, or once recoveredAfterS has passed
 	recoveredAfterS = 1.5 // seconds since the mean wait was last above targetWait
-	idleUtil        = 0.8 // mean utilisation of the backends' cores below which they count as idle
+	idleUtil        = 0.8 // mean utilisation of the backends' cores below which they have idle cores
 )
 
 // minSwing is the smallest change of the level that counts as a swing for Status.Reversals.
@@ -50,7 +50,8 @@
 	s.countReversals()
 }
 
-// raise moves the level up towards the level that admits slightly less than is served, so that the queue drains.
+// raise moves the level up towards the level that admits less than is served, by up to drainMargin, so that the
+// queue drains.
 func (s *Shedder) raise(now, dt, wait float64) {
 	s.overloadedAt = now
 	capacity := s.servedAtLevel(now)
--- a/internal/decision/loadshed/loadshed_test.go
+++ b/internal/decision/loadshed/loadshed_test.go
@@ -9,9 +9,9 @@
 	return AdmissionPriority{AccountKey: account, ClassRank: class, ClassCount: 3}
 }
 
-// simulateLoad plays a number of seconds in which requested units per second of each of three classes are
-// requested, and capacity units per second are served; what is more waits, a second's work at most. It returns
-// the time at the end, and the fraction of each class that was admitted.
+// simulateLoad simulates a number of seconds in which requested units per second of each of three classes arrive
+// and capacity units per second are served. Admitted units that are not served wait in a backlog of at most one
+// second's work. It returns the time at the end and the fraction of each class that was admitted.
 func simulateLoad(s *Shedder, from, seconds, requested, capacity float64) (end float64, admitted [3]float64) {
 	const dt, accounts = 0.02, 100
 	backlog, now := 0.0, from
@@ -38,13 +38,13 @@
 	return now, admitted
 }
 
-// A nil shedder, as NewShedder returns when load shedding is off, admits everything.
+// Guards against a panic or a rejection with load shedding off, when NewShedder returns nil.
 func TestShedder_NilAdmitsEverything(t *testing.T) {
 	off := NewShedder(Config{}, 0, 3, 0, constantHalf)
 	if off != nil {
-		t.Fatal("a shedder although load shedding is off")
+		t.Fatal("NewShedder returned a shedder with load shedding off, want nil")
 	}
 	if !off.Admit(0, priorityOf(1, 1), 1) || off.Level() != 0 || off.RetryAfterS(priorityOf(1, 1), 3) != 3 || off.Status(0) != nil {
-		t.Error("a nil shedder sheds load")
+		t.Error("a nil shedder rejected a request, or its level, Retry-After or status is not that of load shedding off")
 	}
 }
--- a/internal/decision/loadshed/status.go
+++ b/internal/decision/loadshed/status.go
@@ -11,7 +11,7 @@
 	MinPeerLevel  float64 `json:"lowest"`      // lowest level of the active peers
 	MaxPeerLevel  float64 `json:"highest"`     // highest level; far above MinPeerLevel: some gateways can't reach each other
 	Reversals     int     `json:"swings"`      // how often the level has changed direction; many per minute: it oscillates
-	Rejected      []int   `json:"turned_away"` // number of requests, by admission rank, lowest first; AdmissionPriority describes the order
+	Rejected      []int   `json:"turned_away"` // number of requests, by admission rank, lowest first; AdmissionPriority.rank describes the ranks
 	RequestedPerS float64 `json:"asked_per_s"`
 	AdmittedPerS  float64 `json:"let_per_s"` // admitted by the level, before quotas
 	ServedPerS    float64 `json:"served_per_s"`
--- a/internal/decision/quota/quota_test.go
+++ b/internal/decision/quota/quota_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Members report late, twice or not at all for a while. Once all have reported, what is available is the
-// burst less the reported totals; totals that wrap on the wire or fall, as units are returned, don't matter.
+// Guards against units charged twice or lost. Reports may be late, repeated or missing, totals wrap on the wire and
+// fall when units are returned. Once every member has reported, the available units must be the burst less the sum
+// of the totals.
 func TestLedger_AvailableIsWindowLessReportedTotals(t *testing.T) {
 	const burst = 1e5
 	for seed := range uint64(50) {
@@ -30,7 +31,7 @@
 			if rng.IntN(10) == 0 {
 				totals[i] = max(totals[i]-1, 0)
 			}
-			for range rng.IntN(3) { // lost, delivered once, or twice
+			for range rng.IntN(3) { // the report is lost, delivered once or delivered twice
 				report(i)
 			}
 		}
@@ -40,7 +41,7 @@
 			sum += total
 		}
 		if d := l.Available - (burst - sum); math.Abs(d) > 1e-6 {
-			t.Fatalf("seed %d: %v units available, want %v", seed, l.Available, burst-sum)
+			t.Fatalf("seed %d: %v units available after all reports, want %v", seed, l.Available, burst-sum)
 		}
 	}
 }
@@ -58,7 +59,8 @@
 	} {
 		l := NewLedger(tc.available, 0)
 		if l.Charge(tc.units, tc.maxDebt); l.Available != tc.want {
-			t.Errorf("%v units charged to %v with a debt of up to %v: %v, want %v", tc.units, tc.available, tc.maxDebt, l.Available, tc.want)
+			t.Errorf("after charging %v units to %v available with a maximum debt of %v: %v available, want %v",
+				tc.units, tc.available, tc.maxDebt, l.Available, tc.want)
 		}
 	}
 }
@@ -71,11 +73,11 @@
 		want    int
 	}{{3, 1}, {8, 2}} {
 		if n := l.ActiveMembers(10.5, tc.withinS); n != tc.want {
-			t.Errorf("%d members active within %v s, want %d", n, tc.withinS, tc.want)
+			t.Errorf("%d members reported within the last %v s, want %d", n, tc.withinS, tc.want)
 		}
 	}
 	if l.DropInactive(14, 8); len(l.Members) != 1 {
-		t.Errorf("%d members left, want 1", len(l.Members))
+		t.Errorf("%d members left after dropping inactive ones, want 1", len(l.Members))
 	}
 }
 
@@ -83,14 +85,14 @@
 	l := NewLedger(7, 3)
 	l.Members[4] = &Member{Incarnation: 9}
 	l.Charge(l.ApplyReport(l.Members[4], 5, 2.5, 6, 1.5), 1)
-	figures, members := l.Snapshot()
-	original, restored := *l, *RestoreLedger(figures, members)
+	values, members := l.Snapshot()
+	original, restored := *l, *RestoreLedger(values, members)
 	m := restored.Members[4]
 	if original.Members, restored.Members = nil, nil; !reflect.DeepEqual(original, restored) || *m != *l.Members[4] {
-		t.Errorf("%+v became %+v, %+v became %+v", original, restored, *l.Members[4], *m)
+		t.Errorf("ledger %+v restored as %+v, member %+v restored as %+v, want them equal", original, restored, *l.Members[4], *m)
 	}
 	if empty := RestoreLedger(nil, nil); empty.Available != 0 || empty.Members == nil {
-		t.Errorf("restored from nothing: %+v", empty)
+		t.Errorf("ledger restored from an empty snapshot: %+v, want 0 units available and a member map", empty)
 	}
 }
 
@@ -98,7 +100,7 @@
 	b := Bucket{UpdatedAt: 10}
 	for _, tc := range []struct{ now, rate, capacity, want float64 }{{12, 3, 100, 6}, {12, 3, 100, 6}, {13, 3, 7, 7}} {
 		if got := b.Refill(tc.now, tc.rate, tc.capacity); got != tc.want {
-			t.Errorf("level at %v s: %v, want %v (%+v)", tc.now, got, tc.want, b)
+			t.Errorf("level at %v s is %v, want %v (bucket %+v)", tc.now, got, tc.want, b)
 		}
 	}
 }
--- a/internal/decision/reason/reason_test.go
+++ b/internal/decision/reason/reason_test.go
@@ -8,13 +8,13 @@
 		steps[step.String()] = true
 	}
 	if len(steps) != int(stepCount) || steps[""] || steps["?"] || stepCount.String() != "?" {
-		t.Errorf("names of steps: %v", steps)
+		t.Errorf("names of steps are not distinct or a name is missing: %v", steps)
 	}
 	reasons := map[string]bool{}
 	for _, cause := range Reasons() {
 		reasons[cause.String()] = true
 	}
 	if len(reasons) != int(reasonCount) || reasons[""] || reasons["?"] || reasonCount.String() != "?" {
-		t.Errorf("names of reasons: %v", reasons)
+		t.Errorf("names of reasons are not distinct or a name is missing: %v", reasons)
 	}
 }
