--- a/internal/decision/config/settings.go
+++ b/internal/decision/config/settings.go
@@ -120,7 +120,7 @@
 	case len(s.Classes) == 0:
 		return invalid("classes", "no classes given")
 	case len(s.Plans) > maxPlans:
-		return invalid("plans", "%d plans given, want at most %d", len(s.Plans), maxPlans)
+		return invalid("plans", "%d plans given, %d at most", len(s.Plans), maxPlans)
 	}
 	if err := s.LoadShedding.Check(); err != nil {
 		return err
