--- a/policy/account.go
+++ b/policy/account.go
@@ -10,64 +10,65 @@
 	"eiderspread/internal/decision/slotlease"
 )
 
-// accountTTLS is after how many seconds without use an account is forgotten. It is longer than memberTTLS:
-// the count that then starts at 0 must not look to the owner like units handed back.
+// accountTTLS is the time in seconds after which an unused account may be evicted. It exceeds memberTTLS, so
+// that the owner has dropped this gateway's count by then. The new count starts at 0 and would otherwise look
+// to the owner like returned units.
 const accountTTLS = 10.0
 
-// accountKey identifies an account by a hash of its name and the index of its plan. One that moves to another
-// plan is another account.
+// accountKey identifies an account by a hash of its name and the index of its plan. An account that changes
+// its plan is a new account.
 type accountKey struct{ key, plan uint32 }
 
-// accountState is what a gateway knows of one account. Times are in Unix seconds, demands in units a second.
+// accountState is a gateway's state of one account. Times are in Unix seconds, demands in units per second.
 type accountState struct {
-	key          uint32 // upper half of point, names the account in peer messages
-	point        uint64 // on the ring
+	key          uint32 // upper half of point; identifies the account in peer messages
+	point        uint64 // position on the ring
 	plan         *planState
-	firstGateway int     // its gateways are gatewayCount ones from this number on, modulo all
-	gatewayCount int     // 0: known from peers' reports alone
+	firstGateway int     // first of gatewayCount consecutive gateways of the account, modulo all gateways
+	gatewayCount int     // 0: unknown, as only peers' reports have named the account
 	primaryOwner int     // first of its gateways on the ring, suspected or not
-	lastUsedAt   float64 // by a request, a report or a reply
-	rejectedAt   float64 // when a request was last rejected here
+	lastUsedAt   float64 // last request, or last report received or sent
+	rejectedAt   float64 // last rejection of a request at this gateway
 
-	// Usage here.
-	demand         decay.Rate // units a second that arrive here, admitted or not
+	// Usage at this gateway.
+	demand         decay.Rate // units per second that arrive here, admitted or not
 	admittedUnits  float64    // total since the start
 	inFlight       int        // attempts
 	unsentAdmitted int        // requests that were admitted and not sent yet
 
-	// As a member: what the owner last replied. Empty at the owner.
-	ownerReplied    bool    // a reply came, or this gateway was the owner before
+	// As a member: state from the owner's last reply. Not maintained at the owner.
+	ownerReplied    bool    // the owner has replied, or this gateway was the owner before
 	available       float64 // units in the owner's window
-	availableAt     float64 // when that was received
-	ackedUnits      float64 // of admittedUnits, known to the owner
+	availableAt     float64 // when available was received
+	ackedUnits      float64 // part of admittedUnits that the owner has counted
 	otherDemand     float64 // of the other gateways
 	otherInFlight   int     // attempts from other gateways, and slots leased to them
-	backoffUntil    float64 // requests are denied here without a quota request
+	backoffUntil    float64 // until then requests are denied without a quota request
 	ownerLeases     bool    // the owner leases slots
 	leasedSlots     slotlease.MemberLeases
 	prefetched      float64 // units granted in advance
-	prefetchedUntil float64 // then they go back to the owner
+	prefetchedUntil float64 // when unused prefetched units are returned to the owner
 
 	// As a member: exchange with the owner.
-	pending           []*request   // awaiting the owner, in order of arrival
-	reportedPending   int          // how many of them, from the first on, are in a report
-	inWaitQueue       bool         // in the owner's queue for a slot: a reply comes on its own
+	pending           []*request   // waiting for the owner's decision, in order of arrival
+	reportedPending   int          // requests at the front of pending that the last report included
+	inWaitQueue       bool         // in the owner's wait queue: the owner replies when a slot is free
 	reportQueued      bool         // in Gateway.reports
-	reportTo          int          // gateway of the last report
-	unansweredSince   float64      // when the report was sent that waits for a reply; 0: none
-	unansweredReports int          // in a row
+	reportTo          int          // gateway to which the last report was queued
+	unansweredSince   float64      // start of the wait for the owner's reply; 0: no reply is awaited
+	unansweredReports int          // consecutive reports without a reply
 	awaitingReply     bool         // in Gateway.awaitingReply
-	localWindow       quota.Bucket // this gateway's share of the quota, for use while the owner is silent
+	localWindow       quota.Bucket // this gateway's share of the quota, used while the owner is silent
 
 	// As the owner.
 	ledger     *quota.Ledger   // nil: this gateway does not count the account
 	slotLeases slotlease.Table // slots leased to members, and members that wait for one
 
-	hardLimit hardlimit.Limiter // buckets of the hard limit that are kept here
+	hardLimit hardlimit.Limiter // this gateway's buckets of the hard limit
 }
 
-// newAccount is an account that was never heard of: its window is full, its buckets of the hard limit fill
-// from this gateway's start on.
+// newAccount adds an account without earlier state: its window is full, and its buckets of the hard limit
+// have filled from empty since this gateway's start.
 func (g *Gateway) newAccount(key uint32, plan *planState) *accountState {
 	account := &accountState{key: key, plan: plan, primaryOwner: g.settings.Self, lastUsedAt: g.now,
 		rejectedAt: math.Inf(-1), available: plan.Burst, availableAt: g.now,
@@ -76,7 +77,8 @@
 	return account
 }
 
-// accountFor finds or makes the account of a request.
+// accountFor returns the account of a request, and adds it if it is unknown. The first request sets the
+// account's gateways and primary owner.
 func (g *Gateway) accountFor(incoming Request) *accountState {
 	point, plan := peerprotocol.HashPoint(incoming.Account), g.plansByName[incoming.Plan]
 	account := g.accounts[accountKey{uint32(point >> 32), uint32(plan.index)}]
@@ -95,8 +97,8 @@
 	return account
 }
 
-// owner is the gateway that counts the account: its primary owner, or the next of its gateways on the ring
-// that isn't suspected.
+// owner returns the gateway that counts the account: its primary owner or, while that is suspected, the next
+// of the account's gateways on the ring that isn't suspected.
 func (g *Gateway) owner(account *accountState) int {
 	switch {
 	case !g.settings.PeerMessages || account.gatewayCount == 1:
@@ -107,8 +109,8 @@
 	return g.findOwner(account, true)
 }
 
-// findOwner is the first of the account's gateways on the ring, with skipSuspected the first that isn't
-// suspected; this gateway if there is none.
+// findOwner returns the first of the account's gateways on the ring, or with skipSuspected the first that
+// isn't suspected. If there is none, it returns this gateway.
 func (g *Gateway) findOwner(account *accountState, skipSuspected bool) int {
 	serves := func(gateway int) bool {
 		return (gateway-account.firstGateway+g.settings.Gateways)%g.settings.Gateways < account.gatewayCount &&
@@ -120,24 +122,23 @@
 	return g.settings.Self
 }
 
-// peerAlive reports whether a gateway isn't suspected to be down.
+// peerAlive reports whether a gateway isn't suspected. A gateway never suspects itself.
 func (g *Gateway) peerAlive(gateway int) bool {
 	return gateway == g.settings.Self || !g.failureDetector.Suspected(gateway, g.now)
 }
 
-// localDemand is what the account's clients ask for at this gateway, admitted or not, in units a second.
+// localDemand returns the account's demand at this gateway, admitted or not, in units per second.
 func (g *Gateway) localDemand(account *accountState) float64 {
 	return account.demand.Now(g.now, demandTauS)
 }
 
-// totalDemand is what the account's clients ask for at all gateways, as its owner knows it, in units a
-// second.
+// totalDemand returns the account's demand at all gateways, as known to its owner, in units per second.
 func (g *Gateway) totalDemand(account *accountState, ledger *quota.Ledger) float64 {
 	return ledger.DemandNow(g.now, demandTauS) + g.localDemand(account)
 }
 
-// evictAccounts forgets accounts that were not used for accountTTLS and stand as if they had never been heard
-// of, and members of ledgers that were not heard of for memberTTLS.
+// evictAccounts evicts accounts that are idle, have not been used for accountTTLS and are pristine. It drops
+// members that have not reported for memberTTLS from the ledgers of the other accounts.
 func (g *Gateway) evictAccounts() {
 	for key, account := range g.accounts {
 		idle := g.now-account.lastUsedAt > accountTTLS && account.inFlight == 0 && len(account.pending) == 0 &&
@@ -150,15 +151,15 @@
 	}
 }
 
-// isPristine reports whether the account's window and hard limit are as full as those of one that was never
-// heard of.
+// isPristine reports whether the account's windows and hard limit are full, so that its eviction and later
+// re-creation does not change its quota.
 func (g *Gateway) isPristine(account *accountState) bool {
 	plan, gateways := account.plan, float64(max(account.gatewayCount, 1))
 	available := 0.0
 	if account.ledger != nil {
 		available = g.ledger(account).Available
 	} else {
-		available = g.availableNow(account)
+		available = g.availableAsMember(account)
 	}
 	local := account.localWindow.Level + plan.Rate/gateways*(g.now-account.localWindow.UpdatedAt)
 	full := plan.Rate <= 0 ||
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	replyFreshS = 0.5  // seconds for which an owner reply may be shared out among the gateways
-	replyLagS   = 0.05 // seconds between an owner's count and the arrival of its reply
+	maxReplyAgeS = 0.5  // seconds, age above which an owner's reply is stale and gives a member no share
+	replyLagS    = 0.05 // seconds, assumed delay between an owner's count and the arrival of its reply
 
-	// priorityReserveFraction is the fraction of the burst that the class of the lowest priority must leave to
-	// others of its account while that asks for more than its rate.
+	// priorityReserveFraction is the fraction of the burst that a request of lowPriority 1 leaves to requests of
+	// higher priority while the account's demand exceeds its rate. Other requests leave lowPriority times that.
 	priorityReserveFraction = 0.18
 )
 
@@ -22,11 +22,11 @@
 const (
 	denied admission = iota
 	admitted
-	admittedPrefetched // out of units that the owner granted in advance
+	admittedPrefetched // charged to units that the owner granted in advance
 	ownerRequired      // only the owner can decide
 )
 
-// String is the verdict's name.
+// String returns the verdict's name.
 func (a admission) String() string {
 	switch a {
 	case denied:
@@ -41,7 +41,8 @@
 	return "unknown"
 }
 
-// admit gives the verdict on a new request: load shedding first, then the account's quota.
+// admit returns the verdict on a new request and the reason for it. It applies load shedding first, then the
+// account's quota.
 func (g *Gateway) admit(req *request) (admission, reason.Reason) {
 	account := req.account
 	if account == nil {
@@ -58,23 +59,24 @@
 	return g.admitAsMember(req)
 }
 
-// admitAsOwner decides by the ledger. What a concurrency limit or a hard limit allows in time waits for that.
+// admitAsOwner decides by the ledger. A request that exceeds the concurrency limit or the hard limit is
+// admitted if the limit is expected to allow it while it can still be sent; it then waits in the queue.
 func (g *Gateway) admitAsOwner(req *request) (admission, reason.Reason) {
 	denial := g.windowDenial(req.account, g.ledger(req.account), req.Units, req.lowPriority)
 	switch {
-	case denial != reason.None && (denial != reason.ConcurrencyLimit || !g.slotFreeSoon(req)):
+	case denial != reason.None && (denial != reason.ConcurrencyLimit || !g.slotFreeInTime(req)):
 		return denied, denial
-	case !g.hardLimitPaysSoon(req):
+	case !g.hardLimitPaysInTime(req):
 		return denied, reason.HardLimitExhausted
 	}
 	return admitted, reason.OwnerCount
 }
 
-// admitAsMember decides by what the owner granted and last replied. Where that is not enough, the
-// owner decides.
+// admitAsMember decides by the units granted in advance and the owner's last reply. If these do not settle
+// the verdict, the owner has to decide.
 func (g *Gateway) admitAsMember(req *request) (admission, reason.Reason) {
 	account, plan := req.account, req.plan
-	available := g.availableNow(account)
+	available := g.availableAsMember(account)
 	replyAgeS := g.now - account.availableAt
 	switch {
 	case plan.MaxConcurrency == 0 && req.Units <= account.prefetched:
@@ -85,7 +87,7 @@
 		return ownerRequired, reason.OwnerSilent
 	case g.now < account.backoffUntil:
 		return denied, reason.OwnerBackoff
-	case plan.MaxConcurrency > 0 && g.slotUncertain(req, replyAgeS):
+	case plan.MaxConcurrency > 0 && g.needsSlotLease(req, replyAgeS):
 		return ownerRequired, reason.ConcurrencyLimit
 	case g.hardLimitNeedsOwner(req):
 		return ownerRequired, reason.HardLimitLocal
@@ -95,20 +97,21 @@
 	return g.admitByReply(req, available, replyAgeS)
 }
 
-// slotUncertain reports whether the request needs the owner to lease a slot: none is free here, and the
-// owner's last reply is too old, or leaves too few slots, to start an attempt without one. The other gateways
-// are assumed to have started attempts at their demand since that reply.
-func (g *Gateway) slotUncertain(req *request, replyAgeS float64) bool {
+// needsSlotLease reports whether the request needs a slot lease from the owner: this gateway has no free
+// leased slot, and the owner's last reply is stale or leaves too few slots to start an attempt without a
+// lease. The other gateways are assumed to have started attempts at their demand since that reply.
+func (g *Gateway) needsSlotLease(req *request, replyAgeS float64) bool {
 	account := req.account
 	used := account.inFlight + account.unsentAdmitted
-	started := account.otherDemand * (replyAgeS + replyLagS) / max(req.Units, 1) // by other gateways
-	return account.leasedSlots.Count(g.now+slotlease.RenewBeforeS) <= used && (replyAgeS > replyFreshS ||
+	started := account.otherDemand * (replyAgeS + replyLagS) / max(req.Units, 1) // attempts of other gateways
+	return account.leasedSlots.Count(g.now+slotlease.RenewBeforeS) <= used && (replyAgeS > maxReplyAgeS ||
 		float64(used+account.otherInFlight+1)+started >= float64(req.plan.MaxConcurrency))
 }
 
-// admitByReply decides by the units that the owner last reported, of which this gateway takes its share of
-// the demand, or what twice the demand of the others leaves. A reply that is too old is good only for what
-// every gateway of the account could take.
+// admitByReply decides by the available units, as derived from the owner's last reply. If the reply is fresh,
+// the request must fit this gateway's share of the units by demand, or the units that remain if the other
+// gateways use twice their demand. If the reply is stale, the request must fit even if each gateway of the
+// account admits as much.
 func (g *Gateway) admitByReply(req *request, available, replyAgeS float64) (admission, reason.Reason) {
 	account, plan := req.account, req.plan
 	localDemand, otherDemand := g.localDemand(account), account.otherDemand
@@ -117,23 +120,24 @@
 		need += req.lowPriority * priorityReserveFraction * plan.Burst
 	}
 	share := available * localDemand / max(localDemand+otherDemand, epsilon)
-	left := available - 2*otherDemand*(replyAgeS+replyLagS)
-	leftLong := min(available, available-(otherDemand-plan.Rate)*replyAgeS)
-	switch stale := !account.ownerReplied || replyAgeS > replyFreshS; {
-	case stale && need*float64(account.gatewayCount) <= leftLong:
+	remaining := available - 2*otherDemand*(replyAgeS+replyLagS)
+	staleRemaining := min(available, available-(otherDemand-plan.Rate)*replyAgeS)
+	switch stale := !account.ownerReplied || replyAgeS > maxReplyAgeS; {
+	case stale && need*float64(account.gatewayCount) <= staleRemaining:
 		return admitted, reason.StaleReplyFits
-	case !stale && need <= max(share, left):
+	case !stale && need <= max(share, remaining):
 		return admitted, reason.QuotaShare
 	case req.Units > available && replyAgeS < reportqueue.BatchIntervalS:
-		return denied, reason.ReplyExhausted // the reply is too young for a quota request to change it
+		return denied, reason.ReplyExhausted // the reply is so recent that the owner would not decide differently
 	case stale:
 		return ownerRequired, reason.ReplyStale
 	}
 	return ownerRequired, reason.ReplyShareTooSmall
 }
 
-// chargeAdmission admits a request and charges its units to the quota. Unless they are paid, by a grant of
-// the hard limit's shared bucket, they are still to be taken from a bucket before the first attempt.
+// chargeAdmission marks a request as admitted and charges its units to the quota. paid means that under a
+// hard limit a grant from the shared bucket has already paid for the units. Otherwise a bucket at this
+// gateway must pay for them before the first attempt.
 func (g *Gateway) chargeAdmission(req *request, paid bool) {
 	req.phase = phaseAdmitted
 	account := req.account
@@ -148,7 +152,7 @@
 	g.charge(account, req.Units)
 }
 
-// charge counts units of an account as used here; below 0 gives back.
+// charge counts units as used by the account at this gateway. Negative units are returned to the quota.
 func (g *Gateway) charge(account *accountState, units float64) {
 	if g.owner(account) == g.settings.Self {
 		g.ledger(account).Charge(units, maxDebtFraction*account.plan.Burst)
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -1,17 +1,18 @@
 package policy
 
 const (
-	minTimeoutSamples = 10 // requests of a class before retries are recognized
+	minTimeoutSamples = 10 // requests of a class before client retries are recognized
 
 	// commonTimeoutFraction is the fraction of a class's requests that must arrive with about the same time
-	// left, for that to be a timeout of first requests.
+	// left for that time to count as a timeout of first requests.
 	commonTimeoutFraction = 0.4
 )
 
-// looksLikeRetry distinguishes a client's retry from a first request by the seconds that are left until its
-// deadline, and counts them. First requests of a class have one of few timeouts, each of them common; a retry
-// has what is left of its first request's. common is the fraction of requests that makes a time common. Where
-// no time is common, as clients draw a new one for each attempt, nothing is taken for a retry.
+// looksLikeRetry reports whether a request looks like a client retry by the seconds left until its deadline,
+// and adds these to the class's histogram. First requests of a class use a few timeouts, each of them
+// common; a retry has only the rest of its first request's timeout. A time is common if at least
+// commonFraction of the requests have about that time left. If no time is common, as with clients that
+// choose a new timeout for each attempt, no request is taken for a retry.
 func (c *classState) looksLikeRetry(remainingS, commonFraction float64) bool {
 	common := commonFraction * float64(c.clientTimeouts.Samples())
 	similar := float64(c.clientTimeouts.Observe(remainingS / c.DeadlineS))
@@ -19,9 +20,9 @@
 	return c.clientTimeouts.Samples() > minTimeoutSamples && similar < common && mostSimilar >= common
 }
 
-// mayBeRetrying reports whether the account's clients have cause to retry: a request was rejected here within
-// a client's timeout, or they ask for more than the rate. Other clients with little time left are first
-// requests in a hurry.
+// mayBeRetrying reports whether the account's clients have cause to retry: this gateway rejected a request of
+// the account less than class.DeadlineS seconds ago, or the account's demand exceeds its rate. Without such a
+// cause, requests with little time left are first requests with a short timeout.
 func (g *Gateway) mayBeRetrying(account *accountState, class *classState) bool {
 	return g.now-account.rejectedAt < class.DeadlineS ||
 		account.plan.Rate > 0 && g.localDemand(account)+account.otherDemand > account.plan.Rate
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -8,15 +8,16 @@
 	"eiderspread/internal/decision/slotlease"
 )
 
-// noMember, where slotlease.Table leaves out a member, leaves out none.
+// noMember is the gateway number with which slotlease.Table.Leased excludes no member.
 const noMember = -1
 
-// unleasedSlotTTLS is for how many seconds an owner counts the attempts of a member that doesn't know slot
-// leases.
+// unleasedSlotTTLS is the time in seconds for which an owner counts the reported attempts of a member that
+// doesn't support slot leases.
 const unleasedSlotTTLS = 3.0
 
-// freeSlots is how many further attempts the owner of an account with a limit on concurrent attempts may
-// start or lease now.
+// freeSlots returns how many further slots the owner of an account with a concurrency limit may use or lease
+// now. Before slotLeasingFrom it returns 0 if the account has other gateways, as slots that a former process
+// leased to them may still be in use.
 func (g *Gateway) freeSlots(account *accountState) int {
 	if g.now < g.slotLeasingFrom && g.settings.PeerMessages && account.gatewayCount != 1 {
 		return 0
@@ -31,18 +32,18 @@
 		g.owner(account) == g.settings.Self && g.freeSlots(account)+account.unsentAdmitted <= 0)
 }
 
-// slotFreeSoon reports whether a slot is expected to be free while the request can still be sent, after all
-// that waits already.
-func (g *Gateway) slotFreeSoon(req *request) bool {
+// slotFreeInTime reports whether a slot is expected to become free for the request while it can still be
+// sent. Requests and members that wait already come first.
+func (g *Gateway) slotFreeInTime(req *request) bool {
 	account := req.account
 	waiting := account.unsentAdmitted + account.slotLeases.QueueLen()
 	waitS := account.slotLeases.ExpectedWaitS(g.now, waiting, account.inFlight, req.class.meanLatency)
 	return g.now+waitS <= req.latestFirstSend()
 }
 
-// addInFlight counts attempts of the request's account that start (delta 1) or end (-1). The owner hears of
-// one that starts without a leased slot, and at once of one that ends while slots are scarce; of each, if it
-// leases none.
+// addInFlight counts an attempt of the request's account that starts (delta 1) or ends (-1). A member reports
+// an attempt that starts without a leased slot, and urgently one that ends while slots are scarce. It reports
+// every start and end, not urgently, to an owner that leases no slots.
 func (g *Gateway) addInFlight(req *request, delta int) {
 	account := req.account
 	if account == nil {
@@ -60,7 +61,8 @@
 	}
 }
 
-// renewSlotLease reports an attempt to the owner before its slot lease ends.
+// renewSlotLease queues an urgent report, which renews the leases of the account's slots, if a lease is about
+// to expire while the request has an attempt in flight.
 func (g *Gateway) renewSlotLease(req *request) {
 	account := req.account
 	if account != nil && account.ownerLeases && req.inFlight > 0 &&
@@ -82,7 +84,7 @@
 	}
 }
 
-// enqueueMember lets a member wait for a slot, which is then leased to it without another request.
+// enqueueMember adds a member to the wait queue. A slot is leased to it later, without another request.
 func (g *Gateway) enqueueMember(account *accountState, waiter slotlease.Waiter, reply *record) {
 	class := g.classByPriority(waiter.LowPriority)
 	waiter.ExpiresAt = g.now + class.LatencyObjectiveS - class.meanLatency
@@ -104,7 +106,8 @@
 	account.slotLeases.Grant(g.now, waiter.Member, reply.Slots, reply.LeaseS, class.meanLatency)
 }
 
-// prefetchSlots leases a member's share of the free slots to it in advance, while nobody waits for one.
+// prefetchSlots leases slots to a member in advance, by its share of the demand, while the wait queue is
+// empty.
 func (g *Gateway) prefetchSlots(account *accountState, ledger *quota.Ledger, member int, reply *record) {
 	if account.plan.MaxConcurrency <= 0 || !reply.Leases || reply.BackoffS != 0 ||
 		account.slotLeases.QueueLen() != 0 {
@@ -122,7 +125,7 @@
 	account.slotLeases.Grant(g.now, member, slots, reply.LeaseS, reply.LeaseS)
 }
 
-// serveWaitQueues leases slots that came free to the members that wait, once a tick.
+// serveWaitQueues leases free slots to waiting members of all accounts. It is called once a tick.
 func (g *Gateway) serveWaitQueues() {
 	g.waitQueues = slices.DeleteFunc(g.waitQueues, func(account *accountState) bool {
 		g.serveWaitQueue(account)
@@ -130,8 +133,7 @@
 	})
 }
 
-// serveWaitQueue leases slots that came free to the members that wait for one of the account, in order of
-// arrival.
+// serveWaitQueue leases the account's free slots to the members in its wait queue, in the order of the queue.
 func (g *Gateway) serveWaitQueue(account *accountState) {
 	for {
 		waiter, ok := account.slotLeases.NextWaiter(g.now)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -8,21 +8,21 @@
 	"eiderspread/internal/decision/slotlease"
 )
 
-// ownerRig is a gateway that owns an account, with scripted members.
-type ownerRig struct {
+// ownerFixture is a gateway that owns an account, with scripted members.
+type ownerFixture struct {
 	t        *testing.T
 	g        *Gateway
 	recorder *recorder
 	seq      map[int]uint16
 }
 
-func newOwnerRig(t *testing.T, gateways int) *ownerRig {
+func newOwnerFixture(t *testing.T, gateways int) *ownerFixture {
 	g, r := newTestGateway(t, withGateways(gateways))
-	return &ownerRig{t, g, r, map[int]uint16{}}
+	return &ownerFixture{t, g, r, map[int]uint16{}}
 }
 
 // report has a member send a report and returns the owner's reply, if there is one.
-func (b *ownerRig) report(now float64, from int, report record) (reply record, answered bool) {
+func (b *ownerFixture) report(now float64, from int, report record) (reply record, answered bool) {
 	b.t.Helper()
 	b.seq[from]++
 	before := len(b.recorder.of("message", ""))
@@ -34,7 +34,7 @@
 }
 
 // lastReply is the last reply that was sent to a gateway since so many messages.
-func (b *ownerRig) lastReply(since, to int) (reply record, any bool) {
+func (b *ownerFixture) lastReply(since, to int) (reply record, any bool) {
 	for _, m := range b.recorder.of("message", "")[since:] {
 		if _, _, records, _, ok := peerprotocol.Parse(m.data, b.g.now); ok && m.to == to && len(records) > 0 && records[0].AccountKey == 77 {
 			reply, any = records[0], true
@@ -44,7 +44,7 @@
 }
 
 // run lets time pass.
-func (b *ownerRig) run(from, to float64) {
+func (b *ownerFixture) run(from, to float64) {
 	for now := from; now < to; now += tickIntervalS {
 		b.g.HandleTimer(now, 1)
 	}
@@ -57,7 +57,7 @@
 
 // A leased slot comes back when its lease ends, and is leased to the next member that waits.
 func TestSlotLease_Expires(t *testing.T) {
-	b := newOwnerRig(t, 9)
+	b := newOwnerFixture(t, 9)
 	for m := 1; m <= 2; m++ {
 		if reply, _ := b.report(101, m, slotRequest(0)); reply.Requested != 1 || reply.Slots != 1 || reply.LeaseS <= 0 {
 			t.Fatalf("member %d got %+v", m, reply)
@@ -83,7 +83,7 @@
 // A report of an attempt's end frees its slot for the next member that waits at once, and is not answered
 // itself.
 func TestSlotLease_FreedSlotGoesToWaitQueue(t *testing.T) {
-	b := newOwnerRig(t, 9)
+	b := newOwnerFixture(t, 9)
 	b.report(101, 1, slotRequest(0))
 	b.report(101, 2, slotRequest(0))
 	b.report(101.01, 3, slotRequest(0))
@@ -107,7 +107,7 @@
 
 // In a fleet of mixed versions the attempts of a member that knows no leases count for three seconds.
 func TestSlotLease_MemberWithoutLeaseSupport(t *testing.T) {
-	b := newOwnerRig(t, 9)
+	b := newOwnerFixture(t, 9)
 	old := slotRequest(0)
 	old.Leases = false
 	b.report(101, 1, old)
@@ -128,7 +128,7 @@
 // An owner that has just started does not know what is in flight: it leases nothing until all leases of its
 // predecessor have ended.
 func TestSlotLease_NoneAfterRestart(t *testing.T) {
-	b := newOwnerRig(t, 9)
+	b := newOwnerFixture(t, 9)
 	if reply, _ := b.report(100.1, 1, slotRequest(0)); reply.Slots != 0 || reply.Requested > emptyGrantUnits {
 		t.Fatalf("%+v", reply)
 	}
--- a/policy/decision_trace.go
+++ b/policy/decision_trace.go
@@ -5,11 +5,12 @@
 	"eiderspread/internal/decision/slotlease"
 )
 
-// SetTracer has each decision passed to tracer, with its reason, until SetTracer is called with nil. The
-// tracer is called while events are handled, and must return quickly.
+// SetTracer sets a function that is called with each decision and its reason; nil turns tracing off. The
+// function runs while an event is handled, and must return quickly.
 func (g *Gateway) SetTracer(tracer func(reason.Decision)) { g.tracer = tracer }
 
-// trace records a step of a request. attempt is the step's attempt by its index, or noAttempt.
+// trace records a step of a request. attempt is the index of the attempt that the step concerns, or
+// noAttempt.
 func (g *Gateway) trace(step reason.Step, cause reason.Reason, req *request, attempt int) {
 	if g.tracer == nil {
 		return
@@ -29,7 +30,7 @@
 	g.tracer(decision)
 }
 
-// requestDecision begins the record of a step of a request.
+// requestDecision returns the record of a request's step, with the fields that every step has.
 func (g *Gateway) requestDecision(step reason.Step, req *request) reason.Decision {
 	return reason.Decision{At: g.now, Step: step, ID: req.ID, Class: req.class.Name, Plan: req.Plan,
 		Units:               req.Units,
@@ -37,7 +38,7 @@
 		ObjectiveRemainingS: float32(req.objectiveDeadline - g.now)}
 }
 
-// traceAccount fills in what this gateway knows of the account.
+// traceAccount fills in this gateway's state of the account.
 func (g *Gateway) traceAccount(decision *reason.Decision, account *accountState) {
 	decision.Account, decision.Owner, decision.PrimaryOwner = account.key, g.owner(account), account.primaryOwner
 	decision.InFlight = account.inFlight
@@ -46,7 +47,7 @@
 		decision.WindowAvailable = float32(ledger.Available)
 		decision.OtherDemand = float32(ledger.DemandNow(g.now, demandTauS))
 	} else {
-		decision.WindowAvailable = float32(g.availableNow(account))
+		decision.WindowAvailable = float32(g.availableAsMember(account))
 		decision.ReplyAgeS = float32(g.now - account.availableAt)
 	}
 	if limit := g.hardLimitConfig(account); limit.Rate > 0 {
@@ -66,7 +67,7 @@
 	g.tracer(decision)
 }
 
-// traceGrant records what this gateway, as owner, replied to a member's quota request.
+// traceGrant records this gateway's decision, as owner, on a member's quota request.
 func (g *Gateway) traceGrant(account *accountState, waiter slotlease.Waiter, reply record, grant float64,
 	denial reason.Reason) {
 	if g.tracer == nil {
@@ -77,7 +78,7 @@
 	if grant == 0 {
 		decision.Step, decision.Reason = reason.StepDenied, denial
 	} else if account.plan.HardLimitRate > 0 && !reply.SharedBucket {
-		decision.Reason = reason.HardLimitExhausted // granted, but the shared bucket doesn't pay
+		decision.Reason = reason.HardLimitExhausted // granted, but not paid for by the shared bucket
 	}
 	g.traceAccount(&decision, account)
 	g.tracer(decision)
--- a/policy/hard_limit.go
+++ b/policy/hard_limit.go
@@ -2,7 +2,7 @@
 
 import "eiderspread/internal/decision/hardlimit"
 
-// hardLimitConfig is the account's hard limit as this gateway takes part in it.
+// hardLimitConfig returns the account's hard limit as it applies to this gateway.
 func (g *Gateway) hardLimitConfig(account *accountState) hardlimit.Params {
 	return hardlimit.Params{
 		Rate:           account.plan.HardLimitRate,
@@ -13,25 +13,25 @@
 	}
 }
 
-// hardLimitPays reports whether a bucket kept here holds the request's units.
+// hardLimitPays reports whether one of this gateway's buckets holds the request's units.
 func (g *Gateway) hardLimitPays(req *request) bool {
 	limit, buckets := g.hardLimitConfig(req.account), &req.account.hardLimit
 	return buckets.LocalCovers(limit, g.now, req.Units) || buckets.SharedCovers(limit, g.now, req.Units)
 }
 
-// hardLimitPaysSoon reports whether the buckets kept here will hold the request's units, after all that is
-// unpaid already, while the request can still be sent. A hard limit refills faster than the quota, so that
-// such waits are short.
-func (g *Gateway) hardLimitPaysSoon(req *request) bool {
+// hardLimitPaysInTime reports whether this gateway's buckets will pay for the request, after all units that
+// are still unpaid, while the request can still be sent. The wait is short, as a hard limit refills faster
+// than the quota.
+func (g *Gateway) hardLimitPaysInTime(req *request) bool {
 	limit, waitS := g.hardLimitConfig(req.account), req.latestFirstSend()-g.now
 	return req.account.hardLimit.CoversWithin(limit, g.now, req.Units, waitS)
 }
 
-// hardLimitNeedsOwner reports whether the local bucket doesn't hold the request's units after all that is
-// unpaid, and that a grant may: the primary owner pays it from the shared bucket. Without that owner the
-// request may wait for the buckets kept here.
+// hardLimitNeedsOwner reports whether the request needs a grant: the local bucket doesn't hold its units in
+// addition to all unpaid units, and the primary owner may pay for the grant from the shared bucket. While
+// another gateway is the owner, a request for which this gateway's buckets pay in time needs no grant.
 func (g *Gateway) hardLimitNeedsOwner(req *request) bool {
 	account, limit := req.account, g.hardLimitConfig(req.account)
 	return !account.hardLimit.LocalCovers(limit, g.now, account.hardLimit.Unpaid+req.Units) &&
-		(g.owner(account) == account.primaryOwner || !g.hardLimitPaysSoon(req))
+		(g.owner(account) == account.primaryOwner || !g.hardLimitPaysInTime(req))
 }
--- a/policy/hard_limit_test.go
+++ b/policy/hard_limit_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// cappedReport is a report of gateway 1 to gateway 0, as the primary owner of an account with a hard limit,
+// sendHardLimitReport is a report of gateway 1 to gateway 0, as the primary owner of an account with a hard limit,
 // and its reply.
-func cappedReport(t *testing.T, g *Gateway, r *recorder, now float64, sequence uint16, want, first float64) record {
+func sendHardLimitReport(t *testing.T, g *Gateway, r *recorder, now float64, sequence uint16, want, first float64) record {
 	t.Helper()
 	key := uint32(0)
 	for i := 0; key == 0; i++ {
@@ -90,11 +90,11 @@
 // The shared bucket pays for a part of a batch, and not for all of it or nothing.
 func TestHardLimit_SharedBucketGrantsPartially(t *testing.T) {
 	g, r := newTestGateway(t, nil)
-	a := cappedReport(t, g, r, 100.31, 1, 12, 2) // 10 a second since 100: 3.1 units, reported in quarters
+	a := sendHardLimitReport(t, g, r, 100.31, 1, 12, 2) // 10 a second since 100: 3.1 units, reported in quarters
 	if !a.SharedBucket || a.Total != 3 || a.Requested != 3 {
 		t.Fatalf("granted %v of 12 with 3 in the shared part, paid %v: %+v", a.Requested, a.SharedBucket, a)
 	}
-	if a = cappedReport(t, g, r, 100.31, 2, 12, 2); a.SharedBucket || a.Requested != 12 {
+	if a = sendHardLimitReport(t, g, r, 100.31, 2, 12, 2); a.SharedBucket || a.Requested != 12 {
 		t.Fatalf("with an empty shared part the member's own part may pay: %+v", a)
 	}
 }
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	unlimitedMessageRate = 1e6  // messages a second, where the settings give no limit
-	memberReportFraction = 0.45 // of the peer message rate, for this gateway's own reports; replies come on top
+	unlimitedMessageRate = 1e6  // messages per second, if the settings set no limit
+	memberReportFraction = 0.45 // fraction of the peer message rate for own reports; replies come on top
 
-	gossipPerMessage = 6   // entries in a message
-	gossipTTLS       = 2.0 // seconds for which an entry is passed on
-	gossipMinStepS   = 0.2 // seconds by which an entry must be newer than what is known
+	gossipPerMessage = 6   // maximum number of entries in a message
+	gossipTTLS       = 2.0 // seconds for which an entry is forwarded
+	gossipMinStepS   = 0.2 // seconds by which an entry must be newer than the known value
 )
 
-// record is what two gateways exchange about one account: a member's report, or its owner's reply.
+// record is the part of a message that concerns one account: a member's report or its owner's reply.
 type record = peerprotocol.Record
 
-// messageHeader begins a message.
+// messageHeader returns a new message that has only its header, with the next sequence number.
 func (g *Gateway) messageHeader() []byte {
 	g.sequence++
 	return peerprotocol.AppendHeader(make([]byte, 0, peerprotocol.MaxLen), g.incarnation, g.sequence)
 }
 
-// sendMessage sends a message with the records behind its header, if there are any, and gossip in what is
-// left of its length.
+// sendMessage sends a message with its records and with gossip in the space that is left. It sends nothing if
+// there are no records.
 func (g *Gateway) sendMessage(to int, message []byte) {
 	if len(message) == peerprotocol.HeaderLen {
 		return
@@ -36,14 +36,15 @@
 	g.sendGossip(to, message)
 }
 
-// sendGossip sends a message with gossip in what is left of its length.
+// sendGossip fills the space that is left in a message with gossip and sends it.
 func (g *Gateway) sendGossip(to int, message []byte) {
 	message = g.gossip.AppendNewest(g.shedder.AppendGossip(message), gossipPerMessage, g.now, gossipTTLS)
 	g.actions.SendPeerMessage(to, message)
 }
 
-// HandlePeerMessage handles a message of another gateway. All its reports are answered at once, in one
-// message. What can't be parsed, is older than an earlier message or comes from nowhere is ignored.
+// HandlePeerMessage handles a message of another gateway. It replies to all reports in the message at once,
+// in one message. It ignores messages that can't be parsed, are older than one received before, or have an
+// invalid sender.
 func (g *Gateway) HandlePeerMessage(now float64, from int, data []byte) {
 	g.advanceClock(now)
 	incarnation, sequence, records, entries, ok := peerprotocol.Parse(data, now)
@@ -68,7 +69,8 @@
 	g.flushReports()
 }
 
-// applyRecord applies a record of a peer, and appends the reply to a report that needs one.
+// applyRecord applies a record of a peer. If the record is a report that needs a reply, it appends the reply
+// to replies.
 func (g *Gateway) applyRecord(from int, received record, replies []byte) []byte {
 	account := g.accounts[accountKey{received.AccountKey, uint32(received.Plan)}]
 	switch {
@@ -82,7 +84,7 @@
 		}
 		account.lastUsedAt = g.now
 		reply := g.applyMemberReport(account, from, received)
-		if received.LeaseS == 0 { // else the report is of slots alone
+		if received.LeaseS == 0 { // a report with a lease time is of slots alone and needs no reply
 			replies = peerprotocol.AppendRecord(replies, reply)
 		}
 		g.serveWaitQueue(account)
@@ -90,7 +92,7 @@
 	return replies
 }
 
-// applyGossip applies what another gateway knows of a backend, and passes it on if it is new here.
+// applyGossip applies another gateway's entry about a backend, and forwards it if it is new to this gateway.
 func (g *Gateway) applyGossip(entry peerprotocol.GossipEntry) {
 	backend := g.backends.ByShortHash(entry.BackendHash)
 	if backend == nil || backend.StartedAt > entry.At {
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	quotaReplyTimeoutS  = 0.08 // seconds until a quota request without a reply is sent again
-	reportReplyTimeoutS = 0.3  // the same for a report that no request waits for
+	quotaReplyTimeoutS  = 0.08 // seconds after which a quota request without a reply is sent again
+	reportReplyTimeoutS = 0.3  // seconds after which a report without a reply is sent again if no request waits
 )
 
-// availableNow is the units in the owner's window as a member knows it. A gateway that has ceased to be the
-// owner begins with what its ledger says.
-func (g *Gateway) availableNow(account *accountState) float64 {
+// availableAsMember returns the units in the owner's window, as a member estimates them from the owner's last
+// reply. A gateway that was the owner so far replaces its ledger by a member's state first.
+func (g *Gateway) availableAsMember(account *accountState) float64 {
 	if account.ledger != nil {
 		account.available, account.availableAt = g.ledger(account).Available, g.now
 		account.ownerReplied, account.ackedUnits, account.ledger = true, account.admittedUnits, nil
@@ -25,8 +25,8 @@
 		max(account.admittedUnits-account.ackedUnits, 0)
 }
 
-// requestQuota holds a request until its account's owner has replied. The first of an account sends a report
-// at once; others join the next one.
+// requestQuota holds a request until its account's owner has replied. The account's first pending request has
+// a report sent at once; later requests are included in the next report.
 func (g *Gateway) requestQuota(req *request, cause reason.Reason) {
 	account := req.account
 	g.trace(reason.StepQuotaRequested, cause, req, noAttempt)
@@ -44,7 +44,8 @@
 	g.flushReports()
 }
 
-// rejectUnanswered rejects a request whose owner did not reply while it could still be sent.
+// rejectUnanswered rejects a request that still waits for the owner when it is too late to send it, and
+// reports whether it did.
 func (g *Gateway) rejectUnanswered(req *request) bool {
 	if req.phase != phaseAwaitingOwner ||
 		g.now+tickIntervalS <= min(req.expiresAt()-req.class.meanLatency, req.latestStart) {
@@ -58,8 +59,8 @@
 	return true
 }
 
-// queueReport has the account reported to its owner with the next batch, or with urgent as soon as the
-// message rate allows.
+// queueReport queues a report of the account to its owner. The report is sent with the next batch or, if it
+// is urgent, as soon as the message rate allows.
 func (g *Gateway) queueReport(account *accountState, urgent bool) {
 	owner := g.owner(account)
 	if owner == g.settings.Self {
@@ -75,13 +76,13 @@
 	}
 }
 
-// flushReports sends the reports that are due, within this gateway's fraction of the message rate.
+// flushReports sends the reports that are due, at memberReportFraction of the peer message rate at most.
 func (g *Gateway) flushReports() {
 	g.reports.Flush(g.now, g.settings.PeerMessageRate*memberReportFraction, g.sendReports)
 }
 
-// sendReports sends an owner the reports of as many accounts as one message holds. It returns how many of
-// them are done with.
+// sendReports sends an owner the reports of as many accounts as one message holds. It returns how many
+// accounts, from the front, were reported or need no report any more.
 func (g *Gateway) sendReports(owner int, accounts []*accountState) (done int) {
 	message := g.messageHeader()
 	for _, account := range accounts {
@@ -90,7 +91,7 @@
 		}
 		done++
 		if account.reportTo != owner || !account.reportQueued {
-			continue // the owner changed, or an earlier message had it
+			continue // the owner has changed, or an earlier message contained the report
 		}
 		account.reportQueued = false
 		account.lastUsedAt = g.now
@@ -100,10 +101,10 @@
 	return done
 }
 
-// memberReport is the account's report to its owner. From now on a reply is expected, unless the report is
-// of slots alone.
+// memberReport returns the account's report to its owner. It starts the wait for a reply, unless the report
+// is of slots alone, to which the owner doesn't reply.
 func (g *Gateway) memberReport(account *accountState) record {
-	available := g.availableNow(account) // first: it may make this gateway a member
+	available := g.availableAsMember(account) // first, as it changes the state of a former owner
 	report := record{AccountKey: account.key, Plan: account.plan.index, Known: account.ownerReplied,
 		SharedBucket: account.reportTo == account.primaryOwner,
 		Total:        account.admittedUnits + account.prefetched,
@@ -132,7 +133,7 @@
 	return report
 }
 
-// expectReply has the account's reports watched by handleUnanswered.
+// expectReply adds the account to those that handleUnanswered checks.
 func (g *Gateway) expectReply(account *accountState) {
 	if !account.awaitingReply {
 		account.awaitingReply = true
@@ -140,7 +141,7 @@
 	}
 }
 
-// handleUnanswered looks at the accounts with reports that wait for a reply, once a tick.
+// handleUnanswered checks the accounts whose reports wait for a reply. It is called once a tick.
 func (g *Gateway) handleUnanswered() {
 	for _, account := range g.awaitingReply {
 		if g.replyOverdue(account) {
@@ -152,8 +153,8 @@
 	g.awaitingReply = slices.DeleteFunc(g.awaitingReply, answered)
 }
 
-// replyOverdue reports whether the owner's reply did not come in time. A stall of this process is not the
-// owner's silence.
+// replyOverdue reports whether the owner's reply is overdue. A stall of this process restarts the timeout, as
+// it does not show that the owner is silent.
 func (g *Gateway) replyOverdue(account *accountState) bool {
 	timeoutS := reportReplyTimeoutS
 	if len(account.pending) > 0 {
@@ -162,10 +163,11 @@
 	return account.unansweredSince > 0 && g.now-max(account.unansweredSince, g.resumedAt) > timeoutS
 }
 
-// handleMissingReply sends a report again. The failure detector may have made another gateway the owner by
-// then. When that is silent as well, what waits is decided by the local window.
+// handleMissingReply queues the report again, to another owner if the failure detector now suspects the
+// former one. If more reports in a row than the detector's threshold stay unanswered, the local window
+// decides the pending requests.
 func (g *Gateway) handleMissingReply(account *accountState) {
-	if !account.reportQueued && !account.inWaitQueue { // it was sent
+	if !account.reportQueued && !account.inWaitQueue { // the report was sent and is not acknowledged
 		g.failureDetector.RecordUnanswered(account.reportTo, g.now)
 	}
 	account.unansweredReports++
@@ -178,57 +180,58 @@
 		return
 	}
 	account.unansweredReports = 0
-	fits := func(req *request) bool { return g.takeLocalWindow(account, req.Units) }
-	byWindow := resolution{fits: fits, requeue: true, denial: reason.ConcurrencyLimit}
-	if g.resolvePending(account, len(account.pending), byWindow) > 0 {
+	fits := func(req *request) bool { return g.takeFromLocalWindow(account, req.Units) }
+	options := resolveOptions{fits: fits, requeue: true, denial: reason.ConcurrencyLimit}
+	if g.resolvePending(account, len(account.pending), options) > 0 {
 		g.queueReport(account, true)
 		account.unansweredSince = g.now
 	}
 }
 
-// takeLocalWindow takes units from the account's local window, if it holds them: this gateway's share of rate
-// and burst, as the others may go on serving the account. The burst is at least the largest request, so that
-// with many gateways the local windows together exceed the plan's burst.
-func (g *Gateway) takeLocalWindow(account *accountState, units float64) bool {
+// takeFromLocalWindow takes units from the account's local window, if the window holds them, and reports
+// whether it did. The local window is this gateway's share of rate and burst, as the other gateways may still
+// serve the account. Its burst is at least the largest request, so that with many gateways the local windows
+// together exceed the plan's burst.
+func (g *Gateway) takeFromLocalWindow(account *accountState, units float64) bool {
 	plan, gateways := account.plan, float64(account.gatewayCount)
 	if plan.MaxConcurrency > 0 && account.inFlight+account.otherInFlight >= plan.MaxConcurrency {
 		return false
 	}
 	burst := max(plan.Burst/gateways, float64(g.settings.MaxRequestUnits))
 	account.localWindow.Refill(g.now, plan.Rate/gateways, burst)
-	if plan.Rate > 0 && units > min(account.localWindow.Level, g.availableNow(account)) {
+	if plan.Rate > 0 && units > min(account.localWindow.Level, g.availableAsMember(account)) {
 		return false
 	}
 	account.localWindow.Level -= units
 	return true
 }
 
-// resolution is by what pending requests are decided.
-type resolution struct {
-	fits    func(*request) bool // called once for each request; what it takes stays taken
-	paid    bool                // the hard limit's shared bucket paid for those that fit
-	requeue bool                // those that are not admitted are requested again where mayRequeue allows
-	denial  reason.Reason       // of those that don't fit and are not requested again
+// resolveOptions define how resolvePending decides requests.
+type resolveOptions struct {
+	fits    func(*request) bool // called once for each request; units that it takes are not returned
+	paid    bool                // the hard limit's shared bucket has paid for the requests that fit
+	requeue bool                // requests that are not admitted are requested again if mayRequeue allows it
+	denial  reason.Reason       // for requests that neither fit nor are requested again
 }
 
-// resolvePending decides the first n pending requests. It returns how many of them stay pending.
-func (g *Gateway) resolvePending(account *accountState, n int, by resolution) (requeued int) {
+// resolvePending decides the first n pending requests, and returns how many of them stay pending.
+func (g *Gateway) resolvePending(account *accountState, n int, options resolveOptions) (requeued int) {
 	decided, rest := account.pending[:n], slices.Clone(account.pending[n:])
 	account.pending = nil
 	for _, req := range decided {
 		if req.phase == phaseCompleted {
 			continue
 		}
-		switch fits := by.fits(req); {
-		case fits && (by.paid || g.hardLimitPaysSoon(req)):
-			g.chargeAdmission(req, by.paid)
+		switch fits := options.fits(req); {
+		case fits && (options.paid || g.hardLimitPaysInTime(req)):
+			g.chargeAdmission(req, options.paid)
 			g.dispatch(req)
-		case by.requeue && g.mayRequeue(account, fits):
+		case options.requeue && g.mayRequeue(account, fits):
 			account.pending = append(account.pending, req)
 		case fits:
 			g.reject(req, reason.HardLimitUnpaidGrant)
 		default:
-			g.reject(req, by.denial)
+			g.reject(req, options.denial)
 		}
 	}
 	requeued = len(account.pending)
@@ -236,9 +239,9 @@
 	return requeued
 }
 
-// mayRequeue reports whether a request that could not be admitted may be requested again. One that fits lacks
-// only a bucket of the hard limit, which the primary owner alone may pay for. Under a concurrency limit no
-// more requests than that wait.
+// mayRequeue reports whether a request that could not be admitted may be requested again. A request that fits
+// was not admitted because of the hard limit alone; only the primary owner's shared bucket can still pay for
+// it. Under a concurrency limit, at most MaxConcurrency requests are requested again.
 func (g *Gateway) mayRequeue(account *accountState, fits bool) bool {
 	if fits && g.owner(account) != account.primaryOwner {
 		return false
@@ -250,12 +253,12 @@
 type replyKind uint8
 
 const (
-	replyState     replyKind = iota // nothing: it only reports the owner's view of the account
-	replyWaitQueue                  // the owner leases slots to them as they come free
-	replyGrant                      // it decides them by the units that it grants, perhaps none
+	replyState     replyKind = iota // no decision: the reply only reports the owner's view of the account
+	replyWaitQueue                  // the owner leases slots to them as slots become free
+	replyGrant                      // the granted units, possibly none, decide them
 )
 
-// String is the kind's name.
+// String returns the kind's name.
 func (k replyKind) String() string {
 	switch k {
 	case replyState:
@@ -268,9 +271,9 @@
 	return "unknown"
 }
 
-// kindOfReply reads the kind of a reply from its fields, as the wire form has none of its own. Under a
-// concurrency limit a lease time without slots stands for a place in the wait queue (enqueueMember); a grant
-// has Requested above 0 even where it grants nothing (emptyGrantUnits).
+// kindOfReply derives the kind of a reply from its fields, as the wire format has no field for it. Under a
+// concurrency limit, a lease time without slots means a place in the wait queue (enqueueMember). A grant has
+// Requested above 0 even if it grants nothing (emptyGrantUnits).
 func kindOfReply(account *accountState, reply record) replyKind {
 	switch {
 	case account.reportedPending == 0:
@@ -283,8 +286,8 @@
 	return replyState
 }
 
-// grantsPrefetch reports whether the reply grants units in advance: without a concurrency limit, where there
-// are no slots, its lease time is for them.
+// grantsPrefetch reports whether the reply grants units in advance. Without a concurrency limit there are no
+// slots, and the reply's lease time is that of the units.
 func grantsPrefetch(account *accountState, reply record) bool {
 	return account.plan.MaxConcurrency == 0 && reply.LeaseS > 0
 }
@@ -300,7 +303,7 @@
 	case replyGrant:
 		requeued = g.applyGrant(account, reply, counted)
 	}
-	urgent := len(account.pending) > requeued // what was requeued is requested with the next batch
+	urgent := len(account.pending) > requeued // requeued requests alone wait for the next batch
 	g.applyPrefetch(account, reply, counted)
 	account.ackedUnits = min(counted, account.admittedUnits)
 	unused := counted > account.admittedUnits+account.prefetched
@@ -311,14 +314,14 @@
 	case account.reportedPending > 0:
 	case len(account.pending) == 0:
 		account.unansweredSince, account.unansweredReports = 0, 0
-	default: // watched, so that what is not urgent isn't put off without end
+	default: // expect a reply, so that a report that isn't urgent is not delayed forever
 		account.unansweredSince = g.now
 		g.expectReply(account)
 	}
 }
 
-// applyOwnerView takes over the owner's view of the account, and returns the units that the owner has counted
-// or set aside for this gateway, as a total to compare with admittedUnits.
+// applyOwnerView stores the owner's view of the account, and returns the total of units that the owner has
+// counted or set aside for this gateway. The total is comparable to admittedUnits.
 func (g *Gateway) applyOwnerView(account *accountState, reply record) (counted float64) {
 	counted = account.admittedUnits + quota.TotalDelta(reply.Total-account.admittedUnits)
 	account.ownerReplied, account.ackedUnits = true, counted
@@ -330,8 +333,8 @@
 	return counted
 }
 
-// enterWaitQueue notes that the owner will lease slots to the reported requests as they come free, expected
-// in waitS seconds. Requests for which that is too late are rejected at once.
+// enterWaitQueue records that the owner will lease slots to the reported requests as slots become free,
+// expected in waitS seconds. It rejects pending requests that can't wait that long.
 func (g *Gateway) enterWaitQueue(account *accountState, waitS float64) {
 	account.inWaitQueue, account.unansweredReports, account.unansweredSince = true, 0, g.now+waitS
 	account.reportedPending = min(account.reportedPending, len(account.pending))
@@ -349,37 +352,38 @@
 	}
 }
 
-// applyGrant decides the reported requests by the units that the owner has counted for this gateway. What a
-// grant doesn't reach is requested again, as is what found the account at its concurrency limit without a
-// backoff. It returns how many requests stay pending for that.
+// applyGrant decides the reported requests by counted, the units that the owner has counted for this gateway.
+// Requests that a partial grant does not cover are requested again, and so are requests that were denied at
+// the concurrency limit without a backoff. It returns how many requests stay pending to be requested again.
+// With a backoff, the requests that were not admitted are rejected.
 func (g *Gateway) applyGrant(account *accountState, reply record, counted float64) (requeued int) {
 	account.inWaitQueue = false
 	n := min(account.reportedPending, len(account.pending))
 	if grantsPrefetch(account, reply) {
-		n = len(account.pending) // units in advance are for requests that came meanwhile, too
+		n = len(account.pending) // prefetched units also cover requests that arrived after the report
 	}
 	account.reportedPending, account.unansweredReports = 0, 0
 	account.backoffUntil = g.now + reply.BackoffS
 	atLimit := account.plan.MaxConcurrency > 0 && reply.BackoffS == 0 &&
 		account.inFlight+reply.InFlight >= account.plan.MaxConcurrency
-	byGrant := resolution{
+	options := resolveOptions{
 		fits:   func(req *request) bool { return account.admittedUnits+req.Units <= counted+epsilon },
 		paid:   reply.SharedBucket,
 		denial: reason.Denied,
 	}
 	if reply.Requested > emptyGrantUnits && counted > account.admittedUnits || atLimit {
-		byGrant.requeue, byGrant.denial = true, reason.ConcurrencyLimit
+		options.requeue, options.denial = true, reason.ConcurrencyLimit
 	}
-	requeued = g.resolvePending(account, n, byGrant)
+	requeued = g.resolvePending(account, n, options)
 	if reply.BackoffS > 0 {
 		none := func(*request) bool { return false }
-		g.resolvePending(account, len(account.pending), resolution{fits: none, denial: reason.OwnerBackoff})
+		g.resolvePending(account, len(account.pending), resolveOptions{fits: none, denial: reason.OwnerBackoff})
 	}
 	return requeued
 }
 
-// applyPrefetch keeps units that the owner granted in advance. Under a hard limit only those count that its
-// shared bucket paid.
+// applyPrefetch stores the units that the owner granted in advance. Under a hard limit it ignores units that
+// the shared bucket has not paid for.
 func (g *Gateway) applyPrefetch(account *accountState, reply record, counted float64) {
 	paid := reply.SharedBucket || account.plan.HardLimitRate <= 0
 	if !grantsPrefetch(account, reply) || !paid || counted <= account.admittedUnits {
@@ -391,7 +395,8 @@
 	}
 }
 
-// returnPrefetched gives unused units back to their owners, once a tick.
+// returnPrefetched returns unused prefetched units to their owners when they expire. It is called once a
+// tick.
 func (g *Gateway) returnPrefetched() {
 	g.prefetching = slices.DeleteFunc(g.prefetching, func(account *accountState) bool {
 		expired := g.now >= account.prefetchedUntil
--- a/policy/quota_owner.go
+++ b/policy/quota_owner.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	memberTTLS      = 8.0  // seconds after which a member that reports nothing is forgotten
-	ledgerRecoveryS = 2.0  // seconds for which a new ledger takes over what members know of the window
-	maxDebtFraction = 0.5  // of the burst, up to which units admitted beyond the window are owed to it
-	emptyGrantUnits = 0.25 // in a reply to a quota request that grants nothing; the smallest value on the wire
+	memberTTLS      = 8.0  // seconds without a report after which the owner drops a member
+	ledgerRecoveryS = 2.0  // seconds for which a new ledger adopts lower available units that members report
+	maxDebtFraction = 0.5  // fraction of the burst that bounds the debt of units admitted beyond the window
+	emptyGrantUnits = 0.25 // Requested in a reply that grants nothing; the smallest nonzero value on the wire
 
-	// quotaRetryFraction is the fraction of the peer message rate that members may use to ask the same owner
-	// again.
+	// quotaRetryFraction is the fraction of the peer message rate that members may use to repeat their quota
+	// requests to one owner.
 	quotaRetryFraction = 0.5
-	// maxBackoffFactor bounds how much the backoff of members grows with the messages that come in.
+	// maxBackoffFactor bounds the factor by which the members' backoff grows with the rate of received messages.
 	maxBackoffFactor = 3
 )
 
-// ledger is the owner's count of the account, brought up to now. The window opens evenly at the plan's rate.
-// A gateway that isn't the primary owner may be cut off from all others while no member reports to it: until
-// one does it opens 1/gatewayCount of the rate. After that it opens the whole rate, though the primary owner
-// may do the same beyond a split.
+// ledger returns the owner's count of the account, and creates it if there is none. It refills the window at
+// the plan's rate up to now. A gateway other than the primary owner may be cut off from all others, and
+// refills at 1/gatewayCount of the rate until a member reports to it. From then on it refills at the whole
+// rate, although the primary owner may do the same on the other side of a network partition.
 func (g *Gateway) ledger(account *accountState) *quota.Ledger {
 	if account.ledger == nil {
-		account.ledger = quota.NewLedger(g.availableNow(account), g.now)
+		account.ledger = quota.NewLedger(g.availableAsMember(account), g.now)
 	}
 	ledger, rate := account.ledger, account.plan.Rate
 	if account.primaryOwner != g.settings.Self && len(ledger.Members) == 0 {
@@ -39,8 +39,8 @@
 	return ledger
 }
 
-// windowDenial is the reason why the owner can't admit units; None if it can. While the account asks for more
-// than its rate, requests of lower priority leave a part of the burst to others.
+// windowDenial returns the reason why the owner can't admit the units, or None if it can. While the account's
+// demand exceeds its rate, requests of lower priority leave a part of the burst to others.
 func (g *Gateway) windowDenial(account *accountState, ledger *quota.Ledger,
 	units, lowPriority float64) reason.Reason {
 	plan := account.plan
@@ -56,14 +56,15 @@
 	return reason.None
 }
 
-// newReply is a reply of this gateway as the account's owner. leases is whether the member knows slot leases.
+// newReply returns a reply of this gateway as the account's owner. leases tells whether the member supports
+// slot leases.
 func (g *Gateway) newReply(account *accountState, leases bool) record {
 	return record{AccountKey: account.key, Plan: account.plan.index,
 		FromOwner: true, Known: true, Leases: leases}
 }
 
-// applyMemberReport applies a member's report to the ledger and returns the owner's reply. Units that the
-// member requests are set aside at once; its next report shows which of them were used.
+// applyMemberReport applies a member's report to the ledger and returns the owner's reply. Granted units are
+// set aside at once; the member's next report shows how many of them it used.
 func (g *Gateway) applyMemberReport(account *accountState, from int, report record) record {
 	ledger := g.ledger(account)
 	member := g.reportingMember(account, ledger, from, report)
@@ -81,8 +82,8 @@
 	return reply
 }
 
-// reportingMember finds the member that reports, or begins to count it: one that is new, has started anew, or
-// may have forgotten the account meanwhile.
+// reportingMember returns the ledger's entry of the reporting member. It starts a new entry if the member is
+// new, has restarted, or has not reported for memberTTLS and may have evicted the account.
 func (g *Gateway) reportingMember(account *accountState, ledger *quota.Ledger, from int,
 	report record) *quota.Member {
 	incarnation := g.sequences[from].Incarnation
@@ -91,7 +92,7 @@
 		return member
 	}
 	if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {
-		// After a restart or a change of owner the member knows the window better.
+		// After a restart or a change of owner, the member's estimate of the window is the better one.
 		ledger.Available = min(ledger.Available, max(report.Available+report.Unacked, 0))
 	}
 	member = &quota.Member{Incarnation: incarnation, Total: report.Total - report.Unacked}
@@ -100,9 +101,9 @@
 	return member
 }
 
-// answerQuotaRequest grants what a member requests, lets it wait for a slot, or replies with a backoff.
-// At a concurrency limit a member that can't wait for a slot asks again with its next report: an attempt ends
-// soon.
+// answerQuotaRequest grants units to a member that requests them, adds it to the wait queue for a slot, or
+// replies with a backoff. At a concurrency limit, a member without slot leases gets no backoff and requests
+// again with its next report, as an attempt is likely to end soon.
 func (g *Gateway) answerQuotaRequest(account *accountState, ledger *quota.Ledger, from int,
 	report record, reply *record) {
 	waiter := slotlease.Waiter{Member: from, Units: report.Requested, FirstUnits: report.FirstRequested,
@@ -113,15 +114,16 @@
 	case denial == reason.ConcurrencyLimit && report.Leases:
 		g.enqueueMember(account, waiter, reply)
 	case denial != reason.ConcurrencyLimit:
-		// All members together ask again at quotaRetryFraction of the message rate, more rarely under load.
+		// At a received message rate of retryRate, all members together repeat their requests at retryRate. The
+		// backoff grows with the received message rate.
 		retryRate := max(g.settings.PeerMessageRate*quotaRetryFraction, 1)
 		members := float64(ledger.ActiveMembers(g.now, memberTTLS))
 		reply.BackoffS = members / retryRate * min(g.messageRate/retryRate, maxBackoffFactor)
 	}
 }
 
-// grantUnits sets units aside for a member that requests them, and slots under a concurrency limit. It
-// returns why not, if it grants nothing. The reply reports the grant to the member.
+// grantUnits sets units aside for a member that requests them, leases slots under a concurrency limit, and
+// enters the grant in the reply. If it grants nothing, it returns the reason.
 func (g *Gateway) grantUnits(account *accountState, waiter slotlease.Waiter, reply *record) reason.Reason {
 	ledger := g.ledger(account)
 	grant, denial := g.grantableUnits(account, ledger, waiter)
@@ -147,8 +149,9 @@
 	return denial
 }
 
-// grantableUnits is how much of the requested units the window allows: all of them, or else half of what it
-// has above the priority reserve, or else the first request's; 0 with the reason if none.
+// grantableUnits returns how many of the requested units the window allows: all of them, or else half of the
+// units above the priority reserve, or else the units of the first request. If it allows none, it returns 0
+// and the reason. Under a concurrency limit the free slots bound the units, too.
 func (g *Gateway) grantableUnits(account *accountState, ledger *quota.Ledger,
 	waiter slotlease.Waiter) (grant float64, denial reason.Reason) {
 	partial := math.Floor(min(waiter.Units, (ledger.Available-priorityReserveFraction*account.plan.Burst)/2))
@@ -163,9 +166,10 @@
 	return 0, denial
 }
 
-// prefetchableUnits is how many whole units the member may be granted in advance, for the requests of the
-// next hardlimit.PrefetchS seconds: its share of the demand, within the rate and half of what the window has
-// above the priority reserve. There are none under a concurrency limit.
+// prefetchableUnits returns how many whole units the member may be granted in advance for requests of the
+// next hardlimit.PrefetchS seconds. This is the member's share, by demand, of the account's demand in that
+// time, which is bounded by the rate and by half of the window's units above the priority reserve. Under a
+// concurrency limit no units are granted in advance.
 func (g *Gateway) prefetchableUnits(account *accountState, ledger *quota.Ledger, member *quota.Member,
 	grant float64, reply *record) float64 {
 	if !reply.Leases || account.plan.MaxConcurrency != 0 {
@@ -178,8 +182,9 @@
 }
 
 // payGrant takes a grant from the hard limit's shared bucket, if the member asks for that and the bucket
-// holds the first request: as far as it reaches, the member requests the rest again. Units in advance under a
-// hard limit must be paid.
+// holds the units of the first request. A grant beyond the bucket's level is reduced to that level, and the
+// member requests the rest again. Under a hard limit, units are granted in advance only if the shared bucket
+// pays.
 func (g *Gateway) payGrant(account *accountState, waiter slotlease.Waiter, grant, prefetch float64,
 	reply *record) (paidGrant, paidPrefetch float64) {
 	limit := g.hardLimitConfig(account)
@@ -196,7 +201,8 @@
 	return grant, prefetch
 }
 
-// completeReply fills in what every owner reply reports: the ledger, and what the other gateways do.
+// completeReply leases free slots in advance, and fills in the fields of every owner reply: the state of the
+// ledger, and the demand and attempts of the other gateways.
 func (g *Gateway) completeReply(account *accountState, to int, reply *record) {
 	ledger := g.ledger(account)
 	member := ledger.Members[to]
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -7,24 +7,24 @@
 	"eiderspread/internal/decision/snapshot"
 )
 
-// The state that goes to a successor process. Numbers are stored by their order in the snapshotFields lists:
-// new ones go to the end.
+// A snapshot stores numbers without names, in the order of the snapshotFields lists. New numbers must go to
+// the end of a list.
 
-// snapshotFields are the numbers of the gateway that a successor takes over.
+// snapshotFields returns the numbers of the gateway that a successor restores.
 func (g *Gateway) snapshotFields() []*float64 {
 	return []*float64{&g.admittedWork.Value, &g.admittedWork.UpdatedAt, &g.latencyRatio, &g.meanLatency}
 }
 
-// snapshotFields are the numbers of a backend that a successor takes over.
+// snapshotFields returns the numbers of a backend that a successor restores.
 func (b *backendState) snapshotFields() []*float64 {
 	return []*float64{&b.relativeLatency, &b.utilization, &b.utilizationAt, &b.meanInFlight, &b.lastSentAt}
 }
 
-// hardLimitFields is how many of an account's snapshotFields, from the first on, are its hard limit's
-// buckets.
+// hardLimitFields is the number of snapshotFields at the front of an account's list that hold the buckets of
+// its hard limit.
 const hardLimitFields = 4
 
-// snapshotFields are the numbers of an account that a successor takes over.
+// snapshotFields returns the numbers of an account that a successor restores.
 func (a *accountState) snapshotFields() []*float64 {
 	return []*float64{
 		&a.hardLimit.Local.Level, &a.hardLimit.Local.UpdatedAt,
@@ -35,8 +35,8 @@
 	}
 }
 
-// Snapshot returns the state for a successor process, in parts. From then on this gateway admits nothing
-// under a hard limit: its buckets are the successor's.
+// Snapshot returns the gateway's state for a successor process, in parts. The buckets of hard limits pass to
+// the successor: from now on, this gateway admits no request under a hard limit.
 func (g *Gateway) Snapshot(now float64) []snapshot.Part {
 	g.advanceClock(now)
 	for _, req := range g.queue {
@@ -63,7 +63,7 @@
 	return parts
 }
 
-// snapshot is the account as a successor takes it over.
+// snapshot returns the account's state for a successor.
 func (a *accountState) snapshot() snapshot.Account {
 	saved := snapshot.Account{
 		Key:          a.key,
@@ -81,9 +81,9 @@
 	return saved
 }
 
-// Restore takes over a part of the snapshot of another process of this gateway, or of its own if the
-// successor failed. It is called for each part, once backends are listed and before the first request. What a
-// part names that is not configured is ignored.
+// Restore applies a part of a snapshot that a predecessor of this process took, or this process itself if
+// its successor failed. It is called for each part, after backends are listed and before the first request.
+// Classes, backends and plans that are not configured here are ignored.
 func (g *Gateway) Restore(now float64, part snapshot.Part) {
 	g.advanceClock(now)
 	g.slotLeasingFrom = now + slotlease.ReportLeaseS
@@ -106,8 +106,8 @@
 	}
 }
 
-// restoreAccount takes over an account. Of one that is known already, as requests came meanwhile, it takes
-// the hard limit's buckets alone.
+// restoreAccount restores an account. If the account exists already, as requests have arrived in the
+// meantime, it restores only the buckets of the hard limit.
 func (g *Gateway) restoreAccount(saved snapshot.Account) {
 	plan := g.plansByName[saved.Plan]
 	if plan == nil || saved.GatewayCount < 0 || saved.GatewayCount > g.settings.Gateways {
