--- a/policy/account_test.go
+++ b/policy/account_test.go
@@ -7,7 +7,7 @@
 	"eiderspread/internal/base/peerprotocol"
 )
 
-// accountOwnedElsewhere is the name of an account that another gateway owns.
+// accountOwnedElsewhere returns the name of an account that another gateway owns.
 func accountOwnedElsewhere(g *Gateway) (name string) {
 	for i := 0; ; i++ {
 		if name = fmt.Sprint("k", i); g.findOwner(&accountState{point: peerprotocol.HashPoint(name), gatewayCount: g.settings.Gateways}, false) != g.settings.Self {
@@ -16,7 +16,8 @@
 	}
 }
 
-// Backends that were removed and accounts that were used once do not stay in memory.
+// Guards against a memory leak: backends that were removed and accounts that were used once must be evicted. An
+// account with an attempt in flight must stay.
 func TestState_IdleEntriesAreEvicted(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	for i := range 500 {
@@ -29,25 +30,26 @@
 		}
 		g.HandleTimer(now, 1)
 	}
-	most := int((accountTTLS + accountTTLS/2) / 0.1)
-	if n, hashes := g.backends.Len(); n > most || hashes > most || len(g.accounts) > most {
+	maxEntries := int((accountTTLS + accountTTLS/2) / 0.1)
+	if n, hashes := g.backends.Len(); n > maxEntries || hashes > maxEntries || len(g.accounts) > maxEntries {
 		t.Errorf("%d backends, %d hashes and %d accounts in memory, want at most %d", n, hashes,
-			len(g.accounts), most)
+			len(g.accounts), maxEntries)
 	}
 	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Account: "held", DeadlineAt: 254, GatewayCount: 1, Units: 4})
 	g.HandleTimer(290, 1)
 	if retained := g.accountByKey(uint32(peerprotocol.HashPoint("held") >> 32)); len(r.of("send", "held")) != 1 || retained == nil {
-		t.Error("an account with an attempt in flight is evicted")
+		t.Error("the request was not sent, or its account was evicted with the attempt in flight")
 	}
 }
 
-// A member that has evicted an account starts its count at 0. Whoever of the two evicted what, the owner must
-// not take that for units handed back, nor miss the new ones.
+// Guards against a miscounted quota after an eviction: a member that has evicted an account starts its count at
+// 0. The owner must not take that for returned units, nor miss the units admitted since, whether the owner, the
+// member, both or neither have evicted their state.
 func TestQuota_OwnerAndMemberEvictConsistently(t *testing.T) {
 	for _, pause := range []float64{1, memberTTLS - 1, memberTTLS + 1, accountTTLS - 0.5, accountTTLS + 0.5, 2 * accountTTLS, 4 * accountTTLS} {
 		g, r, pump := newPair(t)
 		var q Request
-		for i := range 100 { // an account of g[0] with requests at g[1] alone
+		for i := range 100 { // an account that g[0] owns; all requests arrive at g[1]
 			q = Request{Class: "pay", Plan: "basic", Account: fmt.Sprint("c", i), FirstGateway: 0, GatewayCount: 2, Units: 2}
 			if g[1].owner(g[1].accountFor(q)) == 0 {
 				break
@@ -84,14 +86,14 @@
 				passed++
 			}
 		}
-		// A window of 8 that fills at 2 a second, and requests of 2.
-		if most := int((8 + 2*(now-before)) / 2); passed > most || passed < min(most, 8)-2 {
-			t.Errorf("after a pause of %v s %d of 8 passed, %d are inside the quota", pause, passed, most)
+		// The window holds 8 units and refills at 2 units per second; each request has 2 units.
+		if allowed := int((8 + 2*(now-before)) / 2); passed > allowed || passed < min(allowed, 8)-2 {
+			t.Errorf("after a pause of %v s, %d of 8 requests were sent; the quota allows %d", pause, passed, allowed)
 		}
 	}
 }
 
-// accountByKey finds an account of whatever plan by its key.
+// accountByKey returns the account with a key, whatever its plan is; nil if there is none.
 func (g *Gateway) accountByKey(key uint32) *accountState {
 	for id, account := range g.accounts {
 		if id.key == key {
@@ -101,28 +103,28 @@
 	return nil
 }
 
-// An account is never served by another plan's figures: after it moved, or if its hash is that of an account
-// of another plan.
+// Guards against applying the limits of the wrong plan: an account that changes its plan, or has the same hash
+// as an account of another plan, must have a state of its own, also after a snapshot.
 func TestAccount_PlanChangeIsNewAccount(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	submit(g, 100, "old", "read", "wide", 4)
-	for i := range 12 { // the same account, by the plan of a quota of 8
+	for i := range 12 { // the same account, with a plan of burst 8
 		g.HandleRequest(100, Request{ID: fmt.Sprint("q", i), Class: "pay", Plan: "basic", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
 	}
 	if n := len(r.of("send", "")); n != 9 {
-		t.Errorf("%d sent, want the first and a burst of 8", n)
+		t.Errorf("sent %d requests, want 9: one of plan wide, and the burst of 8 of plan basic", n)
 	}
 	for _, n := range r.of("send", "") {
 		g.HandleOutcome(100.1, Outcome{ID: n.id, Backend: n.backend, Status: OK, Completed: true})
 	}
 	parts := g.Snapshot(100.2)
-	next, nr := newTestGateway(t, alone)
+	next, nextRecorder := newTestGateway(t, alone)
 	for _, p := range parts {
 		next.Restore(100.3, p)
 	}
 	next.HandleRequest(100.3, Request{ID: "more", Class: "pay", Plan: "basic", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
 	next.HandleRequest(100.3, Request{ID: "still", Class: "pay", Plan: "wide", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
-	if len(nr.of("reject", "more")) != 1 || len(nr.of("send", "still")) != 1 {
-		t.Errorf("after the snapshot: %+v", nr.actions)
+	if len(nextRecorder.of("reject", "more")) != 1 || len(nextRecorder.of("send", "still")) != 1 {
+		t.Errorf("actions after the snapshot = %+v, want \"more\" rejected and \"still\" sent", nextRecorder.actions)
 	}
 }
--- a/policy/decision_trace_test.go
+++ b/policy/decision_trace_test.go
@@ -7,7 +7,7 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// Each decision that ends or admits a request has one reason. Nothing is recorded without a tracer.
+// Each decision that admits or rejects a request must be traced with its reason, and none without a tracer.
 func TestTrace_DecisionsCarryReasons(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	var list []reason.Decision
@@ -25,14 +25,14 @@
 		reasons[decision.Step][decision.Reason]++
 	}
 	if reasons[reason.StepArrived][reason.OwnerCount] != 7+1 || reasons[reason.StepRejected][reason.WindowExhausted] != 5 || reasons[reason.StepRejected][reason.ObjectiveMissed] != 1 {
-		t.Errorf("%v", reasons)
+		t.Errorf("decisions by step and reason = %v, want 8 arrived by OwnerCount, 5 rejected by WindowExhausted, 1 by ObjectiveMissed", reasons)
 	}
 	if rejected := len(r.of("reject", "")); rejected != 6 {
-		t.Errorf("%d rejected", rejected)
+		t.Errorf("%d rejected, want 6", rejected)
 	}
 	for _, decision := range list {
 		if decision.ID == "untraced" {
-			t.Error("recorded without a tracer")
+			t.Error("a decision was traced before a tracer was set")
 		}
 	}
 }
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -8,13 +8,13 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// Under overload requests are shed at arrival, the lowest priority first, without a charge to the quota and
-// with hints within the settings. What is admitted is sent. Nothing is shed once demand is back to normal,
-// nor with load shedding off.
+// Under overload, requests must be shed on arrival, the lowest priority first, without a charge to the quota and with
+// a retry hint within the settings. Shedding must end once demand is normal again, and never occur when it is turned
+// off.
 func TestLoadShedding_RejectsBeforeQuota(t *testing.T) {
-	for _, on := range []bool{true, false} {
+	for _, enabled := range []bool{true, false} {
 		g, r := newTestGateway(t, func(settings *Settings) {
-			settings.Gateways, settings.PeerMessages, settings.LoadShedding.Enabled = 1, false, on
+			settings.Gateways, settings.PeerMessages, settings.LoadShedding.Enabled = 1, false, enabled
 		})
 		shed := map[string]int{}
 		g.SetTracer(func(decision reason.Decision) {
@@ -22,49 +22,49 @@
 				shed[decision.Class]++
 			}
 		})
-		n, done := 0, 0
-		now, next := 100.0, 100.0
-		play := func(seconds float64, every float64) (rejected int) {
+		n, answered := 0, 0
+		now, nextArrival := 100.0, 100.0
+		run := func(durationS float64, intervalS float64) (rejected int) {
 			before := len(r.of("reject", ""))
-			for end := now + seconds; now < end; now += 0.02 {
-				for ; next < now+0.02; next += every {
+			for end := now + durationS; now < end; now += 0.02 {
+				for ; nextArrival < now+0.02; nextArrival += intervalS {
 					n++
-					c := []string{"read", "pay"}[n%2]
-					total, was := 0.0, len(r.actions)
+					class := []string{"read", "pay"}[n%2]
+					total, actionsBefore := 0.0, len(r.actions)
 					if account := g.accountByKey(uint32(peerprotocol.HashPoint(fmt.Sprint("c", n%40)) >> 32)); account != nil {
 						total = account.admittedUnits
 					}
-					g.HandleRequest(now, Request{ID: fmt.Sprint(n), Class: c, Plan: "wide", Account: fmt.Sprint("c", n%40), DeadlineAt: now + 4 - 2*float64((n+1)%2),
+					g.HandleRequest(now, Request{ID: fmt.Sprint(n), Class: class, Plan: "wide", Account: fmt.Sprint("c", n%40), DeadlineAt: now + 4 - 2*float64((n+1)%2),
 						GatewayCount: 1, Units: 1})
-					if last := r.actions[was:]; len(last) > 0 && last[0].kind == "reject" {
+					if last := r.actions[actionsBefore:]; len(last) > 0 && last[0].kind == "reject" {
 						if account := g.accountByKey(uint32(peerprotocol.HashPoint(fmt.Sprint("c", n%40)) >> 32)); account.admittedUnits != total {
-							t.Fatalf("%d was rejected and charged", n)
+							t.Fatalf("request %d was rejected and charged to the quota", n)
 						}
 						if last[0].value < 0 || last[0].value > 0.5 {
-							t.Fatalf("hint %g", last[0].value)
+							t.Fatalf("retry hint = %g s, want 0 to 0.5 s", last[0].value)
 						}
 					}
 				}
-				for sends := r.of("send", ""); done < len(sends) && done < int((now-100)*30); done++ { // thirty a second are answered
-					g.HandleOutcome(now, Outcome{ID: sends[done].id, Backend: sends[done].backend, Status: OK, LatencyS: 0.1})
+				for sends := r.of("send", ""); answered < len(sends) && answered < int((now-100)*30); answered++ { // 30 answers per second
+					g.HandleOutcome(now, Outcome{ID: sends[answered].id, Backend: sends[answered].backend, Status: OK, LatencyS: 0.1})
 				}
 				g.HandleTimer(now, 1)
 			}
 			return len(r.of("reject", "")) - before
 		}
-		play(4, 0.005)
-		if !on {
+		run(4, 0.005)
+		if !enabled {
 			if len(shed) > 0 || g.Shedder() != nil {
-				t.Errorf("off, %v were shed", shed)
+				t.Errorf("with load shedding off: shed %v, want none and no shedder", shed)
 			}
 			continue
 		}
 		if g.Shedder().Level() < 0.2 || shed["read"] <= shed["pay"] {
-			t.Errorf("level %.2f, shed %v", g.Shedder().Level(), shed)
+			t.Errorf("under overload: level = %.2f, shed = %v, want a level of at least 0.2 and more read than pay shed", g.Shedder().Level(), shed)
 		}
-		play(4, 0.1)
-		if requeued := play(2, 0.1); g.Shedder().Level() > 0.05 || requeued > 2 {
-			t.Errorf("level %.2f and %d rejected long after", g.Shedder().Level(), requeued)
+		run(4, 0.1)
+		if rejected := run(2, 0.1); g.Shedder().Level() > 0.05 || rejected > 2 {
+			t.Errorf("after the overload: level = %.2f, %d rejected, want at most 0.05 and 2", g.Shedder().Level(), rejected)
 		}
 	}
 }
--- a/policy/quota_member_test.go
+++ b/policy/quota_member_test.go
@@ -8,44 +8,44 @@
 	"eiderspread/internal/decision/hardlimit"
 )
 
-// Requests that a grant does not reach, or that were not in the report, are requested again and not rejected.
+// Requests that a grant does not cover, or that were not in the report, must be requested again and not rejected.
 func TestQuotaGrant_RemainderIsRerequested(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	for i := range 3 {
 		submit(100, fmt.Sprint("q", i), 2)
 	}
-	from, message := ownerReply(t, r, 1, func(reply *record) { reply.Total += 2; reply.Available, reply.Requested = 4, 2 }) // reported was the first alone
+	from, message := ownerReply(t, r, 1, func(reply *record) { reply.Total += 2; reply.Available, reply.Requested = 4, 2 }) // the report had the first request alone
 	g.HandlePeerMessage(100.03, from, message)
 	if len(r.of("send", "")) != 1 || len(r.of("reject", "")) != 0 {
-		t.Fatalf("%d sent, %d rejected", len(r.of("send", "")), len(r.of("reject", "")))
+		t.Fatalf("after a grant for the first of three requests: %d sent, %d rejected, want 1 and 0", len(r.of("send", "")), len(r.of("reject", "")))
 	}
 	now := 100.04
-	g.HandleOutcome(now, Outcome{ID: "q0", Backend: r.of("send", "")[0].backend, Status: OK, Completed: true, LatencyS: 0.01}) // one of a hundred has few out
+	g.HandleOutcome(now, Outcome{ID: "q0", Backend: r.of("send", "")[0].backend, Status: OK, Completed: true, LatencyS: 0.01}) // with 100 gateways the adaptive limit allows few attempts
 	awaitRequest := func() {
 		t.Helper()
 		before := len(r.of("message", ""))
 		for ; len(r.of("message", "")) == before; now += 0.02 {
 			if g.HandleTimer(now, 1); now > 101 {
-				t.Fatal("sends no further request")
+				t.Fatal("no further quota request by 101 s")
 			}
 		}
 	}
 	awaitRequest()
-	from, message = ownerReply(t, r, 2, func(reply *record) { reply.Total += 2; reply.Available, reply.Requested = 2, 2 }) // of the two that are left
+	from, message = ownerReply(t, r, 2, func(reply *record) { reply.Total += 2; reply.Available, reply.Requested = 2, 2 }) // for one of the two other requests
 	g.HandlePeerMessage(now, from, message)
 	if len(r.of("send", "")) != 2 || len(r.of("reject", "")) != 0 {
-		t.Fatalf("%d sent, %d rejected after a grant that reached one of two", len(r.of("send", "")), len(r.of("reject", "")))
+		t.Fatalf("after a grant for one of two requests: %d sent, %d rejected, want 2 and 0", len(r.of("send", "")), len(r.of("reject", "")))
 	}
 	awaitRequest()
 	from, message = ownerReply(t, r, 3, func(reply *record) { reply.Available, reply.Requested = 0, emptyGrantUnits })
 	g.HandlePeerMessage(now, from, message)
 	if len(r.of("send", "")) != 2 || len(r.of("reject", "")) != 1 {
-		t.Fatalf("%d sent, %d rejected after a denial", len(r.of("send", "")), len(r.of("reject", "")))
+		t.Fatalf("after a denial of the last request: %d sent, %d rejected, want 2 and 1", len(r.of("send", "")), len(r.of("reject", "")))
 	}
 }
 
-// Units that were granted in advance are admitted without a quota request, no more than they are, and return
-// to the owner in the end.
+// Prefetched units must admit requests without a quota request, and no more than these units. Unused units must
+// return to the owner when they expire.
 func TestPrefetch_AdmitsWithoutRequest(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	g.adaptiveLimit = 9
@@ -57,10 +57,10 @@
 	before := len(r.of("message", ""))
 	submit(100.1, "a", 1)
 	if len(r.of("send", "a")) != 1 || len(r.of("message", "")) != before {
-		t.Fatal("a quota request, with units in advance")
+		t.Fatal("a request that prefetched units cover was not sent, or caused a quota request")
 	}
 	if submit(100.2, "b", 2); len(r.of("send", "b")) != 0 {
-		t.Fatal("two units admitted of one")
+		t.Fatal("a request of 2 units was sent with 1 prefetched unit left")
 	}
 	g.HandleDisconnect(100.2, "b")
 	for now := 100.22; now < 100.1+hardlimit.PrefetchS+0.5; now += tickIntervalS {
@@ -68,14 +68,14 @@
 	}
 	messages := r.of("message", "")
 	if len(messages) == before || account.prefetched != 0 {
-		t.Fatalf("%v units in advance after their time, %d messages", account.prefetched, len(messages)-before)
+		t.Fatalf("after expiry: %v prefetched units and %d messages, want 0 and at least 1", account.prefetched, len(messages)-before)
 	}
 	if _, _, records, _, _ := peerprotocol.Parse(messages[len(messages)-1].data, 102.5); records[0].Total != 2 {
-		t.Errorf("reported a total of %v, 2 were admitted", records[0].Total)
+		t.Errorf("reported total = %v, want the 2 admitted units", records[0].Total)
 	}
 }
 
-// Under a hard limit units that its shared bucket did not pay for are not granted in advance.
+// Under a hard limit, a member must not use units granted in advance that the shared bucket has not paid for.
 func TestPrefetch_RequiresHardLimitPayment(t *testing.T) {
 	for _, paid := range []bool{false, true} {
 		g, r := newTestGateway(t, withGateways(9))
@@ -86,46 +86,46 @@
 		})
 		g.HandlePeerMessage(100.03, from, message)
 		if account := g.accountByKey(uint32(peerprotocol.HashPoint(name) >> 32)); (account.prefetched > 0) != paid {
-			t.Errorf("paid %v: %v units in advance", paid, account.prefetched)
+			t.Errorf("paid = %v: %v prefetched units, want more than 0 only if paid", paid, account.prefetched)
 		}
 	}
 }
 
-// A request that a grant did not reach is requested again in time, though other accounts have urgent reports
-// all the while.
+// Guards against starvation: a request that a grant did not cover must be requested again within 0.25 s, even
+// while other accounts always have urgent reports.
 func TestQuotaRequest_RetryIsNotStarved(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	g.adaptiveLimit = 9
 	submit(100, "a", 2)
 	account := submit(100, "b", 2)
-	g.HandleTimer(100.1, 1) // the first question was lost: both are in the next
+	g.HandleTimer(100.1, 1) // the first report was lost; the next one contains both requests
 	from, message := ownerReply(t, r, 1, func(reply *record) { reply.Total, reply.Requested = 2, 2 })
 	other := g.newAccount(5, g.plans[0])
-	busy := func(now float64) { // others are urgent all the time
+	tickWithUrgentReports := func(now float64) { // to three other owners
 		for i := range 3 {
 			g.reports.Add((from+1+i)%100, other)
 			g.reports.MarkUrgent((from + 1 + i) % 100)
 		}
 		g.HandleTimer(now, 1)
 	}
-	busy(100.12)
+	tickWithUrgentReports(100.12)
 	g.HandlePeerMessage(100.13, from, message)
 	if len(r.of("send", "a")) != 1 || len(account.pending) != 1 {
-		t.Fatalf("%d sent, %d requested again", len(r.of("send", "a")), len(account.pending))
+		t.Fatalf("after a grant for one of two requests: %d sent, %d pending, want 1 and 1", len(r.of("send", "a")), len(account.pending))
 	}
 	before := len(r.of("message", ""))
 	for now := 100.14; now < 100.4; now += tickIntervalS {
-		busy(now)
+		tickWithUrgentReports(now)
 		for _, m := range r.of("message", "")[before:] {
 			if m.to == from {
 				return
 			}
 		}
 	}
-	t.Error("no quota request within 0.25 s")
+	t.Error("no further quota request within 0.25 s")
 }
 
-// An account that gets units in advance again before they ran out is watched once.
+// An account that gets prefetched units again before the earlier ones expire must be listed once.
 func TestPrefetch_AccountListedOnce(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	g.adaptiveLimit = 9
@@ -142,12 +142,12 @@
 		g.HandleTimer(now+0.04, 1)
 	}
 	if n := len(g.prefetching); n != 1 {
-		t.Errorf("the account is in the list of those with units in advance %d times", n)
+		t.Errorf("Gateway.prefetching has %d entries, want 1", n)
 	}
 }
 
-// newQuotaMember returns a gateway, and a function that submits a request of an account that another gateway
-// owns.
+// newQuotaMember returns a gateway, its recorder, and a function that submits a request of an account that
+// another gateway owns.
 func newQuotaMember(t *testing.T, change func(*Settings)) (*Gateway, *recorder, func(now float64, id string, units float64) *accountState) {
 	t.Helper()
 	g, r := newTestGateway(t, change)
@@ -165,7 +165,8 @@
 	}
 }
 
-// ownerReply is the owner's reply to the last report that the gateway has sent.
+// ownerReply returns the owner, and its message with a reply to the last report that the gateway has sent. change
+// fills in the reply.
 func ownerReply(t *testing.T, r *recorder, sequence uint16, change func(*record)) (from int, data []byte) {
 	t.Helper()
 	messages := r.of("message", "")
@@ -175,7 +176,7 @@
 	last := messages[len(messages)-1]
 	_, _, records, _, ok := peerprotocol.Parse(last.data, 0)
 	if !ok || len(records) == 0 {
-		t.Fatal("no report was sent")
+		t.Fatal("the last message contains no report")
 	}
 	reply := record{AccountKey: records[0].AccountKey, Plan: records[0].Plan, FromOwner: true, Known: true, Total: records[0].Total, Requested: records[0].Requested}
 	change(&reply)
@@ -184,22 +185,25 @@
 	return last.to, message
 }
 
-// With a hundred gateways a share is less than one request, and replies are old: the owner decides.
+// With a hundred gateways, a member's share is less than one request and its last reply is stale: the owner must
+// decide.
 func TestQuotaRequest_MemberWaitsForOwnerReply(t *testing.T) {
 	for _, grant := range []float64{0, 2} {
 		g, r, submit := newQuotaMember(t, withGateways(100))
 		submit(100, "q", 2)
 		if len(r.of("send", ""))+len(r.of("reject", "")) != 0 {
-			t.Fatal("a gateway of a hundred did not ask the owner")
+			t.Fatal("the request was sent or rejected without the owner's reply")
 		}
 		from, message := ownerReply(t, r, 1, func(reply *record) { reply.Total += grant; reply.Available = 1 })
 		g.HandlePeerMessage(100.03, from, message)
 		if sent := len(r.of("send", "q")); sent != int(grant/2) || sent+len(r.of("reject", "q")) != 1 {
-			t.Fatalf("granted %v of 2 units: %v", grant, r.actions)
+			t.Fatalf("after a grant of %v of 2 units, actions = %v, want \"q\" sent if granted and else rejected", grant, r.actions)
 		}
 	}
 }
 
+// Guards against requests that wait for a silent owner: after a few unanswered reports the member must suspect
+// the owner, report to another gateway and admit by its local window.
 func TestQuotaRequest_FallsBackToLocalWindow(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	submit(100, "q", 2)
@@ -209,17 +213,17 @@
 		g.HandleTimer(now, 1)
 	}
 	if len(r.of("send", "q")) != 1 || now > 100+float64(g.failureDetector.Threshold()+2)*(quotaReplyTimeoutS+tickIntervalS) {
-		t.Fatalf("no local window by %v", now)
+		t.Fatalf("the local window did not admit the request in time, now = %v", now)
 	}
 	if messages := r.of("message", ""); len(messages) <= g.failureDetector.Threshold() || messages[len(messages)-1].to == first {
-		t.Fatalf("a silent owner was never skipped: %v", messages)
+		t.Fatalf("messages = %v, want the last one to another gateway than the silent owner", messages)
 	}
 	if g.peerAlive(first) {
-		t.Fatal("an owner that left everything unanswered counts as alive")
+		t.Fatal("the silent owner is not suspected")
 	}
 }
 
-// A gateway whose messages are all lost admits its share of the quota.
+// A gateway whose messages are all lost must admit about its share of the quota.
 func TestLocalWindow_PartitionedGateway(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(4))
 	seen := 0
@@ -231,9 +235,9 @@
 		g.HandleTimer(now, 1)
 		answerAll(g, r, &seen, now)
 	}
-	// 50 s of 2 units a second shared by 4, and a burst of 8.
+	// 50 s at 2 units per second and a burst of 8 are 108 units; a fourth of the rate and the burst are 33 units.
 	if n := len(r.of("send", "")); n < 20 || n > 50 {
-		t.Fatalf("%d units sent without peers, a fourth of the quota is 33, the whole 108", n)
+		t.Fatalf("sent %d units without peers, want 20 to 50 of a quota of 108", n)
 	}
 }
 
@@ -256,7 +260,7 @@
 	} {
 		account := &accountState{reportedPending: tc.pending, plan: &planState{Plan: Plan{MaxConcurrency: tc.maxConcurrency}}}
 		if got := kindOfReply(account, tc.reply); got != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: kindOfReply = %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -13,15 +13,15 @@
 		submit(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
 	if n := len(r.of("send", "")); n != 8 {
-		t.Fatalf("%d sent of a burst of 8", n)
+		t.Fatalf("sent %d requests of 1 unit, want the burst of 8", n)
 	}
 	submit(g, 101, "later", "pay", "basic", 2)
 	if len(r.of("send", "later")) != 1 {
-		t.Fatal("the window did not open with time")
+		t.Fatal("request of 2 units was not sent after 1 s at 2 units per second: the window was not refilled")
 	}
 }
 
-// Requests in the queue hold their units: the window does not promise them twice.
+// Guards against admitting units twice: requests in the queue keep the units that they were charged.
 func TestQuota_QueuedRequestsReserveUnits(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	g.UpdateBackends(100, []Backend{{ID: "s1", Zone: "a", State: Draining}}, true)
@@ -29,7 +29,7 @@
 		submit(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
 	if n := len(r.of("reject", "")); n != 4 {
-		t.Fatalf("%d rejected while 12 units wait for a burst of 8, want 4", n)
+		t.Fatalf("rejected %d of 12 requests of 1 unit with a burst of 8, want 4", n)
 	}
 }
 
@@ -44,43 +44,45 @@
 			units += len(answerAll(g[k], r[k], &seen[k], now))
 		}
 	}
-	// 10 s of 2 a second and a burst of 8.
+	// The quota allows 28 units: 10 s at 2 units per second and a burst of 8.
 	if units < 22 || units > 31 {
-		t.Fatalf("%d units sent on, the quota holds 28", units)
+		t.Fatalf("sent %d units, want 22 to 31; the quota allows 28", units)
 	}
 }
 
+// Guards against a second full window after a restart: an owner that has lost its ledger must recover the
+// available units from its members' reports.
 func TestQuota_RestartedOwnerRecovers(t *testing.T) {
 	g, r, pump := newPair(t)
-	own := g[0].accountFor(Request{Account: "c-basic", Plan: "basic", GatewayCount: 2}).primaryOwner
-	m, seen := 1-own, 0
+	owner := g[0].accountFor(Request{Account: "c-basic", Plan: "basic", GatewayCount: 2}).primaryOwner
+	member, seen := 1-owner, 0
 	for i := range 100 {
 		now := 102 + float64(i)*0.02
-		submit(g[m], now, fmt.Sprint("q", i), "read", "basic", 1)
+		submit(g[member], now, fmt.Sprint("q", i), "read", "basic", 1)
 		pump(now)
-		answerAll(g[m], r[m], &seen, now)
+		answerAll(g[member], r[member], &seen, now)
 	}
 	settings := testSettings()
-	settings.Self = own
-	fresh, err := New(settings, 99, 104, r[own])
+	settings.Self = owner
+	restarted, err := New(settings, 99, 104, r[owner])
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh.UpdateBackends(104, []Backend{{ID: "s1", Zone: "a", Cell: 1}}, true)
-	g[own] = fresh
-	n := len(r[m].actions)
+	restarted.UpdateBackends(104, []Backend{{ID: "s1", Zone: "a", Cell: 1}}, true)
+	g[owner] = restarted
+	n := len(r[member].actions)
 	for now := 104.02; now < 104.3; now += 0.02 {
-		submit(g[m], now, fmt.Sprint("after", now), "read", "basic", 1)
-		g[m].HandleTimer(now, 1)
+		submit(g[member], now, fmt.Sprint("after", now), "read", "basic", 1)
+		g[member].HandleTimer(now, 1)
 	}
-	for _, a := range r[m].actions[n:] {
+	for _, a := range r[member].actions[n:] {
 		if a.kind == "message" {
-			fresh.HandlePeerMessage(104.3, m, a.data)
+			restarted.HandlePeerMessage(104.3, member, a.data)
 		}
 	}
-	account := fresh.accountByKey(uint32(peerprotocol.HashPoint("c-basic") >> 32))
-	if account == nil || fresh.ledger(account).Available > 4 {
-		t.Fatal("the restarted owner grants a full window")
+	account := restarted.accountByKey(uint32(peerprotocol.HashPoint("c-basic") >> 32))
+	if account == nil || restarted.ledger(account).Available > 4 {
+		t.Fatal("the restarted owner has no state of the account, or more than 4 of 8 units available")
 	}
 }
 
@@ -94,15 +96,15 @@
 		messages := r.of("message", "")
 		_, _, records, _, _ := peerprotocol.Parse(messages[len(messages)-1].data, 100)
 		if granted += records[0].Total; i == 29 && records[0].BackoffS == 0 {
-			t.Fatal("an owner with thirty requests at once sent no backoff")
+			t.Fatal("the reply to the last of thirty quota requests at once has no backoff")
 		}
 	}
 	if granted != 8 {
-		t.Fatalf("%v units granted of a burst of 8", granted)
+		t.Fatalf("granted %v units, want the burst of 8", granted)
 	}
 }
 
-// A grant that the member did not use does not stay set aside.
+// Guards against lost quota: granted units that the member did not use must return to the window.
 func TestQuotaGrant_UnusedUnitsAreReturned(t *testing.T) {
 	g, _ := newTestGateway(t, withGateways(100))
 	send := func(sequence uint16, report record) {
@@ -113,41 +115,42 @@
 	send(1, record{AccountKey: 77, Requested: 6, FirstRequested: 6})
 	send(2, record{AccountKey: 77, Requested: 6, FirstRequested: 6}) // sent again, as the reply was lost
 	if available := g.accountByKey(77).ledger.Available; available != 2 {
-		t.Fatalf("%v units available after 6 of 8 were granted, reported twice", available)
+		t.Fatalf("%v units available after a request for 6 of 8 units that was sent twice, want 2", available)
 	}
 	send(3, record{AccountKey: 77})
 	if available := g.accountByKey(77).ledger.Available; available != 8 {
-		t.Fatalf("%v units available after the grant was returned", available)
+		t.Fatalf("%v units available after the grant was returned, want 8", available)
 	}
 }
 
-// An account over its rate does not spend its whole quota on requests of low priority.
+// An account whose demand exceeds its rate must not spend its whole quota on requests of low priority.
 func TestQuota_LowPriorityLeavesReserve(t *testing.T) {
 	g, r := newTestGateway(t, alone)
 	for i := range 12 {
 		submit(g, 100, fmt.Sprint("low", i), "read", "basic", 1)
 	}
 	if n := len(r.of("send", "")); n == 0 || n >= 8 {
-		t.Fatalf("%d requests of low priority took a burst of 8, want some units left", n)
+		t.Fatalf("sent %d requests of low priority with a burst of 8, want 1 to 7", n)
 	}
 	submit(g, 100, "high", "pay", "basic", 2)
 	if len(r.of("send", "high")) != 1 {
-		t.Fatal("no units were left for the request of high priority")
+		t.Fatal("the request of high priority was not sent from the priority reserve")
 	}
 }
 
-// A new ledger takes over what a member knows of the window, even where that has just opened.
+// A new ledger, whose window starts full, must adopt the lower available units that a member reports.
 func TestQuota_RecoveringLedgerUsesMemberReport(t *testing.T) {
 	g, _ := newTestGateway(t, nil)
 	message := peerprotocol.AppendRecord(peerprotocol.AppendHeader(nil, 1, 1), record{AccountKey: 5, Known: true, Total: 0, Available: 1})
 	message[peerprotocol.RecordCountOffset] = 1
 	g.HandlePeerMessage(104, 1, message)
 	if available := g.ledger(g.accountByKey(5)).Available; available > 1 {
-		t.Fatalf("%v units available after a member reported 1", available)
+		t.Fatalf("%v units available after a member reported 1, want at most 1", available)
 	}
 }
 
-// Units that members admitted beyond the window are owed by the account.
+// Units that members admitted beyond the window must become a debt, bounded by maxDebtFraction of the burst, that
+// the refill pays first.
 func TestQuota_OveruseIsDebt(t *testing.T) {
 	g, _ := newTestGateway(t, withGateways(100))
 	send := func(now float64, sequence uint16, report record) float64 {
@@ -158,12 +161,12 @@
 	}
 	send(100, 1, record{AccountKey: 77})
 	if available := send(100, 2, record{AccountKey: 77, Total: 11}); available != -3 {
-		t.Fatalf("%v units available after 11 of a burst of 8", available)
+		t.Fatalf("%v units available after 11 units with a burst of 8, want -3", available)
 	}
 	if available := send(101, 3, record{AccountKey: 77, Total: 11, Requested: 1, FirstRequested: 1}); available != -1 {
-		t.Fatalf("%v units available a second later, at 2 a second", available)
+		t.Fatalf("%v units available 1 s later at 2 units per second, want -1", available)
 	}
 	if available := send(102, 4, record{AccountKey: 77, Total: 60}); available != -8*maxDebtFraction {
-		t.Fatalf("%v units available after far too much: the debt is %v at most", available, 8*maxDebtFraction)
+		t.Fatalf("%v units available after a reported total of 60, want the maximum debt of %v", available, 8*maxDebtFraction)
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -10,11 +10,11 @@
 	"eiderspread/internal/decision/snapshot"
 )
 
-// A process and its successor together admit what one process would have, however the plan is limited; the
-// old one admits nothing more under a hard limit.
+// Guards against a quota that is spent twice in a hot restart: a process and its successor together must admit what
+// one process would, whatever limits the plan has. The old process must admit no more under a hard limit.
 func TestSnapshot_SuccessorContinuesCounts(t *testing.T) {
 	for _, plan := range []string{"basic", "capped", "wide"} {
-		passed := func(replace, adopt bool) (n int, late int) {
+		countSent := func(replace, restore bool) (n int, late int) {
 			g, r := newTestGateway(t, alone)
 			old := g
 			answer := func(now float64) {
@@ -38,12 +38,12 @@
 					next.UpdateBackends(now, []Backend{{ID: "s1", Zone: "a", Cell: 1}, {ID: "s2", Zone: "a", Cell: 2}, {ID: "s3", Zone: "b", Cell: 3}}, true)
 					for _, part := range parts {
 						text, err := json.Marshal(part)
-						var back snapshot.Part
-						if err = errors.Join(err, json.Unmarshal(text, &back)); err != nil {
+						var decoded snapshot.Part
+						if err = errors.Join(err, json.Unmarshal(text, &decoded)); err != nil {
 							t.Fatal(err)
 						}
-						if adopt {
-							next.Restore(now, back)
+						if restore {
+							next.Restore(now, decoded)
 						}
 					}
 					g = next
@@ -52,30 +52,32 @@
 				g.HandleTimer(now, 1)
 				answer(now)
 			}
-			if old != g && plan == "capped" { // the old process has nothing left under a hard limit
-				or := old.actions.(*recorder)
-				or.actions = nil
+			if old != g && plan == "capped" { // the old process must send no more under a hard limit
+				oldRecorder := old.actions.(*recorder)
+				oldRecorder.actions = nil
 				submit(old, 110, "late", "read", "capped", 1)
-				late = len(or.of("send", "late"))
+				late = len(oldRecorder.of("send", "late"))
 			}
 			return n, late
 		}
-		single, _ := passed(false, false)
-		two, late := passed(true, true)
-		fresh, _ := passed(true, false)
-		if two != single {
-			t.Errorf("%s: %d admitted by two, %d by one", plan, two, single)
+		single, _ := countSent(false, false)
+		restored, late := countSent(true, true)
+		notRestored, _ := countSent(true, false)
+		if restored != single {
+			t.Errorf("%s: sent %d requests with a successor, want %d as with one process", plan, restored, single)
 		}
 		if late > 0 {
-			t.Errorf("%s: the old process admits requests under a hard limit that it has handed over", plan)
+			t.Errorf("%s: the old process sent a request under a hard limit that it has handed over", plan)
 		}
-		if plan == "basic" && fresh <= single {
-			t.Errorf("%s: no occasion: %d without the snapshot, %d with it", plan, fresh, single)
+		if plan == "basic" && notRestored <= single {
+			t.Errorf("%s: the test shows nothing: %d sent without the snapshot, want more than the %d of one process", plan, notRestored, single)
 		}
 	}
 }
 
-// To the owner a member's successor is the same incarnation: nothing seems handed back or new.
+// Guards against a miscounted quota after a member's hot restart: the successor must continue the incarnation and
+// total, so that the owner sees no units as returned or as new. A predecessor that takes its state back after the
+// successor has died must be another incarnation, as its total may be lower.
 func TestSnapshot_SuccessorKeepsIncarnation(t *testing.T) {
 	g, r, _ := newPair(t)
 	now, seen := 100.0, [2]int{}
@@ -108,12 +110,12 @@
 			owner = 1
 		}
 	}
-	mem := 1 - owner
-	total := g[mem].accountByKey(key).admittedUnits
-	was := *g[owner].accountByKey(key).ledger.Members[mem]
-	old, parts := g[mem], g[mem].Snapshot(now)
-	settings := g[mem].settings
-	next, err := New(settings, 99, now, r[mem])
+	member := 1 - owner
+	totalBefore := g[member].accountByKey(key).admittedUnits
+	entryBefore := *g[owner].accountByKey(key).ledger.Members[member]
+	old, parts := g[member], g[member].Snapshot(now)
+	settings := g[member].settings
+	next, err := New(settings, 99, now, r[member])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,9 +123,9 @@
 	for _, p := range parts {
 		next.Restore(now, p)
 	}
-	g[mem] = next
+	g[member] = next
 	for i := range 20 {
-		step(mem, fmt.Sprint("b", i))
+		step(member, fmt.Sprint("b", i))
 	}
 	for range 20 {
 		now += 0.05
@@ -132,20 +134,20 @@
 		}
 		pump(now)
 	}
-	is := g[owner].accountByKey(key).ledger.Members[mem]
-	sum := g[mem].accountByKey(key).admittedUnits
-	if sum < total+15 {
-		t.Fatalf("no occasion: %v units, %v before", sum, total)
+	entry := g[owner].accountByKey(key).ledger.Members[member]
+	total := g[member].accountByKey(key).admittedUnits
+	if total < totalBefore+15 {
+		t.Fatalf("the test shows nothing: total = %v units, want at least 15 more than the %v before the restart", total, totalBefore)
 	}
-	// The successor dies, and the old one takes everything back: for others it is another life, of which the
-	// total may be less.
+	// The successor dies, and the old process takes its state back. To other gateways it must be another incarnation,
+	// as its total may be lower.
 	for _, p := range snapshot.Reclaimed(parts) {
 		old.Restore(now, p)
 	}
-	if old.incarnation == was.Incarnation || parts[0].Incarnation != was.Incarnation {
-		t.Errorf("incarnation %d after the successor's %d: what that one admitted seems handed back", old.incarnation, was.Incarnation)
+	if old.incarnation == entryBefore.Incarnation || parts[0].Incarnation != entryBefore.Incarnation {
+		t.Errorf("incarnation = %d after the successor's death, want another than the successor's %d", old.incarnation, entryBefore.Incarnation)
 	}
-	if is.Incarnation != was.Incarnation || math.Abs(is.Total-sum) > 0.3 {
-		t.Errorf("the owner has incarnation %d and %v units, want %d and %v", is.Incarnation, is.Total, was.Incarnation, sum)
+	if entry.Incarnation != entryBefore.Incarnation || math.Abs(entry.Total-total) > 0.3 {
+		t.Errorf("the owner has incarnation %d and a total of %v units, want %d and %v", entry.Incarnation, entry.Total, entryBefore.Incarnation, total)
 	}
 }
