--- a/policy/admission.go
+++ b/policy/admission.go
@@ -66,7 +66,7 @@
 	switch {
 	case denial != reason.None && (denial != reason.ConcurrencyLimit || !g.slotFreeInTime(req)):
 		return denied, denial
-	case !g.hardLimitPaysInTime(req):
+	case !g.hardLimitCoversInTime(req):
 		return denied, reason.HardLimitExhausted
 	}
 	return admitted, reason.OwnerCount
--- a/policy/hard_limit.go
+++ b/policy/hard_limit.go
@@ -19,19 +19,19 @@
 	return buckets.LocalCovers(limit, g.now, req.Units) || buckets.SharedCovers(limit, g.now, req.Units)
 }
 
-// hardLimitPaysInTime reports whether this gateway's buckets will pay for the request, after all units that
-// are still unpaid, while the request can still be sent. The wait is short, as a hard limit refills faster
+// hardLimitCoversInTime reports whether this gateway's buckets will hold the request's units, in addition to
+// all unpaid units, while the request can still be sent. The wait is short, as a hard limit refills faster
 // than the quota.
-func (g *Gateway) hardLimitPaysInTime(req *request) bool {
+func (g *Gateway) hardLimitCoversInTime(req *request) bool {
 	limit, waitS := g.hardLimitConfig(req.account), req.latestFirstSend()-g.now
 	return req.account.hardLimit.CoversWithin(limit, g.now, req.Units, waitS)
 }
 
 // hardLimitNeedsOwner reports whether the request needs a grant: the local bucket doesn't hold its units in
 // addition to all unpaid units, and the primary owner may pay for the grant from the shared bucket. While
-// another gateway is the owner, a request for which this gateway's buckets pay in time needs no grant.
+// another gateway is the owner, a request that this gateway's buckets cover in time needs no grant.
 func (g *Gateway) hardLimitNeedsOwner(req *request) bool {
 	account, limit := req.account, g.hardLimitConfig(req.account)
 	return !account.hardLimit.LocalCovers(limit, g.now, account.hardLimit.Unpaid+req.Units) &&
-		(g.owner(account) == account.primaryOwner || !g.hardLimitPaysInTime(req))
+		(g.owner(account) == account.primaryOwner || !g.hardLimitCoversInTime(req))
 }
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -63,8 +63,8 @@
 			t.Errorf("under overload: level = %.2f, shed = %v, want a level of at least 0.2 and more read than pay shed", g.Shedder().Level(), shed)
 		}
 		run(4, 0.1)
-		if rejected := run(2, 0.1); g.Shedder().Level() > 0.05 || rejected > 2 {
-			t.Errorf("after the overload: level = %.2f, %d rejected, want at most 0.05 and 2", g.Shedder().Level(), rejected)
+		if rejectedAfter := run(2, 0.1); g.Shedder().Level() > 0.05 || rejectedAfter > 2 {
+			t.Errorf("after the overload: level = %.2f, %d rejected, want at most 0.05 and 2", g.Shedder().Level(), rejectedAfter)
 		}
 	}
 }
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -223,7 +223,7 @@
 			continue
 		}
 		switch fits := options.fits(req); {
-		case fits && (options.paid || g.hardLimitPaysInTime(req)):
+		case fits && (options.paid || g.hardLimitCoversInTime(req)):
 			g.chargeAdmission(req, options.paid)
 			g.dispatch(req)
 		case options.requeue && g.mayRequeue(account, fits):
