--- a/internal/controlplane/cordon/coordinator.go
+++ b/internal/controlplane/cordon/coordinator.go
@@ -6,48 +6,49 @@
 	"slices"
 )
 
-// MaxOperations bounds the calls of one Coordinator that are under way together.
+// MaxOperations is the maximum number of concurrent calls of one Coordinator.
 const MaxOperations = 64
 
-// Errors of a call.
+// Errors of a call. Operators receive their texts.
 var (
 	ErrTooMany = errors.New("too many backends are held, or too many calls are under way")
-	// ErrNoMajority leaves the call's outcome unknown: its state may have reached planners and forwarders, and may bind later or be replaced.
-	// The same call, made again, settles it.
+	// ErrNoMajority means that the outcome of the call is unknown: planners and forwarders may have received its state, which may take effect
+	// later or be replaced. Repeating the call resolves this.
 	ErrNoMajority     = errors.New("too few forwarders answered in time: outcome unknown, call again")
 	ErrUnknownBackend = errors.New("no backend of this id is listed or held") // returned by callers of a Coordinator, which know the list
 )
 
-// Output carries out what a Coordinator asks for. It is called only while one of its methods runs.
+// Output carries out the actions of a Coordinator. The Coordinator calls it only from within its own methods.
 type Output interface {
-	// ReadRegister asks a forwarder for a register; the answer goes to HandleState.
+	// ReadRegister requests a register from a forwarder. The answer is passed to HandleState.
 	ReadRegister(forwarder int, operationID uint64, id string)
-	// WriteRegister asks a forwarder to merge a state. Unless operationID is 0, the register's state then goes to HandleState.
+	// WriteRegister asks a forwarder to merge a state. Unless operationID is 0, the resulting state is passed to HandleState.
 	WriteRegister(forwarder int, operationID uint64, id string, state State)
-	// RegisterChanged notifies the planner of a newer state, which binds this planner from now on: with a call of its own even before a
-	// majority has the state. Other planners are bound once the call has ended with nil; until then its outcome is unknown.
+	// RegisterChanged notifies the planner of a newer state, which this planner applies from now on. The state of a call that was made at this
+	// planner applies here even before a majority has it. It binds the other planners once the call has ended with nil; until then its
+	// outcome is unknown.
 	RegisterChanged(id string, state State)
 }
 
-// Coordinator is a planner's side. It is not safe for concurrent use.
+// Coordinator runs operators' calls at one planner and holds the registers that the planner knows. It is not safe for concurrent use.
 type Coordinator struct {
-	planner    int
-	majority   int     // of the forwarders
-	leaseS     float64 // for which a lead may go on without a majority
+	planner    int     // this planner's number
+	majority   int     // number of forwarders in a quorum
+	leaseS     float64 // longest time that a planner may go on leading without a majority
 	registers  Registers
-	linked     []bool // by forwarder: it is linked and knows cordons
+	linked     []bool // by forwarder: it is linked and supports cordons
 	out        Output
 	operations map[uint64]*operation // by id, from 1; at most MaxOperations
 	lastID     uint64
 }
 
-// phase is how far an operation has come.
+// phase is the current step of an operation.
 type phase uint8
 
 const (
-	reading  phase = iota // a majority is asked for the register's version
-	writing               // a majority is asked to merge a greater one
-	awaiting              // a majority has it; leads that began before may go on until their lease ends
+	reading             phase = iota // reads the register's version from a majority
+	writing                          // writes a state with a greater version to a majority
+	awaitingLeaseExpiry              // a majority has the state; planners that led before may go on until their lease ends
 )
 
 // operation is one operator's call.
@@ -55,16 +56,16 @@
 	backendID      string
 	cordoned       bool
 	phase          phase
-	answered       []bool  // by forwarder: in this phase
-	answers        int     // in this phase
-	highestVersion uint64  // read so far
-	proposed       State   // from writing on
-	effectiveAt    float64 // in awaiting: when the call holds whichever planner leads
+	answered       []bool  // by forwarder, in this phase
+	answers        int     // number of forwarders in answered
+	highestVersion uint64  // that was read so far
+	proposed       State   // set from the writing phase on
+	effectiveAt    float64 // in awaitingLeaseExpiry: when the state binds every planner that can lead
 	deadline       float64
 	done           func(error)
 }
 
-// NewCoordinator returns the side of a planner with no forwarder linked. leaseS is the fleet's lease time, in seconds.
+// NewCoordinator returns a planner's Coordinator, with no forwarder linked. leaseS is the fleet's lease time, in seconds.
 func NewCoordinator(planner, forwarders, majority int, leaseS float64, out Output) *Coordinator {
 	return &Coordinator{planner: planner, majority: majority, leaseS: leaseS, linked: make([]bool, forwarders), out: out,
 		operations: map[uint64]*operation{}}
@@ -73,7 +74,7 @@
 // Registers returns the latest states known to this planner. The caller must not change them.
 func (c *Coordinator) Registers() *Registers { return &c.registers }
 
-// LinkUp handles a new link to a forwarder that knows cordons: it sends all registers, and the requests of calls under way.
+// LinkUp handles a new link to a forwarder that supports cordons: it sends all registers, then the reads and writes of open calls.
 func (c *Coordinator) LinkUp(forwarder int) {
 	c.linked[forwarder] = true
 	c.registers.Each(func(id string, state State) { c.out.WriteRegister(forwarder, 0, id, state) })
@@ -82,20 +83,20 @@
 	}
 }
 
-// LinkDown handles the end of a link. What the forwarder has acknowledged still counts: if its process ends, the next one promises nothing
-// for a lease.
+// LinkDown handles the end of a link. The forwarder's answers still count: even if its process has ended and lost the registers, its
+// successor grants no promise for one lease.
 func (c *Coordinator) LinkDown(forwarder int) { c.linked[forwarder] = false }
 
 func (c *Coordinator) operationIDs() []uint64 { return slices.Sorted(maps.Keys(c.operations)) }
 
-// broadcast asks all forwarders for an operation's phase.
+// broadcast sends the read or write of an operation's phase to all linked forwarders.
 func (c *Coordinator) broadcast(operationID uint64) {
 	for forwarder := range c.linked {
 		c.sendTo(forwarder, operationID)
 	}
 }
 
-// sendTo asks a forwarder for an operation's phase, unless it has answered.
+// sendTo sends the read or write of an operation's phase to a forwarder, unless it has answered or is not linked.
 func (c *Coordinator) sendTo(forwarder int, operationID uint64) {
 	op := c.operations[operationID]
 	switch {
@@ -107,8 +108,8 @@
 	}
 }
 
-// SetCordoned starts a call that cordons or uncordons a backend. done is called by a later method, within timeoutS seconds and one tick:
-// with nil once the call holds whichever planner leads, else with ErrNoMajority. If SetCordoned itself returns ErrTooMany, done is not
+// SetCordoned starts a call that cordons or uncordons a backend. A later Tick calls done, within timeoutS seconds and one tick interval:
+// with nil once the state binds every planner that can lead, otherwise with ErrNoMajority. If SetCordoned returns ErrTooMany, done is not
 // called.
 func (c *Coordinator) SetCordoned(now, timeoutS float64, backendID string, cordoned bool, done func(error)) error {
 	known := c.registers.Get(backendID)
@@ -122,15 +123,15 @@
 	return nil
 }
 
-// HandleState handles a register's state from a forwarder: the answer to an operation, or with operation 0 a change.
+// HandleState handles a register's state from a forwarder: the answer to an operation, or with operationID 0 a change.
 func (c *Coordinator) HandleState(now float64, forwarder int, operationID uint64, backendID string, state State) {
 	c.merge(backendID, state)
 	op := c.operations[operationID]
-	if op == nil || op.backendID != backendID || op.phase == awaiting || op.answered[forwarder] {
+	if op == nil || op.backendID != backendID || op.phase == awaitingLeaseExpiry || op.answered[forwarder] {
 		return
 	}
 	if op.phase == writing && state.Version < op.proposed.Version {
-		return // a late answer to the read
+		return // late answer to the read
 	}
 	op.answered[forwarder] = true
 	op.answers++
@@ -141,12 +142,13 @@
 	if op.phase == reading {
 		c.startWriting(operationID, op)
 	} else {
-		op.phase, op.effectiveAt = awaiting, now+c.leaseS
+		op.phase, op.effectiveAt = awaitingLeaseExpiry, now+c.leaseS
 	}
 }
 
-// startWriting proposes a version above all that a majority knows. It binds this planner at once, so that nothing is sent to a backend that is
-// being cordoned; if the call then ends with ErrNoMajority, that stays so and its outcome elsewhere is unknown.
+// startWriting proposes a state with a version greater than all that a majority knows. This planner applies the state at once, so that it
+// sends nothing to a backend that is being cordoned. If the call ends with ErrNoMajority, the state still applies here, and its outcome
+// elsewhere is unknown.
 func (c *Coordinator) startWriting(operationID uint64, op *operation) {
 	highest := max(op.highestVersion, c.registers.Get(op.backendID).Version)
 	op.phase, op.proposed = writing, State{Version: nextVersion(highest, c.planner), Cordoned: op.cordoned}
@@ -162,11 +164,11 @@
 	}
 }
 
-// Tick ends the calls that have become effective, and those whose time is over.
+// Tick ends the calls that have taken effect and those that have timed out.
 func (c *Coordinator) Tick(now float64) {
 	for _, id := range c.operationIDs() {
 		switch op := c.operations[id]; {
-		case op.phase == awaiting && now >= op.effectiveAt:
+		case op.phase == awaitingLeaseExpiry && now >= op.effectiveAt:
 			delete(c.operations, id)
 			op.done(nil)
 		case now >= op.deadline:
--- a/internal/controlplane/cordon/coordinator_test.go
+++ b/internal/controlplane/cordon/coordinator_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-// testNetwork joins planners and forwarders by ordered links, which tests cut.
+// testNetwork connects planners and forwarders by ordered links that tests can cut.
 type testNetwork struct {
 	t            *testing.T
 	rng          *rand.Rand
 	now          float64
 	coordinators []*Coordinator
-	registers    []Registers // of forwarders
-	links        [][]bool
-	queue        [][][]func() // by planner, forwarder, in order; both ways share a link's fate
-	cordoned     []map[string]bool
+	registers    []Registers       // by forwarder
+	links        [][]bool          // by planner, forwarder: the link is up
+	queue        [][][]func()      // by planner, forwarder: messages in order, both directions together; dropped when the link is cut
+	cordoned     []map[string]bool // by planner: the state that RegisterChanged reported last
 	majority     int
 }
 
@@ -31,7 +31,7 @@
 func (e plannerEnd) WriteRegister(forwarder int, operationID uint64, id string, state State) {
 	e.network.post(e.planner, forwarder, func() {
 		if newer, _ := e.network.registers[forwarder].Merge(id, state); newer {
-			for planner := range e.network.coordinators { // a change goes to every linked planner, before anything else that is sent to it
+			for planner := range e.network.coordinators { // a change is sent to every linked planner, ahead of all later messages to it
 				if e.network.links[planner][forwarder] {
 					e.network.answer(planner, forwarder, 0, id)
 				}
@@ -81,7 +81,7 @@
 	n.coordinators[planner].LinkDown(forwarder)
 }
 
-// step delivers one message of a link drawn at random, and lets time pass.
+// step advances the time by 1 ms, delivers one message of a random link, and calls Tick on all coordinators.
 func (n *testNetwork) step() {
 	n.now += 0.001
 	planner, forwarder := n.rng.IntN(len(n.coordinators)), n.rng.IntN(len(n.registers))
@@ -107,18 +107,18 @@
 		}
 		n.step()
 	}
-	n.t.Fatal("messages never end")
+	n.t.Fatal("messages are still queued after 200000 steps, want none")
 }
 
-// Whatever links are cut: once a call has succeeded, a majority of forwarders has its state or a later one; successive calls have
-// ascending versions, whichever planners they were made at; and once everything is linked, all agree.
+// Guards against the loss of a confirmed cordon while links break at random. Once a call has succeeded, a majority of forwarders has its
+// state or a later one; versions of successive calls increase, even across planners; once all links are up, all states agree.
 func TestCoordinator_SuccessMeansAMajority(t *testing.T) {
-	yes, no := 0, 0
+	succeeded, failed := 0, 0
 	for seed := range uint64(300) {
 		n := newTestNetwork(t, seed, 3, 5)
 		last := uint64(0)
 		for round := range 12 {
-			for range n.rng.IntN(6) { // two planners keep their links to a majority at most times
+			for range n.rng.IntN(6) { // most of the time, two planners stay linked to a majority
 				planner, forwarder := n.rng.IntN(3), n.rng.IntN(5)
 				if n.links[planner][forwarder] && n.rng.IntN(3) > 0 {
 					n.cut(planner, forwarder)
@@ -127,27 +127,27 @@
 				}
 			}
 			got := errors.New("under way")
-			over := false
+			ended := false
 			planner, cordoned := n.rng.IntN(3), round%2 == 0
-			if err := n.coordinators[planner].SetCordoned(n.now, 0.9, "z1", cordoned, func(err error) { got, over = err, true }); err != nil {
+			if err := n.coordinators[planner].SetCordoned(n.now, 0.9, "z1", cordoned, func(err error) { got, ended = err, true }); err != nil {
 				t.Fatal(err)
 			}
-			for !over {
+			for !ended {
 				n.step()
 			}
 			if got != nil {
-				no++
+				failed++
 				continue
 			}
-			yes++
-			know, version := 0, n.coordinators[planner].Registers().Get("z1").Version
+			succeeded++
+			holders, version := 0, n.coordinators[planner].Registers().Get("z1").Version
 			for forwarder := range n.registers {
 				if n.registers[forwarder].Get("z1").Version >= version {
-					know++
+					holders++
 				}
 			}
-			if know < n.majority || version <= last {
-				t.Fatalf("seed %d round %d: %d of 5 forwarders know version %d after %d", seed, round, know, version, last)
+			if holders < n.majority || version <= last {
+				t.Fatalf("seed %d round %d: %d of 5 forwarders have version %d, want at least %d and a version above %d", seed, round, holders, version, n.majority, last)
 			}
 			last = version
 		}
@@ -162,21 +162,21 @@
 		want := n.registers[0].Get("z1")
 		for forwarder := range n.registers {
 			if n.registers[forwarder].Get("z1") != want {
-				t.Fatalf("seed %d: forwarder %d has %+v, want %+v", seed, forwarder, n.registers[forwarder].Get("z1"), want)
+				t.Fatalf("seed %d: forwarder %d has state %+v, want %+v", seed, forwarder, n.registers[forwarder].Get("z1"), want)
 			}
 		}
 		for planner, c := range n.coordinators {
 			if c.Registers().Get("z1") != want || n.cordoned[planner]["z1"] != want.Cordoned {
-				t.Fatalf("seed %d: planner %d has %+v, want %+v", seed, planner, c.Registers().Get("z1"), want)
+				t.Fatalf("seed %d: planner %d has state %+v and reported cordoned %v, want %+v", seed, planner, c.Registers().Get("z1"), n.cordoned[planner]["z1"], want)
 			}
 		}
 	}
-	if yes < 500 || no < 100 {
-		t.Fatalf("too few occasions: %d calls succeeded, %d failed", yes, no)
+	if succeeded < 500 || failed < 100 {
+		t.Fatalf("%d calls succeeded and %d failed, want at least 500 and 100", succeeded, failed)
 	}
 }
 
-// A call that reaches no majority fails in time.
+// Guards against a call that never ends: without a majority, it fails with ErrNoMajority within its timeout of 0.9 s.
 func TestCoordinator_NoMajority(t *testing.T) {
 	n := newTestNetwork(t, 1, 1, 5)
 	for forwarder := range 3 {
@@ -190,36 +190,38 @@
 		n.step()
 	}
 	if !errors.Is(got, ErrNoMajority) || n.now > 0.95 {
-		t.Fatalf("%v at %.3f", got, n.now)
+		t.Fatalf("call ended with %v at %.3f s, want ErrNoMajority by 0.95 s", got, n.now)
 	}
 }
 
-// A call succeeds only after a lease: a lead that began before may last so long.
-func TestCoordinator_WaitsForOlderLeadsToEnd(t *testing.T) {
+// Guards against an early success: a planner that led before the call may go on for one lease (0.4 s), so the call succeeds only after
+// that.
+func TestCoordinator_WaitsForOldLeasesToExpire(t *testing.T) {
 	n := newTestNetwork(t, 2, 1, 3)
 	n.deliverAll()
-	began, over := n.now, false
-	if err := n.coordinators[0].SetCordoned(n.now, 0.9, "z1", true, func(err error) { over = err == nil }); err != nil {
+	startedAt, succeeded := n.now, false
+	if err := n.coordinators[0].SetCordoned(n.now, 0.9, "z1", true, func(err error) { succeeded = err == nil }); err != nil {
 		t.Fatal(err)
 	}
-	for !over && n.now < began+2 {
+	for !succeeded && n.now < startedAt+2 {
 		n.step()
 	}
-	if n.now < began+0.4 {
-		t.Fatalf("success after %.3f s", n.now-began)
+	if n.now < startedAt+0.4 {
+		t.Fatalf("the call ended after %.3f s, want at least 0.4 s", n.now-startedAt)
 	}
 }
 
+// Guards the limits: further ids and calls are rejected, and known ids are still updated.
 func TestCoordinator_Bounds(t *testing.T) {
-	var w Registers
+	var registers Registers
 	for i := range MaxRegisters + 10 {
-		w.Merge(fmt.Sprint(i), State{Version: 1, Cordoned: true})
+		registers.Merge(fmt.Sprint(i), State{Version: 1, Cordoned: true})
 	}
-	if len(w.Cordoned()) != MaxRegisters {
-		t.Errorf("%d registers are kept", len(w.Cordoned()))
+	if len(registers.Cordoned()) != MaxRegisters {
+		t.Errorf("%d registers are stored, want %d", len(registers.Cordoned()), MaxRegisters)
 	}
-	if newer, changed := w.Merge("3", State{Version: 2}); !newer || !changed {
-		t.Error("a known id was not taken at the bound")
+	if newer, changed := registers.Merge("3", State{Version: 2}); !newer || !changed {
+		t.Errorf("update of a known id at the limit: newer %v, changed %v, want true, true", newer, changed)
 	}
 	n := newTestNetwork(t, 3, 1, 3)
 	for i := range MaxOperations {
@@ -228,6 +230,6 @@
 		}
 	}
 	if err := n.coordinators[0].SetCordoned(0, 1, "one more", true, func(error) {}); !errors.Is(err, ErrTooMany) {
-		t.Errorf("beyond the bound: %v", err)
+		t.Errorf("call beyond MaxOperations: got error %v, want ErrTooMany", err)
 	}
 }
--- a/internal/controlplane/cordon/doc.go
+++ b/internal/controlplane/cordon/doc.go
@@ -1,8 +1,8 @@
-// Package cordon decides which backends the operators of a fleet with planners have cordoned, so that a cordon that was confirmed at any
-// planner binds whichever planner leads afterwards. Each backend id is a register, of which the state with the greatest version holds.
-// Forwarders keep the registers (Registers); a planner that operators call reads and writes them at a majority of forwarders
-// (Coordinator). The package does no I/O and has no clock: times come in as values, in seconds.
+// Package cordon replicates operators' cordons of backends in a fleet with planners, so that a cordon that one planner has confirmed binds
+// every planner that leads afterwards. Each backend id has a register; its valid state is the one with the greatest version. Forwarders store
+// the registers (Registers). The planner that an operator calls reads and writes them at a majority of forwarders (Coordinator). The package
+// does no I/O and reads no clock: times are passed in, in seconds.
 //
-// A majority is enough because a planner leads by the promises of a majority of forwarders, and one of these has sent the register's state
-// on the same link ahead of its promise. docs/two-levels-by-hand.md has the proof.
+// A majority is enough: a planner leads with the promises of a majority of forwarders, so at least one of these forwarders has stored the
+// register's state, and it sends the state ahead of its promise on the same link. docs/two-levels-by-hand.md has the proof.
 package cordon
--- a/internal/controlplane/topology/cells.go
+++ b/internal/controlplane/topology/cells.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Majority returns how many forwarders make a quorum: any two quorums share one.
+// Majority returns the number of forwarders in a quorum, so that any two quorums have a forwarder in common. It is 1 without fencing.
 func (p Params) Majority() int {
 	if !Fenced {
 		return 1
@@ -17,15 +17,15 @@
 func (p Params) CellOf(account string) int {
 	hasher := fnv.New64a()
 	hasher.Write([]byte(account))
-	hash := hasher.Sum64() // mixed below: FNV's low bits are poor for names that differ in their last letter
+	hash := hasher.Sum64() // mixed below: FNV's low bits are distributed poorly for names that differ only in the last letter
 	hash ^= hash >> 32
 	hash *= 0x9fb21c651e98df25
 	hash ^= hash >> 28
 	return int(hash % uint64(p.Cells))
 }
 
-// Rank returns a planner's rank, from 0, in the order in which planners claim a cell. The order differs between the cells of one planner,
-// so that several others share the cells of one that fails.
+// Rank returns a planner's position, from 0, in the order in which planners claim a cell. Cells that have the same first planner differ in
+// the order of the others, so that several planners share its cells if it fails.
 func (p Params) Rank(cellID, planner int) int {
 	rank := (planner - cellID%p.Planners + p.Planners) % p.Planners
 	if rank > 0 && p.Planners > 2 {
--- a/internal/controlplane/topology/fenced.go
+++ b/internal/controlplane/topology/fenced.go
@@ -2,6 +2,6 @@
 
 package topology
 
-// Fenced is true in all builds but those of the tag unfenced: a planner leads only by a majority's promises and only while they last. Test
-// builds go without, to show that the checks notice.
+// Fenced reports whether fencing is enforced: a planner leads a cell only with the promises of a majority of forwarders, and only until
+// they expire. It is false only in test builds with the tag unfenced, which show that the checks detect the lack of fencing.
 const Fenced = true
--- a/internal/controlplane/topology/file.go
+++ b/internal/controlplane/topology/file.go
@@ -7,7 +7,8 @@
 	"eiderspread/internal/base/operatorconfig"
 )
 
-// File is what the operators' files of forwarders and planners have in common; docs/operating-two-levels.md explains each key.
+// File holds the keys that the configuration files of forwarders and planners have in common. docs/operating-two-levels.md explains each
+// key.
 type File struct {
 	Fleet         string             `toml:"fleet"`
 	Number        int                `toml:"number"`
@@ -19,16 +20,16 @@
 	LinkTimeoutMS float64            `toml:"silence_ms"`
 	LeaderWaitMS  float64            `toml:"wait_ms"`
 	FailsafeMS    float64            `toml:"failsafe_ms"`
-	IngressPath   string             `toml:"base"`   // the configuration that an ingress would have
-	StatusAddr    string             `toml:"status"` // of the status page, on loopback; empty: none
+	IngressPath   string             `toml:"base"`   // path of a configuration file as an ingress has it
+	StatusAddr    string             `toml:"status"` // loopback address of the status page; empty: no status page
 	TLS           mutualtls.Identity `toml:"tls"`
 }
 
-var errIncompleteTLS = errors.New("tls: cert, key and ca are needed together")
+var errIncompleteTLS = errors.New("tls: cert, key and ca must be set together")
 
 const msPerSecond = 1e3
 
-// Params checks the file and returns the fleet's parameters.
+// Params checks the common keys and returns the fleet's parameters, with defaults filled in.
 func (f File) Params() (Params, error) {
 	p := Params{
 		Name:           f.Fleet,
@@ -45,7 +46,7 @@
 		return p, err
 	}
 	if f.IngressPath == "" {
-		return p, &ParamError{"base", "names no configuration"}
+		return p, &ParamError{"base", "must name a configuration file"}
 	}
 	if f.StatusAddr != "" {
 		if err := operatorconfig.CheckLoopback("status", f.StatusAddr); err != nil {
--- a/internal/controlplane/topology/golden_test.go
+++ b/internal/controlplane/topology/golden_test.go
@@ -6,5 +6,5 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// The operators' files of forwarders and planners keep the keys that they have in common.
+// Guards the keys that the configuration files of forwarders and planners have in common: a renamed key would break operators' files.
 func TestGoldenFile(t *testing.T) { golden.TOML(t, "fleet.toml", &File{}) }
--- a/internal/controlplane/topology/params_test.go
+++ b/internal/controlplane/topology/params_test.go
@@ -9,6 +9,7 @@
 	"eiderspread/policy"
 )
 
+// Guards the defaults of a configuration that sets only the required keys.
 func TestParams_CheckFillsDefaults(t *testing.T) {
 	params := Params{Name: "f", Forwarders: 3, Planners: 2}
 	if err := params.Check(); err != nil {
@@ -21,6 +22,7 @@
 	}
 }
 
+// Guards the error for a value out of range: it names the key as the configuration file has it.
 func TestParams_CheckNamesTheKey(t *testing.T) {
 	for _, tc := range []struct {
 		key    string
@@ -39,12 +41,12 @@
 		params := Params{Name: "f", Forwarders: 3, Planners: 2}
 		tc.change(&params)
 		if err, ok := errors.AsType[*ParamError](params.Check()); !ok || err.Key != tc.key {
-			t.Errorf("%s: got %v", tc.key, err)
+			t.Errorf("got error %v, want a *ParamError for key %s", err, tc.key)
 		}
 	}
 }
 
-// Each cell has an order of all planners, and the planners are first in as many cells as can be.
+// Guards the order of claims: each cell has every planner exactly once in its order, and each planner is first in the same number of cells.
 func TestParams_Rank(t *testing.T) {
 	for planners := 1; planners <= 5; planners++ {
 		params := Params{Planners: planners, Cells: 4 * planners}
@@ -61,13 +63,13 @@
 			slices.Sort(ranks)
 			for rank, got := range ranks {
 				if got != rank {
-					t.Fatalf("%d planners, cell %d: ranks %v", planners, cellID, ranks)
+					t.Fatalf("%d planners, cell %d: ranks are %v, want each of 0 to %d once", planners, cellID, ranks, planners-1)
 				}
 			}
 		}
 		for planner, cells := range first {
 			if cells != 4 {
-				t.Errorf("%d planners: planner %d is first in %d cells of %d", planners, planner, cells, params.Cells)
+				t.Errorf("%d planners: planner %d is first in %d of %d cells, want 4", planners, planner, cells, params.Cells)
 			}
 		}
 	}
@@ -83,14 +85,15 @@
 		{[]policy.Plan{{Rate: 4, Burst: 12}, {Rate: 30, Burst: 60}, {Burst: 1000}}, 3},
 	} {
 		if got := LongestWindowS(tc.plans); got != tc.want {
-			t.Errorf("%+v: got %v, want %v", tc.plans, got, tc.want)
+			t.Errorf("plans %+v: got %v s, want %v s", tc.plans, got, tc.want)
 		}
 	}
 }
 
-// A lead ends before the promises on which it rests even if the planner's clock is slow by 5% against the forwarders'.
+// Guards against two leaders of one cell: a planner's leadership ends before the promises that it is based on, even if its clock runs 5%
+// slower than the forwarders' clocks.
 func TestLeadFraction(t *testing.T) {
 	if slowness := 1.05; LeadFraction*slowness > 1 {
-		t.Errorf("a lead of %v of a lease may outlast a promise", LeadFraction)
+		t.Errorf("leadership for %v of a lease may outlast a promise, want at most 1/%v", LeadFraction, slowness)
 	}
 }
--- a/internal/controlplane/topology/unfenced.go
+++ b/internal/controlplane/topology/unfenced.go
@@ -2,5 +2,5 @@
 
 package topology
 
-// Fenced is false in this test build: one promise makes a lead, and a lead does not end by time.
+// Fenced is false in this test build: a planner leads with the promise of a single forwarder, and its leadership does not expire.
 const Fenced = false
--- a/internal/controlplane/transport/codec.go
+++ b/internal/controlplane/transport/codec.go
@@ -13,7 +13,7 @@
 	hundredthsPerUnit = 100
 )
 
-// field is one part of a record on the wire.
+// field identifies a field of an encoded record.
 type field uint8
 
 const (
@@ -32,7 +32,7 @@
 	fieldLoad
 )
 
-// layout holds the fields of each kind of record in their order on the wire, after the byte of the kind.
+// layout lists the fields of each kind of record in wire order. On the wire they follow the byte that holds the kind.
 var layout = [kindCount][]field{
 	KindHello:           {fieldPlan, fieldName, fieldNumber, fieldEpoch, fieldCell},
 	KindView:            {fieldCell, fieldEpoch, fieldNumber, fieldDuration, fieldRequester},
@@ -60,16 +60,16 @@
 	KindCordonState:     {fieldHandle, fieldName, fieldEpoch, fieldFlag},
 }
 
-// ErrMalformed is wrapped by the errors of bytes that are no valid frame or record.
+// ErrMalformed is wrapped by all errors for bytes that are not a valid frame or record.
 var ErrMalformed = errors.New("malformed")
 
 var (
-	errTruncated   = fmt.Errorf("%w: record ends early", ErrMalformed)
-	errNameTooLong = fmt.Errorf("%w: name too long", ErrMalformed)
-	errLoadNumber  = fmt.Errorf("%w: a load that is no number", ErrMalformed)
+	errTruncated   = fmt.Errorf("%w: record is truncated", ErrMalformed)
+	errNameTooLong = fmt.Errorf("%w: name is longer than %d bytes", ErrMalformed, MaxNameBytes)
+	errInvalidLoad = fmt.Errorf("%w: load value is NaN or infinite", ErrMalformed)
 )
 
-// clampUint32 rounds to the range of what is on the wire; NaN becomes 0.
+// clampUint32 rounds value to the nearest uint32. Values outside that range are clamped to it, and NaN becomes 0.
 func clampUint32(value float64) uint32 {
 	if !(value > 0) {
 		return 0
@@ -84,7 +84,8 @@
 	return 0
 }
 
-// AppendMessage appends a record to b. It cuts a name off at MaxNameBytes: a caller to whom that matters checks before.
+// AppendMessage appends the encoding of msg to b. It truncates a name to MaxNameBytes; a caller that needs the whole name checks its length
+// first.
 func AppendMessage(b []byte, msg *Message) []byte {
 	b = append(b, byte(msg.Kind))
 	for _, f := range layout[msg.Kind] {
@@ -131,7 +132,8 @@
 	return b
 }
 
-// recordReader takes values off the front of a frame and keeps the first error, after which all values are zero.
+// recordReader decodes the records of a frame from front to back and keeps the first error. Values that are read after an error are
+// meaningless.
 type recordReader struct {
 	rest []byte
 	err  error
@@ -145,7 +147,7 @@
 	}
 	r.rest = r.rest[n:]
 	if value > limit {
-		r.fail(fmt.Errorf("%w: number %d over %d", ErrMalformed, value, limit))
+		r.fail(fmt.Errorf("%w: number %d exceeds the maximum %d", ErrMalformed, value, limit))
 		return 0
 	}
 	return value
@@ -164,7 +166,7 @@
 func (r *recordReader) boolean() bool {
 	value := r.take(1)[0]
 	if value > 1 {
-		r.fail(fmt.Errorf("%w: flag %d", ErrMalformed, value))
+		r.fail(fmt.Errorf("%w: flag is %d, want 0 or 1", ErrMalformed, value))
 	}
 	return value == 1
 }
@@ -185,7 +187,7 @@
 	for i := range msg.Load {
 		value := float64(math.Float32frombits(binary.BigEndian.Uint32(r.take(4))))
 		if math.IsNaN(value) || math.IsInf(value, 0) {
-			r.fail(errLoadNumber)
+			r.fail(errInvalidLoad)
 		}
 		msg.Load[i] = value
 	}
@@ -198,11 +200,11 @@
 	r.rest = nil
 }
 
-// next reads the first of the remaining records.
+// next decodes the next record into msg.
 func (r *recordReader) next(msg *Message) {
 	*msg = Message{Kind: Kind(r.take(1)[0])}
 	if r.err == nil && (msg.Kind == 0 || msg.Kind >= kindCount) {
-		r.fail(fmt.Errorf("%w: unknown kind %d", ErrMalformed, msg.Kind))
+		r.fail(fmt.Errorf("%w: unknown message kind %d", ErrMalformed, msg.Kind))
 	}
 	if r.err != nil {
 		return
@@ -245,7 +247,7 @@
 	}
 }
 
-// ParseFrame reads the records of a frame, all or none. An error wraps ErrMalformed.
+// ParseFrame decodes all records of a frame. If one is invalid, it returns no messages and an error that wraps ErrMalformed.
 func ParseFrame(frame []byte) ([]Message, error) {
 	var msgs []Message
 	for r := (recordReader{rest: frame}); len(r.rest) > 0; {
--- a/internal/controlplane/transport/conn.go
+++ b/internal/controlplane/transport/conn.go
@@ -12,49 +12,52 @@
 )
 
 const (
-	// MaxQueuedBytes bounds what is queued to be written to one peer.
+	// MaxQueuedBytes is the limit of the encoded records that are queued for one peer. Conn.Send closes the connection when they exceed it.
 	MaxQueuedBytes = 1 << 20
-	// frameHeaderBytes is the size of a frame's length, which is written before it.
+	// frameHeaderBytes is the size of the length that precedes each frame.
 	frameHeaderBytes = 4
-	// readBufferBytes is the size of a read buffer before a larger frame arrives.
+	// readBufferBytes is the initial capacity of the read buffer; a larger frame makes it grow.
 	readBufferBytes = 4 << 10
-	// maxIdleQueueBytes is the largest write buffer that is kept for the next frames.
+	// maxIdleQueueBytes is the largest capacity with which a write buffer is kept for reuse.
 	maxIdleQueueBytes = 2 * MaxFrameBytes
 )
 
-// ErrSlowPeer ends a link whose peer does not read what it is sent.
-var ErrSlowPeer = errors.New("peer does not read")
+// ErrSlowPeer is the reason with which a link is closed when its peer reads too slowly and more than MaxQueuedBytes are queued for it.
+var ErrSlowPeer = errors.New("send queue is full: the peer reads too slowly")
 
-// Conn is one connection between a forwarder and a planner. Messages are gathered while a write is under way and go out together as soon
-// as it is done, so that an idle link adds no delay and a busy one makes few writes. Its methods are safe for concurrent use.
+// Conn is one connection between a forwarder and a planner. Messages that are sent during a write are queued and written together as soon as
+// that write ends, so an idle link adds no delay and a busy link makes few writes. Its methods are safe for concurrent use, except that only
+// one Serve may run.
 type Conn struct {
 	conn        net.Conn
-	idleTimeout time.Duration // the link ends if nothing is read, or a write does not end, for so long
+	idleTimeout time.Duration // the connection is closed if reading or writing a frame takes longer
 
 	mu     sync.Mutex
-	queued []byte // records to be framed; MaxQueuedBytes at most
+	queued []byte // encoded records that are not framed yet; at most MaxQueuedBytes
 	closed bool
-	err    error         // why it was closed
-	wake   chan struct{} // holds one value if queued or closed has changed
+	err    error         // the reason of the first Close
+	wake   chan struct{} // capacity 1; a value tells writeLoop that queued or closed has changed
 
-	BytesIn, BytesOut atomic.Uint64 // with the lengths of frames
+	BytesIn, BytesOut atomic.Uint64 // including frame headers
 }
 
-// NewConn takes a connection over and starts its writer. Serve reads from it.
+// NewConn takes ownership of a connection and starts to write to it. The caller runs Serve to read from it. The connection is closed if
+// no whole frame is read, or a write does not end, within idleTimeout.
 func NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {
 	c := &Conn{conn: conn, idleTimeout: idleTimeout, wake: make(chan struct{}, 1)}
 	go c.writeLoop()
 	return c
 }
 
-// Writable reports whether the peer keeps up: less than half of what may be queued is.
+// Writable reports whether the peer keeps up: the connection is open and less than half of MaxQueuedBytes are queued.
 func (c *Conn) Writable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closed && len(c.queued) < MaxQueuedBytes/2
 }
 
-// Send queues messages. It closes the connection with ErrSlowPeer if too much is queued.
+// Send queues messages to be written in order, or drops them if the connection is closed. It closes the connection with ErrSlowPeer if more
+// than MaxQueuedBytes are then queued.
 func (c *Conn) Send(msgs ...Message) {
 	c.mu.Lock()
 	if !c.closed {
@@ -71,14 +74,14 @@
 	c.wakeWriter()
 }
 
-// Close ends the connection. The reason of the first call is the one that Serve returns.
+// Close closes the connection and drops queued messages. Serve returns the reason of the first call.
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	if !c.closed {
 		c.closed, c.err, c.queued = true, reason, nil
 	}
 	c.mu.Unlock()
-	_ = c.conn.Close() // nothing can be done about a connection that can't be closed
+	_ = c.conn.Close() // there is no way to recover from a failed close
 	c.wakeWriter()
 }
 
@@ -89,8 +92,8 @@
 	}
 }
 
-// completeRecords returns how many bytes of complete records b starts with, MaxFrameBytes at most.
-func completeRecords(b []byte) int {
+// completeRecordBytes returns the length of the longest prefix of b that consists of complete records and fits into one frame.
+func completeRecordBytes(b []byte) int {
 	if len(b) <= MaxFrameBytes {
 		return len(b)
 	}
@@ -104,7 +107,7 @@
 	}
 }
 
-// writeLoop writes what is queued until the connection is closed.
+// writeLoop writes queued records until the connection is closed.
 func (c *Conn) writeLoop() {
 	var spare []byte
 	for range c.wake {
@@ -116,7 +119,7 @@
 			return
 		}
 		for rest := records; len(rest) > 0; {
-			n := completeRecords(rest)
+			n := completeRecordBytes(rest)
 			if err := c.writeFrame(rest[:n]); err != nil {
 				c.Close(fmt.Errorf("write: %w", err))
 				return
@@ -143,8 +146,8 @@
 	return nil
 }
 
-// Serve reads frames and calls handle with the messages of each until the link ends. It returns why that happened: an error that wraps
-// ErrMalformed, one of the connection, or the reason of Close.
+// Serve reads frames and calls handle with the messages of each, until the connection ends. It returns the reason: an error that wraps
+// ErrMalformed, an error of the connection, or the reason that was given to Close.
 func (c *Conn) Serve(handle func([]Message)) error {
 	buf := make([]byte, 0, readBufferBytes)
 	for {
@@ -165,7 +168,7 @@
 	}
 }
 
-// readFrame reads a frame into buf, or into a larger buffer.
+// readFrame reads one frame into buf, or into a new buffer if buf is too small, and returns it.
 func (c *Conn) readFrame(buf []byte) ([]byte, error) {
 	if err := c.conn.SetReadDeadline(time.Now().Add(c.idleTimeout)); err != nil {
 		return nil, err
@@ -176,7 +179,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(header[:]))
 	if n <= 0 || n > MaxFrameBytes {
-		return nil, fmt.Errorf("%w: frame of %d bytes", ErrMalformed, n)
+		return nil, fmt.Errorf("%w: frame length is %d bytes, want 1 to %d", ErrMalformed, n, MaxFrameBytes)
 	}
 	if cap(buf) < n {
 		buf = make([]byte, 0, n)
--- a/internal/controlplane/transport/conn_test.go
+++ b/internal/controlplane/transport/conn_test.go
@@ -14,7 +14,7 @@
 
 const testTimeout = 20 * time.Second
 
-// randomMessage returns a message all of whose fields survive the wire.
+// randomMessage returns a message whose values encoding and decoding leave unchanged.
 func randomMessage(rng *rand.Rand) Message {
 	msg := Message{Kind: Kind(1 + rng.IntN(int(kindCount)-1))}
 	for _, f := range layout[msg.Kind] {
@@ -54,7 +54,7 @@
 	return msg
 }
 
-// Each kind is read as it was written.
+// Guards the codec: messages of every kind with random values are decoded as they were encoded.
 func TestMessage_RoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	seen := map[Kind]bool{}
@@ -67,30 +67,30 @@
 		}
 		got, err := ParseFrame(b)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Fatalf("got %+v, %v, want %+v", got, err, want)
+			t.Fatalf("decoded messages are %+v (error %v), want %+v", got, err, want)
 		}
 	}
 	if len(seen) != int(kindCount)-1 {
-		t.Errorf("%d kinds of %d were tried", len(seen), kindCount-1)
+		t.Errorf("%d kinds were tested, want all %d", len(seen), kindCount-1)
 	}
 }
 
-// Values out of their range are errors.
+// Guards against values out of range from a faulty peer: a frame that holds one is rejected.
 func TestParseFrame_InvalidValues(t *testing.T) {
 	for _, b := range [][]byte{
 		{0}, {byte(kindCount)}, {byte(KindClaim)}, {byte(KindClaim), 0x80},
-		{byte(KindClaim), 0xff, 0xff, 0xff, 0x7f, 1, 1},                                                       // a cell beyond 65,535
+		{byte(KindClaim), 0xff, 0xff, 0xff, 0x7f, 1, 1},                                                       // cell above 65,535
 		append([]byte{byte(KindOutcome), 1, 0, 0, 0, 0, 1}, []byte(strings.Repeat("\x7f\xc0\x00\x00", 6))...), // NaN
-		{byte(KindUsageReportEnd), 1, 1, 2},                                                                   // a flag of 2
+		{byte(KindUsageReportEnd), 1, 1, 2},                                                                   // flag that is neither 0 nor 1
 		append([]byte{byte(KindProbe), 1, 1, MaxNameBytes + 1}, make([]byte, 200)...),
 	} {
 		if m, err := ParseFrame(b); err == nil {
-			t.Errorf("%v was read as %+v", b, m)
+			t.Errorf("frame %v is decoded as %+v, want an error", b, m)
 		}
 	}
 }
 
-// FuzzParseFrame looks for frames that crash the reader, or that can't be written as they were read.
+// FuzzParseFrame looks for frames that crash the decoder, or whose messages can't be encoded and decoded again.
 func FuzzParseFrame(f *testing.F) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 50 {
@@ -102,13 +102,13 @@
 		if err != nil {
 			return
 		}
-		var again []byte
+		var encoded []byte
 		for i := range msgs {
-			again = AppendMessage(again, &msgs[i])
+			encoded = AppendMessage(encoded, &msgs[i])
 		}
-		back, err := ParseFrame(again)
-		if err != nil || len(back) != len(msgs) {
-			t.Fatalf("%v was read, but not read again: %v", b, err)
+		decoded, err := ParseFrame(encoded)
+		if err != nil || len(decoded) != len(msgs) {
+			t.Fatalf("frame %v holds %d messages, encoded again it holds %d (error %v)", b, len(msgs), len(decoded), err)
 		}
 	})
 }
@@ -139,7 +139,7 @@
 	return a, b
 }
 
-// A malformed frame ends the link with an error, and the complete frames before it are handled.
+// Guards against bytes that are not the protocol: they end the link with an error, and the complete frames before them are handled.
 func TestConn_MalformedFramesClose(t *testing.T) {
 	good := AppendMessage(nil, &Message{Kind: KindClaim, Cell: 3, Epoch: 9, Round: 1})
 	frame := func(b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
@@ -158,7 +158,7 @@
 			go func() { ended <- conn.Serve(func(m []Message) { got <- m }) }()
 			write(t, far, frame(good))
 			if m := <-got; len(m) != 1 || m[0].Epoch != 9 {
-				t.Fatalf("got %+v", m)
+				t.Fatalf("the frame before the malformed one is handled as %+v, want one message with epoch 9", m)
 			}
 			write(t, far, b)
 			if name == "cut" {
@@ -167,19 +167,19 @@
 			select {
 			case err := <-ended:
 				if err == nil {
-					t.Error("the link ended without an error")
+					t.Error("the link ended without an error, want one")
 				}
 			case <-time.After(testTimeout):
-				t.Fatal("the link goes on")
+				t.Fatalf("the link is still open %v after the malformed frame", testTimeout)
 			}
 			if len(got) != 0 {
-				t.Errorf("%+v was handled", <-got)
+				t.Errorf("messages %+v of the malformed frame are handled, want none", <-got)
 			}
 		})
 	}
 }
 
-// A link from which nothing is read for the idle timeout ends.
+// Guards against a peer that is silent, such as one behind a cut network: the link ends after the idle timeout.
 func TestConn_IdleTimeoutCloses(t *testing.T) {
 	near, _ := connPair(t)
 	conn := NewConn(near, 50*time.Millisecond)
@@ -188,35 +188,35 @@
 	select {
 	case err := <-ended:
 		if ne, ok := errors.AsType[net.Error](err); !ok || !ne.Timeout() {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the link ended with error %v, want a timeout", err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the link goes on")
+		t.Fatalf("the link is still open after %v of silence", testTimeout)
 	}
 }
 
-// The queue towards a peer that does not read is bounded.
+// Guards against a peer that does not read: the queue of messages for it stays within MaxQueuedBytes, and the link is closed.
 func TestConn_QueueBoundCloses(t *testing.T) {
 	near, _ := connPair(t)
 	conn := NewConn(near, testTimeout)
 	msg := Message{Kind: KindUsageReport, Name: strings.Repeat("x", MaxNameBytes)}
-	for range 200_000 { // some 28 MB
+	for range 200_000 { // about 28 MB
 		if conn.Send(msg); !conn.Writable() {
 			conn.mu.Lock()
 			n, closed := len(conn.queued), conn.closed
 			conn.mu.Unlock()
 			if n > MaxQueuedBytes {
-				t.Fatalf("%d bytes are queued", n)
+				t.Fatalf("%d bytes are queued, want at most %d", n, MaxQueuedBytes)
 			}
 			if closed {
 				return
 			}
 		}
 	}
-	t.Error("everything was queued")
+	t.Error("the link is still open after all messages were sent to a peer that does not read")
 }
 
-// A fast sender and a slow reader lose no records and keep their order.
+// Guards the order of records: none is lost or reordered between a fast sender and a slower reader.
 func TestConn_ManyRecordsInOrder(t *testing.T) {
 	near, far := connPair(t)
 	a, b := NewConn(near, testTimeout), NewConn(far, testTimeout)
@@ -233,7 +233,7 @@
 	err := b.Serve(func(msgs []Message) {
 		for _, msg := range msgs {
 			if msg.Handle != next {
-				t.Errorf("%d came, want %d", msg.Handle, next)
+				t.Errorf("received handle %d, want %d", msg.Handle, next)
 			}
 			next++
 		}
@@ -242,28 +242,28 @@
 		}
 	})
 	if next != n || !errors.Is(err, errDone) {
-		t.Errorf("%d came; %v", next, err)
+		t.Errorf("received %d records and the link ended with %v, want %d records and %v", next, err, n, errDone)
 	}
 }
 
-// A load-shedding level crosses from a planner to a forwarder and on to another planner; to earlier versions it is neither a cell nor a
-// request.
+// Guards the encoding of load-shedding levels: a level survives the way from a planner through a forwarder to another planner, and peers
+// of earlier versions take it for no known cell and no request.
 func TestShedLevel_RoundTrip(t *testing.T) {
 	for _, cell := range []int{0, 5, 1000} {
 		for _, phase := range []uint8{0, 200} {
 			msg := NewShedLevel(cell, 0.6, phase)
 			if msg.Kind != KindRelease || msg.Cell != ShedLevelCell || msg.Cell == CordonCapableCell {
-				t.Fatalf("%+v", msg)
+				t.Fatalf("cell %d, phase %d: got %+v, want a KindRelease of cell %d", cell, phase, msg, ShedLevelCell)
 			}
 			relayed := Message{Kind: KindDisconnected, Handle: msg.Epoch}
 			if c, l, p, ok := relayed.ShedLevel(); !ok || c != cell || l < 0.59 || l > 0.61 || p != phase {
-				t.Errorf("%d, %g, %d, %v", c, l, p, ok)
+				t.Errorf("decoded cell %d, level %g, phase %d, ok %v; want %d, 0.6, %d, true", c, l, p, ok, cell, phase)
 			}
 		}
 	}
 	for _, handle := range []uint64{0, 1, CordonCapableHandle, 1 << 62} {
 		if _, _, _, ok := (&Message{Kind: KindDisconnected, Handle: handle}).ShedLevel(); ok {
-			t.Errorf("handle %x is taken for a level", handle)
+			t.Errorf("handle %x is decoded as a load-shedding level, want none", handle)
 		}
 	}
 }
--- a/internal/controlplane/transport/doc.go
+++ b/internal/controlplane/transport/doc.go
@@ -1,4 +1,4 @@
-// Package transport carries messages between forwarders and planners: records in frames over TCP, with or without mutual TLS. Its bounds
-// hold in both directions; a peer that breaks one loses its link with an error that gives the reason. Which side may send what, and what follows
-// from it, is decided in packages forwarder and planner.
+// Package transport carries messages between forwarders and planners as records in length-prefixed frames over TCP, with or without mutual
+// TLS. A link is one such connection. The limits apply in both directions: if a peer exceeds one, its link is closed with an error that
+// gives the reason. Packages forwarder and planner decide which side may send a message and how it is handled.
 package transport
--- a/internal/controlplane/transport/golden_test.go
+++ b/internal/controlplane/transport/golden_test.go
@@ -10,8 +10,8 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the bytes between forwarders and planners: a frame with a record of every kind, each field set, and the records that peers of versions
-// before ignore.
+// Guards the wire format between forwarders and planners: the stored frame has a record of every kind with all fields set, and the records
+// that peers of earlier versions ignore.
 func TestGoldenFrame(t *testing.T) {
 	var all Message
 	golden.Fill(&all)
@@ -28,30 +28,30 @@
 	conn := NewConn(near, time.Minute)
 	defer conn.Close(nil)
 	conn.Send(msgs...)
-	head := make([]byte, 4)
-	if _, err := io.ReadFull(far, head); err != nil {
+	header := make([]byte, 4)
+	if _, err := io.ReadFull(far, header); err != nil {
 		t.Fatal(err)
 	}
-	body := make([]byte, int(head[2])<<8|int(head[3]))
+	body := make([]byte, int(header[2])<<8|int(header[3]))
 	if _, err := io.ReadFull(far, body); err != nil {
 		t.Fatal(err)
 	}
-	stored := golden.Check(t, "frame.bin", append(head, body...))
+	stored := golden.Check(t, "frame.bin", append(header, body...))
 	got, err := ParseFrame(stored[4:])
 	if err != nil || len(got) != len(msgs) {
-		t.Fatalf("%d records are read, %v", len(got), err)
+		t.Fatalf("decoded %d records (error %v), want %d", len(got), err, len(msgs))
 	}
 	for i, msg := range got {
 		read, sent := reflect.ValueOf(msg), reflect.ValueOf(msgs[i])
 		for f := range read.NumField() {
 			if !read.Field(f).IsZero() && !reflect.DeepEqual(read.Field(f).Interface(), sent.Field(f).Interface()) {
-				t.Errorf("record %d: %s is read as %v, want %v", i, read.Type().Field(f).Name, read.Field(f), sent.Field(f))
+				t.Errorf("record %d: field %s is decoded as %v, want %v", i, read.Type().Field(f).Name, read.Field(f), sent.Field(f))
 			}
 		}
 	}
-	var again []byte
+	var encoded []byte
 	for i := range got {
-		again = AppendMessage(again, &got[i])
+		encoded = AppendMessage(encoded, &got[i])
 	}
-	golden.Same(t, "records written again", again, stored[4:])
+	golden.Same(t, "records encoded again", encoded, stored[4:])
 }
--- a/internal/controlplane/transport/handshake_test.go
+++ b/internal/controlplane/transport/handshake_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Guards the handshake: a first message of another version or kind is rejected.
 func TestParseHello(t *testing.T) {
 	want := Hello{Fleet: "f", Cells: 6, Number: 4095, Incarnation: 1<<64 - 1}
 	for _, tc := range []struct {
@@ -21,9 +22,9 @@
 		got, err := ParseHello(&msg)
 		switch {
 		case tc.ok && (err != nil || got != want):
-			t.Errorf("%s: got %+v, %v", tc.name, got, err)
+			t.Errorf("%s: got %+v, error %v, want %+v", tc.name, got, err, want)
 		case !tc.ok && !errors.Is(err, ErrHandshake):
-			t.Errorf("%s: got %v", tc.name, err)
+			t.Errorf("%s: got error %v, want ErrHandshake", tc.name, err)
 		}
 	}
 }
--- a/internal/controlplane/transport/message.go
+++ b/internal/controlplane/transport/message.go
@@ -4,68 +4,101 @@
 	"math"
 )
 
-// Bounds of a frame and of its contents.
+// Limits of a frame and its contents.
 const (
-	MaxFrameBytes = 64 << 10 // without the four bytes of its length
-	MaxNameBytes  = 128      // of Message.Name; a longer one is cut off
+	MaxFrameBytes = 64 << 10 // excluding the four bytes of the frame's length
+	MaxNameBytes  = 128      // of Message.Name; AppendMessage truncates longer names
 )
 
 // Kind is the kind of a message.
 type Kind uint8
 
-// The kinds of messages with the fields that each uses. F: sent by forwarders, P: by planners. The values are on the wire.
+// The kinds of messages. Each comment begins with the sender, F for forwarders and P for planners, and ends with the fields of Message that
+// the kind uses. The values are on the wire.
 const (
-	KindHello           Kind = 1 + iota // both: see Hello
-	KindView                            // F: a promise. Cell, Epoch, Number (holder and one; 0: none), DurationS (left), Requester
-	KindGrant                           // F: promises Cell to a claim. Epoch, Round
-	KindUsageReport                     // F: an account's latest admission. Cell, Epoch, Name (account), Plan, Handle (epoch) and Round (number) of the Send, Units (debt), DurationS (age), Number
-	KindUsageReportEnd                  // F: Cell, Epoch, Flag (the report is complete)
-	KindRequest                         // F: submits a request. Cell, Epoch, Handle, Class, Plan, Name (account), DurationS (left), Units, Flag (client retry)
-	KindOutcome                         // F: an attempt's end. Handle, Number (attempt), Class (status), Flag (request completed), DurationS (latency), Load
-	KindDisconnected                    // F: the client has disconnected, or has its answer. Handle. See also KindFromForwarder
-	KindProbeResult                     // F: Cell, Epoch, Name (backend), Class (status), DurationS (latency), Load
-	KindClaim                           // P: asks for a promise, or for its renewal. Cell, Epoch, Round
-	KindLead                            // P: a majority has promised. Cell, Epoch
-	KindRelease                         // P: ends a promise. Cell, Epoch. See also KindFromPlanner
-	KindHandbackRequest                 // P: asks for a cell that another planner leads. Cell
-	KindSend                            // P: starts an attempt. Cell, Epoch, Handle, Name (backend), DurationS (time-out; 0: none), Round (number of the admission under this lead), Units (the account's debt)
-	KindReject                          // P: a final answer. Cell, Epoch, Handle, DurationS (retry after)
-	KindFail                            // P: a final answer. Cell, Epoch, Handle
-	KindCancel                          // P: Cell, Epoch, Handle, Number (attempt)
-	KindWithdraw                        // F: ends the submission of a request, which goes to another leader. Handle
-	KindOrphans                         // F: attempts in flight that this leader did not decide on. Cell, Epoch, Name (account), Plan, Number
-	KindProbe                           // P: starts a health check. Cell, Epoch, Name (backend)
-	KindHeartbeat                       // both: no fields
-	KindCordonRead                      // P: asks for a cordon register. Handle (operation), Name (backend)
-	KindCordonWrite                     // P: is to be merged. Handle (operation; 0: none), Name (backend), Epoch (version), Flag (cordoned)
-	KindCordonState                     // F: a cordon register. Handle (operation; 0: unasked), Name (backend), Epoch (version), Flag (cordoned)
+	// F and P: the first message of a link. See Hello for the fields.
+	KindHello Kind = 1 + iota
+	// F: reports the latest promise for a cell. Cell, Epoch, Number (the holder's number plus one; 0: none), DurationS (time left),
+	// Requester.
+	KindView
+	// F: grants a claim, or renews its promise. Cell, Epoch, Round.
+	KindGrant
+	// F: reports the latest admission of an account. Cell, Epoch, Name (account), Plan, Handle (epoch of the KindSend that admitted),
+	// Round (its admission number), Units (debt), DurationS (age), Number (unused).
+	KindUsageReport
+	// F: ends a usage report. Cell, Epoch, Flag (the report is complete).
+	KindUsageReportEnd
+	// F: submits a request. Cell, Epoch, Handle, Class, Plan, Name (account), DurationS (time until the deadline), Units,
+	// Flag (client retry).
+	KindRequest
+	// F: reports the end of an attempt. Handle, Number (attempt), Class (status), Flag (the request is completed), DurationS (latency), Load.
+	KindOutcome
+	// F: a request needs no more decisions: its client has disconnected or has its answer. Handle. See also KindFromForwarder.
+	KindDisconnected
+	// F: reports the result of a health check. Cell, Epoch, Name (backend), Class (status), DurationS (latency), Load.
+	KindProbeResult
+	// P: asks for a promise, or for its renewal. Cell, Epoch, Round.
+	KindClaim
+	// P: announces that a majority has granted the claim. Cell, Epoch.
+	KindLead
+	// P: ends the promise that was granted to a claim. Cell, Epoch. See also KindFromPlanner.
+	KindRelease
+	// P: asks for a cell that another planner leads. Cell.
+	KindHandbackRequest
+	// P: starts an attempt. Cell, Epoch, Handle, Name (backend), DurationS (timeout; 0: none), Round (number of the admission under this
+	// epoch), Units (the account's debt).
+	KindSend
+	// P: rejects a request as its final answer. Cell, Epoch, Handle, DurationS (retry after).
+	KindReject
+	// P: fails a request as its final answer. Cell, Epoch, Handle.
+	KindFail
+	// P: cancels an attempt. Cell, Epoch, Handle, Number (attempt).
+	KindCancel
+	// F: withdraws a submitted request, because it goes to another leader. Handle.
+	KindWithdraw
+	// F: reports how many attempts of an account are in flight that this leader did not decide on. Cell, Epoch, Name (account), Plan,
+	// Number (attempts).
+	KindOrphans
+	// P: starts a health check. Cell, Epoch, Name (backend).
+	KindProbe
+	// P: keeps an idle link open; forwarders send KindView for that. No fields.
+	KindHeartbeat
+	// P: reads a cordon register. Handle (operation), Name (backend).
+	KindCordonRead
+	// P: asks a forwarder to merge a state into a cordon register. Handle (operation; 0: no answer is wanted), Name (backend),
+	// Epoch (version), Flag (cordoned).
+	KindCordonWrite
+	// F: reports the state of a cordon register. Handle (operation that it answers; 0: none), Name (backend), Epoch (version),
+	// Flag (cordoned).
+	KindCordonState
 	kindCount
 )
 
-// Kinds without a value on the wire, which KindFromForwarder and KindFromPlanner return. A peer ends a link on a kind that it doesn't know, but
-// ignores a KindDisconnected of a handle and a KindRelease of a cell that it doesn't know. What a peer built before cordons or load shedding has
-// to ignore is therefore sent as one of these two, with a handle or cell that is reserved for it. Message.Kind is never one of these kinds.
+// Kinds that have no value of their own on the wire: KindFromForwarder and KindFromPlanner return them, and Message.Kind never holds one. A
+// peer closes the link when it receives an unknown kind, but ignores a KindDisconnected with an unknown handle and a KindRelease with an
+// unknown cell. A message that peers built before cordons or load shedding must ignore is therefore sent as one of these two kinds, with a
+// reserved handle or cell.
 const (
-	KindCordonCapable Kind = math.MaxUint8 - iota // both: the sender knows the kinds of cordons; others must not be sent them
-	KindShedLevel                                 // P: a load-shedding level; F: one that it relays to another planner. See ShedLevel
+	KindCordonCapable Kind = math.MaxUint8 - iota // F and P: the sender supports the cordon kinds, which must not be sent to other peers
+	KindShedLevel                                 // P: a cell's load-shedding level; F: a level relayed to another planner. See ShedLevel
 )
 
-// Reserved handles of KindDisconnected and cells of KindRelease. A level that is relayed has its own mark, see shedLevelMark.
+// Reserved handles of KindDisconnected and cells of KindRelease. The handle of a relayed level carries shedLevelMark.
 const (
-	CordonCapableHandle = 1<<63 | 1 // KindCordonCapable of a forwarder
-	CordonCapableCell   = 1<<16 - 1 // KindCordonCapable of a planner
-	ShedLevelCell       = 1<<16 - 2 // KindShedLevel of a planner; the release's Epoch is the handle of the relayed message
+	CordonCapableHandle = 1<<63 | 1 // KindCordonCapable from a forwarder
+	CordonCapableCell   = 1<<16 - 1 // KindCordonCapable from a planner
+	ShedLevelCell       = 1<<16 - 2 // KindShedLevel from a planner; its Epoch becomes the Handle of the relayed message
 )
 
-// NewForwarderCordonCapable returns a forwarder's KindCordonCapable as it is sent.
+// NewForwarderCordonCapable returns the message by which a forwarder sends KindCordonCapable.
 func NewForwarderCordonCapable() Message {
 	return Message{Kind: KindDisconnected, Handle: CordonCapableHandle}
 }
 
-// NewPlannerCordonCapable returns a planner's KindCordonCapable as it is sent.
+// NewPlannerCordonCapable returns the message by which a planner sends KindCordonCapable.
 func NewPlannerCordonCapable() Message { return Message{Kind: KindRelease, Cell: CordonCapableCell} }
 
-// KindFromForwarder returns the kind of a message that a forwarder has sent: KindCordonCapable, KindShedLevel or else Kind.
+// KindFromForwarder returns the kind of a message that was sent by a forwarder: KindCordonCapable, KindShedLevel or otherwise Message.Kind.
 func (m *Message) KindFromForwarder() Kind {
 	switch {
 	case m.Kind != KindDisconnected:
@@ -77,7 +110,7 @@
 	return m.Kind
 }
 
-// KindFromPlanner returns the kind of a message that a planner has sent: KindCordonCapable, KindShedLevel or else Kind.
+// KindFromPlanner returns the kind of a message that was sent by a planner: KindCordonCapable, KindShedLevel or otherwise Message.Kind.
 func (m *Message) KindFromPlanner() Kind {
 	switch {
 	case m.Kind != KindRelease:
@@ -89,7 +122,8 @@
 	return m.Kind
 }
 
-// A relayed level differs from requests by the upper bits of its handle, which no request has.
+// Encoding of a load-shedding level in an epoch or handle. The two upper bits are both set, which distinguishes a relayed level from a
+// request: no request's handle has them set.
 const (
 	shedLevelMark      = 3 << 62
 	shedLevelMarkShift = 62
@@ -97,19 +131,20 @@
 	shedLevelShift     = 8
 )
 
-// NewShedLevel returns a planner's KindShedLevel as it is sent: a cell's load-shedding level, from 0 to 1 in steps of 1/255, and phase.
+// NewShedLevel returns the message by which a planner sends KindShedLevel. It holds a cell's load-shedding level, clamped to 0 to 1 and
+// rounded to a multiple of 1/255, and its phase.
 func NewShedLevel(cellID int, level float64, phase uint8) Message {
 	steps := uint64(math.Round(min(max(level, 0), 1) * math.MaxUint8))
 	encoded := uint64(uint16(cellID))<<shedLevelCellShift | steps<<shedLevelShift | uint64(phase)
 	return Message{Kind: KindRelease, Cell: ShedLevelCell, Epoch: shedLevelMark | encoded}
 }
 
-// RelayedShedLevel returns a planner's KindShedLevel as a forwarder relays it.
+// RelayedShedLevel returns the message by which a forwarder relays a planner's KindShedLevel.
 func RelayedShedLevel(sent *Message) Message {
 	return Message{Kind: KindDisconnected, Handle: sent.Epoch}
 }
 
-// ShedLevel reads a relayed load-shedding level; ok is false if the message is none.
+// ShedLevel decodes a relayed load-shedding level. ok is false if the message is not a relayed level.
 func (m *Message) ShedLevel() (cellID int, level float64, phase uint8, ok bool) {
 	if m.KindFromForwarder() != KindShedLevel {
 		return 0, 0, 0, false
@@ -118,7 +153,7 @@
 	return int(uint16(m.Handle >> shedLevelCellShift)), level, uint8(m.Handle), true
 }
 
-// Message is one record. The comments of the kinds list the fields that each uses.
+// Message is one record. The comment of each kind lists the fields that it uses; the other fields are not sent.
 type Message struct {
 	Kind      Kind
 	Cell      uint16
@@ -126,13 +161,13 @@
 	Handle    uint64
 	Round     uint32
 	Number    uint32
-	Requester uint16 // a planner's number and one; 0: none
+	Requester uint16 // number, plus one, of the planner that asks for the cell; 0: none
 	Class     uint8
 	Plan      uint8
 	Flag      bool
 	HasLoad   bool
-	DurationS float64 // seconds; on the wire whole microseconds, from 0 to 4,294 s
-	Units     float64 // on the wire whole hundredths, from 0
+	DurationS float64 // seconds; sent as whole microseconds, clamped to 0 to 4,294 s
+	Units     float64 // sent as whole hundredths; a negative value is sent as 0
 	Name      string
-	Load      [6]float64 // the fields of policy.Load in their order; valid if HasLoad
+	Load      [6]float64 // the fields of policy.Load in their order; valid only if HasLoad
 }
--- a/internal/controlplane/transport/message_test.go
+++ b/internal/controlplane/transport/message_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The kinds without a value on the wire are told apart by handle or cell, each on messages of its own side alone.
+// Guards the kinds without a value on the wire: they are recognized by a reserved handle or cell, and only in messages from the side that
+// sends them.
 func TestKindFrom(t *testing.T) {
 	level := NewShedLevel(3, 0.6, 7)
 	for _, tc := range []struct {
@@ -13,7 +14,7 @@
 		{"forwarder knows cordons", NewForwarderCordonCapable(), KindCordonCapable, KindDisconnected},
 		{"planner knows cordons", NewPlannerCordonCapable(), KindRelease, KindCordonCapable},
 		{"level", level, KindRelease, KindShedLevel},
-		{"level of no phase", NewShedLevel(0, 0, 0), KindRelease, KindShedLevel},
+		{"level 0, phase 0", NewShedLevel(0, 0, 0), KindRelease, KindShedLevel},
 		{"relayed level", RelayedShedLevel(&level), KindShedLevel, KindDisconnected},
 		{"disconnect", Message{Kind: KindDisconnected, Handle: 1}, KindDisconnected, KindDisconnected},
 		{"disconnect, upper bit", Message{Kind: KindDisconnected, Handle: 1 << 63}, KindDisconnected, KindDisconnected},
@@ -21,13 +22,13 @@
 		{"view of the reserved cell", Message{Kind: KindView, Cell: CordonCapableCell, Handle: CordonCapableHandle}, KindView, KindView},
 	} {
 		if got := tc.msg.KindFromForwarder(); got != tc.fromForwarder {
-			t.Errorf("%s: from a forwarder %d, want %d", tc.name, got, tc.fromForwarder)
+			t.Errorf("%s: kind from a forwarder is %d, want %d", tc.name, got, tc.fromForwarder)
 		}
 		if got := tc.msg.KindFromPlanner(); got != tc.fromPlanner {
-			t.Errorf("%s: from a planner %d, want %d", tc.name, got, tc.fromPlanner)
+			t.Errorf("%s: kind from a planner is %d, want %d", tc.name, got, tc.fromPlanner)
 		}
 	}
 	if KindShedLevel <= kindCount {
-		t.Error("a kind without a value on the wire has one")
+		t.Errorf("KindShedLevel is %d, want a value above the kinds on the wire, which end below %d", KindShedLevel, kindCount)
 	}
 }
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -179,7 +179,7 @@
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
 		Edits: edit("internal/controlplane/cordon/coordinator.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
-		Edits: edit("internal/controlplane/cordon/coordinator.go", "op.phase, op.effectiveAt = awaiting, now+c.leaseS", "op.phase, op.effectiveAt = awaiting, now+1e-9"), Runs: []string{simTwo + "hands"}},
+		Edits: edit("internal/controlplane/cordon/coordinator.go", "op.phase, op.effectiveAt = awaitingLeaseExpiry, now+c.leaseS", "op.phase, op.effectiveAt = awaitingLeaseExpiry, now+1e-9"), Runs: []string{simTwo + "hands"}},
 	{Name: "every planner hears of a hold", Rule: "nodes that operators hold left alone",
 		Edits: edit("internal/controlplane/forwarder/cordons.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
