--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,4 +1,4 @@
-// Command fleet runs and operates a fleet of two levels: thin forwarders led by planners.
+// Command fleet runs and operates the programs of a two-level fleet, in which forwarders carry out the decisions of planners.
 package main
 
 import (
@@ -14,10 +14,10 @@
 )
 
 const usage = `usage: fleet COMMAND ...
-  forwarder [-check] FILE   runs a forwarder by its operator's file (deploy/forwarder.toml)
-  planner [-check] FILE     runs a planner by its operator's file (deploy/planner.toml)
-  upgrade [-check] [-from NAME] FILE   rolls a fleet's programs one by one (deploy/upgrade.toml)
-  status ADDR [ADDR ...]    prints who leads what, by the status addresses of forwarders and planners
+  forwarder [-check] FILE   runs a forwarder with a configuration file (example: deploy/forwarder.toml)
+  planner [-check] FILE     runs a planner with a configuration file (example: deploy/planner.toml)
+  upgrade [-check] [-from NAME] FILE   upgrades a fleet's programs one at a time (example: deploy/upgrade.toml)
+  status ADDR [ADDR ...]    prints the JSON that forwarders and planners report at their status addresses, such as who leads each cell
 `
 
 func main() {
@@ -48,15 +48,15 @@
 	}
 }
 
-// runProgram runs or checks a forwarder or a planner by its operator's file.
+// runProgram runs a forwarder or a planner with its configuration file, or only checks the file.
 func runProgram(kind string, args []string) error {
 	set := flag.NewFlagSet(kind, flag.ContinueOnError)
-	check := set.Bool("check", false, "check the file and all that it names, and end")
+	check := set.Bool("check", false, "check the file and the files that it names, then exit")
 	if err := set.Parse(args); err != nil {
 		return err
 	}
 	if set.NArg() != 1 {
-		return fmt.Errorf("%s wants one file", kind)
+		return fmt.Errorf("%s takes exactly one file, got %d arguments", kind, set.NArg())
 	}
 	if *check {
 		return process.CheckConfig(kind, set.Arg(0))
@@ -64,7 +64,8 @@
 	return process.Run(kind, set.Arg(0))
 }
 
-// status prints what programs tell of themselves. One that does not answer is an error, after the others.
+// status prints the JSON status of the program at each address. If a program does not answer, it goes on with the others and returns the
+// last such error at the end.
 func status(addrs []string, w io.Writer) error {
 	client := http.Client{Timeout: 2 * time.Second}
 	var last error
--- a/cmd/fleet/upgrade.go
+++ b/cmd/fleet/upgrade.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -10,27 +9,27 @@
 	"eiderspread/internal/controlplane/rollout"
 )
 
-// upgradeTick is the time between two looks of the rollout at its timeouts.
+// upgradeTick is the interval of the rollout's ticks.
 const upgradeTick = 20 * time.Millisecond
 
-// upgrade rolls a fleet's programs by an operator's file (deploy/upgrade.toml). It returns an error that says where the rollout
-// stands if it was aborted.
+// upgrade upgrades a fleet's programs as a configuration file lists them (deploy/upgrade.toml). If the rollout is aborted, the error names
+// the program and the phase that it had reached.
 func upgrade(args []string, log io.Writer) error {
 	set := flag.NewFlagSet("upgrade", flag.ContinueOnError)
-	from := set.String("from", "", "the program to begin with; those before it are left alone")
-	check := set.Bool("check", false, "check the file, say in which order programs are taken, and end")
+	from := set.String("from", "", "start with the program of this name and skip those before it")
+	check := set.Bool("check", false, "check the file, print the programs in the order of their upgrade, then exit")
 	if err := set.Parse(args); err != nil {
 		return err
 	}
 	if set.NArg() != 1 {
-		return errors.New("upgrade wants one file")
+		return fmt.Errorf("upgrade takes exactly one file, got %d arguments", set.NArg())
 	}
 	file, err := readUpgradeFile(set.Arg(0))
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	clock := func() float64 { return time.Since(began).Seconds() }
+	startedAt := time.Now()
+	clock := func() float64 { return time.Since(startedAt).Seconds() }
 	u, err := newUpgrader(file, *from, clock())
 	if err != nil {
 		return fmt.Errorf("%s: %w", set.Arg(0), err)
@@ -44,7 +43,7 @@
 	return u.run(clock, log)
 }
 
-// run carries the rollout out until it is done or aborted, and logs each step.
+// run runs the rollout until it is done or aborted, and logs each change of its progress.
 func (u *upgrader) run(clock func() float64, log io.Writer) error {
 	tick := time.NewTicker(upgradeTick)
 	defer tick.Stop()
@@ -67,7 +66,7 @@
 	}
 }
 
-// newRolloutPrograms returns the programs of a file as the rollout knows them.
+// newRolloutPrograms converts the programs of a file to the rollout's type.
 func newRolloutPrograms(list []upgradeProgram) []rollout.Program {
 	programs := make([]rollout.Program, len(list))
 	for i, p := range list {
--- a/cmd/fleet/upgrade_file.go
+++ b/cmd/fleet/upgrade_file.go
@@ -7,29 +7,29 @@
 	"eiderspread/internal/controlplane/rollout"
 )
 
-// upgradeFile is an operator's file of the upgrade command.
+// upgradeFile is the configuration file of the upgrade command.
 type upgradeFile struct {
 	Programs []upgradeProgram `toml:"program"`
-	StartS   float64          `toml:"up_s"`     // seconds for a restarted program to be ready; 0: the rollout's default
-	StableS  float64          `toml:"settle_s"` // seconds for which it has to stay ready; 0: the rollout's default
+	StartS   float64          `toml:"up_s"`     // time within which a restarted program must be ready, in seconds; 0: the rollout's default
+	StableS  float64          `toml:"settle_s"` // time for which it must stay ready, in seconds; 0: the rollout's default
 }
 
-// upgradeProgram is one of a rollout's programs: with an admin interface and a command that restarts it, or with two admin
-// interfaces and a command that starts the next version beside it.
+// upgradeProgram is one program of the rollout. It has either one admin address and a restart command, or two admin addresses and a replace
+// command, which starts the next version while the present process still runs (hot restart).
 type upgradeProgram struct {
 	Name    string       `toml:"name"`
 	Kind    rollout.Kind `toml:"kind"`
-	Admin   string       `toml:"door"`
-	Status  string       `toml:"status"`  // its status address; empty: whether requests are left on it is not asked
-	Restart []string     `toml:"restart"` // the command that ends it and starts the next version; it returns when it has done so
-	Admins  []string     `toml:"doors"`   // of its processes, one after the other
-	Replace []string     `toml:"replace"` // the command that starts the next version beside it, with adminEnv in its environment
+	Admin   string       `toml:"door"`    // admin address; with Restart
+	Status  string       `toml:"status"`  // status address, for the number of open requests; empty: none are assumed
+	Restart []string     `toml:"restart"` // command that stops the program and starts the next version, then returns
+	Admins  []string     `toml:"doors"`   // the two admin addresses, which successive processes use in turn; with Replace
+	Replace []string     `toml:"replace"` // command that starts the next version beside the present process, with adminEnv in its environment
 }
 
-// hotRestart reports whether the program is replaced beside itself.
+// hotRestart reports whether the next version is started beside the present process and takes over from it.
 func (p upgradeProgram) hotRestart() bool { return len(p.Replace) > 0 }
 
-// admins returns the addresses of all admin interfaces that the program may have.
+// admins returns all admin addresses that a process of the program may use.
 func (p upgradeProgram) admins() []string {
 	if len(p.Admins) > 0 {
 		return p.Admins
@@ -40,16 +40,16 @@
 func (p upgradeProgram) check() error {
 	switch {
 	case p.hotRestart() && p.Kind == rollout.Planner:
-		return fmt.Errorf("program %q: a planner hands its cells over and is restarted, it is not replaced beside itself", p.Name)
+		return fmt.Errorf("program %q: a planner can't be replaced by a hot restart, it needs door and restart", p.Name)
 	case p.hotRestart() && (len(p.Admins) != 2 || p.Admins[0] == p.Admins[1] || p.Admin != "" || len(p.Restart) > 0):
-		return fmt.Errorf("program %q: replace goes with two doors, and with neither door nor restart", p.Name)
+		return fmt.Errorf("program %q: replace needs two different doors, and excludes door and restart", p.Name)
 	case !p.hotRestart() && (p.Admin == "" || len(p.Restart) == 0 || len(p.Admins) > 0):
-		return fmt.Errorf("program %q: door and restart are needed, or doors and replace", p.Name)
+		return fmt.Errorf("program %q: must have either door and restart, or doors and replace", p.Name)
 	}
 	return nil
 }
 
-// readUpgradeFile reads and checks a file. Errors name it.
+// readUpgradeFile reads and checks a file. Its errors contain the path.
 func readUpgradeFile(path string) (file upgradeFile, err error) {
 	if err := operatorconfig.Decode(path, &file); err != nil {
 		return file, err
@@ -62,7 +62,7 @@
 	return file, nil
 }
 
-// timeouts returns the rollout's timeouts, with those that the file sets.
+// timeouts returns the rollout's default timeouts, overridden by those that the file sets.
 func (f upgradeFile) timeouts() rollout.Timeouts {
 	timeouts := rollout.DefaultTimeouts
 	if f.StartS > 0 {
--- a/cmd/fleet/upgrader.go
+++ b/cmd/fleet/upgrader.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	adminTimeout   = time.Second // of a call to an admin interface or a status address
+	adminTimeout   = time.Second // of a call to an admin or status address
 	commandTimeout = time.Minute // of a restart or replace command
 	maxStatusBytes = 1 << 20     // of a status page
-	maxEvents      = 64          // results that wait for the rollout
+	maxEvents      = 64          // capacity of upgrader.events
 
-	// adminEnv is in the environment of a replace command: the one of the program's admin addresses that is free. The name is older
-	// than that of this program; operators' commands rely on it.
+	// adminEnv is the environment variable in which a replace command gets the admin address that the present process does not use. The
+	// variable's name is older than that of this program; operators' commands rely on it.
 	adminEnv = "EIDERFLEET_DOOR"
 )
 
-// upgrader carries out what a rollout asks for: calls over HTTP and operators' commands. It implements rollout.Output. Only the goroutine
-// of run uses it; the calls' goroutines pass their results on through events.
+// upgrader implements rollout.Output by HTTP calls and operators' commands. Only the goroutine of run changes its fields; each call and
+// command runs in a goroutine of its own, which sends the result as a function on events.
 type upgrader struct {
-	rollout  *rollout.Rollout
-	programs []upgradeProgram // in the rollout's order
-	calls    []programCalls   // by program
-	events   chan func(now float64)
-	client   http.Client
+	rollout     *rollout.Rollout
+	programs    []upgradeProgram // in the rollout's order
+	adminStates []adminState     // by program
+	events      chan func(now float64)
+	client      http.Client
 }
 
-// programCalls is what is known of one program's admin interfaces.
-type programCalls struct {
-	checking bool   // a readiness check is out
-	current  string // the address that was ready last; while the program is being replaced, of its predecessor
-	replaced string // the address of the process that was replaced
+// adminState is the known state of one program's admin interfaces.
+type adminState struct {
+	checking bool   // a readiness check is in progress
+	current  string // the address that was last found ready; during a hot restart, until the new process is ready, the predecessor's
+	replaced string // the address of the predecessor in a hot restart; empty before
 }
 
-// newUpgrader returns an upgrader whose rollout begins at now, with the program named from, or the first.
+// newUpgrader returns an upgrader whose rollout starts at time now with the program named from, or with the first if from is empty.
 func newUpgrader(file upgradeFile, from string, now float64) (*upgrader, error) {
 	u := &upgrader{
-		calls:  make([]programCalls, len(file.Programs)),
-		events: make(chan func(float64), maxEvents),
-		client: http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		adminStates: make([]adminState, len(file.Programs)),
+		events:      make(chan func(float64), maxEvents),
+		client:      http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	var err error
 	if u.rollout, err = rollout.New(newRolloutPrograms(file.Programs), file.timeouts(), from, now, u); err != nil {
@@ -62,31 +62,32 @@
 	return u, nil
 }
 
-// CheckReadiness implements rollout.Output. While a check of the program is out no other one begins.
+// CheckReadiness implements rollout.Output. It does nothing while a check of the same program is in progress.
 func (u *upgrader) CheckReadiness(i int) {
-	if u.calls[i].checking {
+	if u.adminStates[i].checking {
 		return
 	}
-	u.calls[i].checking = true
-	program, replaced := u.programs[i], u.calls[i].replaced
+	u.adminStates[i].checking = true
+	program, replaced := u.programs[i], u.adminStates[i].replaced
 	go func() {
 		answered, ready := u.findReady(program.admins(), replaced)
 		busy := program.Status != "" && answered && u.busy(program.Status)
 		u.events <- func(now float64) {
-			calls := &u.calls[i]
-			calls.checking = false
-			if replaced != calls.replaced {
-				return // the check began before the program was replaced
+			state := &u.adminStates[i]
+			state.checking = false
+			if replaced != state.replaced {
+				return // the check started before the hot restart
 			}
 			if ready != "" {
-				calls.current = ready
+				state.current = ready
 			}
 			u.rollout.HandleAnswer(now, i, answered, ready != "", busy)
 		}
 	}()
 }
 
-// findReady asks all addresses. It returns whether any answered, and the last one that is ready, but for that of a replaced process.
+// findReady sends a readiness check to each address. It returns whether any answered, and the last address that is ready, except that of a
+// replaced process.
 func (u *upgrader) findReady(addrs []string, replaced string) (answered bool, ready string) {
 	for _, addr := range addrs {
 		status, err := u.call(http.MethodGet, "http://"+addr+"/v1/readyz")
@@ -98,7 +99,7 @@
 	return answered, ready
 }
 
-// busy reports whether requests are open on a program, by its status page.
+// busy reports whether a program's status page shows open requests. It returns false if the page can't be read.
 func (u *upgrader) busy(addr string) bool {
 	resp, err := u.client.Get("http://" + addr + "/")
 	if err != nil {
@@ -118,7 +119,7 @@
 	go func() {
 		status, err := u.call(http.MethodPost, "http://"+program.Admin+"/v1/ingress/drain")
 		if err == nil && status/100 != 2 {
-			err = fmt.Errorf("drain is answered with %d", status)
+			err = fmt.Errorf("drain call returned HTTP status %d, want 2xx", status)
 		}
 		u.events <- func(now float64) { u.rollout.Drained(now, i, err) }
 	}()
@@ -126,15 +127,15 @@
 
 // Restart implements rollout.Output.
 func (u *upgrader) Restart(i int) {
-	program, calls := u.programs[i], &u.calls[i]
+	program, state := u.programs[i], &u.adminStates[i]
 	command, env := program.Restart, os.Environ()
 	if program.hotRestart() {
-		command, calls.replaced = program.Replace, calls.current
-		free := program.Admins[0]
-		if free == calls.current {
-			free = program.Admins[1]
+		command, state.replaced = program.Replace, state.current
+		freeAddr := program.Admins[0]
+		if freeAddr == state.current {
+			freeAddr = program.Admins[1]
 		}
-		env = append(env, adminEnv+"="+free)
+		env = append(env, adminEnv+"="+freeAddr)
 	}
 	go func() {
 		err := runCommand(command, env)
@@ -142,7 +143,7 @@
 	}()
 }
 
-// runCommand runs an operator's command; its output goes to standard error.
+// runCommand runs an operator's command within commandTimeout. The command's output goes to standard error.
 func runCommand(command, env []string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
@@ -152,7 +153,7 @@
 	return c.Run()
 }
 
-// call makes a call and returns the status code of the answer.
+// call sends an HTTP request without a body and returns the status code of the response.
 func (u *upgrader) call(method, url string) (int, error) {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -2,7 +2,7 @@
 
 import "eiderspread/internal/base/simprotocol"
 
-// actions writes what one gateway wants done. It implements policy.Actions.
+// actions implements policy.Actions for one gateway: it writes each action as a line for the simulator.
 type actions struct {
 	out     *simprotocol.Writer
 	gateway int
--- a/cmd/simadapter/events.go
+++ b/cmd/simadapter/events.go
@@ -8,11 +8,12 @@
 	"eiderspread/policy"
 )
 
-// delivery hands an event that was read to its gateway.
+// delivery passes an event that was read to its gateway.
 type delivery func(*policy.Gateway)
 
-// events reads each event of a gateway by its message's name. A nil delivery means that the gateway is told nothing.
-var events = map[string]func(h *host, gateway int) (delivery, error){
+// eventReaders holds, by message name, the functions that read a gateway's events from the current line. A nil delivery means that the
+// gateway does not receive the event.
+var eventReaders = map[string]func(h *host, gateway int) (delivery, error){
 	simprotocol.MessageGatewayStart:  (*host).startGateway,
 	simprotocol.MessageGatewayStop:   (*host).stopGateway,
 	simprotocol.MessageDiscovery:     (*host).readDiscovery,
@@ -74,7 +75,7 @@
 	}
 	list, ok := h.lists[id]
 	if !ok {
-		return nil, fmt.Errorf("%s: field %s names no list: \"%d\"", h.line.Name, simprotocol.FieldListID, id)
+		return nil, fmt.Errorf("%s: field %s refers to no known list: \"%d\"", h.line.Name, simprotocol.FieldListID, id)
 	}
 	return func(g *policy.Gateway) { g.UpdateBackends(h.now, list, kind != simprotocol.ListPartial) }, nil
 }
--- a/cmd/simadapter/fields.go
+++ b/cmd/simadapter/fields.go
@@ -9,13 +9,14 @@
 	"eiderspread/policy"
 )
 
-// fieldReader reads fields of a line and keeps the first error. What it returns after an error is meaningless.
+// fieldReader reads fields of a line and keeps the first error. Values that it returns after an error are meaningless.
 type fieldReader struct {
 	line *simprotocol.Line
 	err  error
 }
 
-func firstError[T any](f *fieldReader, value T, err error) T {
+// recordError keeps err if it is the first error, and returns value unchanged.
+func recordError[T any](f *fieldReader, value T, err error) T {
 	if f.err == nil {
 		f.err = err
 	}
@@ -24,35 +25,35 @@
 
 func (f *fieldReader) text(name string) string {
 	value, err := f.line.Text(name)
-	return firstError(f, value, err)
+	return recordError(f, value, err)
 }
 
 func (f *fieldReader) integer(name string) int {
 	value, err := f.line.Int(name)
-	return firstError(f, value, err)
+	return recordError(f, value, err)
 }
 
 func (f *fieldReader) optionalInteger(name string) int {
 	value, err := f.line.OptInt(name)
-	return firstError(f, value, err)
+	return recordError(f, value, err)
 }
 
 func (f *fieldReader) number(name string) float64 {
 	value, err := f.line.Num(name)
-	return firstError(f, value, err)
+	return recordError(f, value, err)
 }
 
 func (f *fieldReader) optionalNumber(name string) float64 {
 	value, err := f.line.OptNum(name)
-	return firstError(f, value, err)
+	return recordError(f, value, err)
 }
 
 func (f *fieldReader) flag(name string) bool {
 	value, err := f.line.OptBool(name)
-	return firstError(f, value, err)
+	return recordError(f, value, err)
 }
 
-// statuses are how attempts and health checks end, by the simulator's codes.
+// statuses maps the simulator's status codes to the outcomes of attempts and health checks.
 var statuses = map[int]policy.Status{
 	200: policy.OK,
 	410: policy.NotSent,
@@ -73,11 +74,11 @@
 	return status
 }
 
-// load returns the load report, nil if there is none.
+// load returns the load report, or nil if the line has none.
 func (f *fieldReader) load() *policy.Load {
 	report := settings.NoLoad
 	present, err := f.line.Pairs(simprotocol.FieldLoad, func(name string, value float64) { settings.SetLoad(&report, name, value) })
-	if firstError(f, present, err) {
+	if recordError(f, present, err) {
 		return &report
 	}
 	return nil
@@ -89,7 +90,7 @@
 	simprotocol.StateRemoved:  policy.Removed,
 }
 
-// backend reads an entry of an endpoint list.
+// backend reads one entry of an endpoint list.
 func (f *fieldReader) backend() policy.Backend {
 	backend := policy.Backend{
 		ID:        f.text(simprotocol.FieldBackend),
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -7,8 +7,8 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the simulator's lines and the decisions behind them: recorded inputs, one with health checks and one of another kind of site with streams,
-// give the same bytes as ever.
+// Guards the simulator's protocol and the gateways' decisions: two recorded inputs, one with health checks and one of another kind of site
+// with streams, give exactly the stored output.
 func TestGoldenRuns(t *testing.T) {
 	for _, name := range []string{"checks", "streams"} {
 		var out bytes.Buffer
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -9,17 +9,17 @@
 	"eiderspread/policy"
 )
 
-// host is what one process holds: its gateways, and the endpoint lists that events name by their numbers.
+// host holds the gateways of this process, and the endpoint lists to which events refer by number.
 type host struct {
-	now      float64 // of the batch, in the simulator's seconds
+	now      float64 // time of the batch, in seconds of the simulator
 	in       *simprotocol.Reader
 	out      *simprotocol.Writer
-	line     simprotocol.Line // the event that is being read
-	gateways map[int]*policy.Gateway
-	lists    map[int][]policy.Backend
+	line     simprotocol.Line         // the line that is being read
+	gateways map[int]*policy.Gateway  // by number
+	lists    map[int][]policy.Backend // by number
 }
 
-// run reads batches of events and writes a reply to each, until the input ends.
+// run reads batches of events and writes a reply to each until the input ends. Input that ends within a batch is an error.
 func run(in io.Reader, out io.Writer) error {
 	h := &host{
 		in: simprotocol.NewReader(in), out: simprotocol.NewWriter(out),
@@ -41,7 +41,7 @@
 			h.now, err = h.line.Num(simprotocol.FieldTime)
 			inBatch = true
 		case !inBatch:
-			return fmt.Errorf("%s: outside a batch", h.line.Name)
+			return fmt.Errorf("%s: message is outside a batch", h.line.Name)
 		case h.line.Name == simprotocol.MessageBatchEnd:
 			err = h.out.Flush()
 			inBatch = false
@@ -54,12 +54,12 @@
 	}
 }
 
-// handleEvent reads one event, then hands it to its gateway. A gateway that panics is reported to the simulator.
+// handleEvent reads one event and passes it to its gateway. It drops events for an unknown gateway, and reports a panic to the simulator.
 func (h *host) handleEvent() error {
 	if h.line.Name == simprotocol.MessageEndpointList {
 		return h.readEndpointList()
 	}
-	read, known := events[h.line.Name]
+	read, known := eventReaders[h.line.Name]
 	if !known {
 		return fmt.Errorf("%s: unknown message", h.line.Name)
 	}
@@ -82,12 +82,12 @@
 	return nil
 }
 
-// readEndpointList reads a numbered list and the entries that follow it.
+// readEndpointList reads a numbered endpoint list: a header and the entries that follow it.
 func (h *host) readEndpointList() error {
 	header := fieldReader{line: &h.line}
 	id, length := header.integer(simprotocol.FieldListID), header.integer(simprotocol.FieldListLength)
 	if header.err == nil && length < 0 {
-		header.err = fmt.Errorf("%s: field %s cannot be read: %d", h.line.Name, simprotocol.FieldListLength, length)
+		header.err = fmt.Errorf("%s: field %s is %d, must not be negative", h.line.Name, simprotocol.FieldListLength, length)
 	}
 	if header.err != nil {
 		return header.err
@@ -95,12 +95,12 @@
 	var list []policy.Backend
 	for range length {
 		if err := h.in.Next(&h.line); errors.Is(err, io.EOF) {
-			return fmt.Errorf("%s: the list ends early", simprotocol.MessageEndpoint)
+			return fmt.Errorf("%s: input ended after %d of %d list entries", simprotocol.MessageEndpoint, len(list), length)
 		} else if err != nil {
 			return err
 		}
 		if h.line.Name != simprotocol.MessageEndpoint {
-			return fmt.Errorf("%s: %s expected", h.line.Name, simprotocol.MessageEndpoint)
+			return fmt.Errorf("%s: unexpected message in an endpoint list, want %s", h.line.Name, simprotocol.MessageEndpoint)
 		}
 		entry := fieldReader{line: &h.line}
 		list = append(list, entry.backend())
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,7 +1,8 @@
-// Command simadapter hosts gateways on the simulator's wire: it reads events from standard input and writes what the gateways
-// want done to standard output. It translates between the wire and package policy, and decides nothing.
+// Command simadapter hosts gateways for the simulator: it reads the simulator's events from standard input and writes the gateways' actions
+// to standard output. It only translates between the simulator's protocol and package policy.
 //
-// It ends with status 0 at the end of the input, and with status 1 and one line on standard error if the input can't be read.
+// It exits with status 0 at the end of the input. If it can't read the input or write the output, it writes one line to standard error and
+// exits with status 1.
 package main
 
 import (
