--- a/internal/dataplane/ingress/accept.go
+++ b/internal/dataplane/ingress/accept.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	acceptRetryDelay = 5 * time.Millisecond // after a failure, most likely for want of descriptors
-	acceptQueuePoll  = 2 * time.Millisecond // how long no connection may come before a listener that is to close is empty
+	acceptRetryDelay = 5 * time.Millisecond // after a failed accept, most likely for lack of file descriptors
+	acceptQueuePoll  = 2 * time.Millisecond // duration of an accept poll at a shutdown; two in a row without a connection close the listener
 )
 
-// acceptLoop accepts connections until the listener is closed, or pause and with it the listener's deadline, or until the accept queue is
-// empty at a shutdown.
+// acceptLoop accepts connections until the listener is closed, the event loop has ended, pause is closed, or the accept queue is empty at a
+// shutdown. To interrupt a blocked accept, pause is closed together with an expired deadline on the listener.
 func (in *Ingress) acceptLoop(l *net.TCPListener, pause chan struct{}) {
-	emptyPolls := 0 // in a row, while the accept queue is drained
+	emptyPolls := 0 // consecutive polls without a connection, at a shutdown
 	for {
 		select {
 		case <-pause:
-			in.post(in.clock.Now(), func() { in.startTransfers(pause) }) // behind the last connection that was accepted
+			in.post(in.clock.Now(), func() { in.startTransfers(pause) }) // queued behind the event of the last accepted connection
 			return
 		default:
 		}
@@ -46,11 +46,11 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			in.post(at, func() { in.logFault("accept failed", "error", err) })
 			time.Sleep(acceptRetryDelay)
-		case !in.shutdown.drainingAcceptQueue.Load(): // a deadline of the hand-over
+		case !in.shutdown.drainingAcceptQueue.Load(): // the deadline belongs to a hand-over
 		case emptyPolls == 0:
 			emptyPolls++
 			setAcceptDeadline(l, time.Now().Add(acceptQueuePoll))
-		default: // closed any earlier, connections in the queue would be reset
+		default: // an earlier close would reset the connections in the accept queue
 			l.Close()
 			in.post(at, func() { in.shutdown.acceptQueuePending = false })
 			return
@@ -58,7 +58,7 @@
 	}
 }
 
-// acceptClient accepts one connection, which is not read yet.
+// acceptClient accepts one connection. Nothing is read from it yet.
 func (in *Ingress) acceptClient(l *net.TCPListener) (*clientConn, error) {
 	conn, err := l.AcceptTCP()
 	if err != nil {
--- a/internal/dataplane/ingress/admin.go
+++ b/internal/dataplane/ingress/admin.go
@@ -13,7 +13,7 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-// cordonPollInterval is how often the file of what operators cordon is looked at: the other process of a hot restart may have written it.
+// cordonPollInterval is how often the cordon file is checked for changes that the other process of a hot restart has made.
 const cordonPollInterval = 50 * time.Millisecond
 
 var (
@@ -21,20 +21,20 @@
 	errNotAccepting     = errors.New("this ingress takes no clients")
 )
 
-// serveAdmin restores what was cordoned before this process, and serves operators' calls until ctx ends.
+// serveAdmin restores the cordons in the cordon file, starts the admin server, and follows changes of the file until ctx ends.
 func (in *Ingress) serveAdmin(ctx context.Context) {
 	if in.cordonStore == nil {
 		go in.admin.Serve()
 		return
 	}
 	if err := in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) { in.cordons.Replace(c) }); err != nil {
-		in.log.Error("what operators held is not known: nothing is held", "error", err)
+		in.log.Error("cordon file not read at startup, no backend is cordoned", "error", err)
 	}
 	go in.admin.Serve()
 	go in.pollCordons(ctx)
 }
 
-// pollCordons applies what another process writes to the file of cordons, until ctx ends.
+// pollCordons applies the changes that another process makes to the cordon file, until ctx ends.
 func (in *Ingress) pollCordons(ctx context.Context) {
 	tick := time.NewTicker(cordonPollInterval)
 	defer tick.Stop()
@@ -45,24 +45,25 @@
 		case <-tick.C:
 		}
 		err := in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) {
-			_ = in.onLoop(ctx, func() error { // fails only as the ingress ends
+			_ = in.onLoop(ctx, func() error { // fails only while the ingress ends
 				in.applyList(in.cordons.Replace(c))
 				return nil
 			})
 		})
 		if err != nil {
-			in.Post(func(float64) { in.logFault("file of cordoned backends not read", "error", err) })
+			in.Post(func(float64) { in.logFault("cordon file not read", "error", err) })
 		}
 	}
 }
 
-// cordonStorePath is where an ingress keeps what operators cordon: a new process of the same name finds it there.
+// cordonStorePath returns the path of the cordon file of an ingress. It depends on the name, so that a new process of the same name finds
+// it.
 func cordonStorePath(name string) string {
 	return filepath.Join(os.TempDir(), "eiderspread-"+filepath.Base("/"+name)+".held")
 }
 
-// adminHandler carries operators' calls out on the loop. Its methods are called by goroutines of the admin server; each returns once the loop has
-// done what was asked, or with its context.
+// adminHandler carries out operators' calls on the loop. Goroutines of the admin server call its methods; each method returns once the
+// loop has carried out the call, or when its context or the loop ends.
 type adminHandler struct{ ingress *Ingress }
 
 // Ready implements admin.Handler.
@@ -93,7 +94,7 @@
 	return h.changeCordon(ctx, "backend resumed", id, h.ingress.cordons.Uncordon)
 }
 
-// changeCordon carries out a change of what is cordoned, here and in the file that outlives this process, and logs it as message.
+// changeCordon applies change to the cordons of this process and to the cordon file, which outlives the process, and logs it as message.
 func (h *adminHandler) changeCordon(ctx context.Context, message, id string,
 	change func(nowMS int64, id string) (discovery.List, error)) error {
 	in := h.ingress
--- a/internal/dataplane/ingress/client_close.go
+++ b/internal/dataplane/ingress/client_close.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// halfCloseTimeoutS is how many seconds a connection whose sending side has ended waits for the client's end.
+// halfCloseTimeoutS is how many seconds a half-closed connection waits for the client to close its side.
 const halfCloseTimeoutS = 0.3
 
-// halfClose ends this side of a connection. That fails only where the connection has ended, which its reader reports.
+// halfClose closes the sending side of a connection. It fails only if the connection has already ended, which the reader reports.
 func (in *Ingress) halfClose(c *clientConn) { _ = c.conn.CloseWrite() }
 
-// closeGracefully ends a connection on which nothing is open: this side first. A command may come between a look whether it is silent and a
-// close, and a close on unread bytes is a reset, which can take the answer before it along. Its client sends such a command again.
+// closeGracefully closes a connection on which nothing is open, the sending side first. A command may arrive after the check that the
+// connection is silent. Closing a socket with unread bytes resets the connection, and the reset can destroy the previous answer in
+// transit. After a half close the client reads that answer and sends the command again.
 func (in *Ingress) closeGracefully(c *clientConn, reason closeReason) {
 	if c.state != connOpen {
 		return
@@ -26,8 +27,8 @@
 	in.after(halfCloseTimeoutS, func() { in.closeClient(c, reason) })
 }
 
-// halfCloseIfSilent ends this side of a connection that is to be closed at once, and reports whether nothing has come on it meanwhile. What
-// has come is read and dropped.
+// halfCloseIfSilent closes the sending side of a connection that is to be closed at once, and reports whether no bytes have arrived
+// meanwhile. If some have, they are read and dropped, and the connection is closed after halfCloseTimeoutS.
 func (in *Ingress) halfCloseIfSilent(c *clientConn) bool {
 	c.setCloseReason(closeNoCapacity)
 	if err := c.conn.CloseWrite(); err != nil || c.silent() {
@@ -38,20 +39,21 @@
 	return false
 }
 
-// endStoppedClient ends a connection whose reader has stopped: this side first, and what still comes is read and dropped for a while, so that
-// the close does not reset the connection.
+// endStoppedClient closes a connection whose reader has stopped, the sending side first. Further input is read and dropped, for
+// discardTimeout/2 and maxDiscardBytes at most, so that the close does not reset the connection.
 func (in *Ingress) endStoppedClient(c *clientConn) {
 	c.setCloseReason(in.drainCloseReason())
 	c.state, c.discardDone = connClosing, true
 	in.halfClose(c)
 	go func() {
 		setReadDeadline(c.conn, time.Now().Add(discardTimeout/2))
-		_, _ = io.Copy(io.Discard, io.LimitReader(c.conn, maxDiscardBytes)) // however it ends, the connection is closed
+		_, _ = io.Copy(io.Discard, io.LimitReader(c.conn, maxDiscardBytes)) // the connection is closed whatever the result
 		in.post(in.clock.Now(), func() { in.closeClient(c, c.closeReason) })
 	}()
 }
 
-// handleDisconnect ends a connection whose client has ended it, or can't be served any more: nothing is owed for what it had asked.
+// handleDisconnect closes a connection that its client has closed or that can't be served any more. Its open requests are completed
+// without an answer.
 func (in *Ingress) handleDisconnect(c *clientConn, reason closeReason) {
 	if c.state == connClosed {
 		return
@@ -66,7 +68,7 @@
 	}
 }
 
-// drainCloseReason is the reason of an end that a drain or a shutdown brings.
+// drainCloseReason returns the reason for closing a connection at a drain or a shutdown.
 func (in *Ingress) drainCloseReason() closeReason {
 	if in.shutdown.closingClients {
 		return closeShutdown
@@ -74,7 +76,7 @@
 	return closeDrained
 }
 
-// closeClient closes a connection and lets go of all that it holds.
+// closeClient closes a connection and releases everything that it holds.
 func (in *Ingress) closeClient(c *clientConn, reason closeReason) {
 	if c.state == connClosed {
 		return
@@ -82,7 +84,7 @@
 	c.setCloseReason(reason)
 	in.counters.closed[c.closeReason]++
 	in.checkClientClose(c)
-	if c.lastCallAt > 0 { // else it was a front's PING, of which there are many
+	if c.lastCallAt > 0 { // else it was a load balancer's PING, and there are too many of these to log
 		in.logClientConn("connection closed", c, "reason", c.closeReason, "ended_by_us_first", c.state == connClosing)
 	}
 	c.state = connClosed
--- a/internal/dataplane/ingress/client_conn_test.go
+++ b/internal/dataplane/ingress/client_conn_test.go
@@ -13,8 +13,8 @@
 	"eiderspread/policy"
 )
 
-// Guards against connections that stay open for nothing: silence and half a command get an error and
-// the end, also behind a request that is still open, which is answered all the same.
+// A connection that sends nothing, or only a part of a command, must not stay open: at the command timeout it gets an error and is closed.
+// If a request is open on it, that request is answered first.
 func TestClient_SilentOrPartialCommandTimesOut(t *testing.T) {
 	const want = "-ERR no whole command in time"
 	for name, tc := range map[string]struct{ before, half string }{
@@ -23,7 +23,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
-				if tc.before == "" { // else it is short from then on that this has been read
+				if tc.before == "" { // else the timeout is shortened once this command is answered
 					r.ingress.clients.commandTimeout = time.Millisecond
 				}
 			})
@@ -31,16 +31,16 @@
 			if tc.before != "" {
 				write(c, tc.before)
 				if got := c.line(); got != "+PONG" {
-					t.Fatalf("got %q", got)
+					t.Fatalf("PING before the partial command: got %q, want +PONG", got)
 				}
 				r.onLoop(func() { r.ingress.clients.commandTimeout = time.Millisecond })
 			}
 			write(c, tc.half)
 			if got := c.line(); got != want || c.line() != "" {
-				t.Errorf("got %q, want %q and the end", got, want)
+				t.Errorf("got %q, want %q and then the end of the connection", got, want)
 			}
 			c.Close()
-			r.waitFor("it is gone", func() bool { return r.ingress.clients.open() == 0 && len(r.ingress.clients.connPermits) == 1 })
+			r.waitFor("the connection is closed", func() bool { return r.ingress.clients.open() == 0 && len(r.ingress.clients.connPermits) == 1 })
 		})
 	}
 	t.Run("behind an open request", func(t *testing.T) {
@@ -50,54 +50,54 @@
 		receive(t, r.decider.requests)
 		r.onLoop(func() { r.ingress.clients.commandTimeout = time.Millisecond })
 		write(c, "*1")
-		r.waitFor("the error waits", func() bool {
+		r.waitFor("the error waits behind the open request", func() bool {
 			q := r.ingress.requests["a"]
 			return q != nil && len(q.client.answerSlots) == 2
 		})
 		r.onLoop(func() { r.ingress.Fail("a") })
 		if a, b := c.line(), c.line(); a != "-ERR failed" || b != want || c.line() != "" {
-			t.Errorf("got %q, then %q", a, b)
+			t.Errorf("got %q, then %q, want -ERR failed, the time-out error and the end of the connection", a, b)
 		}
 	})
 }
 
-// Guards against a request that is lost with the junk behind it: however much of that comes, the
-// connection stays until what it asked for before is answered.
-func TestClient_JunkAfterRequest(t *testing.T) {
+// Invalid input behind a request must not lose the request: the connection stays open until the request is answered, even after
+// maxDiscardBytes of further input.
+func TestClient_InvalidInputAfterRequest(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
 	write(c, command(lookCommand("a")...)+"*1\r\n$60000000\r\n")
 	receive(t, r.decider.requests)
 	write(c, strings.Repeat("x", maxDiscardBytes))
-	r.waitFor("enough is read", func() bool {
+	r.waitFor("the reader has stopped discarding input", func() bool {
 		q := r.ingress.requests["a"]
 		return q != nil && q.client.discardDone
 	})
 	r.onLoop(func() { r.ingress.Fail("a") })
 	if a, b := c.line(), c.line(); a != "-ERR failed" || !strings.Contains(b, "value over 64 KiB") || c.line() != "" {
-		t.Errorf("got %q, then %q", a, b)
+		t.Errorf("got %q, then %q, want -ERR failed, the error for the invalid input and the end of the connection", a, b)
 	}
 	if len(r.decider.disconnects) != 0 {
-		t.Error("the module was told that the client had left")
+		t.Error("the decider was notified of a disconnect of a client that is connected")
 	}
 }
 
-// Guards the loop against a client that sends bad commands for as long as it is answered.
+// A client that keeps sending bad commands must not keep the loop busy: after maxBadCommands errors its connection is closed.
 func TestClient_BadCommandLimit(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
 	write(c, strings.Repeat(command("NOVEL"), 100*maxBadCommands))
 	for i := range maxBadCommands {
 		if got := c.line(); got != `-ERR unknown command "NOVEL"` {
-			t.Fatalf("answer %d is %q", i, got)
+			t.Fatalf("answer %d: got %q, want an unknown command error", i, got)
 		}
 	}
 	if got := c.line(); got != "" {
-		t.Errorf("behind the last error came %q", got)
+		t.Errorf("after the last error: got %q, want the end of the connection", got)
 	}
 }
 
-// Guards against clients that ask once and keep their connection for good.
+// A connection that stays idle after its last answer must be closed after clientIdleTimeoutS. A connection with an open request must not.
 func TestClient_IdleTimeout(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	busy, idle := r.client(), r.client()
@@ -107,16 +107,16 @@
 	idle.line()
 	r.onLoop(func() { r.ingress.now += clientIdleTimeoutS + 1; r.ingress.clients.sweep(r.ingress) })
 	if idle.line() != "" {
-		t.Error("the idle connection is open")
+		t.Error("the idle connection is still open after the idle timeout")
 	}
 	r.onLoop(func() { r.ingress.Fail("a") })
 	if got := busy.line(); got != "-ERR failed" {
-		t.Errorf("the connection with an open request got %q", got)
+		t.Errorf("connection with an open request: got %q, want -ERR failed", got)
 	}
 }
 
-// Guards against answers out of order or given twice: a connection's answers come in the order of
-// its commands whatever the order of the decisions, and the first one for a request stands.
+// Decisions may come in any order, and twice for one request. The answers on a connection must follow the order of its commands, and only
+// the first decision on a request counts.
 func TestClient_PipelinedAnswersOnceInOrder(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
@@ -127,12 +127,13 @@
 	c.send("PING")
 	for i, want := range []string{"-ERR failed", "-BUSY 1000", "+PONG", "-ERR unknown command \"SELECT\"", "+PONG"} {
 		if got := c.line(); got != want {
-			t.Errorf("answer %d is %q, want %q", i, got, want)
+			t.Errorf("answer %d: got %q, want %q", i, got, want)
 		}
 	}
 }
 
-// Guards against a module that goes on working for a client that has left.
+// The decider must be notified when a client disconnects; otherwise it goes on working on the request. The outcome of the attempt in flight
+// then reports the request as completed.
 func TestClient_DisconnectReachesDecider(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(0))
@@ -142,15 +143,16 @@
 	b.command()
 	c.Close()
 	if id := receive(t, r.decider.disconnects); id != "a" {
-		t.Errorf("gone: %q", id)
+		t.Errorf("disconnect: got request %q, want a", id)
 	}
 	write(b, servedReply)
 	if o := receive(t, r.decider.outcomes); o.Status != policy.OK || !o.Completed {
-		t.Errorf("got %+v", o)
+		t.Errorf("outcome after the disconnect: got %+v, want OK and completed", o)
 	}
 }
 
-// Guards against a crash or a hang on what can't be read.
+// Input that can't be parsed must get an error, without a crash or a hang. A protocol error closes the connection; after any other error the
+// connection stays usable. None of the input may reach the decider.
 func TestClient_BadInput(t *testing.T) {
 	const fields = "c=look,t=basic,d=100,units=2,spread=2,first=1"
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
@@ -189,20 +191,21 @@
 		}
 		if strings.Contains(want, "Protocol") {
 			if got := c.line(); got != "" {
-				t.Errorf("%q: %q behind the error", in, got)
+				t.Errorf("%q: got %q after the error, want the end of the connection", in, got)
 			}
 			continue
 		}
 		if c.send("PING"); c.line() != "+PONG" {
-			t.Errorf("%q: the connection is of no use afterwards", in)
+			t.Errorf("%q: PING after the error is not answered by +PONG", in)
 		}
 	}
 	if len(r.decider.requests) != 0 {
-		t.Error("the module was asked about what could not be read")
+		t.Error("the decider got a request from invalid input")
 	}
 }
 
-// Guards answers that come long after one that the socket took in parts: that one's time limit must not end them.
+// A write that the socket does not accept at once sets a write deadline. The deadline must be cleared when that write is complete; otherwise
+// it fails a later answer on the same connection.
 func TestClient_SlowWriteClearsDeadline(t *testing.T) {
 	defer func(was time.Duration) { clientWriteTimeout = was }(clientWriteTimeout)
 	clientWriteTimeout = 300 * time.Millisecond
@@ -215,7 +218,7 @@
 	for i := range 12 {
 		w.send(lookCommand(fmt.Sprint("a", i))...)
 	}
-	r.waitFor("a write goes on", func() bool {
+	r.waitFor("a write is blocked", func() bool {
 		for c := range r.ingress.clients.conns {
 			return c.writing
 		}
@@ -223,55 +226,55 @@
 	})
 	for range 12 {
 		if got := w.bulk(); len(got) != resp.MaxValueBytes {
-			t.Fatal(len(got))
+			t.Fatalf("got a value of %d bytes, want %d", len(got), resp.MaxValueBytes)
 		}
 	}
-	r.waitFor("all is written", func() bool {
+	r.waitFor("all answers are written", func() bool {
 		for c := range r.ingress.clients.conns {
 			return !c.writing
 		}
 		return false
 	})
-	// A write that begins now, with the same limit and nobody who reads, ends after that of the one that is over.
+	// This write starts now, has the same timeout and is never read: once it has timed out, the deadline of the completed write has passed too.
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	noError(t, near.SetWriteDeadline(time.Now().Add(clientWriteTimeout)))
 	if _, err := near.Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal(err)
+		t.Fatal("write to a pipe that nobody reads: want a timeout, got", err)
 	}
 	if w.send("PING"); w.line() != "+PONG" {
-		t.Fatal("the connection was ended")
+		t.Fatal("PING after the deadline of the completed write is not answered by +PONG")
 	}
 }
 
-// Guards the time of a request that lay unread while too many others of its connection were open: it runs from when it may have come, so that
-// no backend is told more of it than the client has left.
+// A request stays unread while too many requests of its connection are open. Its deadline must be counted from the earliest time at which it
+// can have arrived; otherwise a backend is told that more time is left than the client has.
 func TestClient_ArrivalTimeOfUnreadCommands(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
-	for i := range maxPipelinedCommands + 1 { // the reader waits with the last of them
+	for i := range maxPipelinedCommands + 1 { // the reader blocks on the last one
 		c.send(lookCommand(fmt.Sprint("q", i))...)
 		if i < maxPipelinedCommands {
 			receive(t, r.decider.requests)
 		}
 	}
-	var blockedAt, freeAt float64
+	var blockedAt, unblockedAt float64
 	r.onLoop(func() { blockedAt = r.ingress.clock.Now() })
 	c.send(lookCommand("unread")...)
 	const waitS = 0.1
-	r.waitFor("it has lain for a while", func() bool { return r.ingress.clock.Now() > blockedAt+waitS })
+	r.waitFor("the request was unread for waitS", func() bool { return r.ingress.clock.Now() > blockedAt+waitS })
 	r.onLoop(func() {
-		freeAt = r.ingress.clock.Now()
+		unblockedAt = r.ingress.clock.Now()
 		r.ingress.Fail("q0")
 		r.ingress.Fail("q1")
 	})
 	receive(t, r.decider.requests)
 	q := receive(t, r.decider.requests)
 	if q.ID != "unread" {
-		t.Fatalf("%+v", q)
+		t.Fatalf("the last request is %+v, want unread", q)
 	}
-	if left := q.DeadlineAt - freeAt; left > 600-waitS+0.01 {
-		t.Errorf("%v s of its 600 are taken to be left after %v s unread", left, freeAt-blockedAt)
+	if left := q.DeadlineAt - unblockedAt; left > 600-waitS+0.01 {
+		t.Errorf("%v s of its 600 s are left after %v s unread", left, unblockedAt-blockedAt)
 	}
 }
--- a/internal/dataplane/ingress/client_reader.go
+++ b/internal/dataplane/ingress/client_reader.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// commandTimeout is how long a whole command may take to come. What can't be read has to be answered within 3 s.
+	// commandTimeout bounds the time in which a whole command must arrive. Input that can't be read has to be answered within 3 s.
 	commandTimeout = 2 * time.Second
-	// maxBadCommands of one connection end it.
+	// maxBadCommands is the number of bad commands after which a connection is closed.
 	maxBadCommands = 8
-	// What comes behind a last answer is read and dropped, for so long and so many bytes.
+	// After the last answer, input is read and dropped for at most discardTimeout and maxDiscardBytes.
 	discardTimeout  = 2 * time.Second
 	maxDiscardBytes = 1 << 20
-	// A read that takes longer than immediateReadS has waited for its bytes.
+	// A read that takes longer than immediateReadS seconds has waited for its bytes.
 	immediateReadS = 0.001
-	// A reader that is readerLagS behind, as too many commands were open, can't tell when what it reads has come.
+	// A reader that is more than readerLagS seconds behind, because too many commands were open, can't tell when the bytes that it reads
+	// arrived.
 	readerLagS = 0.005
 )
 
@@ -33,17 +34,17 @@
 	errEmptyCommand   = errors.New("empty command")
 )
 
-// readLoop parses what the client sends, and posts each command with the time of its last byte. Its deadline runs while a command is
-// incomplete, and until there was one at all. It ends with the connection, or when stopReader asks for it.
+// readLoop parses the client's input and posts each command with the arrival time of its last byte. A read deadline runs until the first
+// command is complete, and while a later command is incomplete. readLoop ends with the connection, or when stopReader stops it.
 func (c *clientConn) readLoop(in *Ingress) {
 	stopped := false
 	defer func() {
-		if !stopped { // else the loop owns it
+		if !stopped { // else the loop owns the input
 			c.input.Release()
 		}
 	}()
-	unprocessed := c.input.Len() > 0 // by whoever read this connection before
-	emptyAt := in.clock.Now()        // when this reader was last up to date
+	unprocessed := c.input.Len() > 0 // left by an earlier reader, here or in the predecessor
+	emptyAt := in.clock.Now()        // when the socket was last known to have no unread bytes
 	for {
 		if c.stopRequested() {
 			stopped = true
@@ -62,12 +63,12 @@
 			began := in.clock.Now()
 			n, err = c.conn.Read(space)
 			c.input.Advance(n)
-			if at = in.clock.Now(); at-began > immediateReadS { // it waited: what it got has come just now
+			if at = in.clock.Now(); at-began > immediateReadS { // the read waited, so its bytes have just arrived
 				emptyAt = at
 			}
 		}
 		unprocessed = false
-		if at-emptyAt > readerLagS { // what was there may have come at any time since then
+		if at-emptyAt > readerLagS { // the bytes may have arrived at any time since emptyAt: assume the earliest
 			at = emptyAt
 		}
 		used, ok := c.postCommands(in, at)
@@ -77,7 +78,7 @@
 	}
 }
 
-// afterRead discards the used bytes and sets the deadline of what is incomplete, or ends the connection for a read that failed. It reports
+// afterRead discards the used bytes and sets the deadline of an incomplete command, or ends the connection after a failed read. It reports
 // whether the reader goes on.
 func (c *clientConn) afterRead(in *Ingress, at float64, used int, err error) bool {
 	incomplete := used < c.input.Len()
@@ -100,8 +101,8 @@
 	return true
 }
 
-// postCommands posts the whole commands that have come and returns their length in bytes, or false when the connection has ended or is about
-// to.
+// postCommands posts the complete commands in the input. It returns their length in bytes, or false when the connection has ended or is
+// about to end.
 func (c *clientConn) postCommands(in *Ingress, at float64) (used int, ok bool) {
 	var space [8][]byte
 	for used < c.input.Len() && !c.stopRequested() {
@@ -122,7 +123,7 @@
 		}
 		if err := c.postCommand(in, at, args); err != nil {
 			if c.badCommands++; c.badCommands == maxBadCommands {
-				<-c.pipelinePermits // the last answer takes none
+				<-c.pipelinePermits // the answer of rejectInput has no permit
 				c.rejectInput(in, at, err)
 				return 0, false
 			}
@@ -134,7 +135,7 @@
 	return used, true
 }
 
-// postCommand posts one whole command, or returns what is wrong with it, worded for the client.
+// postCommand posts one complete command, or returns an error, worded for the client, that says why it is invalid.
 func (c *clientConn) postCommand(in *Ingress, at float64, args [][]byte) error {
 	if len(args) == 0 {
 		return errEmptyCommand
@@ -147,7 +148,7 @@
 		}
 		if !in.inputBudget.Reserve(call.Size) {
 			in.post(at, func() {
-				in.logFault("request rejected: too much input waits", "bytes", call.Size)
+				in.logFault("request rejected: input budget exhausted", "bytes", call.Size)
 				in.counters.rejected[rejectNoMemory]++
 				in.answerImmediately(c, in.busyReply(in.cfg.Settings.MaxRetryAfterS), false)
 			})
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// protocolError is input that is no command, in the words that clients of the protocol expect.
+// protocolError is the error for input that is no command, worded as clients of the protocol expect it.
 type protocolError struct{ cause error }
 
 func (e *protocolError) Error() string { return "Protocol error: " + e.cause.Error() }
@@ -172,8 +173,8 @@
 
 func errorReply(cause error) []byte { return redcon.AppendError(nil, "ERR "+cause.Error()) }
 
-// rejectInput answers what can't be taken and ends the connection. What still comes is read for a while: a close on unread bytes would reset
-// the connection and might take the answer with it.
+// rejectInput answers input that can't be accepted with an error and ends the connection. Further input is read and dropped first: closing
+// a socket with unread bytes would reset the connection, and the reset could destroy the answer in transit.
 func (c *clientConn) rejectInput(in *Ingress, at float64, cause error) {
 	answer := errorReply(cause)
 	c.input.Release()
@@ -187,22 +188,22 @@
 	in.post(in.clock.Now(), func() {
 		if c.discardDone = true; ended || c.idle() {
 			in.handleDisconnect(c, closeBadInput)
-		} // else once the answers before the last one are written
+		} // else afterAnswersWritten closes it, once the answers before the last one are written
 	})
 }
 
-// stopReader has the reader stop between two commands. What it has read and not used, and what waits in the socket, is left for whoever
-// goes on with the connection. Loop only.
+// stopReader stops the reader between two commands. Input that it has read and not used, and bytes that wait in the socket, are left to the
+// next reader, here or in the successor. Loop only.
 func (c *clientConn) stopReader() {
 	if c.reader != readerRunning || c.state == connClosed {
 		return
 	}
 	c.reader = readerStopping
 	close(c.stopReading)
-	setReadDeadline(c.conn, expiredDeadline) // the reader looks at stopReading after each deadline of its own
+	setReadDeadline(c.conn, expiredDeadline) // interrupts a read; the reader checks stopReading after it sets a deadline of its own
 }
 
-// stopRequested reports whether the reader has to stop. Of the reader.
+// stopRequested reports whether the reader has to stop. Reader only.
 func (c *clientConn) stopRequested() bool {
 	select {
 	case <-c.stopReading:
@@ -212,7 +213,7 @@
 	}
 }
 
-// handleReaderStopped takes over the connection of a reader that has stopped.
+// handleReaderStopped continues with a connection whose reader has stopped.
 func (in *Ingress) handleReaderStopped(c *clientConn) {
 	if c.state == connClosed {
 		c.input.Release()
@@ -220,22 +221,22 @@
 	}
 	if c.reader = readerStopped; c.idle() {
 		in.releaseStoppedClient(c)
-	} // else once its answers are written
+	} // else afterAnswersWritten does it, once the answers are written
 }
 
-// releaseStoppedClient transfers, reads on or ends a connection whose reader has stopped and whose client waits for no answer.
+// releaseStoppedClient transfers, resumes or ends a connection whose reader has stopped and whose client waits for no answer.
 func (in *Ingress) releaseStoppedClient(c *clientConn) {
 	if c.reader == readerTransferring || in.transferClient(c) {
 		return
 	}
-	if in.successor.stage != handoverActive && c.state == connOpen { // nobody takes it over any more: unread commands are owed an answer here
+	if in.successor.stage != handoverActive && c.state == connOpen { // no successor will answer the unread commands
 		in.restartReader(c)
 		return
 	}
 	in.endStoppedClient(c)
 }
 
-// restartReader has a connection read again whose reader had stopped.
+// restartReader starts a new reader for a connection whose reader has stopped.
 func (in *Ingress) restartReader(c *clientConn) {
 	c.reader = readerRunning
 	c.stopReading = make(chan struct{})
--- a/internal/dataplane/ingress/client_table.go
+++ b/internal/dataplane/ingress/client_table.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	clientIdleTimeoutS = 10.0               // for which a connection may stand idle
-	acceptSlack        = 8                  // connections accepted that the loop has not come to
-	reservedFDs        = 32                 // for the listener, discovery, peers, the slack and the runtime
-	adminFDs           = admin.MaxConns + 8 // for operators' calls, the link to another process and files
+	clientIdleTimeoutS = 10.0               // seconds after which an idle connection is closed
+	acceptSlack        = 8                  // accepted connections that the loop may not have handled yet
+	reservedFDs        = 32                 // file descriptors for the listener, discovery, peers, acceptSlack and the runtime
+	adminFDs           = admin.MaxConns + 8 // file descriptors for operators' calls, the link to another process and files
 )
 
-// freeDescriptors is how many file descriptors there are for connections of clients and to backends.
+// freeDescriptors returns the number of file descriptors available for client and backend connections.
 func freeDescriptors(cfg ingressconfig.Config) int {
 	if cfg.AdminAddr != "" {
 		return cfg.MaxDescriptors - reservedFDs - adminFDs
@@ -22,18 +22,18 @@
 	return cfg.MaxDescriptors - reservedFDs
 }
 
-// clientTable bounds the connections of clients. Those on which something is open may be as many as descriptors allow; idle ones are kept up
-// to a bound well below the third of the descriptors that clients have for requests: else many connections without requests could use up the
-// descriptors, and connections with requests would not be accepted. Loop only, but for connPermits and commandTimeout.
+// clientTable limits the client connections. There may be as many connections with open commands as the descriptors allow. The limit on idle
+// ones lies well below the third of the descriptors that clients have for requests: otherwise many connections without requests could use
+// up the descriptors, and connections with requests would not be accepted. Loop only, except for connPermits and commandTimeout.
 type clientTable struct {
 	conns           map[*clientConn]struct{}
-	evictIdleFrom   int           // from so many connections on, idle ones are closed for new ones
-	maxOpen         int           // from so many on, a new connection's calls are rejected
-	maxOverCapacity int           // so many more are taken, to be rejected with an answer
-	openElsewhere   int           // connections of this ingress that the predecessor still has; they count too
-	connPermits     chan struct{} // one for each connection, taken before it is accepted
+	evictIdleFrom   int           // from this many connections on, idle ones are closed for new ones
+	maxOpen         int           // from this many connections on, the calls of a new one are rejected
+	maxOverCapacity int           // connections accepted beyond maxOpen, so that their calls are rejected with an answer
+	openElsewhere   int           // connections of this ingress that the predecessor still holds; they count toward the limits
+	connPermits     chan struct{} // one for each connection, acquired before it is accepted
 
-	commandTimeout time.Duration // for the first command of a connection, and for a whole one; never changes
+	commandTimeout time.Duration // for the first command of a connection, and for each incomplete one; never changes
 }
 
 func (t *clientTable) init(descriptors int) {
@@ -47,7 +47,7 @@
 
 func (t *clientTable) open() int { return len(t.conns) }
 
-// addClient takes a new connection into the table. One beyond all bounds is rejected unread, but with an answer.
+// addClient adds a new connection to the table. A connection beyond all limits gets a rejection as its only answer, whatever it sends.
 func (in *Ingress) addClient(c *clientConn) {
 	c.lastUsedAt, c.acceptedAt = in.now, in.now
 	in.counters.accepted++
@@ -61,8 +61,8 @@
 	}
 }
 
-// sweep closes what has idled for long, so that clients that keep a connection for good hold none of the memory either. A connection that has
-// never sent a command is its reader's to answer.
+// sweep closes connections that have been idle for too long, so that clients that never close their connections do not hold memory. A
+// connection that has never sent a command is left to its reader, which answers it when commandTimeout is over.
 func (t *clientTable) sweep(in *Ingress) {
 	for c := range t.conns {
 		if c.state == connClosing && c.idle() && in.now-c.lastUsedAt > discardTimeout.Seconds() {
@@ -73,7 +73,7 @@
 	}
 }
 
-// closeIdle ends each connection that waits for no answer, but for those whose first command is on its way.
+// closeIdle closes each fully answered connection, except those that are being transferred or whose first command may be in transit.
 func (t *clientTable) closeIdle(in *Ingress) {
 	for c := range t.conns {
 		if c.fullyAnswered() && c.reader != readerTransferring && !c.recentlyOpened(in) {
@@ -82,9 +82,10 @@
 	}
 }
 
-// atCapacity reports whether more connections are open, the newcomer aside, than may be served, after idle ones were closed for it.
+// atCapacity closes idle connections while evictIdleFrom or more are open besides newcomer, and reports whether maxOpen or more are left
+// then.
 func (t *clientTable) atCapacity(in *Ingress, newcomer *clientConn) bool {
-	var excluded map[*clientConn]bool // commands wait on them that their readers have not come to
+	var excluded map[*clientConn]bool // candidates with input that their readers have not processed
 	for {
 		others := len(t.conns) + t.openElsewhere
 		if _, counted := t.conns[newcomer]; counted {
@@ -108,8 +109,8 @@
 	}
 }
 
-// evictionCandidate is the connection to close first for another one: of the lowest rank, and of these unused for longest. It is nil if there
-// is none.
+// evictionCandidate returns the connection to close first for another one: among those of the lowest evictionRank the one unused for
+// longest; nil if there is none.
 func (t *clientTable) evictionCandidate(in *Ingress, newcomer *clientConn, excluded map[*clientConn]bool) (candidate *clientConn) {
 	for c := range t.conns {
 		if c == newcomer || !c.quiescent() || c.recentlyOpened(in) || excluded[c] {
@@ -123,8 +124,8 @@
 	return candidate
 }
 
-// evictionRank orders the connections that may be closed for others, lowest first: those that were sent their last answer, those that have
-// sent nothing, those that have sent nothing but PING, the other idle ones.
+// evictionRank orders the connections that may be closed for others, lowest first: those with their last answer sent, those that have sent
+// nothing, those that have sent nothing but PING, the other idle ones.
 func (c *clientConn) evictionRank() int {
 	switch {
 	case c.state == connClosing:
--- a/internal/dataplane/ingress/client_table_test.go
+++ b/internal/dataplane/ingress/client_table_test.go
@@ -8,68 +8,68 @@
 	"eiderspread/internal/dataplane/ingressconfig"
 )
 
-// Guards against usual clients that make room for those that have said nothing.
+// When a new connection needs room, a connection that has sent nothing must be closed before an idle one that has sent a command.
 func TestClientTable_SilentEvictedBeforeOthers(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen = 2, 2 })
-	usual := r.client()
-	if usual.send("PING"); usual.line() != "+PONG" {
-		t.Fatal("not served")
+	active := r.client()
+	if active.send("PING"); active.line() != "+PONG" {
+		t.Fatal("PING of the first connection is not answered by +PONG")
 	}
 	silent := r.client()
 	r.waitFor("both are open", func() bool { return r.ingress.clients.open() == 2 })
-	r.onLoop(func() { // the first command of a connection that has just come may be on its way
+	r.onLoop(func() { // make them older: recently opened connections are not evicted
 		for c := range r.ingress.clients.conns {
 			c.lastUsedAt -= 2 * recentlyOpenedS
 		}
 	})
 	third := r.client()
 	if third.send("PING"); third.line() != "+PONG" || silent.line() != "" {
-		t.Error("the silent connection made no room")
+		t.Error("the silent connection was not closed for the third connection")
 	}
-	if usual.send("PING"); usual.line() != "+PONG" {
-		t.Error("the usual client was closed in its place")
+	if active.send("PING"); active.line() != "+PONG" {
+		t.Error("the connection that had sent a command was closed for the third connection")
 	}
 }
 
-// Guards against a crowd that connects, says PING at most and stays (r640a3f): kept up to half of the descriptors it held the
-// room of those who ask, whose requests were turned back unheard. It gives way at the bound on idle connections; who has
-// asked keeps its connection, and connections at work are no part of that bound.
-func TestClientTable_IdleCrowdLeavesCapacity(t *testing.T) {
+// Many clients that connect, send PING at most and stay connected must not use up the capacity (r640a3f): when they were kept up to half of
+// the descriptors, requests of other clients were rejected unread. They are evicted at the limit on idle connections. A client that has sent
+// a request keeps its connection, and connections with open requests do not count toward that limit.
+func TestClientTable_IdleClientsLeaveCapacity(t *testing.T) {
 	const keep = 8
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen = keep, 3*keep })
-	usual := r.client()
-	usual.send(lookCommand("first")...)
+	active := r.client()
+	active.send(lookCommand("first")...)
 	receive(t, r.decider.requests)
 	r.onLoop(func() { r.ingress.Fail("first") })
-	if got := usual.line(); got != "-ERR failed" {
-		t.Fatal(got)
+	if got := active.line(); got != "-ERR failed" {
+		t.Fatalf("first request: got %q, want -ERR failed", got)
 	}
 	var silent []*testConn
 	for i := range 2 * keep {
 		c := r.client()
 		if i%2 == 0 {
 			silent = append(silent, c)
-			r.waitFor("it is taken", func() bool { return r.ingress.clients.open() > 0 })
+			r.waitFor("the connection is accepted", func() bool { return r.ingress.clients.open() > 0 })
 		} else if c.send("PING"); c.line() != "+PONG" {
-			t.Fatal("not served")
+			t.Fatal("PING of a new connection is not answered by +PONG")
 		}
-		r.onLoop(func() { // the first command of a connection that has just come may be on its way
+		r.onLoop(func() { // make them older: recently opened connections are not evicted
 			for c := range r.ingress.clients.conns {
 				c.lastUsedAt -= 2 * recentlyOpenedS
 			}
 		})
 	}
-	r.waitFor("the crowd is held to the bound", func() bool { return r.ingress.clients.open() <= keep })
+	r.waitFor("the idle connections are within the limit", func() bool { return r.ingress.clients.open() <= keep })
 	for i, c := range silent[:len(silent)/2] {
 		if c.line() != "" {
-			t.Errorf("silent connection %d of the crowd is open", i)
+			t.Errorf("silent connection %d is still open", i)
 		}
 	}
-	if usual.send("PING"); usual.line() != "+PONG" {
-		t.Error("who had asked was closed for the crowd")
+	if active.send("PING"); active.line() != "+PONG" {
+		t.Error("the connection that had sent a request was closed for idle ones")
 	}
 	var busy []*testConn
-	for i := range 2 * keep { // all at work: more than may idle
+	for i := range 2 * keep { // with open requests: more than the limit on idle ones
 		c := r.client()
 		c.send(lookCommand(fmt.Sprint("b", i))...)
 		receive(t, r.decider.requests)
@@ -82,52 +82,54 @@
 	})
 	for i, c := range busy {
 		if got := c.line(); got != "-ERR failed" {
-			t.Errorf("connection %d at work: %q", i, got)
+			t.Errorf("connection %d with an open request: got %q, want -ERR failed", i, got)
 		}
 	}
 }
 
-// Guards requests that their connection's reader has taken while the loop is behind: to the loop the connection seemed idle, and it was
-// closed for a newcomer with the request on its way (seen: 17 requests never taken up on a day of upgrades, the loop busy for a third of a second).
+// While the loop is behind, a reader may have read a command that the loop has not handled yet. The loop must not evict that connection as
+// idle, or the request is lost. This lost 17 requests on a day of upgrades, when the loop was busy for a third of a second.
 func TestClientTable_CommandOnItsWayIsNotEvicted(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen = 2, 4 })
 	for range 2 {
 		c := r.client()
 		if c.send("PING"); c.line() != "+PONG" {
-			t.Fatal("not served")
+			t.Fatal("PING of a new connection is not answered by +PONG")
 		}
 	}
 	r.onLoop(func() {
 		all := r.ingress.clients.conns
-		for c := range all { // as a reader does with each command, before the loop hears of it
+		for c := range all { // as a reader does with each command before it posts it
 			c.pipelinePermits <- struct{}{}
 		}
 		if r.ingress.clients.atCapacity(r.ingress, nil) || len(all) != 2 {
-			t.Errorf("%d of 2 connections are left", len(all))
+			t.Errorf("%d connections are left, want both while their commands are queued", len(all))
 		}
 		for c := range all {
 			<-c.pipelinePermits
 		}
 		if r.ingress.clients.atCapacity(r.ingress, nil) || len(all) != 1 {
-			t.Errorf("%d connections are left where one idles too many", len(all))
+			t.Errorf("%d connections are left, want 1 after the eviction of an idle one", len(all))
 		}
 	})
 }
 
-// The bound on idle connections lies well below the third of all descriptors that clients have for requests.
+// The limit on idle connections must lie well below the third of all descriptors that clients have for requests.
 func TestClientTable_IdleLimit(t *testing.T) {
-	for _, sockets := range []int{64, 256, 384, 1024} {
-		for _, door := range []string{"", "127.0.0.1:1"} {
-			var s clientTable
-			s.init(freeDescriptors(ingressconfig.Config{MaxDescriptors: sockets, AdminAddr: door}))
-			if s.evictIdleFrom > sockets/3*4/5 || s.evictIdleFrom >= s.maxOpen && s.maxOpen > 8 {
-				t.Errorf("%d descriptors: %d idle connections, %d at work", sockets, s.evictIdleFrom, s.maxOpen)
+	for _, descriptors := range []int{64, 256, 384, 1024} {
+		for _, adminAddr := range []string{"", "127.0.0.1:1"} {
+			var table clientTable
+			table.init(freeDescriptors(ingressconfig.Config{MaxDescriptors: descriptors, AdminAddr: adminAddr}))
+			if table.evictIdleFrom > descriptors/3*4/5 || table.evictIdleFrom >= table.maxOpen && table.maxOpen > 8 {
+				t.Errorf("%d descriptors: idle connections are evicted from %d on, with %d open at most; want fewer idle ones",
+					descriptors, table.evictIdleFrom, table.maxOpen)
 			}
 		}
 	}
 }
 
-// Guards the memory: what is unfinished or waits has one bound for all connections together.
+// Incomplete commands and waiting requests of all connections share one input budget, which bounds their memory. Input beyond the budget
+// must be rejected, and at the end the whole budget must be released.
 func TestInputBudget_Shared(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.inputBudget.Reset(30_000) })
 	big := func(id string) string {
@@ -136,50 +138,50 @@
 	c := r.client()
 	write(c, big("a")+big("b")+big("c"))
 	receive(t, r.decider.requests)
-	r.waitFor("all three have come, and no more is taken", func() bool {
+	r.waitFor("all three commands are handled and the budget is used", func() bool {
 		for x := range r.ingress.clients.conns {
-			return len(x.answerSlots) == 3 && r.ingress.inputBudget.Available() < 20_000 // an answer waits for those before it
+			return len(x.answerSlots) == 3 && r.ingress.inputBudget.Available() < 20_000 // a rejection waits for the answers before it
 		}
 		return false
 	})
 	d := r.client()
 	write(d, "*5\r\n$60000\r\n"+strings.Repeat("x", 59_000))
 	if got := d.line(); got != "-ERR no room for more input" || d.line() != "" {
-		t.Errorf("half a command beyond the budget got %q", got)
+		t.Errorf("incomplete command beyond the budget: got %q, want -ERR no room for more input and the end of the connection", got)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		r.onLoop(func() { r.ingress.Fail(id) })
 	}
 	for i := range 3 {
 		if got := c.line(); got != "-ERR failed" && got != "-BUSY 1000" {
-			t.Errorf("answer %d is %q", i, got)
+			t.Errorf("answer %d: got %q, want -ERR failed or -BUSY 1000", i, got)
 		}
 	}
 	c.Close()
-	r.waitFor("all is given back", func() bool { return r.ingress.inputBudget.Available() == 30_000 })
+	r.waitFor("the whole budget is released", func() bool { return r.ingress.inputBudget.Available() == 30_000 })
 }
 
-// Guards against running out of descriptors: the connection that idles longest makes room.
+// At the limit a new connection must not run the ingress out of descriptors: the connection that has been idle for longest is closed for it.
 func TestClientTable_IdleEvictedForNew(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) { r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen = 2, 2 })
 	var conns []*testConn
 	for range 3 {
 		c := r.client()
 		if c.send("PING"); c.line() != "+PONG" {
-			t.Fatal("not served")
+			t.Fatal("PING of a new connection is not answered by +PONG")
 		}
 		conns = append(conns, c)
 	}
 	if conns[0].line() != "" {
-		t.Error("the connection that idled longest is open")
+		t.Error("the connection that was idle for longest is still open")
 	}
 	if conns[2].send("PING"); conns[2].line() != "+PONG" {
 		t.Error("the newest connection was closed")
 	}
 }
 
-// Guards against requests lost to the bound on descriptors: a connection beyond it was closed, and with
-// it the request that had come along. It is refused in words, and served once another one idles.
+// A connection beyond the limit must not be closed without an answer: the request that it had sent was lost. The request is rejected with
+// BUSY, and once another connection is idle, a request on the new one is served.
 func TestClientTable_OverCapacityRejectedWithReply(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
 		r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen, r.ingress.clients.maxOverCapacity = 1, 1, 1
@@ -187,28 +189,28 @@
 	busy := r.client()
 	busy.send(lookCommand("a")...)
 	receive(t, r.decider.requests)
-	surplus := r.client()
-	surplus.send(lookCommand("b")...)
-	if got := surplus.line(); got != "-BUSY 1000" {
-		t.Errorf("beyond the bound: %q", got)
+	second := r.client()
+	second.send(lookCommand("b")...)
+	if got := second.line(); got != "-BUSY 1000" {
+		t.Errorf("second connection: got %q, want -BUSY 1000", got)
 	}
-	next := r.client() // an idle one of the surplus makes room for it
-	next.send(lookCommand("b")...)
-	if got := next.line(); got != "-BUSY 1000" || surplus.line() != "" {
-		t.Errorf("beyond the bound, once more: %q", got)
+	third := r.client() // the second one is idle and closed for it
+	third.send(lookCommand("b")...)
+	if got := third.line(); got != "-BUSY 1000" || second.line() != "" {
+		t.Errorf("third connection: got %q, want -BUSY 1000 and the second connection closed", got)
 	}
 	if len(r.decider.requests) != 0 {
-		t.Error("the module was asked about a request that was refused for it")
+		t.Error("the decider got a request that the ingress had rejected")
 	}
 	r.onLoop(func() { r.ingress.Fail("a") })
-	next.send(lookCommand("c")...)
+	third.send(lookCommand("c")...)
 	if q := receive(t, r.decider.requests); q.ID != "c" || busy.line() != "-ERR failed" || busy.line() != "" {
-		t.Errorf("with room made: %+v", q)
+		t.Errorf("the decider got %+v, want request c, and the first connection answered and closed", q)
 	}
 }
 
-// Guards against requests lost where many connections come at once and all others are at work: one that had just come was
-// closed for the next, before its command was read, and one beyond the surplus without a word.
+// When many connections arrive at once and all others have open requests, each new one must get an answer. Requests were lost because a new
+// connection was closed for the next one before its command was read, and one beyond maxOverCapacity was closed without an answer.
 func TestClientTable_BurstOfNewClientsAnswered(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
 		r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen, r.ingress.clients.maxOverCapacity = 1, 1, 2
@@ -220,42 +222,43 @@
 	for range 6 {
 		burst = append(burst, r.client())
 	}
-	r.onLoop(func() {}) // all have come, none has spoken
+	r.onLoop(func() {}) // all are accepted, none has sent a command
 	for i, c := range burst {
 		c.send(lookCommand(fmt.Sprint("b", i))...)
 	}
 	for i, c := range burst {
 		if got := c.line(); got != "-BUSY 1000" {
-			t.Errorf("number %d of the burst: %q", i, got)
+			t.Errorf("connection %d of the burst: got %q, want -BUSY 1000", i, got)
 		}
 	}
 	r.onLoop(func() { r.ingress.Fail("a") })
 	if got := busy.line(); got != "-ERR failed" {
-		t.Errorf("the one at work: %q", got)
+		t.Errorf("connection with an open request: got %q, want -ERR failed", got)
 	}
 }
 
-// Guards a command that comes in the moment in which its resting connection is closed for a newcomer: its client hears the end first.
+// A command may arrive at the moment in which its idle connection is closed for a new one. The client must see the end of the connection
+// instead of a reset.
 func TestClientTable_CommandDuringEviction(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
-	mine, theirs := pair(t)
-	client, err := r.ingress.newClientConn(theirs)
+	clientEnd, ingressEnd := pair(t)
+	client, err := r.ingress.newClientConn(ingressEnd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprint(mine, "*1\r\n")
+	fmt.Fprint(clientEnd, "*1\r\n")
 	r.onLoop(func() {
 		r.ingress.clients.connPermits <- struct{}{}
 		r.ingress.clients.conns[client] = struct{}{}
 	})
-	r.waitFor("the bytes are there", func() bool { return !client.silent() })
+	r.waitFor("the bytes have arrived", func() bool { return !client.silent() })
 	r.onLoop(func() {
 		if r.ingress.halfCloseIfSilent(client) || client.state != connClosing {
-			t.Error("closed over what nobody had read")
+			t.Error("halfCloseIfSilent took a connection with unread bytes for silent, or did not leave it closing")
 		}
 	})
-	if _, err := mine.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "reset") {
-		t.Errorf("its client got %v", err)
+	if _, err := clientEnd.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "reset") {
+		t.Errorf("read of the client: got error %v, want the end of the connection without a reset", err)
 	}
 	r.onLoop(func() { r.ingress.closeClient(client, closeNoCapacity) })
 }
--- a/internal/dataplane/ingress/client_writer.go
+++ b/internal/dataplane/ingress/client_writer.go
@@ -7,13 +7,13 @@
 	"eiderspread/internal/dataplane/sockets"
 )
 
-// maxUnreadAnswerBytes is what a client may leave unread.
+// maxUnreadAnswerBytes bounds the answers that queue up behind a blocked write to a client.
 const maxUnreadAnswerBytes = 1 << 20
 
-// clientWriteTimeout bounds a write that a client does not read. Tests make it shorter.
+// clientWriteTimeout bounds a write to a client that does not read. Tests shorten it.
 var clientWriteTimeout = 5 * time.Second
 
-// answerImmediately answers a command that never reaches the decider. With closeAfter the connection ends with the answer.
+// answerImmediately answers a command that is not passed to the decider. With closeAfter the connection closes after this answer.
 func (in *Ingress) answerImmediately(c *clientConn, answer []byte, closeAfter bool) {
 	if c.state != connOpen {
 		return
@@ -23,7 +23,7 @@
 	in.flushAnswers(c)
 }
 
-// flushAnswers writes the answers that are final, in the order of their commands.
+// flushAnswers writes the final answers in the order of their commands, up to the first answer that is not final.
 func (in *Ingress) flushAnswers(c *clientConn) {
 	if c.state == connClosed {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// releasePipelinePermit gives the permit of an answered command back. The last answer of rejected input has none.
+// releasePipelinePermit releases the permit of an answered command. The answer that rejectInput gives has none.
 func (c *clientConn) releasePipelinePermit() {
 	select {
 	case <-c.pipelinePermits:
@@ -59,13 +59,13 @@
 	}
 }
 
-// dropAnswerSlots forgets the first n slots.
+// dropAnswerSlots removes the first n answer slots.
 func (c *clientConn) dropAnswerSlots(n int) {
 	clear(c.answerSlots[:n])
 	c.answerSlots = c.answerSlots[:copy(c.answerSlots, c.answerSlots[n:])]
 }
 
-// reserveOutput takes n bytes from the input budget for what the client has not read.
+// reserveOutput reserves n bytes of the input budget for output that the client has not read. It reports whether the budget had them.
 func (in *Ingress) reserveOutput(c *clientConn, n int) bool {
 	if !in.inputBudget.Reserve(n) {
 		return false
@@ -74,8 +74,8 @@
 	return true
 }
 
-// writePending writes what is pending: at once what the socket takes, the rest on a goroutine of its own, which ends with its deadline or the
-// connection.
+// writePending writes the pending output: as much as the socket accepts at once, and the rest on a separate goroutine, which ends with its
+// deadline or the connection.
 func (in *Ingress) writePending(c *clientConn) {
 	in.inputBudget.Release(c.reservedBytes)
 	c.reservedBytes = 0
@@ -93,7 +93,7 @@
 		return
 	}
 	if !in.reserveOutput(c, len(rest)) {
-		in.logFault("client disconnected: too many answers are unread")
+		in.logFault("client disconnected: input budget exhausted by unread answers")
 		in.handleDisconnect(c, closeNoMemory)
 		return
 	}
@@ -101,11 +101,11 @@
 	go in.writeRest(c, rest)
 }
 
-// writeRest writes what the socket did not take at once, and has the loop go on with what became pending meanwhile.
+// writeRest writes the output that the socket did not accept at once. The loop then writes the output that became pending meanwhile.
 func (in *Ingress) writeRest(c *clientConn, rest []byte) {
 	setWriteDeadline(c.conn, time.Now().Add(clientWriteTimeout))
 	_, err := c.conn.Write(rest)
-	setWriteDeadline(c.conn, time.Time{}) // else it would end a later write
+	setWriteDeadline(c.conn, time.Time{}) // else the deadline would fail a later write
 	in.post(in.clock.Now(), func() {
 		c.writing = false
 		switch {
@@ -118,8 +118,8 @@
 	})
 }
 
-// afterAnswersWritten goes on with a connection on which nothing is left to be written: it ends, if it is to end, or streams the large value
-// that comes next.
+// afterAnswersWritten continues with a connection whose output is all written: it closes or transfers the connection if that is due, or
+// starts the next large value.
 func (in *Ingress) afterAnswersWritten(c *clientConn) {
 	switch {
 	case c.state == connClosing && !c.discardDone:
@@ -130,7 +130,7 @@
 		in.releaseStoppedClient(c)
 	case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():
 		in.closeGracefully(c, closeDrained)
-	case in.shutdown.closingClients && in.successor.stage == handoverNone && c.fullyAnswered(): // else what waits there is served before
+	case in.shutdown.closingClients && in.successor.stage == handoverNone && c.fullyAnswered(): // else the commands that wait are served first
 		in.closeGracefully(c, closeShutdown)
 	default:
 		in.startNextLargeValue(c)
--- a/internal/dataplane/ingress/cordon.go
+++ b/internal/dataplane/ingress/cordon.go
@@ -5,10 +5,10 @@
 	"eiderspread/internal/membership/cordontable"
 )
 
-// Cordon implements Host: what operators asked of a fleet's planners. It lasts as long as this process; whoever asks for it asks the next
-// process again.
+// Cordon implements Host. It applies a cordon, or its end, that operators requested from a fleet's planners. The cordon lasts as long as
+// this process; the caller requests it again from the next process.
 func (in *Ingress) Cordon(id string, cordoned bool) {
-	if in.predecessorRequests != nil && in.predecessor != nil { // the predecessor still writes to backends
+	if in.predecessorRequests != nil && in.predecessor != nil { // the predecessor still writes to backends, so it needs the cordon too
 		in.queueOrder(snapshot.Order{Kind: snapshot.OrderCordon, ID: id, Cordoned: cordoned})
 	}
 	cordons, nowMS := in.cordons.Cordons(), int64(in.now*1000)
--- a/internal/dataplane/ingress/deadlines.go
+++ b/internal/dataplane/ingress/deadlines.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// expiredDeadline ends a read, a write or an accept that is under way.
+// expiredDeadline interrupts a read, a write or an accept in progress.
 var expiredDeadline = time.Unix(1, 0)
 
-// A deadline can fail to be set only on a closed connection, whose next read, write or accept fails too: that is where it is handled.
+// Setting a deadline fails only on a closed connection. The next read, write or accept on it fails too, and its caller handles the failure.
 
 func setReadDeadline(c interface{ SetReadDeadline(time.Time) error }, t time.Time) {
 	_ = c.SetReadDeadline(t)
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -11,18 +11,18 @@
 	"eiderspread/internal/decision/snapshot"
 )
 
-// request is one that a client has sent and that is owed one final answer. It is known from its acceptance until it is completed and none of its
-// attempts is out. Loop only.
+// request is a client's request that is owed one final answer. The ingress keeps it from its acceptance until it is completed and has no
+// attempt in flight. Loop only.
 type request struct {
-	*callprotocol.Call // with the deadline in Request.DeadlineAt, Unix seconds
+	*callprotocol.Call // its Request.DeadlineAt is set, in Unix seconds
 	client             *clientConn
 	slot               *answerSlot
-	receivedAt         float64    // when its last byte came
-	timer              *timer     // rings when the decider ought to have answered; stopped with the answer
-	attempts           []*attempt // as many as the decider may ask for, and one
-	attemptsOut        int        // of these: whose outcome the decider has not had
-	maxAttempts        int        // that were allowed when it came
-	completed          bool       // nothing more is owed: the answer is final, or the client has disconnected
+	receivedAt         float64    // when its last byte arrived
+	timer              *timer     // fails the request if the decider has not answered in time; stopped at completion
+	attempts           []*attempt // that the decider asked for; those beyond the allowed number end unsent
+	attemptsOut        int        // attempts whose outcome the decider has not received yet
+	maxAttempts        int        // the limit in the settings when it arrived
+	completed          bool       // no answer is owed any more: it is final or being streamed, or the client has disconnected
 }
 
 // mayHaveRun reports whether an attempt of the request may have run.
@@ -30,7 +30,7 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun() })
 }
 
-// answerPing answers a front whether this ingress can serve.
+// answerPing answers PING, by which load balancers check whether this ingress can serve.
 func (in *Ingress) answerPing(c *clientConn) {
 	if in.drain.Active() {
 		if in.drain.rejectedPings++; len(c.answerSlots) > 0 {
@@ -46,16 +46,16 @@
 	in.answerImmediately(c, redcon.AppendString(nil, "PONG"), false)
 }
 
-// acceptRequest hands a request to the decider, unless the ingress itself rejects it; from then on it is owed one final answer.
+// acceptRequest passes a request to the decider, unless the ingress itself rejects it. An accepted request is owed one final answer.
 func (in *Ingress) acceptRequest(c *clientConn, call *callprotocol.Call, at float64) {
 	accepted := false
 	defer func() {
-		if !accepted { // else it is released with the answer
+		if !accepted { // else completeRequest releases it
 			in.inputBudget.Release(call.Size)
 		}
 	}()
 	if previous := in.requests[call.ID]; previous != nil && previous.client != c && previous.client.disconnected() {
-		in.handleDisconnect(previous.client, closeByClient) // its end is still on its way here: this is the same request, sent once more
+		in.handleDisconnect(previous.client, closeByClient) // the disconnect is not handled yet, and this is a client retry of the same request
 	}
 	if in.rejectOnArrival(c, call, at) {
 		return
@@ -64,9 +64,9 @@
 	in.decideOn(in.register(c, call, at))
 }
 
-// rejectOnArrival answers a request that the decider is not to have, if it is one, and reports whether it was.
+// rejectOnArrival rejects a request that must not reach the decider, and reports whether it did.
 func (in *Ingress) rejectOnArrival(c *clientConn, call *callprotocol.Call, at float64) bool {
-	if c.state != connOpen { // the client sees the end, and sends this again elsewhere
+	if c.state != connOpen { // no answer: the client sees the close, and retries elsewhere
 		return true
 	}
 	var reason rejectReason
@@ -93,7 +93,8 @@
 	return true
 }
 
-// rejectsRequests reports whether a request that comes now is rejected, as its answer would come too late for the drain or the shutdown.
+// rejectsRequests reports whether a request that arrives now is rejected because its answer would come too late for the drain or the
+// shutdown.
 func (in *Ingress) rejectsRequests() (retryInS float64, reject bool) {
 	if in.shutdown.expired {
 		return 0, true
@@ -101,7 +102,7 @@
 	return in.drain.RejectRequest(in.now)
 }
 
-// register makes a request of a call and gives its answer a place in the connection's order.
+// register creates the request for a call and reserves the place of its answer in the connection's order.
 func (in *Ingress) register(c *clientConn, call *callprotocol.Call, at float64) *request {
 	c.overCapacity, c.commandReceived, c.callReceived = false, true, true
 	r := &request{Call: call, client: c, slot: &answerSlot{}, maxAttempts: in.maxAttempts, receivedAt: at}
@@ -112,7 +113,7 @@
 	c.requestCount++
 	in.counters.requests++
 	in.requests[call.ID] = r
-	// The decider answers well before; should it fail to, the client hears all the same.
+	// The decider answers well before this timer expires. If it fails to, the client still gets an answer.
 	r.timer = in.after(r.DeadlineAt+in.cfg.Settings.ResponseSlackS-in.now, func() {
 		in.logFault("request not decided by its deadline", "id", r.ID)
 		in.failRequest(r)
@@ -121,7 +122,8 @@
 	return r
 }
 
-// decideOn has the decider decide on a request. A panic there must not leave one hanging that nothing was sent for.
+// decideOn passes a request to the decider. If the decider panics before it has sent an attempt, the request fails at once instead of
+// hanging.
 func (in *Ingress) decideOn(r *request) {
 	decided := false
 	defer func() {
@@ -142,7 +144,8 @@
 	}
 }
 
-// busyReply promises that the request had no effect, and says when to send it again if that is above 0.
+// busyReply returns the reply that promises that the request had no effect. If retryInS is above 0 and the settings allow it, the reply
+// tells the client after how many milliseconds to retry.
 func (in *Ingress) busyReply(retryInS float64) []byte {
 	if retryInS <= 0 || !in.cfg.Settings.RetryAfterAllowed {
 		return redcon.AppendError(nil, "BUSY")
@@ -159,12 +162,12 @@
 	}
 }
 
-// failedReply promises nothing: the request may have run.
+// failedReply returns the reply that promises nothing: the request may have run.
 func failedReply() []byte { return redcon.AppendError(nil, "ERR failed") }
 
 func (in *Ingress) failRequest(r *request) { in.answerRequest(r, failedReply()) }
 
-// answerRequest gives the final answer, the first time that it is called for a request.
+// answerRequest gives a request its final answer. Only the first call for a request has an effect.
 func (in *Ingress) answerRequest(r *request, answer []byte) {
 	if r.completed {
 		return
@@ -174,7 +177,7 @@
 	in.flushAnswers(r.client)
 }
 
-// completeRequest notes that nothing more is owed. Attempts that are still out need neither timer nor bytes.
+// completeRequest marks a request as owed no answer and releases its timer and bytes, which attempts in flight do not need.
 func (in *Ingress) completeRequest(r *request) {
 	r.completed = true
 	in.stopTimer(r.timer)
@@ -183,14 +186,14 @@
 	in.forgetIfDone(r)
 }
 
-// forgetIfDone frees the id of a request of which nothing is left.
+// forgetIfDone removes a completed request without attempts in flight, which frees its id.
 func (in *Ingress) forgetIfDone(r *request) {
 	if r.completed && r.attemptsOut == 0 {
 		delete(in.requests, r.ID)
 	}
 }
 
-// failOpenRequests fails what is still owed an answer.
+// failOpenRequests fails the requests that are still owed an answer.
 func (in *Ingress) failOpenRequests() {
 	for _, r := range in.requests {
 		if !r.completed {
--- a/internal/dataplane/ingress/request_test.go
+++ b/internal/dataplane/ingress/request_test.go
@@ -12,50 +12,53 @@
 	"eiderspread/policy"
 )
 
-// Guards against memory that an answered request holds until its deadline, an hour away if its client
-// says so: timers, the command's bytes and what the budget lent for them.
+// An answered request must release its timers, the bytes of its command and their part of the input budget at once. Otherwise it holds them
+// until its deadline, which the client may set to 10 minutes.
 func TestRequest_ReleasesResourcesWhenAnswered(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(0))
-	timers, left := r.openResources()
+	timers, budget := r.openResources()
 	c := r.client()
 	c.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.command()
 	req := (*request)(nil)
 	r.onLoop(func() { req = r.ingress.requests["a"] })
-	if busy, less := r.openResources(); busy != timers+2 || less >= left {
-		t.Errorf("%d timers and %d bytes while it is open, %d and %d before", busy, less, timers, left)
+	if openTimers, openBudget := r.openResources(); openTimers != timers+2 || openBudget >= budget {
+		t.Errorf("while the request is open: got %d timers and %d bytes of budget left, want 2 more and fewer than the %d and %d before",
+			openTimers, openBudget, timers, budget)
 	}
 	write(b, servedReply)
 	receive(t, r.decider.outcomes)
-	if again, now := r.openResources(); again != timers || now != left || req.Args != nil {
-		t.Errorf("%d timers and %d bytes afterwards, %d and %d before, arguments %q", again, now, timers, left, req.Args)
+	if timersAfter, budgetAfter := r.openResources(); timersAfter != timers || budgetAfter != budget || req.Args != nil {
+		t.Errorf("after the answer: got %d timers and %d bytes of budget left, want %d and %d as before; arguments %q, want none",
+			timersAfter, budgetAfter, timers, budget, req.Args)
 	}
 }
 
-// A client's one more send, with the same id, comes before the end of the connection that it was on.
+// A client that disconnects may retry its request with the same id on a new connection before the ingress has handled the disconnect. The
+// retry must be served, although a second request of an open id is rejected.
 func TestRequest_SameIDBeforeDisconnectIsSeen(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), nil)
 	c := r.client()
 	r.fillPipeline(c)
-	again := r.client()
-	again.send(lookCommand("w0")...)
-	if got := again.line(); got != "-ERR a request of this id is open" {
-		t.Errorf("while the first is there: %q", got)
+	retry := r.client()
+	retry.send(lookCommand("w0")...)
+	if got := retry.line(); got != "-ERR a request of this id is open" {
+		t.Errorf("same id while the first client is connected: got %q, want the rejection of an open id", got)
 	}
 	c.Close()
-	r.waitFor("its end is there", func() bool { return r.ingress.requests["w0"].client.disconnected() })
+	r.waitFor("the disconnect has arrived", func() bool { return r.ingress.requests["w0"].client.disconnected() })
 	r.decider.onRequest = func(q policy.Request) { r.ingress.Send(q.ID, "s0", 0) }
-	again.send(lookCommand("w0")...)
+	retry.send(lookCommand("w0")...)
 	b := receive(t, conns)
 	b.command()
 	write(b, servedReply)
-	again.served("sent once more")
+	retry.served("retry after the disconnect")
 }
 
-// The id of a request that is over stays taken while an attempt of it is out: what comes with it again would have two out.
+// While an attempt of a completed request is in flight, a request with the same id must be rejected: it would have two attempts in flight.
 func TestRequest_IDOfAttemptInFlightRejected(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(0))
@@ -65,22 +68,23 @@
 	b.command()
 	c.Close()
 	receive(t, r.decider.disconnects)
-	again := r.client()
-	again.send(lookCommand("a")...)
-	if got := again.line(); got != "-ERR a request of this id is open" {
-		t.Errorf("got %q", got)
+	retry := r.client()
+	retry.send(lookCommand("a")...)
+	if got := retry.line(); got != "-ERR a request of this id is open" {
+		t.Errorf("same id while an attempt is in flight: got %q, want the rejection of an open id", got)
 	}
 	write(b, servedReply)
 	receive(t, r.decider.outcomes)
-	again.send(lookCommand("a")...)
+	retry.send(lookCommand("a")...)
 	if got := b.command(); len(got) != 4 {
-		t.Fatalf("got %q", got)
+		t.Fatalf("backend got %q, want a command of 4 arguments", got)
 	}
 	write(b, servedReply)
-	again.served("once nothing is out")
+	retry.served("same id without an attempt in flight")
 }
 
-// A request waits while its connection's reader goes on to the next: what is sent on is its own, byte for byte.
+// While a request waits, its connection's reader parses the next command into the same buffer. The command that is sent to the backend must
+// still have the bytes of its own request.
 func TestRequest_OwnsItsBytes(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), nil)
@@ -91,12 +95,12 @@
 	receive(t, r.decider.requests)
 	r.onLoop(func() { r.ingress.Send("first", "s0", 300) })
 	if got := receive(t, conns).command(); len(got) != 4 || got[0] != "CALL.GET" || got[2] != "first" || !strings.HasPrefix(got[3], "c=look,t=basic,d=") {
-		t.Errorf("sent on: %q", got)
+		t.Errorf("backend got %q, want the command of request first", got)
 	}
 }
 
-// Guards against a changed command or value: all goes through byte for byte but d, which tells what
-// is left of the time.
+// A command must reach the backend, and a value the client, byte for byte. The one exception is field d of the command, which is set to the
+// time left.
 func TestRequest_CommandAndValueUnchanged(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(300))
@@ -116,30 +120,30 @@
 	if !slices.Equal(got, want) {
 		t.Fatalf("backend got %q, want %q", got, want)
 	}
-	if left < 1 || left > 300000 { // the attempt's time-out, less what the dial took
-		t.Errorf("d is %d", left)
+	if left < 1 || left > 300000 { // the attempt's timeout less the time of the dial, in ms
+		t.Errorf("field d is %d, want 1 to 300000", left)
 	}
 	q := receive(t, r.decider.requests)
 	if q.Class != "hold" || q.Plan != "basic" || q.Account != customer || q.Units != 2 || q.GatewayCount != 2 || q.FirstGateway != 1 {
-		t.Errorf("the module got %+v", q)
+		t.Errorf("the decider got request %+v, want the values of the command", q)
 	}
 	reply := "*3\r\n$7\r\n\r\n$1\r\n!\r\n$-1\r\n"
 	write(b, string(redcon.AppendBulkString([]byte(reply), "cpu_share=0.25,served_ps=140,svc_ms=14.5,new=1")))
 	if head := c.line(); head != "$7" {
-		t.Fatalf("client got %q", head)
+		t.Fatalf("client got header %q, want $7", head)
 	}
 	value := make([]byte, 9)
 	if _, err := io.ReadFull(c.r, value); err != nil || string(value) != "\r\n$1\r\n!\r\n" {
-		t.Errorf("client got %q", value)
+		t.Errorf("client got value %q, want the bytes of the reply", value)
 	}
 	o := receive(t, r.decider.outcomes)
 	if o.Status != policy.OK || !o.Completed || o.Load == nil || o.Load.Utilization != 0.25 || o.Load.ServiceMS != 14.5 || o.Load.Queue != -1 {
-		t.Errorf("the module got %+v", o)
+		t.Errorf("the decider got outcome %+v, want OK, completed, with the load report", o)
 	}
 }
 
-// Guards against a request that waits for ever: a panic in the module costs one request, and a
-// module that never answers is answered for.
+// A request must not wait forever. If the decider panics on it, it fails, and only this request does. If the decider never answers, it fails
+// at its deadline, and the decider is notified of a disconnect.
 func TestRequest_DeciderPanicsOrIsSilent(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
 		r.decider.onRequest = func(q policy.Request) {
@@ -151,13 +155,13 @@
 	c := r.client()
 	c.send(lookCommand("boom")...)
 	if got := c.line(); got != "-ERR failed" {
-		t.Errorf("after a panic: %q", got)
+		t.Errorf("after a panic of the decider: got %q, want -ERR failed", got)
 	}
 	c.send("CALL.GET", customer, "mute", "c=look,t=basic,d=20,units=2,spread=2,first=1")
 	if got := c.line(); got != "-ERR failed" {
-		t.Errorf("at the deadline: %q", got)
+		t.Errorf("at the deadline of an undecided request: got %q, want -ERR failed", got)
 	}
 	if id := receive(t, r.decider.disconnects); id != "mute" {
-		t.Errorf("gone: %q", id)
+		t.Errorf("disconnect: got request %q, want mute", id)
 	}
 }
