--- a/internal/controlplane/forwarder/actions.go
+++ b/internal/controlplane/forwarder/actions.go
@@ -5,7 +5,7 @@
 	"eiderspread/policy"
 )
 
-// execute carries out a decision of the planner that is followed for the message's cell.
+// execute carries out a decision of the planner that leads the message's cell.
 func (c *Core) execute(planner int, msg *transport.Message) {
 	if msg.Kind == transport.KindProbe {
 		c.out.Probe(msg.Name)
@@ -13,7 +13,7 @@
 	}
 	request := c.submitted[msg.Handle]
 	if request == nil || request.cellID != int(msg.Cell) {
-		return // it has ended, or the decision is on an earlier submission
+		return // the request has ended, or the decision is about an earlier submission of it
 	}
 	switch msg.Kind {
 	case transport.KindSend:
@@ -35,20 +35,21 @@
 	c.releaseIfDone(request)
 }
 
-// executeSend starts an attempt, unless one is in flight or the limit of attempts is reached: both limits apply whatever a planner decides.
+// executeSend starts an attempt, unless the request is completed, another attempt is in flight, or the limit of attempts is reached. The
+// forwarder enforces these limits whatever a planner decides.
 func (c *Core) executeSend(planner int, request *openRequest, msg *transport.Message) {
 	switch {
 	case request.completed:
 	case request.inFlight > 0:
 		c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindOutcome, Handle: request.handle,
 			Number: uint32(len(request.plannerAttempts)), Class: uint8(policy.NotSent)})
-		request.plannerAttempts = append(request.plannerAttempts, notMade)
+		request.plannerAttempts = append(request.plannerAttempts, notSent)
 	case c.attemptsExhausted(request):
 		c.sendDisconnected(request)
 		c.finishWithoutLeader(request)
 	default:
 		if msg.Round > 0 {
-			c.usage.record(request.Account, windowUsage{plan: request.plan, epoch: msg.Epoch, seq: msg.Round, debt: msg.Units, at: c.now})
+			c.usage.record(request.Account, windowUsage{plan: request.plan, epoch: msg.Epoch, seq: msg.Round, debt: msg.Units, receivedAt: c.now})
 		}
 		request.plannerAttempts = append(request.plannerAttempts, len(request.attempts))
 		request.startAttempt(c.now)
@@ -56,30 +57,31 @@
 	}
 }
 
-// executeCancel cancels an attempt by the planner's number, if it is in flight.
+// executeCancel cancels the attempt with the planner's number plannerNumber, if it is in flight.
 func (c *Core) executeCancel(request *openRequest, plannerNumber int) {
 	if plannerNumber >= len(request.plannerAttempts) {
 		return
 	}
-	if number := request.plannerAttempts[plannerNumber]; number != notMade && !request.attempts[number].ended {
+	if number := request.plannerAttempts[plannerNumber]; number != notSent && !request.attempts[number].ended {
 		c.out.Cancel(request.ID, number)
 	}
 }
 
-// mayReject reports whether a request may be rejected, which promises its client that trying again does no harm. Else it has to fail.
+// mayReject reports whether a request may be rejected. A rejection promises the client that a retry is harmless; a request that may not be
+// rejected has to fail.
 func (c *Core) mayReject(request *openRequest) bool {
 	mayHaveRun := request.mayHaveRun || request.inFlight > 0
 	return policy.MayReject(c.cfg.Classes[request.class], mayHaveRun)
 }
 
-// attemptsExhausted reports whether a request has had all of its attempts. A leader counts only those that it decided on; the forwarder
-// counts them all.
+// attemptsExhausted reports whether a request has used all of its attempts. A leader counts only the attempts that it decided on; the
+// forwarder counts those of all leaders.
 func (c *Core) attemptsExhausted(request *openRequest) bool {
 	return c.cfg.MaxAttempts > 0 && len(request.attempts) >= c.cfg.MaxAttempts
 }
 
-// mayRetry reports whether a further attempt, on any backend, does no harm. The leader that decides on it knows nothing of the earlier
-// ones: a key must be remembered by all backends, and until the attempt has ended.
+// mayRetry reports whether a further attempt is harmless on any backend. The leader that decides on this attempt does not know the earlier
+// ones. A keyed idempotent request may therefore be retried only if all backends remember its key until the attempt has ended.
 func (c *Core) mayRetry(request *openRequest) bool {
 	class := &c.cfg.Classes[request.class]
 	switch {
--- a/internal/controlplane/forwarder/config.go
+++ b/internal/controlplane/forwarder/config.go
@@ -10,26 +10,27 @@
 	"eiderspread/internal/dataplane/ingressconfig"
 )
 
-// FileConfig is a forwarder's operators' file, checked.
+// FileConfig is the checked content of a forwarder's operators' file.
 type FileConfig struct {
 	topology.Params
-	Number       int      // this forwarder's, from 0
-	PlannerAddrs []string // by planner
-	PlannerNames []string // with TLS: the name in each planner's certificate
-	StatusAddr   string   // of the status page; empty: none
+	Number       int      // this forwarder's number, from 0
+	PlannerAddrs []string // by planner number
+	PlannerNames []string // by planner number: the name in the planner's certificate; used only with TLS
+	StatusAddr   string   // address of the status page; empty: no status page
 	TLS          mutualtls.Identity
 	Ingress      ingressconfig.Config
-	IngressPath  string // where Ingress was read from
+	IngressPath  string // the file that Ingress was read from
 }
 
-// operatorFile is deploy/forwarder.toml.
+// operatorFile is the form of deploy/forwarder.toml.
 type operatorFile struct {
 	topology.File
 	PlannerAddrs []string `toml:"planners_at"`
 	PlannerNames []string `toml:"names"`
 }
 
-// ReadFile reads deploy/forwarder.toml and the configuration that it names. An error is one line that begins with a path.
+// ReadFile reads and checks a file of the form of deploy/forwarder.toml and the ingress configuration that the file names. An error is one
+// line that begins with a path.
 func ReadFile(path string) (FileConfig, error) {
 	var f operatorFile
 	if err := operatorconfig.Decode(path, &f); err != nil {
@@ -52,15 +53,15 @@
 		return cfg, &topology.ParamError{Key: "number", Problem: fmt.Sprintf("is %d, want 0 to %d", f.Number, f.Forwarders-1)}
 	}
 	if len(f.PlannerAddrs) != f.Planners {
-		return cfg, fmt.Errorf("planners_at: %d addresses given for %d planners", len(f.PlannerAddrs), f.Planners)
+		return cfg, fmt.Errorf("planners_at: %d addresses, want %d, one for each planner", len(f.PlannerAddrs), f.Planners)
 	}
 	for planner, addr := range f.PlannerAddrs {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return cfg, fmt.Errorf("planners_at: number %d: %w", planner, err)
+			return cfg, fmt.Errorf("planners_at: address of planner %d: %w", planner, err)
 		}
 	}
 	if f.TLS != (mutualtls.Identity{}) && len(f.PlannerNames) != f.Planners {
-		return cfg, fmt.Errorf("names: %d given for %d planners", len(f.PlannerNames), f.Planners)
+		return cfg, fmt.Errorf("names: %d names, want %d, one for each planner", len(f.PlannerNames), f.Planners)
 	}
 	if _, err := f.TLS.Config(); err != nil {
 		return cfg, fmt.Errorf("tls: %w", err)
@@ -69,6 +70,6 @@
 		return cfg, err
 	}
 	cfg.Ingress.FleetMember = true
-	cfg.Ingress.Settings.PeerMessages = false // forwarders have no messages for each other
+	cfg.Ingress.Settings.PeerMessages = false // forwarders do not exchange peer messages
 	return cfg, nil
 }
--- a/internal/controlplane/forwarder/cordons.go
+++ b/internal/controlplane/forwarder/cordons.go
@@ -5,14 +5,15 @@
 	"eiderspread/internal/controlplane/transport"
 )
 
-// unasked stands in a cordon state for the number of an operation.
-const unasked = 0
+// noOperation is the operation number of a cordon message that belongs to no operation.
+const noOperation = 0
 
-// Cordoned lists the ids of the backends that this forwarder knows to be cordoned, in order.
+// Cordoned lists the ids of the backends that this forwarder knows to be cordoned, sorted.
 func (c *Core) Cordoned() []string { return c.cordons.Cordoned() }
 
-// handleCordon handles a planner's read or write of a cordon register. A newer state binds at once. It goes to every planner before anything
-// that is sent to it from now on, a promise above all: whoever leads by that promise knows the state.
+// handleCordon handles a planner's read or write of a cordon register. A newer state takes effect at once and is sent to every linked
+// planner that understands cordons. Messages on a link keep their order, so a planner that is granted a promise afterwards receives the
+// state before the grant and knows it when it leads.
 func (c *Core) handleCordon(planner int, msg *transport.Message) {
 	if msg.Kind == transport.KindCordonWrite {
 		state := cordon.State{Version: msg.Epoch, Cordoned: msg.Flag}
@@ -22,19 +23,19 @@
 		}
 		for i := range c.planners {
 			if newer && c.planners[i].cordonCapable {
-				c.sendCordonState(i, unasked, msg.Name, state)
+				c.sendCordonState(i, noOperation, msg.Name, state)
 			}
 		}
 	}
-	if msg.Handle != unasked {
+	if msg.Handle != noOperation {
 		c.sendCordonState(planner, msg.Handle, msg.Name, c.cordons.Get(msg.Name))
 	}
 }
 
-// handleCordonCapable notes that a planner knows the records of cordons, and reports all registers to it.
+// handleCordonCapable records that a planner understands the messages about cordons, and sends it all registers.
 func (c *Core) handleCordonCapable(planner int) {
 	c.planners[planner].cordonCapable = true
-	c.cordons.Each(func(id string, state cordon.State) { c.sendCordonState(planner, unasked, id, state) })
+	c.cordons.Each(func(id string, state cordon.State) { c.sendCordonState(planner, noOperation, id, state) })
 }
 
 func (c *Core) sendCordonState(planner int, operationID uint64, id string, state cordon.State) {
--- a/internal/controlplane/forwarder/core.go
+++ b/internal/controlplane/forwarder/core.go
@@ -10,83 +10,85 @@
 	"eiderspread/policy"
 )
 
-// TickIntervalS is how often Core.Tick is to be called, in seconds.
+// TickIntervalS is the interval between two calls of Core.Tick, in seconds.
 const TickIntervalS = 0.02
 
-// Config is fixed for the life of a Core.
+// Config configures a Core. It does not change during the life of the Core.
 type Config struct {
 	topology.Params
 	Number         int // this forwarder's number, from 0
 	Classes        []policy.Class
 	Plans          []policy.Plan
-	MaxRetryAfterS float64 // bound of the Retry-After of a rejected client, in seconds
-	MaxAttempts    int     // of a request, whichever planners decide on them; 0: no bound of the forwarder's
-	Seed           uint64  // of all that is drawn at random
+	MaxRetryAfterS float64 // upper bound of the Retry-After sent to rejected clients, in seconds
+	MaxAttempts    int     // attempts allowed for a request, over all planners that decide on it; 0: not limited by the forwarder
+	Seed           uint64  // seed of the random number generator
 }
 
-// Output carries out what a Core asks for. It is called only while one of the Core's methods runs, and must not call back.
+// Output carries out the actions of a Core. A Core calls it only from within its own methods; an Output must not call the Core back.
 type Output interface {
 	policy.Actions // carried out by the ingress
-	// SendToPlanner queues messages in order; they are dropped silently if the planner's link is down.
+	// SendToPlanner queues messages in order. It drops them silently if the planner's link is down.
 	SendToPlanner(planner int, msgs ...transport.Message)
-	// PlannerWritable reports whether the planner's link is up and keeps up.
+	// PlannerWritable reports whether the planner's link is up and its send queue is not too long.
 	PlannerWritable(planner int) bool
-	// SetCordoned keeps all requests off a backend, whatever discovery reports, or ends that.
+	// SetCordoned sets whether a backend is cordoned. A cordoned backend gets no requests, whatever discovery reports.
 	SetCordoned(backend string, cordoned bool)
 }
 
-// Core holds the decisions of one forwarder. It is not safe for concurrent use. Times are Unix seconds of this machine and never go back.
+// Core is the state machine of one forwarder. It is not safe for concurrent use. Times are Unix seconds of this machine's clock and never
+// decrease.
 type Core struct {
 	cfg        Config
 	out        Output
 	rng        *rand.Rand
-	now        float64 // of the present event
+	now        float64 // time of the current event
 	classIndex map[string]int
 	planIndex  map[string]int
 
 	cells           []cellState
 	planners        []plannerLink
-	disconnectedAt  float64 // when the last link ended; matters while none is up
+	disconnectedAt  float64 // when a link ended last, or the process started; used only while no link is up
 	nextHeartbeatAt float64
 
-	requests   map[string]*openRequest // by id; maxOpenRequests, and those that are completed with attempts in flight
-	submitted  map[uint64]*openRequest // by handle: those of requests that a planner knows
-	lastHandle uint64                  // that a request was submitted under
+	requests   map[string]*openRequest // by id; no request is added while there are maxOpenRequests
+	submitted  map[uint64]*openRequest // by handle: the requests that are submitted to a planner
+	lastHandle uint64                  // the handle of the latest submission
 
-	orphans map[string]orphanCount // by account; bounded by requests
+	orphans map[string]orphanCount // by account; bounded by the size of requests
 	usage   usageTable
 	cordons cordon.Registers
 
-	// migrated is true from Migrate to Reclaim: another process decides, and this one only records what becomes of its requests.
+	// migrated is true from Migrate to Reclaim: another process decides, and this process only records the outcomes of its requests.
 	migrated bool
 
 	Stats Stats
 }
 
-// Stats counts events since the forwarder's start.
+// Stats counts events since the start of the forwarder.
 type Stats struct {
 	Requests     uint64 `json:"Requests"`
-	Submitted    uint64 `json:"Told"`   // to planners
-	Resubmitted  uint64 `json:"Retold"` // of these, after a change of leaders
-	Served       uint64 `json:"Served"` // answered by a backend
-	StaleActions uint64 `json:"Stale"`  // decisions of planners that are not followed
-	// RejectedNoLeader counts requests that the forwarder rejected by itself: no leader in time, no decision by the deadline, or no further
-	// attempt allowed after a change of leaders. FailedNoLeader counts those of them that may have run, and so failed.
+	Submitted    uint64 `json:"Told"`   // submissions to planners
+	Resubmitted  uint64 `json:"Retold"` // submissions of a request after a change of leaders
+	Served       uint64 `json:"Served"` // requests answered by a backend
+	StaleActions uint64 `json:"Stale"`  // decisions dropped because their planner is not followed
+	// RejectedNoLeader counts requests that the forwarder rejected without a planner's decision: no leader in time, no decision by the
+	// deadline, or no further attempt allowed after a change of leaders. In the same cases, FailedNoLeader counts the requests that may
+	// have run and therefore failed.
 	RejectedNoLeader uint64 `json:"RefusedUnled"`
-	// RejectedAtCapacity counts requests that came while too many were open, or while the leader's link did not keep up.
+	// RejectedAtCapacity counts requests that arrived while too many were open, or while the link to the leader did not keep up.
 	RejectedAtCapacity uint64 `json:"RefusedFull"`
 	FailedNoLeader     uint64 `json:"FailedUnled"`
-	UsageReports       uint64 `json:"Tales"` // accounts reported on to new leaders
+	UsageReports       uint64 `json:"Tales"` // accounts reported to new leaders
 }
 
 // plannerLink is the state of the link to one planner.
 type plannerLink struct {
 	linked        bool
-	incarnation   uint64 // of the planner's process; stays when the link ends
-	cordonCapable bool   // the planner knows the records of cordons
+	incarnation   uint64 // of the planner's process; kept when the link ends
+	cordonCapable bool   // the planner understands the messages about cordons
 }
 
-// NewCore returns the decisions of a forwarder that has just started.
+// NewCore returns the Core of a forwarder that has just started. It grants no promise for one lease.
 func NewCore(cfg Config, now float64, out Output) *Core {
 	c := &Core{
 		cfg:            cfg,
@@ -123,7 +125,7 @@
 	c.sendViews(planner)
 }
 
-// LinkDown handles the end of a link. The promises stand: they were given to the planner, not to its link.
+// LinkDown handles the end of a link. It does not end promises, as a promise is given to a planner's process and not to its link.
 func (c *Core) LinkDown(now float64, planner int) {
 	c.now = now
 	c.planners[planner].linked, c.planners[planner].cordonCapable = false, false
@@ -140,7 +142,7 @@
 	return slices.ContainsFunc(c.planners, func(p plannerLink) bool { return p.linked })
 }
 
-// HandleMessage handles a message of a planner.
+// HandleMessage handles a message from a planner.
 func (c *Core) HandleMessage(now float64, planner int, msg *transport.Message) {
 	if c.now = now; c.migrated {
 		return
@@ -169,7 +171,7 @@
 	}
 }
 
-// relayShedLevel passes a planner's load-shedding level on to all others.
+// relayShedLevel forwards a planner's load-shedding level to all other linked planners.
 func (c *Core) relayShedLevel(planner int, msg *transport.Message) {
 	for other := range c.planners {
 		if other != planner && c.planners[other].linked {
@@ -178,7 +180,7 @@
 	}
 }
 
-// HandleProbeResult forwards the result of a health check to all leaders.
+// HandleProbeResult forwards the result of a health check to the leaders of all cells.
 func (c *Core) HandleProbeResult(now float64, result policy.ProbeResult) {
 	c.now = now
 	for i := range c.cells {
@@ -193,7 +195,7 @@
 	}
 }
 
-// setLoad puts a backend's load report, if there is one, into a message.
+// setLoad copies a backend's load report, if there is one, into a message.
 func setLoad(msg *transport.Message, load *policy.Load) {
 	if load != nil {
 		msg.HasLoad = true
@@ -201,7 +203,8 @@
 	}
 }
 
-// Tick ends promises that have run out and requests that have waited too long. It is to be called every TickIntervalS.
+// Tick stops following leaders whose promise has expired, ends requests that have waited too long or are near their deadline, and sends
+// heartbeats. The caller calls it every TickIntervalS.
 func (c *Core) Tick(now float64) {
 	if c.now = now; c.migrated {
 		return
@@ -210,9 +213,9 @@
 		if cell := &c.cells[i]; cell.hasLeader && cell.expired(now) && topology.Fenced {
 			c.becomeLeaderless(i)
 		}
-		c.endWaiting(&c.cells[i])
+		c.expireWaiting(&c.cells[i])
 	}
-	c.endOverdue()
+	c.expireOverdue()
 	c.usage.sweep(now)
 	if now >= c.nextHeartbeatAt {
 		c.nextHeartbeatAt = now + c.cfg.HeartbeatS
--- a/internal/controlplane/forwarder/gateway.go
+++ b/internal/controlplane/forwarder/gateway.go
@@ -12,40 +12,40 @@
 	"eiderspread/policy"
 )
 
-// tickTimer is the token of the only timer that a RemoteGateway sets.
+// tickTimer is the token of the tick timer, the only timer that a RemoteGateway sets.
 const tickTimer = 1
 
-// linkState is whether a RemoteGateway keeps links to planners.
+// linkState says whether a RemoteGateway maintains links to planners.
 type linkState uint8
 
 const (
-	linksPending    linkState = iota // they are dialled at the next tick: any state of another process has been taken over by then
-	linksDialled                     // they are kept up
-	linksHandedOver                  // another process keeps them
+	linksPending    linkState = iota // links are dialled at the next tick, after the state of a predecessor, if any, has been restored
+	linksDialled                     // links are dialled, and redialled when they end
+	linksHandedOver                  // another process maintains the links
 )
 
-// RemoteGateway implements ingress.Decider: planners decide in place of a decision module in this process. But for dialling and reading,
-// all of it runs on the ingress's loop.
+// RemoteGateway implements ingress.Decider for a forwarder: planners decide instead of a decision module in this process. All of it runs on
+// the ingress's loop, except for dialling planners and reading from their links.
 type RemoteGateway struct {
-	ingress.Host // carries out what planners decide
+	ingress.Host // carries out the planners' decisions
 	core         *Core
 	cfg          FileConfig
-	tls          *tls.Config // nil: links are in the clear
-	incarnation  uint64      // of this forwarder, as planners know it: it goes over to a new process with the promises
+	tls          *tls.Config // nil: links are not encrypted
+	incarnation  uint64      // of this forwarder; planners see it. A new process takes it over together with the promises
 
 	ctx        context.Context // ends with the process
 	linkState  linkState
-	closeLinks context.CancelFunc // in linksDialled
-	links      []*transport.Conn  // by planner; nil: none
+	closeLinks context.CancelFunc // set in state linksDialled
+	links      []*transport.Conn  // by planner; nil: no link
 
-	closedBytesIn, closedBytesOut uint64 // of links that have ended
+	closedBytesIn, closedBytesOut uint64 // totals of the links that have ended
 }
 
 var _ ingress.MigratingDecider = (*RemoteGateway)(nil)
 
-var errNotForwarderState = errors.New("the state of the process before is not a forwarder's")
+var errNotForwarderState = errors.New("the state handed over by the predecessor is not the state of a forwarder")
 
-// NewGatewayFunc returns a function that makes a RemoteGateway, for ingress.RunWithDecider.
+// NewGatewayFunc returns a constructor of RemoteGateways for ingress.RunWithDecider.
 func NewGatewayFunc(cfg FileConfig) func(context.Context, ingress.Host) (ingress.Decider, error) {
 	return func(ctx context.Context, host ingress.Host) (ingress.Decider, error) {
 		g := &RemoteGateway{Host: host, cfg: cfg, incarnation: rand.Uint64(), links: make([]*transport.Conn, len(cfg.PlannerAddrs)), ctx: ctx}
@@ -73,7 +73,7 @@
 	}
 }
 
-// HandleRequest implements ingress.Decider, as the next methods do.
+// HandleRequest implements ingress.Decider.
 func (g *RemoteGateway) HandleRequest(now float64, req policy.Request) {
 	g.core.HandleRequest(now, req)
 }
@@ -91,10 +91,10 @@
 	g.core.HandleProbeResult(now, result)
 }
 
-// UpdateBackends implements ingress.Decider and does nothing: planners follow discovery themselves.
+// UpdateBackends implements ingress.Decider and does nothing: planners watch discovery themselves.
 func (g *RemoteGateway) UpdateBackends(float64, []policy.Backend, bool) {}
 
-// HandlePeerMessage implements ingress.Decider and does nothing: forwarders have no messages for each other.
+// HandlePeerMessage implements ingress.Decider and does nothing: forwarders do not exchange peer messages.
 func (g *RemoteGateway) HandlePeerMessage(float64, int, []byte) {}
 
 // HandleTimer implements ingress.Decider.
@@ -125,7 +125,7 @@
 	g.LogFault("operators cordoned or uncordoned a backend", "id", backend, "cordoned", cordoned)
 }
 
-// Migrate implements ingress.MigratingDecider: it closes all links for good.
+// Migrate implements ingress.MigratingDecider. It closes all links; only Reclaim has them dialled again.
 func (g *RemoteGateway) Migrate(now float64) []snapshot.Part {
 	state := g.core.Migrate(now)
 	state.Incarnation = g.incarnation
@@ -141,7 +141,8 @@
 	return state.Split()
 }
 
-// Resume implements ingress.MigratingDecider. If the state can't be read, promises in it may last all the same: none is given for a lease.
+// Resume implements ingress.MigratingDecider. If the state can't be read, the promises in it may still be valid, so the forwarder grants
+// none for one lease.
 func (g *RemoteGateway) Resume(now, shift float64, parts []snapshot.Part) error {
 	state, ok := snapshot.Join(parts)
 	if !ok {
@@ -151,7 +152,7 @@
 	state.Shift(shift)
 	g.incarnation = state.Incarnation
 	if !g.core.Resume(now, state) {
-		g.LogFault("the process before had another number of cells: no promises are given for a lease")
+		g.LogFault("predecessor had a different number of cells: no promises are granted for one lease")
 	}
 	return nil
 }
@@ -161,7 +162,7 @@
 	g.core.RecordOrder(now, order)
 }
 
-// Reclaim implements ingress.MigratingDecider. To planners, the forwarder is a new incarnation.
+// Reclaim implements ingress.MigratingDecider. It takes a new incarnation, which planners see when it dials them again.
 func (g *RemoteGateway) Reclaim(now float64) {
 	g.linkState, g.incarnation = linksPending, rand.Uint64()
 	g.core.Reclaim(now)
--- a/internal/controlplane/forwarder/golden_test.go
+++ b/internal/controlplane/forwarder/golden_test.go
@@ -6,7 +6,7 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards a forwarder's status and the keys of its operator's file.
+// Guards against renamed keys in a forwarder's status page and in its operators' file.
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "status.json", &Status{})
 	f, err := ReadFile(golden.Path("forwarder.toml"))
--- a/internal/controlplane/forwarder/links.go
+++ b/internal/controlplane/forwarder/links.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// redialBackoffMin is the wait before the first redial; as much again is added at random, as to all waits: all forwarders lose a
-	// planner at once.
+	// redialBackoffMin is the first redial backoff. Each wait is the backoff plus a random duration below it, because all forwarders lose
+	// a failed planner at the same time.
 	redialBackoffMin = 30 * time.Millisecond
-	// redialBackoffMax bounds the wait before that; a link that has lasted longer starts with redialBackoffMin again.
+	// redialBackoffMax bounds the backoff, without the random duration. After a link that has lasted longer than redialBackoffMax the
+	// backoff starts at redialBackoffMin again.
 	redialBackoffMax = time.Second
 )
 
-// dialPlanners starts to keep links to all planners. Loop only.
+// dialPlanners starts to maintain links to all planners. Loop only.
 func (g *RemoteGateway) dialPlanners() {
 	ctx, cancel := context.WithCancel(g.ctx)
 	g.linkState, g.closeLinks = linksDialled, cancel
 	for planner := range g.cfg.PlannerAddrs {
-		go g.keepLink(ctx, planner, g.incarnation)
+		go g.maintainLink(ctx, planner, g.incarnation)
 	}
 }
 
-// keepLink keeps a link to one planner until ctx ends.
-func (g *RemoteGateway) keepLink(ctx context.Context, planner int, incarnation uint64) {
+// maintainLink keeps a link to one planner up until ctx ends: it redials the planner, with backoff, when the link ends.
+func (g *RemoteGateway) maintainLink(ctx context.Context, planner int, incarnation uint64) {
 	backoff := redialBackoffMin
 	for ctx.Err() == nil {
 		startedAt := time.Now()
@@ -49,7 +50,7 @@
 	}
 }
 
-// serveLink makes a link to a planner and serves it to its end, which it returns the reason of.
+// serveLink connects to a planner and serves the link until it ends. It returns the reason for the end.
 func (g *RemoteGateway) serveLink(ctx context.Context, planner int, incarnation uint64) error {
 	conn, err := g.dial(ctx, planner)
 	if err != nil {
@@ -58,17 +59,17 @@
 	link := transport.NewConn(conn, g.cfg.LinkTimeout())
 	defer context.AfterFunc(ctx, func() { link.Close(ctx.Err()) })()
 	link.Send(transport.Hello{Fleet: g.cfg.Name, Cells: g.cfg.Cells, Number: g.cfg.Number, Incarnation: incarnation}.Message())
-	greeted := false
+	handshakeDone := false
 	err = link.Serve(func(msgs []transport.Message) {
-		if !greeted {
+		if !handshakeDone {
 			hello, err := g.checkHello(planner, &msgs[0])
 			if err != nil {
 				link.Close(err)
 				return
 			}
-			greeted, msgs = true, msgs[1:]
+			handshakeDone, msgs = true, msgs[1:]
 			g.Post(func(now float64) {
-				if ctx.Err() == nil { // else another process has the promises
+				if ctx.Err() == nil { // after Migrate, another process has the promises
 					g.links[planner] = link
 					g.core.LinkUp(now, planner, hello.Incarnation)
 				}
@@ -83,7 +84,7 @@
 			}
 		})
 	})
-	if greeted {
+	if handshakeDone {
 		g.Post(func(now float64) {
 			if g.links[planner] == link {
 				g.removeLink(planner, link)
@@ -111,17 +112,17 @@
 	return secured, nil
 }
 
-// checkHello checks that a link's first message is of the planner that was dialled. An error wraps transport.ErrHandshake.
+// checkHello checks that a link's first message is the hello of the planner that was dialled. An error wraps transport.ErrHandshake.
 func (g *RemoteGateway) checkHello(planner int, msg *transport.Message) (transport.Hello, error) {
 	hello, err := transport.ParseHello(msg)
 	if err == nil && (hello.Fleet != g.cfg.Name || hello.Number != planner || hello.Cells != g.cfg.Cells) {
-		err = fmt.Errorf("%w: planner %d of fleet %q with %d cells is not the one that was expected", transport.ErrHandshake,
-			hello.Number, hello.Fleet, hello.Cells)
+		err = fmt.Errorf("%w: got planner %d of fleet %q with %d cells, want planner %d of fleet %q with %d cells", transport.ErrHandshake,
+			hello.Number, hello.Fleet, hello.Cells, planner, g.cfg.Name, g.cfg.Cells)
 	}
 	return hello, err
 }
 
-// removeLink handles the end of a planner's link. Loop only.
+// removeLink forgets a planner's link that has ended and adds its traffic to the totals. Loop only.
 func (g *RemoteGateway) removeLink(planner int, link *transport.Conn) {
 	g.closedBytesIn += link.BytesIn.Load()
 	g.closedBytesOut += link.BytesOut.Load()
--- a/internal/controlplane/forwarder/migrate.go
+++ b/internal/controlplane/forwarder/migrate.go
@@ -8,15 +8,15 @@
 	"eiderspread/internal/decision/snapshot"
 )
 
-// When a new process replaces this one, everything that decides goes over to it, and the requests' sockets stay until the requests have
-// ended. To requests a replacement is a change of leaders; promises go on unchanged, and one that was handed over is never taken back. The
-// rules are in docs/forwarder-replacement.md.
+// When a new process replaces this one, it takes over the whole state of the core. The requests' sockets stay in this process until the
+// requests have ended. For requests, a replacement is a change of leaders. Promises continue unchanged, and a promise that was handed over is
+// never taken back. docs/forwarder-replacement.md gives the rules.
 
-// Migrate stops following every leader and returns the state for the new process. From then on this core promises and decides nothing; it
-// records what becomes of its requests, for Reclaim.
+// Migrate stops following every leader and returns the state for the new process. From then on this core grants no promises and decides
+// nothing. It only records the outcomes of its requests, for Reclaim.
 func (c *Core) Migrate(now float64) snapshot.ForwarderState {
 	c.now = now
-	clear(c.planners) // their links end; to the planners, attempts in flight count until the new process reports them
+	clear(c.planners) // the links end; planners keep counting attempts in flight until the new process reports them
 	for i := range c.cells {
 		c.becomeLeaderless(i)
 	}
@@ -33,7 +33,7 @@
 	})
 	c.usage.each(now, func(account string, usage windowUsage) {
 		state.UsageReports = append(state.UsageReports, snapshot.UsageReport{Account: account, Plan: usage.plan, Epoch: usage.epoch,
-			Sequence: usage.seq, Debt: usage.debt, ReportedAt: usage.at})
+			Sequence: usage.seq, Debt: usage.debt, ReportedAt: usage.receivedAt})
 	})
 	for _, request := range c.requestsByID() {
 		state.Requests = append(state.Requests, request.snapshot())
@@ -51,8 +51,8 @@
 	return saved
 }
 
-// Resume goes on with the state of the process before. It has to come before the first link. It reports whether the promises were taken
-// over: those of a fleet with another number of cells are not, and nothing is promised for a lease then.
+// Resume restores the state of the predecessor. It must be called before the first LinkUp. It reports whether the promises were restored: if
+// the predecessor had a different number of cells, they are not, and no promise is granted for one lease.
 func (c *Core) Resume(now float64, state snapshot.ForwarderState) bool {
 	c.now, c.disconnectedAt, c.lastHandle = now, now, state.LastHandle
 	sameCells := len(state.Cells) == len(c.cells)
@@ -72,7 +72,7 @@
 	}
 	for _, report := range state.UsageReports {
 		c.usage.record(report.Account, windowUsage{plan: report.Plan, epoch: report.Epoch, seq: report.Sequence, debt: report.Debt,
-			at: report.ReportedAt})
+			receivedAt: report.ReportedAt})
 	}
 	for _, id := range slices.Sorted(maps.Keys(state.Cordons)) {
 		saved := state.Cordons[id]
@@ -86,7 +86,8 @@
 	return sameCells
 }
 
-// restoreRequest restores a request of the process before. One that does not fit the present settings fails.
+// restoreRequest restores a request of the predecessor. It fails a request whose class or plan is not in the current settings, whose record is
+// inconsistent, whose id is already in use, or that comes after maxOpenRequests others.
 func (c *Core) restoreRequest(saved snapshot.OpenRequest) {
 	class, knownClass := c.classIndex[saved.Class]
 	plan, knownPlan := c.planIndex[saved.Plan]
@@ -116,8 +117,8 @@
 	c.continueRequest(request)
 }
 
-// continueRequest goes on with a request that no leader knows: what is in flight counts as orphaned, and what has nothing in flight is
-// decided on anew.
+// continueRequest continues a request that no leader knows. Its attempts in flight count as orphaned; a request with nothing in flight is
+// dispatched again.
 func (c *Core) continueRequest(request *openRequest) {
 	c.addOrphans(request)
 	if !request.completed && request.inFlight == 0 {
@@ -126,7 +127,7 @@
 	c.releaseIfDone(request)
 }
 
-// RecordOrder notes what the new process has decided for a request of this one.
+// RecordOrder records what the new process has decided about a request of this process.
 func (c *Core) RecordOrder(now float64, order snapshot.Order) {
 	c.now = now
 	request := c.requests[order.ID]
@@ -145,8 +146,8 @@
 	}
 }
 
-// Reclaim goes on with the requests after the new process has died. The promises are not taken back: that process may have given others
-// since, so nothing is promised for a lease, as after a start, and usage reports are incomplete.
+// Reclaim continues the requests after the new process has died. It does not take the promises back, because the new process may have
+// granted others since. No promise is granted for one lease, as after a start, and usage reports are marked incomplete.
 func (c *Core) Reclaim(now float64) {
 	c.now, c.disconnectedAt = now, now
 	c.migrated = false
--- a/internal/controlplane/forwarder/migrate_test.go
+++ b/internal/controlplane/forwarder/migrate_test.go
@@ -11,7 +11,7 @@
 	"eiderspread/policy"
 )
 
-// encodeAndDecode returns a state as it arrives in another process.
+// encodeAndDecode splits a state, encodes and decodes its parts as JSON, and returns the joined result, as a new process receives it.
 func encodeAndDecode(t *testing.T, transferred snapshot.ForwarderState) snapshot.ForwarderState {
 	t.Helper()
 	var parts []snapshot.Part
@@ -28,27 +28,28 @@
 	}
 	got, ok := snapshot.Join(parts)
 	if !ok {
-		t.Fatal("parts of something else")
+		t.Fatal("Join rejected the parts made by Split")
 	}
 	return got
 }
 
-// migrate returns the core of a new process that goes on with f's state.
+// migrate returns a fixture of a new process that has taken over f's state.
 func (f *fixture) migrate() *fixture {
 	f.t.Helper()
 	successor := newFixture(f.t)
 	successor.now = f.now
 	transferred := encodeAndDecode(f.t, f.core.Migrate(f.now))
 	if !successor.core.Resume(f.now, transferred) {
-		f.t.Error("promises were not taken over")
+		f.t.Error("Resume reports that the promises were not restored")
 	}
 	return successor
 }
 
-// A promise goes on in the new process neither longer nor shorter, and the old process gives none.
+// Guards against two leaders of one cell when a forwarder is replaced: a promise expires in the new process at the time at which it would
+// have expired in the old one, and the old process grants none.
 func TestMigrate_Promises(t *testing.T) {
 	if !topology.Fenced {
-		t.Skip("a build without fencing")
+		t.Skip("promises do not bind in a build without fencing")
 	}
 	predecessor := newFixture(t)
 	predecessor.elect(0, 5)
@@ -66,9 +67,9 @@
 	successor.core.LinkUp(successor.now, 1, 8)
 	claim(1, 6)
 	successor.expect()
-	successor.receive(0, transport.Message{Kind: transport.KindLead, Cell: successor.cellID(), Epoch: 5}) // without a claim: the promise is known
+	successor.receive(0, transport.Message{Kind: transport.KindLead, Cell: successor.cellID(), Epoch: 5}) // no claim is needed, as the promise was handed over
 	if !successor.core.cells[successor.cellID()].hasLeader {
-		t.Error("the leader that the old process followed is not followed")
+		t.Error("the new process does not follow the leader that the old process followed")
 	}
 	successor.now += successor.core.cfg.LeaseS - 0.21
 	claim(1, 6)
@@ -78,7 +79,8 @@
 	successor.expect("p1 grant", "p1 usage-end")
 }
 
-// Requests go on in the new process by their class and by what has become of their attempts.
+// Guards the continuation of requests in a new process: it depends on their class and on the outcomes of their attempts. No attempt in flight
+// is repeated, and a deadline keeps its distance although the clocks differ.
 func TestMigrate_Requests(t *testing.T) {
 	predecessor := newFixture(t)
 	predecessor.elect(0, 5)
@@ -87,37 +89,38 @@
 	predecessor.request("waits", "bill")
 	predecessor.request("key", "hold")
 	predecessor.decideSend(0, 5, "z1", 2)
-	predecessor.attemptEnds("key", 0, policy.Error) // it ran, and its leader retries
+	predecessor.endAttempt("key", 0, policy.Error) // the attempt may have run, and the leader retries
 	predecessor.receive(0, transport.Message{Kind: transport.KindSend, Cell: predecessor.cellID(), Epoch: 5, Handle: predecessor.core.lastHandle, Name: "z2", DurationS: 1, Round: 3, Units: 2})
 	predecessor.now += 3.2
 	transferred := encodeAndDecode(t, predecessor.core.Migrate(predecessor.now))
 	if len(transferred.Requests) != 3 {
-		t.Fatalf("%+v", transferred)
+		t.Fatalf("got %d transferred requests, want 3: %+v", len(transferred.Requests), transferred)
 	}
-	const shift = 50.0 // of the clocks
+	const shift = 50.0 // difference between the processes' clocks, in seconds
 	successor := newFixture(t)
 	successor.now = predecessor.now + shift
 	transferred.Shift(shift)
 	successor.core.Resume(successor.now, transferred)
 	successor.elect(0, 5)
-	successor.expect("p0 grant", "p0 orphans", "p0 request") // what is in flight is not submitted anew
+	successor.expect("p0 grant", "p0 orphans", "p0 request") // requests with an attempt in flight are not submitted again
 	if request := successor.core.requests["waits"]; request.DeadlineAt != 1001+4+shift {
-		t.Errorf("a deadline of %v", request.DeadlineAt)
+		t.Errorf("got a deadline of %v, want %v", request.DeadlineAt, 1001+4+shift)
 	}
 	successor.decideSend(0, 5, "z3", 4)
 	successor.expect("send waits z3")
-	successor.attemptEnds("waits", 0, policy.Reset)
+	successor.endAttempt("waits", 0, policy.Reset)
 	successor.expect("p0 outcome")
-	successor.attemptEnds("key", 1, policy.Rejected)
-	successor.expect("p0 orphans", "reject key") // it ran 3.2 s ago: too late for its key
-	successor.attemptEnds("out", 0, policy.OK)
+	successor.endAttempt("key", 1, policy.Rejected)
+	successor.expect("p0 orphans", "reject key") // it may have run 3.2 s ago: its key is not remembered for long enough
+	successor.endAttempt("out", 0, policy.OK)
 	successor.expect("p0 orphans")
 	if len(successor.core.requests) != 1 || len(successor.core.orphans) != 0 {
-		t.Errorf("%d open, %d orphans", len(successor.core.requests), len(successor.core.orphans))
+		t.Errorf("got %d open requests and %d accounts with orphans, want 1 and 0", len(successor.core.requests), len(successor.core.orphans))
 	}
 }
 
-// The new process reports the usage that the old one knew, and completely if that one could.
+// Guards against usage that is lost when a forwarder is replaced: the new process reports the usage recorded by the old one, and its report
+// is complete if one of the old process would have been.
 func TestMigrate_UsageReports(t *testing.T) {
 	predecessor := newFixture(t)
 	predecessor.now += 10
@@ -130,11 +133,12 @@
 	successor.receive(1, transport.Message{Kind: transport.KindClaim, Cell: successor.cellID(), Epoch: 6, Round: 1})
 	successor.expect("p1 grant", "p1 usage", "p1 orphans", "p1 usage-end")
 	if !successor.lastMessage.Flag {
-		t.Error("the report is not complete")
+		t.Error("usage report is marked incomplete, want complete")
 	}
 }
 
-// After the new process has died, the old one knows what that sent, and gives no promise while that one's may last.
+// Guards the recovery after a new process has died: the old process knows which requests the new one sent, and grants no promise while
+// promises of the new one may be valid.
 func TestReclaim_AfterSuccessorDied(t *testing.T) {
 	predecessor := newFixture(t)
 	predecessor.now += 10
@@ -147,29 +151,30 @@
 	predecessor.core.HandleRequest(predecessor.now, policy.Request{ID: "late", Class: "look", Plan: "basic", Account: testAccount, DeadlineAt: predecessor.now + 4, Units: 2})
 	predecessor.core.RecordOrder(predecessor.now, snapshot.Order{Kind: snapshot.OrderSend, ID: "sent", Backend: "z1"})
 	predecessor.core.RecordOrder(predecessor.now, snapshot.Order{Kind: snapshot.OrderSend, ID: "done", Backend: "z1"})
-	predecessor.attemptEnds("done", 0, policy.OK)
+	predecessor.endAttempt("done", 0, policy.OK)
 	predecessor.expect()
 	predecessor.core.Reclaim(predecessor.now)
 	predecessor.core.LinkUp(predecessor.now, 0, 7)
-	predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 9}) // a renewal: another may have a newer promise
+	predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 9}) // not renewed: another planner may hold a newer promise
 	predecessor.expect()
 	if topology.Fenced {
 		predecessor.now += predecessor.core.cfg.LeaseS + 0.01
 		predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 10})
 		if predecessor.lastMessage.Kind != transport.KindUsageReportEnd || predecessor.lastMessage.Flag {
-			t.Errorf("not reported as incomplete: %+v", predecessor.lastMessage)
+			t.Errorf("last message is %+v, want the end of an incomplete usage report", predecessor.lastMessage)
 		}
 		predecessor.calls = nil
 		predecessor.receive(0, transport.Message{Kind: transport.KindLead, Cell: predecessor.cellID(), Epoch: 5})
-		predecessor.expect("p0 orphans", "p0 request", "p0 request") // late and waits
+		predecessor.expect("p0 orphans", "p0 request", "p0 request") // requests late and waits
 	}
-	predecessor.attemptEnds("sent", 0, policy.Timeout)
+	predecessor.endAttempt("sent", 0, policy.Timeout)
 	if !slices.Contains(predecessor.calls, "fail sent") {
-		t.Errorf("what may have run: %v", predecessor.calls)
+		t.Errorf("got calls %v, want fail sent among them: the request may have run", predecessor.calls)
 	}
 }
 
-// A new process with other settings ends what it can't go on with, and goes on with the rest.
+// A new process with other settings fails requests of a class that it does not have and restores the others. With another number of cells it
+// does not restore promises.
 func TestResume_OtherSettings(t *testing.T) {
 	predecessor := newFixture(t)
 	predecessor.elect(0, 5)
@@ -180,15 +185,15 @@
 	delete(successor.core.classIndex, "bill")
 	transferred.Cells = transferred.Cells[:1]
 	if successor.core.Resume(successor.now, transferred) {
-		t.Error("promises of other cells were taken")
+		t.Error("Resume restored the promises of a fleet with a different number of cells")
 	}
 	successor.expect("fail a")
 	if cell := successor.core.cells[0]; cell.holder != -1 || cell.until < successor.now+successor.core.cfg.LeaseS {
-		t.Errorf("%+v", cell)
+		t.Errorf("got cell %+v, want no holder and no promise for a lease", cell)
 	}
 }
 
-// Each part fits into a message, and together they are the state.
+// Guards against parts of a state that are too large for one message, and against data lost between Split and Join.
 func TestTransferredState_PartSize(t *testing.T) {
 	transferred := snapshot.ForwarderState{Incarnation: 1 << 63, LastHandle: 1<<64 - 1, Cordons: map[string]snapshot.Cordon{}}
 	for i := range 5000 {
@@ -197,21 +202,22 @@
 	}
 	for _, p := range transferred.Split() {
 		if b, err := json.Marshal(p); err != nil || len(b) > 128<<10 {
-			t.Fatalf("a part of %d bytes, %v", len(b), err)
+			t.Fatalf("got a part of %d bytes and error %v, want at most %d bytes", len(b), err, 128<<10)
 		}
 	}
 	got := encodeAndDecode(t, transferred)
 	if len(got.UsageReports) != 5000 || got.UsageReports[4999] != transferred.UsageReports[4999] || len(got.Requests) != 5000 || got.Incarnation != transferred.Incarnation || got.LastHandle != transferred.LastHandle {
-		t.Error("something is lost")
+		t.Error("the joined state differs from the one that was split")
 	}
 }
 
-// If the state can't be read, what the process before has promised counts for a lease from then on, not from this process's start.
+// Guards against two leaders of one cell when the predecessor's state can't be read: its promises may still be valid, so the forwarder grants
+// none for one lease from then on, not from its own start.
 func TestResume_UnreadableParts(t *testing.T) {
-	f := newFixture(t) // whose own lease is over by now
+	f := newFixture(t) // the lease that began at its own start has ended
 	gateway := &RemoteGateway{core: f.core}
 	if gateway.Resume(f.now, 0, []snapshot.Part{{}}) == nil {
-		t.Error("parts of something else were taken")
+		t.Error("Resume accepted parts that are not a forwarder's state")
 	}
 	f.core.LinkUp(f.now, 0, 7)
 	f.receive(0, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: 5, Round: 1})
--- a/internal/controlplane/forwarder/orphans.go
+++ b/internal/controlplane/forwarder/orphans.go
@@ -7,18 +7,18 @@
 	"eiderspread/internal/controlplane/transport"
 )
 
-// orphanCount is how many attempts of one account are in flight here whose request no leader knows. It is reported to leaders, for the
-// account's cap on concurrency.
+// orphanCount is the number of an account's orphaned attempts: those in flight from this forwarder whose request no leader knows. It is
+// reported to leaders, which count the attempts against the account's concurrency limit.
 type orphanCount struct{ plan, attempts int }
 
-// addOrphans counts a request's attempts in flight as orphaned.
+// addOrphans adds a request's attempts in flight to its account's orphaned attempts.
 func (c *Core) addOrphans(request *openRequest) {
 	if request.inFlight > 0 {
 		c.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}
 	}
 }
 
-// removeOrphan handles the end of one of a request's orphaned attempts, and reports it to the leader.
+// removeOrphan handles the end of one of a request's orphaned attempts, and reports the new count to the cell's leader, if there is one.
 func (c *Core) removeOrphan(request *openRequest) {
 	count := c.orphans[request.Account]
 	count.attempts--
@@ -32,7 +32,7 @@
 	}
 }
 
-// reportOrphans reports all orphaned attempts in a cell to its holder.
+// reportOrphans reports the orphaned attempts of all accounts in a cell to the cell's holder.
 func (c *Core) reportOrphans(cellID int) {
 	for _, account := range slices.Sorted(maps.Keys(c.orphans)) {
 		if c.cfg.CellOf(account) == cellID {
--- a/internal/controlplane/forwarder/promises.go
+++ b/internal/controlplane/forwarder/promises.go
@@ -8,19 +8,19 @@
 	"eiderspread/internal/controlplane/transport"
 )
 
-// handbackRequestTTLS is for how many seconds a planner's request for a cell stands.
+// handbackRequestTTLS is how long views report a planner's request for a cell, in seconds.
 const handbackRequestTTLS = 0.5
 
-// noPlanner stands where there is no planner's number.
+// noPlanner is used instead of a planner's number where there is no planner.
 const noPlanner = -1
 
-// promise is the claim on a cell that this forwarder granted last. While it lasts, no other planner's claim is granted; a claim of a lower
-// epoch never is.
+// promise is the latest claim on a cell that this forwarder has granted. Until the promise expires, no other planner's claim is granted. A
+// claim with a lower epoch is never granted.
 type promise struct {
 	epoch       uint64
-	holder      int    // the planner, or noPlanner
-	incarnation uint64 // of the planner's process
-	until       float64
+	holder      int     // the planner, or noPlanner
+	incarnation uint64  // of the planner's process
+	until       float64 // when the promise expires
 }
 
 // givenTo reports whether the promise was given to this incarnation of a planner.
@@ -30,25 +30,25 @@
 
 func (p *promise) expired(now float64) bool { return now >= p.until }
 
-// cellState is one cell as this forwarder sees it.
+// cellState is this forwarder's state of one cell.
 type cellState struct {
 	promise
-	hasLeader       bool    // the holder has announced its lead, and its link has been up since: its decisions are followed
-	leaderlessSince float64 // since when they are not; valid if !hasLeader
+	hasLeader       bool    // the holder has announced that it leads, and its link has been up since then: its decisions are followed
+	leaderlessSince float64 // when the cell lost its leader; valid if !hasLeader
 	requester       int     // the planner that asked for the cell last, or noPlanner
 	requestedAt     float64
-	waiting         []*openRequest // for a leader, in order of arrival
+	waiting         []*openRequest // requests that wait for a leader, in the order in which they began to wait
 }
 
-// resetPromises forgets all promises and grants none for a lease: some that were given by another process, and are not known here, may last.
+// resetPromises discards all promises and blocks new ones for one lease, because promises that another process gave, and that this process
+// does not know, may still be valid.
 func (c *Core) resetPromises() {
 	for i := range c.cells {
 		c.cells[i] = cellState{promise: promise{holder: noPlanner, until: c.now + c.cfg.LeaseS}, requester: noPlanner, leaderlessSince: c.now}
 	}
 }
 
-// follows reports whether a planner's decisions for a cell under an epoch are to be carried out. It is the only check of fencing on the
-// forwarder's side.
+// follows reports whether decisions of a planner for a cell under an epoch are carried out. It is the forwarder's only fencing check.
 func (c *Core) follows(planner, cellID int, epoch uint64) bool {
 	if cellID >= len(c.cells) {
 		return false
@@ -57,7 +57,8 @@
 	return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.Fenced)
 }
 
-// handleClaim answers a planner's claim: its present promise is renewed, and a new one is given if no other lasts.
+// handleClaim handles a planner's claim. It renews the planner's current promise, or grants a new one if no other planner holds an unexpired
+// promise. A planner whose claim is refused gets a view of the cell.
 func (c *Core) handleClaim(planner int, msg *transport.Message) {
 	cellID := int(msg.Cell)
 	if cellID >= len(c.cells) {
@@ -65,11 +66,11 @@
 	}
 	cell := &c.cells[cellID]
 	incarnation := c.planners[planner].incarnation
-	ownClaim := cell.givenTo(planner, incarnation) // a planner claims anew only when its former claim is over
+	ownClaim := cell.givenTo(planner, incarnation) // a planner claims under a new epoch only when its former claim has ended
 	switch {
 	case ownClaim && cell.epoch == msg.Epoch:
 		if cell.expired(c.now) && topology.Fenced {
-			c.becomeLeaderless(cellID) // until the planner announces its lead again
+			c.becomeLeaderless(cellID) // until the planner announces again that it leads
 		}
 		cell.until = c.now + c.cfg.LeaseS
 		c.sendGrant(planner, msg)
@@ -88,8 +89,8 @@
 	c.out.SendToPlanner(planner, transport.Message{Kind: transport.KindGrant, Cell: claim.Cell, Epoch: claim.Epoch, Round: claim.Round})
 }
 
-// handleLead handles a planner's announcement that a majority has granted its claim. If it holds this forwarder's promise, it is followed
-// from now on, and what waits is submitted to it.
+// handleLead handles a planner's announcement that a majority has granted its claim. If the planner holds this forwarder's promise, it is
+// followed from now on, and the waiting requests are submitted to it.
 func (c *Core) handleLead(planner int, msg *transport.Message) {
 	if int(msg.Cell) >= len(c.cells) {
 		return
@@ -103,8 +104,9 @@
 	c.submitWaiting(cell)
 }
 
-// becomeLeaderless stops following a cell's leader. Of its requests, those with nothing in flight wait for the next leader, or get their final
-// answer if no retry is allowed; the others go on as orphans and do so when their last attempt has ended.
+// becomeLeaderless stops following a cell's leader and withdraws the requests submitted to it. A request with nothing in flight waits for the
+// next leader, or gets its final answer if no retry is allowed. The attempts of other requests continue as orphans, and such a request is
+// dispatched again when its last attempt has ended.
 func (c *Core) becomeLeaderless(cellID int) {
 	cell := &c.cells[cellID]
 	if !cell.hasLeader {
@@ -130,7 +132,7 @@
 	}
 }
 
-// handleRelease ends a promise at its holder's request.
+// handleRelease ends a promise at the request of its holder.
 func (c *Core) handleRelease(planner int, msg *transport.Message) {
 	cellID := int(msg.Cell)
 	if cellID >= len(c.cells) {
@@ -144,7 +146,7 @@
 	}
 }
 
-// handleHandbackRequest notes a planner that asks for a cell; the cell's leader learns of it by the views.
+// handleHandbackRequest records that a planner asks for a cell. The views report the request to all planners, the cell's leader among them.
 func (c *Core) handleHandbackRequest(planner int, msg *transport.Message) {
 	if int(msg.Cell) < len(c.cells) {
 		cell := &c.cells[msg.Cell]
@@ -152,7 +154,7 @@
 	}
 }
 
-// view returns the message that reports how a cell stands here.
+// view returns the message that reports this forwarder's promise for a cell, and the planner that asks for the cell, if any.
 func (c *Core) view(cellID int) transport.Message {
 	cell := &c.cells[cellID]
 	msg := transport.Message{Kind: transport.KindView, Cell: uint16(cellID), Epoch: cell.epoch, Number: uint32(cell.holder + 1),
@@ -171,7 +173,7 @@
 	return msgs
 }
 
-// sendViews reports all cells to a planner that has just been linked.
+// sendViews sends the views of all cells to a newly linked planner.
 func (c *Core) sendViews(planner int) { c.out.SendToPlanner(planner, c.allViews()...) }
 
 func (c *Core) broadcastViews(views []transport.Message) {
--- a/internal/controlplane/forwarder/requests.go
+++ b/internal/controlplane/forwarder/requests.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// maxOpenRequests bounds the requests that are submitted or wait for a leader. Further ones are rejected.
+	// maxOpenRequests bounds the requests in Core.requests. Further requests are rejected.
 	maxOpenRequests = 16 << 10
-	// leaderWaitFraction is the part of a request's time for which it may wait for a leader if no attempt has run.
+	// leaderWaitFraction is the fraction of the time between a request's arrival and its deadline for which the request may wait for a
+	// leader if no attempt may have run.
 	leaderWaitFraction = 0.5
-	// minRetryAfterFraction is the least Retry-After of a client rejected here, as a part of Config.MaxRetryAfterS.
+	// minRetryAfterFraction is the smallest Retry-After that the forwarder sends of its own accord, as a fraction of
+	// Config.MaxRetryAfterS.
 	minRetryAfterFraction = 0.5
-	// keyTTLMarginS is taken off the time for which backends remember an idempotency key, in seconds. It is less
-	// than the margin of the policy, as mayRetry takes off the class's latency objective as well.
+	// keyTTLMarginS is subtracted from the time for which backends remember an idempotency key, in seconds. It is smaller than the margin
+	// in package policy because mayRetry subtracts the class's latency objective as well.
 	keyTTLMarginS = 0.05
 )
 
-// openRequest is a request that has no answer yet, or that has attempts in flight. Without a handle it waits for a leader, or for the end
-// of an attempt that a former leader decided on.
+// openRequest is a request that has no answer yet, or that has attempts in flight. A request without a handle and without an answer waits
+// for a leader, or for the end of an attempt that a former leader decided on.
 type openRequest struct {
 	policy.Request
 	class, plan  int // indexes into the configuration
 	cellID       int
 	receivedAt   float64
-	waitingSince float64 // since when it waits for a leader; receivedAt before it ever did
+	waitingSince float64 // when it last began to wait for a leader; receivedAt if it has not waited yet
 
-	handle          uint64 // of the present submission; 0: no planner knows the request
-	plannerAttempts []int  // of the present submission: number in attempts by the planner's number, or notMade
+	handle          uint64 // of the current submission; 0: no planner knows the request
+	plannerAttempts []int  // of the current submission, by the planner's attempt number: the index in attempts, or notSent
 
-	attempts     []attempt // by this forwarder's number, which the ingress uses
-	inFlight     int       // attempts that have not ended
-	unitsCounted bool      // its units have been taken off the account's quota
+	attempts     []attempt // by the forwarder's attempt number, which the ingress uses too
+	inFlight     int       // number of attempts that have not ended
+	unitsCounted bool      // its units have been charged to the account's quota
 	mayHaveRun   bool      // an attempt may have had an effect
-	firstRunAt   float64   // when the first such attempt was sent
+	firstRunAt   float64   // when the first attempt that may have had an effect was sent; valid if mayHaveRun
 	completed    bool      // its client has an answer, or has disconnected
 }
 
@@ -47,17 +49,17 @@
 	ended  bool
 }
 
-// notMade stands in openRequest.plannerAttempts for an attempt that a planner decided on and that was not sent.
-const notMade = -1
+// notSent is the entry in openRequest.plannerAttempts for an attempt that a planner decided on but that was not sent.
+const notSent = -1
 
-// startAttempt notes an attempt that is sent now.
+// startAttempt records an attempt that is sent now.
 func (r *openRequest) startAttempt(now float64) {
 	r.attempts = append(r.attempts, attempt{sentAt: now})
 	r.inFlight++
 	r.unitsCounted = true
 }
 
-// endAttempt notes the end of an attempt.
+// endAttempt records the end of an attempt.
 func (r *openRequest) endAttempt(number int, status policy.Status) {
 	ended := &r.attempts[number]
 	ended.ended = true
@@ -101,8 +103,8 @@
 	}
 }
 
-// inFailsafe reports whether a cell's requests are rejected at once: no planner can be reached, or none has led the cell for as long as a
-// request would wait.
+// inFailsafe reports whether new requests of a cell are rejected at once. They are when no link to a planner has been up for FailsafeDelayS,
+// or when the cell has had no leader for LeaderWaitS, the longest time that a request waits.
 func (c *Core) inFailsafe(cell *cellState) bool {
 	if cell.hasLeader {
 		return false
@@ -111,12 +113,13 @@
 	return unreachable || c.now >= cell.leaderlessSince+c.cfg.LeaderWaitS
 }
 
-// retryAfterS returns how long a rejected client is to wait, in seconds: at random, so that clients do not return together.
+// retryAfterS returns how long a rejected client should wait, in seconds. It is random, so that clients do not all retry at the same time.
 func (c *Core) retryAfterS() float64 {
 	return c.cfg.MaxRetryAfterS * (minRetryAfterFraction + (1-minRetryAfterFraction)*c.rng.Float64())
 }
 
-// dispatch has a request with nothing in flight decided on, now or by the next leader.
+// dispatch submits a request with nothing in flight to the leader of its cell, or queues it for the next leader. A request that may not have
+// another attempt gets its final answer instead.
 func (c *Core) dispatch(request *openRequest) {
 	if c.migrated {
 		return
@@ -134,7 +137,7 @@
 	cell.waiting = append(cell.waiting, request)
 }
 
-// submit hands a request to the leader of its cell. Units that have been counted are not submitted again.
+// submit submits a request to the leader of its cell. Units that have already been charged to the account are not submitted again.
 func (c *Core) submit(request *openRequest) {
 	c.lastHandle++
 	request.handle, request.plannerAttempts = c.lastHandle, request.plannerAttempts[:0]
@@ -162,7 +165,8 @@
 	})
 }
 
-// submitWaiting submits the requests that have waited for a cell's leader, or rejects them if the leader does not keep up.
+// submitWaiting submits the requests that have waited for a cell's leader. While the link to the leader does not keep up, requests get their
+// final answer instead.
 func (c *Core) submitWaiting(cell *cellState) {
 	waiting := cell.waiting
 	cell.waiting = nil
@@ -178,7 +182,7 @@
 	}
 }
 
-// withdraw ends a request's submission: decisions that still arrive for it change nothing. Its attempts in flight are orphaned.
+// withdraw ends a request's submission. Decisions that arrive for it later have no effect. Its attempts in flight become orphans.
 func (c *Core) withdraw(request *openRequest) {
 	delete(c.submitted, request.handle)
 	if request.handle != 0 {
@@ -187,8 +191,8 @@
 	request.handle = 0
 }
 
-// endWaiting ends requests that have waited for a leader for as long as they may.
-func (c *Core) endWaiting(cell *cellState) {
+// expireWaiting gives the final answer to requests that may not wait for a leader any longer.
+func (c *Core) expireWaiting(cell *cellState) {
 	waiting := cell.waiting
 	remaining := waiting[:0]
 	cell.waiting = nil
@@ -205,19 +209,21 @@
 	cell.waiting = remaining
 }
 
-// waitedTooLong reports whether a request may wait for a leader no longer: LeaderWaitS at most. One of which no attempt may have run ends at
-// leaderWaitFraction of its time already, as it can still be rejected; one that may have run can only fail.
+// waitedTooLong reports whether a request has reached its limit of waiting for a leader. The limit is LeaderWaitS, and not past its deadline.
+// A request of which no attempt may have run is limited to leaderWaitFraction of its time as well, because it can still be rejected; one
+// that may have run can only fail.
 func (c *Core) waitedTooLong(request *openRequest) bool {
 	latestStart := request.receivedAt + leaderWaitFraction*(request.DeadlineAt-request.receivedAt)
 	return c.now >= request.waitingSince+c.cfg.LeaderWaitS || c.now >= latestStart && !request.mayHaveRun || c.overdue(request)
 }
 
-// overdue reports whether the next tick would be too late to answer a request's client.
+// overdue reports whether the next tick would be too late to answer a request before its deadline.
 func (c *Core) overdue(request *openRequest) bool { return c.now >= request.DeadlineAt-TickIntervalS }
 
-// endOverdue ends requests that have no answer while their clients still listen: a leader that has lost its lead, or is paused, decides
-// nothing more, and an attempt may outlive its leader and not end.
-func (c *Core) endOverdue() {
+// expireOverdue gives the final answer to requests that have none shortly before their deadline, while their clients still wait. Such requests
+// exist because a leader that has lost its leadership, or is paused, makes no more decisions, and because an attempt may outlive its leader
+// and never end.
+func (c *Core) expireOverdue() {
 	var requests []*openRequest
 	for _, request := range c.requests {
 		if !request.completed && c.overdue(request) {
@@ -231,14 +237,14 @@
 	}
 }
 
-// sendDisconnected notifies the planner that knows a request, if any, that no more decisions are wanted.
+// sendDisconnected notifies the planner that a request is submitted to, if any, that the request needs no more decisions.
 func (c *Core) sendDisconnected(request *openRequest) {
 	if request.handle != 0 {
 		c.out.SendToPlanner(c.cells[request.cellID].holder, transport.Message{Kind: transport.KindDisconnected, Handle: request.handle})
 	}
 }
 
-// finishWithoutLeader gives the final answer to a request on which no planner can decide any more.
+// finishWithoutLeader rejects or fails a request without a planner's decision.
 func (c *Core) finishWithoutLeader(request *openRequest) {
 	if c.mayReject(request) {
 		c.Stats.RejectedNoLeader++
@@ -251,7 +257,7 @@
 	c.releaseIfDone(request)
 }
 
-// releaseIfDone forgets a request that is completed and has nothing in flight.
+// releaseIfDone removes a request that is completed and has nothing in flight.
 func (c *Core) releaseIfDone(request *openRequest) {
 	if !request.completed || request.inFlight > 0 {
 		return
@@ -293,7 +299,7 @@
 	c.out.SendToPlanner(c.cells[request.cellID].holder, msg)
 }
 
-// HandleDisconnect ends a request whose client needs no answer any more.
+// HandleDisconnect marks a request as completed because its client has disconnected.
 func (c *Core) HandleDisconnect(now float64, id string) {
 	c.now = now
 	if request := c.requests[id]; request != nil && !request.completed {
@@ -303,7 +309,7 @@
 	}
 }
 
-// requestsByID returns the open requests in order of their ids.
+// requestsByID returns the open requests, sorted by id.
 func (c *Core) requestsByID() []*openRequest {
 	requests := make([]*openRequest, 0, len(c.requests))
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
--- a/internal/controlplane/forwarder/status.go
+++ b/internal/controlplane/forwarder/status.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	// statusListenInterval is the time between two attempts to listen at an address that the process before still uses.
+	// statusListenInterval is the time between two attempts to listen on an address that the predecessor still uses.
 	statusListenInterval = 50 * time.Millisecond
-	// statusTimeout is how long a client of the status page waits for the loop.
+	// statusTimeout bounds the wait for the loop to produce the status page.
 	statusTimeout = time.Second
 )
 
-// Status is a forwarder's status page.
+// Status is the content of a forwarder's status page.
 type Status struct {
 	Kind              string        `json:"kind"` // "forwarder"
 	Number            int           `json:"number"`
-	Links             []bool        `json:"links"`    // by planner: it is up
-	Requests          int           `json:"requests"` // open
-	BytesIn           uint64        `json:"bytes_in"` // over all links since the start, as BytesOut
-	BytesOut          uint64        `json:"bytes_out"`
+	Links             []bool        `json:"links"`     // by planner: whether the link is up
+	Requests          int           `json:"requests"`  // number of open requests
+	BytesIn           uint64        `json:"bytes_in"`  // received over all links since the start
+	BytesOut          uint64        `json:"bytes_out"` // sent over all links since the start
 	Stats             Stats         `json:"stats"`
 	Cells             []CellStatus  `json:"cells"`
 	Cordoned          []string      `json:"held"` // backends that operators have cordoned
 	EndpointListAge   discovery.Age `json:"list"`
-	EndpointListStale bool          `json:"old"` // the list is too old to be trusted
+	EndpointListStale bool          `json:"old"` // the endpoint list is too old to be trusted
 }
 
-// CellStatus is a cell on the status page.
+// CellStatus is the state of a cell on the status page.
 type CellStatus struct {
 	Cell         int     `json:"cell"`
 	Epoch        uint64  `json:"epoch"`          // of the latest promise
-	Holder       int     `json:"holder"`         // the planner that it was given to; -1: none yet
+	Holder       int     `json:"holder"`         // the planner that the promise was given to; -1: no promise yet
 	HasLeader    bool    `json:"led"`            // the holder leads and is followed
-	PromiseLeftS float64 `json:"promise_left_s"` // seconds, to the millisecond
-	Waiting      int     `json:"waiting"`        // requests that wait for a leader
-	Failsafe     bool    `json:"failsafe"`       // requests are rejected at once
+	PromiseLeftS float64 `json:"promise_left_s"` // seconds until the promise expires, rounded to milliseconds
+	Waiting      int     `json:"waiting"`        // number of requests that wait for a leader
+	Failsafe     bool    `json:"failsafe"`       // new requests are rejected at once
 }
 
-// CountLed returns how many cells have a leader, and how many reject requests at once for want of one.
+// CountLed returns the number of cells with a leader, and the number of cells in fail-safe: those that reject new requests at once because
+// they have no leader.
 func (c *Core) CountLed() (led, failsafe int) {
 	for i := range c.cells {
 		if cell := &c.cells[i]; cell.hasLeader {
@@ -58,7 +59,7 @@
 	return led, failsafe
 }
 
-// CellStatuses returns how the cells stand, and how many requests are open.
+// CellStatuses returns the state of each cell and the number of open requests.
 func (c *Core) CellStatuses(now float64) (cells []CellStatus, requests int) {
 	c.now = now
 	for i := range c.cells {
@@ -76,14 +77,15 @@
 	return cells, len(c.requests)
 }
 
-// serveStatus serves the status page until ctx ends. With retry, the process that this one replaces may still use the address.
+// serveStatus serves the status page until ctx ends. If retry is set, it tries to listen until the address is free, because the predecessor
+// may still use it.
 func (g *RemoteGateway) serveStatus(ctx context.Context, retry bool) error {
 	listener, err := net.Listen("tcp", g.cfg.StatusAddr)
 	if err != nil && !retry {
 		return fmt.Errorf("status: %w", err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(g.handleStatus), ReadHeaderTimeout: time.Second}
-	context.AfterFunc(ctx, func() { _ = srv.Close() }) // the process ends
+	context.AfterFunc(ctx, func() { _ = srv.Close() }) // an error does not matter, as the process ends
 	go func() {
 		for err != nil {
 			select {
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// status returns the status page. Loop only.
+// status returns the content of the status page. Loop only.
 func (g *RemoteGateway) status(now float64) Status {
 	age := g.EndpointListAge()
 	status := Status{
--- a/internal/controlplane/forwarder/usage.go
+++ b/internal/controlplane/forwarder/usage.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// maxUsageAccounts bounds the accounts of a usageTable.
+	// maxUsageAccounts bounds the number of accounts in a usageTable.
 	maxUsageAccounts = 64 << 10
-	// spanMarginS is added to the time for which an entry matters, for clocks and delays, in seconds.
-	spanMarginS = 0.5
-	// sweepsPerSpan is how often in that time entries that no longer matter are dropped.
-	sweepsPerSpan = 4
+	// usageTTLMarginS is added to the longest quota window to get the time to live of an entry, in seconds. It allows for clock differences
+	// and message delays.
+	usageTTLMarginS = 0.5
+	// sweepsPerTTL is how often expired entries are removed in one time to live.
+	sweepsPerTTL = 4
 )
 
-// usageTable holds what leaders last sent of the quota windows of accounts that this forwarder sent attempts for: the source of usage
-// reports. A window from which nothing is taken is full after the table's span, so older entries do not matter.
+// usageTable is the source of usage reports. For each account that this forwarder has sent attempts for, it holds the state of the account's
+// quota window as a leader sent it last. A window that is not charged for ttlS is full again, so older entries have expired.
 type usageTable struct {
-	spanS       float64 // for how many seconds an entry matters
+	ttlS        float64 // time to live of an entry, in seconds
 	maxAccounts int
 	byAccount   map[string]windowUsage
-	// incompleteAt is when something was last left out, because the table was full, or the forwarder started. Reports are marked
-	// incomplete while it may matter.
+	// incompleteAt is when entries were last lost: the table was full, or the forwarder started or continued without all entries of another
+	// process. For ttlS after that, reports are marked incomplete.
 	incompleteAt float64
 	sweptAt      float64
 }
 
 // windowUsage is an account's quota window right after an admission.
 type windowUsage struct {
-	plan  int
-	epoch uint64  // of the leader that admitted
-	seq   uint32  // the admission's number under that epoch
-	debt  float64 // units taken and not yet refilled
-	at    float64 // when this forwarder learned of it, which is after the admission
+	plan       int
+	epoch      uint64  // of the leader that made the admission
+	seq        uint32  // sequence number of the admission in that epoch
+	debt       float64 // units charged and not yet refilled
+	receivedAt float64 // when this forwarder received the state, which is after the admission
 }
 
-// supersedes reports whether u was admitted after other, or is the same.
+// supersedes reports whether u is of the same admission as other, or of a later one.
 func (u windowUsage) supersedes(other windowUsage) bool {
 	return u.epoch > other.epoch || u.epoch == other.epoch && u.seq >= other.seq
 }
 
 func newUsageTable(windowS, startedAt float64, maxAccounts int) usageTable {
-	return usageTable{spanS: windowS + spanMarginS, maxAccounts: maxAccounts, byAccount: map[string]windowUsage{}, incompleteAt: startedAt}
+	return usageTable{ttlS: windowS + usageTTLMarginS, maxAccounts: maxAccounts, byAccount: map[string]windowUsage{}, incompleteAt: startedAt}
 }
 
-// record stores an account's usage, unless a later admission is known.
+// record stores an account's usage, unless the usage after a later admission is known. If the table is full, it drops the usage of a new
+// account and marks the table incomplete.
 func (t *usageTable) record(account string, usage windowUsage) {
 	known, ok := t.byAccount[account]
 	if !ok {
-		if t.sweep(usage.at); len(t.byAccount) >= t.maxAccounts {
-			t.incompleteAt = usage.at
+		if t.sweep(usage.receivedAt); len(t.byAccount) >= t.maxAccounts {
+			t.incompleteAt = usage.receivedAt
 			return
 		}
 	}
@@ -60,29 +62,29 @@
 	}
 }
 
-// sweep drops entries that no longer matter, a few times in a span.
+// sweep removes expired entries, at most sweepsPerTTL times in ttlS.
 func (t *usageTable) sweep(now float64) {
-	if now < t.sweptAt+t.spanS/sweepsPerSpan {
+	if now < t.sweptAt+t.ttlS/sweepsPerTTL {
 		return
 	}
 	t.sweptAt = now
-	maps.DeleteFunc(t.byAccount, func(_ string, usage windowUsage) bool { return now > usage.at+t.spanS })
+	maps.DeleteFunc(t.byAccount, func(_ string, usage windowUsage) bool { return now > usage.receivedAt+t.ttlS })
 }
 
-// complete reports whether nothing that still matters has been left out.
-func (t *usageTable) complete(now float64) bool { return now >= t.incompleteAt+t.spanS }
+// complete reports whether the table has lost no entry that would not have expired yet.
+func (t *usageTable) complete(now float64) bool { return now >= t.incompleteAt+t.ttlS }
 
-// each calls yield for all entries that matter, in order of accounts.
+// each calls yield for all entries that have not expired, sorted by account.
 func (t *usageTable) each(now float64, yield func(account string, usage windowUsage)) {
 	for _, account := range slices.Sorted(maps.Keys(t.byAccount)) {
-		if usage := t.byAccount[account]; now <= usage.at+t.spanS {
+		if usage := t.byAccount[account]; now <= usage.receivedAt+t.ttlS {
 			yield(account, usage)
 		}
 	}
 }
 
-// reportUsage reports to a cell's new holder what earlier leaders admitted. It follows the grant: from then on no older epoch is followed, so
-// that nothing can be added to the report.
+// reportUsage reports to a cell's new holder what earlier leaders admitted. It is called after the promise is granted: no older epoch is
+// followed from then on, so no older admission can follow the report.
 func (c *Core) reportUsage(cellID int) {
 	cell := &c.cells[cellID]
 	c.usage.each(c.now, func(account string, usage windowUsage) {
@@ -91,7 +93,7 @@
 		}
 		c.Stats.UsageReports++
 		c.out.SendToPlanner(cell.holder, transport.Message{Kind: transport.KindUsageReport, Cell: uint16(cellID), Epoch: cell.epoch, Name: account,
-			Plan: uint8(usage.plan), Handle: usage.epoch, Round: usage.seq, Units: usage.debt, DurationS: max(c.now-usage.at, 0)})
+			Plan: uint8(usage.plan), Handle: usage.epoch, Round: usage.seq, Units: usage.debt, DurationS: max(c.now-usage.receivedAt, 0)})
 	})
 	c.reportOrphans(cellID)
 	c.out.SendToPlanner(cell.holder, transport.Message{Kind: transport.KindUsageReportEnd, Cell: uint16(cellID), Epoch: cell.epoch,
--- a/internal/controlplane/process/process.go
+++ b/internal/controlplane/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs forwarders and planners as programs: their files, signals, limits and logs. The testbed runs the same code in
-// processes of its own.
+// Package process runs forwarders and planners as programs: it reads their configuration files, handles signals, sets resource limits and
+// creates loggers. The testbed runs the same code in processes of its own.
 package process
 
 import (
@@ -19,25 +19,29 @@
 )
 
 const (
-	// maxProcs is the number of cores that a program uses: its work is one loop's.
+	// maxProcs is the GOMAXPROCS of a program, whose work is done by one event loop.
 	maxProcs = 1
-	// memoryLimitFraction is the part of the configured memory from which on the garbage collector works as hard as it must.
+	// memoryLimitFraction is the fraction of the configured memory that is set as the soft memory limit of the Go runtime. Above this limit,
+	// the garbage collector runs as often as it needs to.
 	memoryLimitFraction = 0.6
 )
 
-// The kinds of programs, as in command lines and logs.
+// The kinds of programs, as they appear in command lines and logs.
 const (
 	kindForwarder = "forwarder"
 	kindPlanner   = "planner"
 )
 
-// UnknownKindError is a kind of program that is neither forwarder nor planner.
+// UnknownKindError reports a kind of program that is neither "forwarder" nor "planner". Its value is the unknown kind.
 type UnknownKindError string
 
 // Error implements error.
-func (e UnknownKindError) Error() string { return fmt.Sprintf("unknown kind %q", string(e)) }
+func (e UnknownKindError) Error() string {
+	return fmt.Sprintf("unknown kind of program %q, want forwarder or planner", string(e))
+}
 
-// CheckConfig reads the operators' file at path of a "forwarder" or "planner" and all that it names. Another kind is an UnknownKindError.
+// CheckConfig reads and checks the operators' file of a "forwarder" or "planner" at path, and the files that it names. For any other kind it
+// returns an UnknownKindError.
 func CheckConfig(kind, path string) (err error) {
 	switch kind {
 	case kindForwarder:
@@ -50,7 +54,8 @@
 	return err
 }
 
-// Run runs a "forwarder" or "planner" by the operators' file at path until SIGTERM or SIGINT. Another kind is an UnknownKindError.
+// Run runs a "forwarder" or "planner" with the operators' file at path until SIGTERM or SIGINT. For any other kind it returns an
+// UnknownKindError.
 func Run(kind, path string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -74,7 +79,7 @@
 		if err := CheckConfig(kindPlanner, path); err != nil {
 			log.Error("configuration is invalid", "error", err)
 		} else {
-			log.Info("configuration is valid and takes effect at a restart, during which others lead the cells")
+			log.Info("configuration is valid and takes effect after a restart, during which other planners lead the cells")
 		}
 	})
 	return planner.Run(ctx, cfg, log)
@@ -95,7 +100,7 @@
 			return
 		}
 		if next.Ingress.NeedsRestart(cfg.Ingress) {
-			log.Warn("of the new configuration, only the address of discovery takes effect before a restart")
+			log.Warn("configuration changes other than the discovery address take effect only after a restart")
 		}
 		select {
 		case reread <- next.Ingress:
@@ -116,7 +121,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, nil)).With(kind, number)
 }
 
-// onSIGHUP calls do at each SIGHUP until ctx ends.
+// onSIGHUP calls do on each SIGHUP until ctx ends.
 func onSIGHUP(ctx context.Context, do func()) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -8,92 +8,93 @@
 	"testing"
 )
 
-// testFleet carries out what a rollout asks for, but for what a test breaks.
+// testFleet is an Output that simulates a fleet of programs, with the faults that a test injects.
 type testFleet struct {
-	t         *testing.T
-	now       float64
-	r         *Rollout
-	ready     []bool
-	busy      []bool
-	restarts  []int
-	order     []string
-	maxAway   int // the most programs that were away together
-	scheduled []func()
-	dead      map[string]bool // by name: does not start
-	drainErr  map[string]error
-	flaps     map[string]bool // by name: ready for half a second, then no longer
+	t              *testing.T
+	now            float64
+	rollout        *Rollout
+	ready          []bool
+	busy           []bool
+	restarts       []int
+	order          []string
+	maxUnavailable int // the largest number of programs that were not ready at the same time
+	scheduled      []func()
+	failsToStart   map[string]bool  // by name: the program does not become ready after a restart
+	drainErr       map[string]error // by name: the result of Drain
+	becomesUnready map[string]bool  // by name: the program is ready for 0.5 s after a restart, then no longer
 }
 
-func (w *testFleet) after(d float64, do func()) {
-	at := w.now + d
-	w.scheduled = append(w.scheduled, func() {
-		if w.now < at {
-			w.after(at-w.now, do)
+// after calls do when at least d seconds have passed.
+func (fleet *testFleet) after(d float64, do func()) {
+	at := fleet.now + d
+	fleet.scheduled = append(fleet.scheduled, func() {
+		if fleet.now < at {
+			fleet.after(at-fleet.now, do)
 			return
 		}
 		do()
 	})
 }
 
-func (w *testFleet) CheckReadiness(i int) {
-	ready, busy := w.ready[i], w.busy[i]
-	w.after(0.01, func() { w.r.HandleAnswer(w.now, i, ready || busy, ready, busy) })
+func (fleet *testFleet) CheckReadiness(i int) {
+	ready, busy := fleet.ready[i], fleet.busy[i]
+	fleet.after(0.01, func() { fleet.rollout.HandleAnswer(fleet.now, i, ready || busy, ready, busy) })
 }
-func (w *testFleet) Drain(i int) {
-	name := w.r.programs[i].Name
-	if err := w.drainErr[name]; err != nil {
-		w.after(0.01, func() { w.r.Drained(w.now, i, err) })
+func (fleet *testFleet) Drain(i int) {
+	name := fleet.rollout.programs[i].Name
+	if err := fleet.drainErr[name]; err != nil {
+		fleet.after(0.01, func() { fleet.rollout.Drained(fleet.now, i, err) })
 		return
 	}
-	w.ready[i], w.busy[i] = false, true
-	w.after(0.5, func() { w.busy[i] = false })
-	w.after(0.01, func() { w.r.Drained(w.now, i, nil) })
+	fleet.ready[i], fleet.busy[i] = false, true
+	fleet.after(0.5, func() { fleet.busy[i] = false })
+	fleet.after(0.01, func() { fleet.rollout.Drained(fleet.now, i, nil) })
 }
-func (w *testFleet) Restart(i int) {
-	name := w.r.programs[i].Name
-	w.restarts[i]++
-	w.ready[i] = false // with a hot restart, the old process is ready no longer and the new one not yet
-	w.order = append(w.order, name)
-	w.after(0.2, func() { w.r.Restarted(w.now, i, nil) })
-	if !w.dead[name] {
-		w.after(0.4, func() { w.ready[i] = true })
-	}
-	if w.flaps[name] {
-		w.after(0.9, func() { w.ready[i] = false })
+func (fleet *testFleet) Restart(i int) {
+	name := fleet.rollout.programs[i].Name
+	fleet.restarts[i]++
+	fleet.ready[i] = false // with a hot restart, the old process is no longer ready and the new one not yet
+	fleet.order = append(fleet.order, name)
+	fleet.after(0.2, func() { fleet.rollout.Restarted(fleet.now, i, nil) })
+	if !fleet.failsToStart[name] {
+		fleet.after(0.4, func() { fleet.ready[i] = true })
+	}
+	if fleet.becomesUnready[name] {
+		fleet.after(0.9, func() { fleet.ready[i] = false })
 	}
 }
 
-func runRollout(t *testing.T, programs []Program, from string, broken func(w *testFleet)) (*testFleet, error) {
+func runRollout(t *testing.T, programs []Program, from string, injectFaults func(fleet *testFleet)) (*testFleet, error) {
 	t.Helper()
-	w := &testFleet{t: t, now: 100, ready: make([]bool, len(programs)), busy: make([]bool, len(programs)), restarts: make([]int, len(programs)), dead: map[string]bool{},
-		drainErr: map[string]error{}, flaps: map[string]bool{}}
-	for i := range w.ready {
-		w.ready[i] = true
+	fleet := &testFleet{t: t, now: 100, ready: make([]bool, len(programs)), busy: make([]bool, len(programs)), restarts: make([]int, len(programs)), failsToStart: map[string]bool{},
+		drainErr: map[string]error{}, becomesUnready: map[string]bool{}}
+	for i := range fleet.ready {
+		fleet.ready[i] = true
 	}
 	var err error
-	if w.r, err = New(programs, DefaultTimeouts, from, w.now, w); err != nil {
+	if fleet.rollout, err = New(programs, DefaultTimeouts, from, fleet.now, fleet); err != nil {
 		t.Fatal(err)
 	}
-	broken(w)
-	for ; w.now < 1000; w.now += 0.02 {
-		later := w.scheduled
-		w.scheduled = nil
-		for _, do := range later {
+	injectFaults(fleet)
+	for ; fleet.now < 1000; fleet.now += 0.02 {
+		callbacks := fleet.scheduled
+		fleet.scheduled = nil
+		for _, do := range callbacks {
 			do()
 		}
-		w.r.Tick(w.now)
-		n := 0
-		for _, ready := range w.ready {
+		fleet.rollout.Tick(fleet.now)
+		unavailable := 0
+		for _, ready := range fleet.ready {
 			if !ready {
-				n++
+				unavailable++
 			}
 		}
-		w.maxAway = max(w.maxAway, n)
-		if over, err := w.r.Done(); over {
-			return w, err
+		fleet.maxUnavailable = max(fleet.maxUnavailable, unavailable)
+		if done, err := fleet.rollout.Done(); done {
+			return fleet, err
 		}
 	}
-	t.Fatal("never over")
+	t.Fatal("rollout has not ended after 900 s")
 	return nil, nil
 }
 
@@ -107,115 +108,115 @@
 	return programs
 }
 
-// All are restarted once, planners first, and no two are away together.
+// Every program is restarted once, planners first, and at most one program is unavailable at a time.
 func TestRollout_OneAtATime(t *testing.T) {
-	w, err := runRollout(t, testPrograms(), "", func(*testFleet) {})
-	if err != nil || w.maxAway != 1 || strings.Join(w.order, " ") != "p0 p1 p2 f0 f1 f2 f3" {
-		t.Errorf("%v: %v away together, order %v", err, w.maxAway, w.order)
+	fleet, err := runRollout(t, testPrograms(), "", func(*testFleet) {})
+	if err != nil || fleet.maxUnavailable != 1 || strings.Join(fleet.order, " ") != "p0 p1 p2 f0 f1 f2 f3" {
+		t.Errorf("got error %v, at most %v programs unavailable at a time, order %v; want no error, 1, planners first", err, fleet.maxUnavailable, fleet.order)
 	}
 }
 
-// The rollout aborts at the first program that does not start, can't be drained, or does not stay ready. It touches no later program, and
-// the next run goes on from there.
+// The rollout aborts at the first program that does not start, can't be drained, or does not stay ready. It restarts no later program, and a
+// next run can begin at the program that failed.
 func TestRollout_StopsAtFirstFailure(t *testing.T) {
-	for name, broken := range map[string]func(w *testFleet){
-		"not ready 20 s": func(w *testFleet) { w.dead["p1"] = true },
-		"no such call":   func(w *testFleet) { w.drainErr["p1"] = errors.New("no such call") },
-		"no longer":      func(w *testFleet) { w.flaps["p1"] = true },
+	for wantError, injectFaults := range map[string]func(fleet *testFleet){
+		"not ready 20 s": func(fleet *testFleet) { fleet.failsToStart["p1"] = true },
+		"no such call":   func(fleet *testFleet) { fleet.drainErr["p1"] = errors.New("no such call") },
+		"no longer":      func(fleet *testFleet) { fleet.becomesUnready["p1"] = true },
 	} {
-		w, err := runRollout(t, testPrograms(), "", broken)
-		if err == nil || !strings.Contains(err.Error(), name) || !strings.Contains(err.Error(), "p1") || !strings.Contains(err.Error(), "1 of 7") {
-			t.Errorf("%s: %v", name, err)
+		fleet, err := runRollout(t, testPrograms(), "", injectFaults)
+		if err == nil || !strings.Contains(err.Error(), wantError) || !strings.Contains(err.Error(), "p1") || !strings.Contains(err.Error(), "1 of 7") {
+			t.Errorf("got error %v, want one with %q, p1 and 1 of 7", err, wantError)
 			continue
 		}
-		for _, n := range w.order[1:] {
-			if n != "p1" {
-				t.Errorf("%s: %s was touched after it", name, n)
+		for _, restarted := range fleet.order[1:] {
+			if restarted != "p1" {
+				t.Errorf("%s: %s was restarted after the failure of p1", wantError, restarted)
 			}
 		}
 	}
-	w, err := runRollout(t, testPrograms(), "p1", func(*testFleet) {})
-	if err != nil || w.order[0] != "p1" || len(w.order) != 6 {
-		t.Errorf("%v: %v", err, w.order)
+	fleet, err := runRollout(t, testPrograms(), "p1", func(*testFleet) {})
+	if err != nil || fleet.order[0] != "p1" || len(fleet.order) != 6 {
+		t.Errorf("run from p1: got error %v and restarts %v, want 6 restarts from p1 on", err, fleet.order)
 	}
 }
 
-// While another program is not ready nothing is touched, and the error names the one that was waited for.
+// While another program is not ready, no program is restarted, and the error names the program that was not ready.
 func TestRollout_WaitsForOthers(t *testing.T) {
-	w, err := runRollout(t, testPrograms(), "", func(w *testFleet) {
-		for i, p := range w.r.programs {
+	fleet, err := runRollout(t, testPrograms(), "", func(fleet *testFleet) {
+		for i, p := range fleet.rollout.programs {
 			if p.Name == "f2" {
-				w.ready[i] = false
+				fleet.ready[i] = false
 			}
 		}
 	})
-	if err == nil || !strings.Contains(err.Error(), "f2") || len(w.order) != 0 {
-		t.Errorf("%v: %v", err, w.order)
+	if err == nil || !strings.Contains(err.Error(), "f2") || len(fleet.order) != 0 {
+		t.Errorf("got error %v and restarts %v, want an error that names f2 and no restarts", err, fleet.order)
 	}
 }
 
-// Whatever fails and recovers meanwhile, no program is touched while another is known to be away, and none is restarted twice.
-func TestRollout_NeverTwoAwayWhileFlapping(t *testing.T) {
+// While random other programs become unready and recover, no program is restarted twice, and at least half of the rollouts complete.
+func TestRollout_FlappingPrograms(t *testing.T) {
 	finished := 0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		programs := testPrograms()
-		w, err := runRollout(t, programs, "", func(w *testFleet) {
+		fleet, err := runRollout(t, programs, "", func(fleet *testFleet) {
 			var flap func()
 			flap = func() {
 				i := rng.IntN(len(programs))
-				if done, _, _ := w.r.Progress(); i != done && w.ready[i] {
-					w.ready[i] = false
-					w.after(0.3+rng.Float64(), func() { w.ready[i] = true })
+				if done, _, _ := fleet.rollout.Progress(); i != done && fleet.ready[i] {
+					fleet.ready[i] = false
+					fleet.after(0.3+rng.Float64(), func() { fleet.ready[i] = true })
 				}
-				w.after(3+4*rng.Float64(), flap)
+				fleet.after(3+4*rng.Float64(), flap)
 			}
-			w.after(1, flap)
+			fleet.after(1, flap)
 		})
 		if err == nil {
 			finished++
 		}
-		for i, n := range w.restarts {
-			if n > 1 {
-				t.Errorf("seed %d: program %d was restarted %d times", seed, i, n)
+		for i, count := range fleet.restarts {
+			if count > 1 {
+				t.Errorf("seed %d: program %d was restarted %d times", seed, i, count)
 			}
 		}
 	}
 	if finished < 30 {
-		t.Errorf("%d of 60 rollouts ended beside flapping programs", finished)
+		t.Errorf("%d of 60 rollouts completed beside flapping programs, want at least 30", finished)
 	}
 }
 
-// Programs with a hot restart are not drained, and one whose new process does not start aborts the rollout.
+// Programs with a hot restart are not drained, and a rollout aborts at one whose new process does not become ready.
 func TestRollout_HotRestart(t *testing.T) {
 	programs := testPrograms()
 	for i := range programs {
 		programs[i].HotRestart = programs[i].Kind == Forwarder
 	}
-	for _, dead := range []string{"", "f2"} {
-		w, err := runRollout(t, programs, "", func(w *testFleet) {
-			w.dead[dead] = true
-			for _, p := range w.r.programs {
+	for _, failing := range []string{"", "f2"} {
+		fleet, err := runRollout(t, programs, "", func(fleet *testFleet) {
+			fleet.failsToStart[failing] = true
+			for _, p := range fleet.rollout.programs {
 				if p.HotRestart {
-					w.drainErr[p.Name] = errors.New("it was to be sent away")
+					fleet.drainErr[p.Name] = errors.New("a program with a hot restart was drained")
 				}
 			}
 		})
 		switch {
-		case dead == "" && err != nil:
+		case failing == "" && err != nil:
 			t.Error(err)
-		case dead != "" && (err == nil || !strings.Contains(err.Error(), "-from "+dead)):
-			t.Errorf("with a dead successor: %v", err)
+		case failing != "" && (err == nil || !strings.Contains(err.Error(), "-from "+failing)):
+			t.Errorf("new process of %s does not start: got error %v, want one with \"-from %s\"", failing, err, failing)
 		}
-		for i, p := range w.r.programs {
-			if want := b2i(dead == "" || p.Name <= dead || p.Kind == Planner); w.restarts[i] != want {
-				t.Errorf("%s was replaced %d times, want %d", p.Name, w.restarts[i], want)
+		for i, p := range fleet.rollout.programs {
+			if want := boolToInt(failing == "" || p.Name <= failing || p.Kind == Planner); fleet.restarts[i] != want {
+				t.Errorf("%s was restarted %d times, want %d", p.Name, fleet.restarts[i], want)
 			}
 		}
 	}
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -225,10 +226,10 @@
 func TestNew_InvalidPrograms(t *testing.T) {
 	for want, programs := range map[string][]Program{"no programs": nil, "unknown kind": {{Name: "a", Kind: "node"}}, "twice": {{Name: "a", Kind: Planner}, {Name: "a", Kind: Planner}}} {
 		if _, err := New(programs, DefaultTimeouts, "", 0, nil); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("New(%v): got error %v, want one with %q", programs, err, want)
 		}
 	}
 	if _, err := New(testPrograms(), DefaultTimeouts, "x", 0, nil); err == nil {
-		t.Error("a name that is not there")
+		t.Error("New accepts a first program that is not listed")
 	}
 }
