--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -8,40 +8,41 @@
 	"eiderspread/policy"
 )
 
-// probeTimeoutS is how many seconds a health check's answer is waited for.
+// probeTimeoutS is the time, in seconds, in which a backend must answer a probe.
 const probeTimeoutS = 0.25
 
-// attemptState is how far an attempt is.
+// attemptState is the progress of an attempt from its start to the report of its outcome.
 type attemptState uint8
 
 const (
-	attemptOut      attemptState = iota // it waits for a connection, is being written, or its answer is waited for
-	attemptEnded                        // its outcome is known; it is reported once the decider's current event method has returned
-	attemptReported                     // the decider has its outcome
+	attemptOut      attemptState = iota // it waits for a connection, is being written, or waits for its reply
+	attemptEnded                        // its outcome is known, and reported once the decider's current event method has returned
+	attemptReported                     // its outcome has been reported to the decider
 )
 
 func (s attemptState) String() string { return [...]string{"out", "ended", "reported"}[s] }
 
-// attempt is one send of a request to a backend, or with no request a health check. Loop only.
+// attempt is one send of a request to a backend or, without a request, a probe. The event loop owns it.
 type attempt struct {
-	request *request // nil: a health check
-	backend *backend // nil: it was not listed any more
-	number  int      // within the request, from 0 on
+	request *request // nil for a probe
+	backend *backend // nil if the backend was no longer on the endpoint list
+	number  int      // index among the request's attempts
 	state   attemptState
-	status  policy.Status // that was reported
+	status  policy.Status // as reported; valid in attemptReported
 
 	sentAt          float64          // when the decider asked for it
-	expiresAt       float64          // when its answer is not waited for any longer
-	timer           *timer           // rings then
-	writeStartedAt  float64          // right before its first byte went out; 0: none has
-	latestStart     float64          // up to when its last byte may go out
-	latestStartRule policy.Violation // that ends it
-	firstByteAt     float64          // when its answer began, if the value is streamed; nothing but the value ends the attempt from then on
-
-	conn *backendConn // nil: it waits for one, or has given it up
+	expiresAt       float64          // when it times out
+	timer           *timer           // runs expireAttempt at expiresAt
+	writeStartedAt  float64          // directly before its first byte was written; 0: no byte has been written
+	latestStart     float64          // until when its last byte may be written
+	latestStartRule policy.Violation // the rule that forbids writing it later
+	firstByteAt     float64          // when a streamed reply started, else 0; from then on only the end of the value ends the attempt
+
+	conn *backendConn // nil while it waits for a connection and after it has released it
 }
 
-// mayHaveRun reports whether nothing proves that the attempt did not run.
+// mayHaveRun reports whether the backend may have run the attempt: its write has started, and no reported outcome proves that it did
+// not run.
 func (a *attempt) mayHaveRun() bool {
 	if a.writeStartedAt == 0 {
 		return false
@@ -49,15 +50,15 @@
 	return a.state != attemptReported || !a.status.NeverRan()
 }
 
-// Send implements policy.Actions. A timeoutS above 0 ends the attempt after that many seconds, at the request's deadline at the latest; with 0
-// the deadline alone ends it; below 0 nothing is written and the outcome is Timeout.
+// Send implements policy.Actions. With a timeoutS above 0 the attempt ends after that many seconds, or at the request's deadline if
+// that is earlier. With 0 it ends at the deadline. Below 0 nothing is written and the outcome is Timeout.
 func (in *Ingress) Send(id, backendID string, timeoutS float64) {
 	r := in.requests[id]
 	if r == nil && in.orderPredecessor(snapshot.Order{Kind: snapshot.OrderSend, ID: id, Backend: backendID, DelayS: timeoutS}) {
 		return
 	}
 	if r == nil {
-		in.logFault("send for a request that is not open", "id", id)
+		in.logFault("attempt not sent: no open request with this id", "id", id)
 		return
 	}
 	a := &attempt{request: r, backend: in.backends.byID[backendID], number: len(r.attempts), sentAt: in.now, expiresAt: r.DeadlineAt}
@@ -102,13 +103,13 @@
 func (in *Ingress) Probe(backendID string) {
 	a := &attempt{backend: in.backends.byID[backendID], sentAt: in.now, expiresAt: in.now + probeTimeoutS}
 	if a.backend == nil {
-		in.logFault("health check of a backend that is not listed", "id", backendID)
+		in.logFault("probe not sent: the backend is not on the endpoint list", "id", backendID)
 		return
 	}
 	in.startAttempt(a)
 }
 
-// unsendable reports whether no byte of the attempt may be written any more, and why.
+// unsendable reports whether the attempt must not be written any more, and why.
 func (in *Ingress) unsendable(a *attempt) (reason unsentReason, unsendable bool) {
 	switch {
 	case a.backend == nil, a.backend.state != policy.Up:
@@ -123,7 +124,7 @@
 	return 0, false
 }
 
-// startAttempt writes the attempt to an idle connection, or has it wait for a new one.
+// startAttempt writes the attempt to an idle connection. Without one, it dials a new connection that the attempt waits for.
 func (in *Ingress) startAttempt(a *attempt) {
 	a.timer = in.after(a.expiresAt-in.now, func() { in.expireAttempt(a) })
 	if c := in.takeIdleConn(a.backend); c != nil {
@@ -136,7 +137,7 @@
 	}
 }
 
-// appendCommand appends what the attempt sends.
+// appendCommand appends the command that the attempt sends: a probe or the request's call.
 func (in *Ingress) appendCommand(b []byte, a *attempt) []byte {
 	if a.request == nil {
 		return callprotocol.AppendProbe(b)
@@ -144,7 +145,7 @@
 	return a.request.AppendCommand(b, a.expiresAt-a.writeStartedAt)
 }
 
-// expireAttempt stops waiting for an attempt. One whose last byte never went out has not run.
+// expireAttempt ends an attempt that has timed out. If its last byte was never written, the outcome says that it did not run.
 func (in *Ingress) expireAttempt(a *attempt) {
 	switch {
 	case a.state != attemptOut:
@@ -158,7 +159,7 @@
 	}
 }
 
-// finishUnsent gives an attempt back to the decider as one of which nothing was written.
+// finishUnsent ends an attempt of which no byte was written with the outcome NotSent, and counts the reason.
 func (in *Ingress) finishUnsent(a *attempt, reason unsentReason) {
 	in.counters.unsent[reason]++
 	in.finishDeferred(a, policy.NotSent)
@@ -171,7 +172,8 @@
 	in.deferred = append(in.deferred, func() { in.reportOutcome(a, callprotocol.Result{Status: status}, in.now) })
 }
 
-// finishAttempt ends an attempt, unless it has ended, and reports it. at is when its last byte came.
+// finishAttempt ends an attempt that is in flight and reports its outcome. at is when the last byte of the reply was received, or when the
+// attempt failed. An attempt that has already ended is left unchanged.
 func (in *Ingress) finishAttempt(a *attempt, res callprotocol.Result, at float64) {
 	if a.state != attemptOut {
 		return
@@ -181,7 +183,8 @@
 	in.reportOutcome(a, res, at)
 }
 
-// detachAttempt gives up what an attempt still holds: giving up a connection in use means closing it.
+// detachAttempt releases what an attempt holds: its timer, its place among the attempts that wait for a dial, and its connection, which it
+// closes because a late reply on it could be taken for the reply to another command.
 func (in *Ingress) detachAttempt(a *attempt) {
 	in.stopTimer(a.timer)
 	if a.conn != nil {
@@ -192,10 +195,11 @@
 	}
 }
 
-// reportOutcome answers the client, if this is what it waits for, and notifies the decider.
+// reportOutcome reports an attempt's outcome to the decider. A value first becomes the answer of the request, unless it is already
+// completed.
 func (in *Ingress) reportOutcome(a *attempt, res callprotocol.Result, at float64) {
 	if a.firstByteAt > 0 {
-		at = a.firstByteAt // how fast the client reads says nothing of the backend
+		at = a.firstByteAt // the rest of the time depends on how fast the client reads, not on the backend
 	}
 	latencyS := max(at-a.sentAt, 0)
 	a.state, a.status = attemptReported, res.Status
--- a/internal/dataplane/ingress/attempt_test.go
+++ b/internal/dataplane/ingress/attempt_test.go
@@ -13,7 +13,8 @@
 	"eiderspread/policy"
 )
 
-// A client leaves while its request waits, and its reader does not read: nothing is sent for it 0.3 s later.
+// Guards against an attempt that is sent for a client 0.3 s or more after it has disconnected: while the request waits, the client's
+// reader does not read, so the loop is not told of the disconnect. The send guard checks the socket itself.
 func TestAttempt_NotSentAfterClientDisconnected(t *testing.T) {
 	for _, unread := range []bool{true, false} {
 		t.Run(fmt.Sprint("unread ", unread), func(t *testing.T) {
@@ -22,17 +23,17 @@
 			c := r.client()
 			if unread {
 				r.fillPipeline(c)
-			} else { // stopped, as for a hand-over
+			} else { // stop the reader, as a hot restart does
 				c.send(lookCommand("w0")...)
 				receive(t, r.decider.requests)
 				r.onLoop(func() { r.ingress.requests["w0"].client.stopReader() })
-				r.waitFor("it has stopped", func() bool { return r.ingress.requests["w0"].client.reader == readerStopped })
+				r.waitFor("the reader of w0 has stopped", func() bool { return r.ingress.requests["w0"].client.reader == readerStopped })
 			}
 			stays := r.client()
 			stays.send(lookCommand("stays")...)
 			receive(t, r.decider.requests)
 			c.Close()
-			r.waitFor("its end is there", func() bool { return r.ingress.requests["w0"].client.disconnected() })
+			r.waitFor("the end of w0's connection has been received", func() bool { return r.ingress.requests["w0"].client.disconnected() })
 			r.onLoop(func() {
 				r.ingress.now += 1
 				r.ingress.Send("w0", "s0", 0)
@@ -40,47 +41,48 @@
 			})
 			b := receive(t, conns)
 			if got := b.command(); len(got) != 4 || got[2] != "stays" {
-				t.Errorf("sent on: %q", got)
+				t.Errorf("the backend received %q, want the call with id stays", got)
 			}
 			if id := receive(t, r.decider.disconnects); id != "w0" {
-				t.Errorf("%s has gone", id)
+				t.Errorf("the decider was told that request %q is disconnected, want w0", id)
 			}
 			if o := receive(t, r.decider.outcomes); o.ID != "w0" || o.Status != policy.NotSent || !o.Completed {
-				t.Errorf("got %+v", o)
+				t.Errorf("got outcome %+v, want NotSent for w0, completed", o)
 			}
 		})
 	}
 }
 
-// The same where it waits for a connection to a backend that comes up late.
+// Guards against the same when the client disconnects while the attempt waits for a dial.
 func TestAttempt_NotSentAfterDisconnectDuringDial(t *testing.T) {
 	addr, conns := listenBackend(t)
 	dial := make(chan struct{})
 	r := startIngress(t, testConfig(addr), func(r *testIngress) {
 		sendTo(0)(r)
-		was := r.ingress.backends.dial
-		r.ingress.backends.dial = func(addr string) (net.Conn, error) { <-dial; return was(addr) }
+		original := r.ingress.backends.dial
+		r.ingress.backends.dial = func(addr string) (net.Conn, error) { <-dial; return original(addr) }
 	})
 	c := r.client()
 	c.send(lookCommand("w0")...)
 	receive(t, r.decider.requests)
 	r.onLoop(func() { r.ingress.requests["w0"].client.stopReader() })
-	r.waitFor("its reader has stopped", func() bool { return r.ingress.requests["w0"].client.reader == readerStopped })
+	r.waitFor("the reader of w0 has stopped", func() bool { return r.ingress.requests["w0"].client.reader == readerStopped })
 	c.Close()
-	r.waitFor("its end is there", func() bool { return r.ingress.requests["w0"].client.disconnected() })
+	r.waitFor("the end of w0's connection has been received", func() bool { return r.ingress.requests["w0"].client.disconnected() })
 	r.onLoop(func() { r.ingress.requests["w0"].receivedAt -= 1 })
 	close(dial)
 	if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent || !o.Completed {
-		t.Errorf("got %+v", o)
+		t.Errorf("got outcome %+v, want NotSent, completed", o)
 	}
 	next := r.client()
 	next.send(lookCommand("next")...)
 	if got := receive(t, conns).command(); len(got) != 4 || got[2] != "next" {
-		t.Errorf("sent on: %q", got)
+		t.Errorf("the backend received %q, want the call with id next", got)
 	}
 }
 
-// An answer, the end of its connection and a cancel stand in the loop's queue at once: the attempt ends once, by the first of them.
+// Guards against an attempt that ends twice: a reply, the end of its connection and a cancel are in the loop's queue at once, and
+// only the first may end the attempt.
 func TestAttempt_ReplyCloseAndCancelRace(t *testing.T) {
 	for _, order := range []string{"cancel first", "answer first"} {
 		t.Run(order, func(t *testing.T) {
@@ -90,10 +92,10 @@
 			c.send(lookCommand("a")...)
 			b := receive(t, conns)
 			b.command()
-			r.onLoop(func() { // the loop is busy while all of it comes
+			r.onLoop(func() { // keeps the loop busy until all events are queued
 				write(b, servedReply)
 				b.Close()
-				for len(r.ingress.events) < 2 { // its reader has posted both
+				for len(r.ingress.events) < 2 { // until the reader has posted the reply and the end
 					time.Sleep(time.Millisecond)
 				}
 				if order == "cancel first" {
@@ -107,25 +109,26 @@
 				want = policy.OK
 			}
 			if o := receive(t, r.decider.outcomes); o.Status != want {
-				t.Errorf("got %+v", o)
+				t.Errorf("got outcome %+v, want status %v", o, want)
 			}
-			r.onLoop(func() {}) // behind all of it
-			r.waitFor("the connection has ended", func() bool { return r.ingress.backends.openConns == 0 })
+			r.onLoop(func() {}) // runs after the queued events
+			r.waitFor("the connection is closed", func() bool { return r.ingress.backends.openConns == 0 })
 			if r.onLoop(func() {}); len(r.decider.outcomes) != 0 {
-				t.Errorf("and then %+v", receive(t, r.decider.outcomes))
+				t.Errorf("got a second outcome: %+v", receive(t, r.decider.outcomes))
 			}
 			if order == "answer first" {
-				c.served("the answer")
+				c.served("the reply that came before the cancel")
 			}
 		})
 	}
 }
 
-// Guards the table of outcomes: what may have run must never be told as not run, nor the reverse.
+// Guards the status that each reply or failure is reported as: an attempt that may have run must never be reported as not run, nor
+// the reverse.
 func TestAttempt_Outcomes(t *testing.T) {
 	closed, conns := listenBackend(t)
 	for name, tc := range map[string]struct {
-		reply string // "" closes after the command
+		reply string // if empty, the backend closes the connection after the command
 		want  policy.Status
 		load  bool
 	}{
@@ -155,11 +158,11 @@
 			}
 			o := receive(t, r.decider.outcomes)
 			if o.Status != tc.want || o.Completed != (tc.want == policy.OK) || (o.Load != nil) != tc.load {
-				t.Errorf("got %+v, want status %v", o, tc.want)
+				t.Errorf("got outcome %+v, want status %v and a load report: %v", o, tc.want, tc.load)
 			}
 			if tc.want == policy.OK {
 				if c.line() != "$1" || c.line() != "v" {
-					t.Error("the client did not get the value")
+					t.Error("the client did not receive the value")
 				}
 			}
 		})
@@ -170,13 +173,12 @@
 		r := startIngress(t, testConfig(l.Addr().String()), sendTo(0))
 		r.client().send(lookCommand("a")...)
 		if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
-			t.Errorf("got %+v", o)
+			t.Errorf("got outcome %+v, want ConnectFailed", o)
 		}
 	})
 }
 
-// Guards against a connection that is used again after its attempt was given up: the late reply
-// would answer another request.
+// Guards against reuse of a connection whose attempt timed out or was cancelled: the late reply would answer another request.
 func TestAttempt_CancelClosesConnection(t *testing.T) {
 	addr, conns := listenBackend(t)
 	for _, how := range []string{"timeout", "cancel"} {
@@ -194,40 +196,41 @@
 				r.onLoop(func() { r.ingress.expireAttempt(r.ingress.requests["a"].attempts[0]) })
 			}
 			if o := receive(t, r.decider.outcomes); o.Status != want || o.Completed {
-				t.Errorf("got %+v, want %v", o, want)
+				t.Errorf("got outcome %+v, want status %v, not completed", o, want)
 			}
 			if b.command() != nil {
-				t.Error("more was sent on a connection that was given up")
+				t.Error("a command was written to the connection after its attempt ended")
 			}
 			r.onLoop(func() { r.ingress.Reject("a", 0.25) })
 			if got := c.line(); got != "-BUSY 250" {
-				t.Errorf("client got %q", got)
+				t.Errorf("the client got %q, want -BUSY 250", got)
 			}
 			if len(r.decider.outcomes) != 0 {
-				t.Error("one attempt was reported twice")
+				t.Error("the attempt was reported twice")
 			}
 		})
 	}
 }
 
-// Guards the probe's own path: its report reaches the module, and its connection serves on.
+// Guards probes, which have no request: the load report in the reply reaches the decider.
 func TestAttempt_HealthCheck(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), nil)
 	r.onLoop(func() { r.ingress.Probe("s0") })
 	b := receive(t, conns)
 	if got := b.command(); fmt.Sprint(got) != "[INFO load]" {
-		t.Fatalf("the backend got %q", got)
+		t.Fatalf("the backend received %q, want INFO load", got)
 	}
 	write(b, "$13\r\ncpu_share=0.5\r\n")
 	if p := receive(t, r.decider.probed); p.Status != policy.OK || p.Load == nil || p.Load.Utilization != 0.5 {
-		t.Errorf("got %+v", p)
+		t.Errorf("got probe result %+v, want OK with utilization 0.5", p)
 	}
 }
 
-// Guards the last byte of a command that goes out in parts: it stays back when the client has left meanwhile, which its reader does not see.
+// Guards against a command that runs for a client that has disconnected: the command is written in parts, and the client
+// disconnects, unseen by its stopped reader, before the last byte is written. That byte must not be written.
 func TestAttempt_LastByteNotSentAfterDisconnect(t *testing.T) {
-	l, _ := narrow(t) // its connections have little room from the first byte on
+	l, _ := narrow(t) // its connections have small buffers from the first byte on
 	r := startIngress(t, testConfig(l.Addr().String()), func(r *testIngress) {
 		sendTo(5)(r)
 		dial := r.ingress.backends.dial
@@ -249,25 +252,25 @@
 	}
 	defer backend.Close()
 	r.onLoop(func() { r.ingress.requests["a"].client.stopReader() })
-	parts := false
-	r.waitFor("its reader has stopped, and the command is being written", func() bool {
+	partial := false
+	r.waitFor("the client's reader has stopped, and the command is being written", func() bool {
 		a := r.ingress.requests["a"]
 		if a == nil || len(a.attempts) == 0 || a.attempts[0].conn == nil {
 			return false
 		}
-		parts = a.attempts[0].conn.written.load() == writePartial
+		partial = a.attempts[0].conn.written.load() == writePartial
 		return a.client.reader == readerStopped
 	})
-	if !parts {
-		t.Fatal("the system took the whole command at once: no occasion")
+	if !partial {
+		t.Fatal("the socket took the whole command at once: the test needs a partial write")
 	}
 	c.Close()
-	r.waitFor("its end is here", func() bool { return sockets.PeerClosed(r.ingress.requests["a"].client.rawConn) })
+	r.waitFor("the end of the client's connection has been received", func() bool { return sockets.PeerClosed(r.ingress.requests["a"].client.rawConn) })
 	got, _ := io.ReadAll(backend)
 	if len(got) == 0 || strings.HasSuffix(string(got), body+"\r\n") {
-		t.Errorf("%d bytes came: the whole command", len(got))
+		t.Errorf("the backend received %d bytes, want a part of the command", len(got))
 	}
 	if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
-		t.Errorf("%+v", o)
+		t.Errorf("got outcome %+v, want ConnectFailed", o)
 	}
 }
--- a/internal/dataplane/ingress/backend_conn.go
+++ b/internal/dataplane/ingress/backend_conn.go
@@ -15,28 +15,28 @@
 	"eiderspread/policy"
 )
 
-// writeProgress is how far the command of an attempt has gone out. A backend begins a command with its last byte.
+// writeProgress is how much of an attempt's command has been written. A backend runs a command once it has received the last byte.
 type writeProgress int32
 
 const (
-	writePartial   writeProgress = iota // its last byte has not gone out
-	writeLastByte                       // a goroutine writes its last byte
-	writeComplete                       // all of it has
-	writeAbandoned                      // its last byte never will
+	writePartial   writeProgress = iota // the last byte has not been written
+	writeLastByte                       // a goroutine is writing the last byte
+	writeComplete                       // the whole command has been written
+	writeAbandoned                      // the last byte will never be written
 )
 
 func (p writeProgress) String() string {
 	return [...]string{"partial", "last byte", "complete", "abandoned"}[p]
 }
 
-// writeState is a writeProgress that several goroutines use.
+// writeState is a writeProgress that is safe for concurrent use.
 type writeState struct{ value atomic.Int32 }
 
 func (s *writeState) load() writeProgress { return writeProgress(s.value.Load()) }
 
 func (s *writeState) store(p writeProgress) { s.value.Store(int32(p)) }
 
-// advance goes from one progress to another, and reports whether it stood there.
+// advance changes the progress from one value to another, and reports whether it had the first value.
 func (s *writeState) advance(from, to writeProgress) bool {
 	return s.value.CompareAndSwap(int32(from), int32(to))
 }
@@ -44,32 +44,33 @@
 // backendConn is a connection to a backend. It carries one attempt at a time.
 type backendConn struct {
 	backend        *backend
-	dialedEndpoint discovery.Endpoint // as the backend stood when it was dialled
+	dialedEndpoint discovery.Endpoint // the backend's endpoint when the connection was dialed
 	conn           *net.TCPConn
 	rawConn        syscall.RawConn
-	replyExpected  atomic.Bool // set by the loop with each command, cleared by the reader with the reply
-	unusable       atomic.Bool // not to be used for another command; of any goroutine
-	written        writeState  // how far the attempt's command is; of any goroutine
-	writeMu        sync.Mutex  // held while a write that the loop does not wait for goes on
+	replyExpected  atomic.Bool // set by the loop before it writes a command, cleared by the reader after the reply
+	unusable       atomic.Bool // must not carry another command; of any goroutine
+	written        writeState  // how much of the attempt's command has been written; of any goroutine
+	writeMu        sync.Mutex  // held while a goroutine writes the rest of a command
 
-	// Loop only from here on.
-	attempt     *attempt // nil: none has been written since it was pooled
+	// The event loop owns the fields below.
+	attempt     *attempt // whose command was written last; nil for a new or pooled connection
 	idleSince   float64
-	reuseDelayS float64 // how long it is left alone from then on
+	reuseDelayS float64 // seconds from idleSince in which it is not reused while another connection is idle
 	closed      bool
 }
 
-// abandonWrite sees to it that the last byte of the attempt's command never goes out, and reports whether that is so: false means that the
-// command may run.
+// abandonWrite keeps the last byte of the attempt's command from being written. It returns false if that byte may already have been
+// written: the command may run then.
 func (c *backendConn) abandonWrite() bool {
 	return c.written.advance(writePartial, writeAbandoned) || c.written.load() == writeAbandoned
 }
 
-// silent reports whether the backend has not ended the connection and no byte of it waits to be read.
+// silent reports whether the backend has neither ended the connection nor sent bytes that are still unread.
 func (c *backendConn) silent() bool { return sockets.OpenAndSilent(c.rawConn) }
 
-// writeAttempt sends the command of an attempt, if that is still allowed: at once what the socket takes, the rest on a goroutine of its own,
-// which ends with the connection. Nothing else writes to a backend.
+// writeAttempt writes the command of an attempt to a connection. It writes what the socket takes without blocking, and starts a
+// goroutine for the rest, which ends with the connection at the latest. It returns false, and leaves the connection unused, if the
+// attempt may no longer be written. Every write to a backend starts here.
 func (in *Ingress) writeAttempt(c *backendConn, a *attempt) bool {
 	if !in.authorizeWrite(a) {
 		return false
@@ -89,35 +90,36 @@
 	case n == len(command):
 		c.written.store(writeComplete)
 	default:
-		in.writeRestOf(c, a, bytes.Clone(command[n:]))
+		in.writeRestInBackground(c, a, bytes.Clone(command[n:]))
 	}
 	in.verifyWritten(a)
 	return true
 }
 
-// writeRestOf starts to write what the socket did not take at once of an attempt's command.
-func (in *Ingress) writeRestOf(c *backendConn, a *attempt, rest []byte) {
+// writeRestInBackground starts a goroutine that writes the part of an attempt's command that the socket did not take without blocking.
+func (in *Ingress) writeRestInBackground(c *backendConn, a *attempt, rest []byte) {
 	onLastByte, latestStart := in.backends.onLastByte, a.latestStart
 	var client syscall.RawConn
 	if a.request != nil {
 		client = a.request.client.rawConn
 	}
-	mayEnd := func() bool { return in.clock.Now() <= latestStart && (client == nil || !sockets.PeerClosed(client)) }
-	c.writeMu.Lock() // only its own reader takes it besides, for a moment at its end
+	mayFinish := func() bool { return in.clock.Now() <= latestStart && (client == nil || !sockets.PeerClosed(client)) }
+	c.writeMu.Lock() // uncontended: only the connection's reader locks it too, briefly, after the connection has ended
 	go func() {
 		defer c.writeMu.Unlock()
-		if !c.writeRest(c.conn, rest, mayEnd, onLastByte) {
-			c.conn.Close() // its reader reports it
+		if !c.writeRest(c.conn, rest, mayFinish, onLastByte) {
+			c.conn.Close() // its reader then reports the failure
 		}
 	}()
 }
 
-// writeRest writes the rest of a command, and reports whether all of it is out. That the last byte may be out is recorded before it goes: an
-// attempt that ends in between would else be taken for one that never ran, and its request be sent again. Where mayEnd says no, as the latest
-// start has passed meanwhile, the last byte does not go.
-func (c *backendConn) writeRest(to io.Writer, rest []byte, mayEnd func() bool, onLastByte func()) bool {
+// writeRest writes the rest of a command, and reports whether all of it has been written. It records writeLastByte before it writes
+// the last byte: if the attempt ended between the write and a later record, it would be reported as never run, and its request would
+// be sent again. The last byte is not written if mayFinish returns false: the latest start has passed meanwhile, or the client has
+// disconnected.
+func (c *backendConn) writeRest(to io.Writer, rest []byte, mayFinish func() bool, onLastByte func()) bool {
 	last := len(rest) - 1
-	if _, err := to.Write(rest[:last]); err != nil || !mayEnd() || !c.written.advance(writePartial, writeLastByte) {
+	if _, err := to.Write(rest[:last]); err != nil || !mayFinish() || !c.written.advance(writePartial, writeLastByte) {
 		return false
 	}
 	if _, err := to.Write(rest[last:]); err != nil {
@@ -129,14 +131,14 @@
 	return true
 }
 
-// awaitWriter returns once no goroutine writes to the connection any more: whether the command was written to its end decides what the
-// connection's end means.
+// awaitWriter waits until no goroutine writes to the connection any more. Only then is it known whether the whole command was written, and
+// so whether an attempt whose connection has ended may have run.
 func (c *backendConn) awaitWriter() {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 }
 
-// closeBackendConn closes a connection and takes it out of the pool.
+// closeBackendConn closes a connection and removes it from the pool. It does nothing if the connection is already closed.
 func (in *Ingress) closeBackendConn(c *backendConn) {
 	if c.closed {
 		return
--- a/internal/dataplane/ingress/backend_dial.go
+++ b/internal/dataplane/ingress/backend_dial.go
@@ -10,7 +10,8 @@
 	"eiderspread/policy"
 )
 
-// dialForAttempt has the attempt wait for a new connection; false if there may be no more of them.
+// dialForAttempt dials a new connection, which the attempt waits for. At the limit on connections it closes an idle one, and returns
+// false if there is none.
 func (in *Ingress) dialForAttempt(a *attempt) bool {
 	if in.backends.openConns >= in.backends.maxConns && !in.evictIdleConn() {
 		return false
@@ -22,7 +23,7 @@
 	return true
 }
 
-// dialBackend makes one connection. Its goroutine ends with the dial's timeout at the latest.
+// dialBackend dials one connection and posts the result to the loop. It runs on a goroutine of its own, at most until the dial times out.
 func (in *Ingress) dialBackend(backend *backend, endpoint discovery.Endpoint) {
 	conn, err := in.backends.dial(endpoint.Addr)
 	var c *backendConn
@@ -36,11 +37,11 @@
 	in.post(in.clock.Now(), func() { in.handleDialed(backend, c, err) })
 }
 
-// handleDialed gives a new connection to the attempt that has waited longest. Where there is none, attempts that no dial is left for end, or
-// take an idle connection.
+// handleDialed handles the result of a dial. A new connection goes to the attempt that has waited longest. If more attempts wait
+// than dials are pending after that, they get idle connections or, without one, end.
 func (in *Ingress) handleDialed(backend *backend, c *backendConn, err error) {
 	backend.pendingDials--
-	status := in.takeDialed(backend, c, err)
+	status := in.useDialedConn(backend, c, err)
 	for len(backend.waitingAttempts) > backend.pendingDials {
 		if c := in.takeIdleConn(backend); c != nil {
 			in.assignConn(c)
@@ -50,13 +51,14 @@
 	}
 }
 
-// takeDialed puts a new connection to use. It returns how attempts end that waited for a connection in vain.
-func (in *Ingress) takeDialed(backend *backend, c *backendConn, err error) policy.Status {
+// useDialedConn gives a new connection to a waiting attempt or to the pool, or handles the dial's error if c is nil. It returns the
+// status with which attempts end that get no connection.
+func (in *Ingress) useDialedConn(backend *backend, c *backendConn, err error) policy.Status {
 	if c == nil {
 		in.backends.openConns--
 		in.logFault("dial failed", "backend", backend.ID, "error", err)
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-			return policy.NotSent // for want of something here: it says nothing of the backend
+			return policy.NotSent // this host lacks file descriptors or ports: the error says nothing about the backend
 		}
 		return policy.ConnectFailed
 	}
--- a/internal/dataplane/ingress/backend_pool.go
+++ b/internal/dataplane/ingress/backend_pool.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// idleRetireFraction of the settings' ConnIdleS is how long a connection may idle: a backend closes it after ConnIdleS, and a request that is
-	// written after that ends as a reset.
+	// idleRetireFraction of the settings' ConnIdleS is how long a connection may stay idle. A backend closes it after ConnIdleS, and
+	// an attempt that is written after that ends with a reset.
 	idleRetireFraction = 0.5
-	// reuseDelayS is how long a connection is left alone after an answer, if there is another one: a duplicate of the answer comes right behind
-	// it, and is seen before the next command goes out.
+	// reuseDelayS is how many seconds after a reply a connection is not reused while another one is idle. A duplicate of the reply follows it
+	// closely, and is detected in this time, before the next command is written.
 	reuseDelayS = 0.005
 )
 
-// backend is a backend of the endpoint list and its connections. Loop only.
+// backend is a backend of the endpoint list, with its connections. The event loop owns it.
 type backend struct {
 	discovery.Endpoint
 	state           policy.BackendState
-	idleConns       []*backendConn // the one that idles for longest first
-	waitingAttempts []*attempt     // for a dial, oldest first
+	idleConns       []*backendConn // ordered by idleSince, oldest first
+	waitingAttempts []*attempt     // for a connection that is being dialed, oldest first
 	pendingDials    int
 
-	lastWriteAt     float64 // when it was last sent to
-	drainNotifiedAt float64 // when discovery said that it drains or is removed; 0: it serves
+	lastWriteAt     float64 // when an attempt was last written to it
+	drainNotifiedAt float64 // when discovery reported that it drains or is removed; 0 while it is up
 }
 
-// backendPool holds the backends of the endpoint list, by id. Loop only, but for the fields that never change.
+// backendPool holds the backends of the endpoint list and limits the connections to them. The event loop owns it, except for the
+// fields that never change.
 type backendPool struct {
 	byID          map[string]*backend
-	openConns     int // dials among them
+	openConns     int // including pending dials
 	maxConns      int
-	maxConnsAlone int // what maxConns is while no other process serves for this ingress
+	maxConnsAlone int // maxConns outside of a hot restart, while no other process of this ingress has connections
 
 	// These never change once the loop runs.
 	idleTimeoutS     float64
 	duplicateWindowS float64
 	dial             func(addr string) (net.Conn, error)
-	onLastByte       func() // for tests: the last byte of a command that did not go out at once is out, and that is not recorded yet
+	onLastByte       func() // for tests; called by writeRest between the write of the last byte and its record as writeComplete
 }
 
 func (p *backendPool) init(cfg ingressconfig.Config) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// anyUp reports whether there is a backend that a request could be sent to.
+// anyUp reports whether at least one backend is up.
 func (p *backendPool) anyUp() bool {
 	for _, backend := range p.byID {
 		if backend.state == policy.Up {
@@ -69,8 +70,9 @@
 	return false
 }
 
-// applyList takes in a full list, or changes of one. An attempt that waits for a dial to a backend that may get nothing new is given back to
-// the decider at once.
+// applyList applies a full endpoint list, or changes to it. Attempts that wait for a connection to a backend that is no longer up
+// are returned to the decider as not sent. notifiedAt is when discovery or an operator
+// changed the list.
 func (p *backendPool) applyList(in *Ingress, list discovery.List, notifiedAt float64) {
 	listed := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
@@ -84,12 +86,12 @@
 			p.retireConns(in, backend)
 		}
 		if backend.state == policy.Removed {
-			delete(p.byID, id) // its attempts keep it until they end
+			delete(p.byID, id) // its attempts refer to it until they end
 		}
 	}
 }
 
-// applyEndpoint takes in one entry of a list.
+// applyEndpoint applies one entry of an endpoint list. A backend that has moved or restarted gets new connections.
 func (p *backendPool) applyEndpoint(in *Ingress, endpoint discovery.Endpoint, notifiedAt float64) {
 	known := p.byID[endpoint.ID]
 	if known == nil {
@@ -109,7 +111,7 @@
 	}
 }
 
-// retireConns closes a backend's idle connections and, unless it is up, gives back what waits for a dial.
+// retireConns closes a backend's idle connections and, unless it is up, ends the attempts that wait for a connection to it as not sent.
 func (p *backendPool) retireConns(in *Ingress, backend *backend) {
 	in.closeIdleConns(backend)
 	if backend.state == policy.Up {
@@ -120,7 +122,7 @@
 	}
 }
 
-// sweep closes the connections that have idled for too long.
+// sweep closes connections that have been idle for longer than idleTimeoutS.
 func (p *backendPool) sweep(in *Ingress) {
 	for _, backend := range p.byID {
 		for len(backend.idleConns) > 0 && in.now-backend.idleConns[0].idleSince > p.idleTimeoutS {
@@ -136,7 +138,7 @@
 	}
 }
 
-// evictIdleConn closes the connection that idles for longest, and reports whether there was one.
+// evictIdleConn closes the connection that has been idle longest, of all backends, and reports whether there was one.
 func (in *Ingress) evictIdleConn() bool {
 	var oldest *backendConn
 	for _, backend := range in.backends.byID {
@@ -150,9 +152,10 @@
 	return oldest != nil
 }
 
-// takeIdleConn takes a connection out of the pool, nil if there is none of use: the one used last of those whose delay is over, else the one
-// that has idled for longest, unless its last answer was no value. One on which bytes wait that nobody asked for, or that has ended though its
-// reader has not come to it yet, must not get a command.
+// takeIdleConn removes a connection from the pool and returns it; nil if there is no usable one. It prefers the most recently used
+// connection whose reuse delay is over. Otherwise it takes the one that has been idle longest, except after replies other than
+// values. It closes connections that must not carry a command: those with unread bytes, which nobody asked for, and those that the
+// backend has ended, even if their readers have not noticed either yet.
 func (in *Ingress) takeIdleConn(backend *backend) *backendConn {
 	for len(backend.idleConns) > 0 {
 		i := len(backend.idleConns) - 1
@@ -176,7 +179,7 @@
 	return nil
 }
 
-// assignConn gives a connection to the first attempt that waits and may still be written, else to the pool.
+// assignConn gives a connection to the first waiting attempt that may still be written, or to the pool if there is none.
 func (in *Ingress) assignConn(c *backendConn) {
 	backend := c.backend
 	for len(backend.waitingAttempts) > 0 {
@@ -193,8 +196,8 @@
 	in.poolConn(c, reuseDelayS)
 }
 
-// poolConn puts a connection into the pool, where it is left alone for reuseDelay seconds. It does not go to an attempt that waits: that one has a
-// dial under way, and a duplicate of the answer may be right behind.
+// poolConn puts a connection into the pool with a reuse delay in seconds, or closes it if it is not usable. The connection does not
+// go to a waiting attempt: that has a dial pending, and a duplicate of the last reply may still arrive on this connection.
 func (in *Ingress) poolConn(c *backendConn, reuseDelay float64) {
 	c.attempt = nil
 	if !in.usable(c) {
@@ -205,7 +208,7 @@
 	c.backend.idleConns = append(c.backend.idleConns, c)
 }
 
-// usable reports whether the connection may carry another command: its backend still stands where it was dialled and may be sent to.
+// usable reports whether the connection may carry another command: its backend is up, and has neither moved nor restarted since the dial.
 func (in *Ingress) usable(c *backendConn) bool {
 	return !c.closed && !c.unusable.Load() && c.backend.state == policy.Up && c.dialedEndpoint.Addr == c.backend.Addr &&
 		c.dialedEndpoint.StartedMS == c.backend.StartedMS
--- a/internal/dataplane/ingress/backend_pool_test.go
+++ b/internal/dataplane/ingress/backend_pool_test.go
@@ -11,16 +11,16 @@
 	"eiderspread/policy"
 )
 
-// Guards against a send after the news of a drain: what waits for a dial is looked at again before
-// its first byte.
+// Guards against an attempt that waits for a dial and is written although its backend has begun to drain, or its request has ended,
+// meanwhile.
 func TestPool_AttemptRecheckedAfterDial(t *testing.T) {
 	addr, conns := listenBackend(t)
 	for name, change := range map[string]func(*testIngress){
 		"draining": func(r *testIngress) {
 			r.ingress.applyDiscoveryList(discovery.List{Endpoints: []discovery.Endpoint{{ID: "s0", Addr: addr, State: "terminating"}}}, r.ingress.now)
 		},
-		"gone": func(r *testIngress) { r.ingress.applyDiscoveryList(discovery.List{Full: true}, r.ingress.now) },
-		"over": func(r *testIngress) { r.ingress.Reject("a", 0) },
+		"removed":           func(r *testIngress) { r.ingress.applyDiscoveryList(discovery.List{Full: true}, r.ingress.now) },
+		"request completed": func(r *testIngress) { r.ingress.Reject("a", 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			dialing, free := make(chan struct{}), make(chan struct{})
@@ -38,19 +38,19 @@
 			r.onLoop(func() { change(r) })
 			close(free)
 			if o := receive(t, r.decider.outcomes); o.Status != policy.NotSent {
-				t.Errorf("got %+v", o)
+				t.Errorf("got outcome %+v, want NotSent", o)
 			}
 			b := receive(t, conns)
 			r.onLoop(func() { r.ingress.applyDiscoveryList(discovery.List{Full: true}, r.ingress.now) }) // closes the pool
 			if got := b.command(); got != nil {
-				t.Errorf("the backend got %q", got)
+				t.Errorf("the backend received %q, want no command", got)
 			}
 		})
 	}
 }
 
-// Guards against a request written to a connection that its backend has closed while it idled,
-// which would end as a reset that may have run.
+// Guards against an attempt on a connection that its backend has closed while it was idle: that would end with a reset, after which
+// the request may have run.
 func TestPool_ReuseAndLimits(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(0))
@@ -60,7 +60,7 @@
 		b.command()
 		write(b, servedReply)
 		if c.line() != "$1" || c.line() != "v" {
-			t.Fatal("not served: " + id)
+			t.Fatalf("request %q: the client did not receive the value", id)
 		}
 		receive(t, r.decider.outcomes)
 	}
@@ -70,18 +70,18 @@
 	c.send(lookCommand("b")...)
 	serve("b", b) // the same connection
 	b.Close()
-	r.waitFor("the pool notices the close", func() bool { return r.ingress.backends.openConns == 0 })
+	r.waitFor("the pool has removed the connection that the backend closed", func() bool { return r.ingress.backends.openConns == 0 })
 	c.send(lookCommand("c")...)
 	b = receive(t, conns)
 	serve("c", b)
 	r.onLoop(func() { r.ingress.now += r.ingress.backends.idleTimeoutS + 1; r.ingress.backends.sweep(r.ingress) })
 	if b.command() != nil {
-		t.Error("a connection that idled for long was used")
+		t.Error("a connection that was idle for longer than idleTimeoutS was not closed")
 	}
 }
 
-// Guards the edge between the two ways in which a broken connection may end an attempt: a command of
-// which the socket took only a part has not run, and one that is written in the end is served.
+// Guards the outcome of a command that the socket takes only in parts: if the connection breaks before the last byte the attempt is
+// reported as not run, and if the rest is written later it is served.
 func TestPool_PartialCommandWrite(t *testing.T) {
 	l, change := narrow(t)
 	r := startIngress(t, testConfig(l.Addr().String()), change)
@@ -97,13 +97,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.waitFor("a part is written", func() bool {
+	r.waitFor("a part of the command is written", func() bool {
 		a := r.ingress.requests["a"].attempts[0]
 		return a.conn != nil && a.conn.written.load() == writePartial
 	})
 	b.Close()
 	if o := receive(t, r.decider.outcomes); o.Status != policy.ConnectFailed {
-		t.Errorf("a command that was cut off: %+v", o)
+		t.Errorf("outcome of a command that was cut off: got %+v, want ConnectFailed", o)
 	}
 	c := post("b")
 	b, err = l.Accept()
@@ -112,21 +112,21 @@
 	}
 	w := newTestConn(t, b)
 	if args := w.command(); len(args) != 5 || args[4] != body {
-		t.Error("the command did not come whole")
+		t.Error("the backend did not receive the whole command")
 	}
 	write(w, servedReply)
 	if c.line() != "$1" || c.line() != "v" {
-		t.Error("not served")
+		t.Error("the client did not receive the value")
 	}
 	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
-		t.Errorf("got %+v", o)
+		t.Errorf("got outcome %+v, want OK", o)
 	}
 }
 
-// Guards against the second copy of an answer that is taken for the answer to the next command: a
-// connection on which bytes wait, or that has ended, gets none, also before its reader has come to it.
+// Guards against a duplicate reply that is taken for the reply to the next command. A connection with unread bytes, or one that has
+// ended, must get no command, even if its reader has not noticed yet.
 func TestPool_StrayBytesRetireConnection(t *testing.T) {
-	for name, stray := range map[string]string{"a copy": servedReply, "noise": "x", "the end": ""} {
+	for name, stray := range map[string]string{"duplicate": servedReply, "noise": "x", "connection end": ""} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listenBackend(t)
 			r := startIngress(t, testConfig(addr), sendTo(0))
@@ -147,24 +147,24 @@
 				be.idleConns = append(be.idleConns, c)
 				r.ingress.backends.openConns++
 			})
-			r.waitFor("it has come", func() bool { return !c.silent() })
+			r.waitFor("the stray bytes or the end are received", func() bool { return !c.silent() })
 			client := r.client()
 			client.send(lookCommand("a")...)
 			b := receive(t, conns)
 			if got := b.command(); len(got) != 4 {
-				t.Fatalf("the new connection got %q", got)
+				t.Fatalf("the new connection received %q, want a command of 4 parts", got)
 			}
 			write(b, servedReply)
-			client.served("on a new connection")
+			client.served("request on a new connection")
 			if stray != "" && old.command() != nil {
-				t.Error("a command was written behind the stray bytes")
+				t.Error("a command was written to the connection with stray bytes")
 			}
 		})
 	}
 }
 
-// Guards against the same where the copy comes once the next command is written: no client must be served
-// with it. The next command's request has failed, as its own answer can't be told any more.
+// Guards against the same when the duplicate is received after the next command was written: no client must get it. The next
+// command's attempt fails, because its own reply can no longer be told apart.
 func TestPool_DuplicateReplyAfterNextCommand(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), func(r *testIngress) {
@@ -176,23 +176,23 @@
 	b := receive(t, conns)
 	b.command()
 	write(b, servedReply)
-	c.served("the first")
+	c.served("first request")
 	receive(t, r.decider.outcomes)
 	c.send(lookCommand("b")...)
 	if got := b.command(); len(got) != 4 || got[2] != "b" {
-		t.Fatalf("the connection got %q", got)
+		t.Fatalf("the connection received %q, want the call with id b", got)
 	}
 	write(b, servedReply)
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Error || o.Completed {
-		t.Errorf("got %+v", o)
+		t.Errorf("got outcome %+v, want Error, not completed", o)
 	}
 	if b.command() != nil {
-		t.Error("the connection is used on")
+		t.Error("another command was written to the connection")
 	}
 }
 
-// Guards against an answer from what stands now where a backend has been: a connection that was in use
-// while its backend moved, or started anew, is not pooled.
+// Guards against commands to the wrong process: a connection that was in use while its backend moved to another address, or
+// restarted, must not be pooled.
 func TestPool_MovedBackendNotPooled(t *testing.T) {
 	from, old := listenBackend(t)
 	to, moved := listenBackend(t)
@@ -212,7 +212,7 @@
 				r.ingress.applyDiscoveryList(discovery.List{Endpoints: []discovery.Endpoint{e}}, r.ingress.now)
 			})
 			write(b, servedReply)
-			c.served("the answer that was out")
+			c.served("request that was in flight during the change")
 			c.send(lookCommand("b")...)
 			next := moved
 			if name == "restarted" {
@@ -220,23 +220,23 @@
 			}
 			b = receive(t, next)
 			if b.command() == nil {
-				t.Fatal("the next command did not come")
+				t.Fatal("the new connection did not receive the next command")
 			}
 			write(b, servedReply)
-			c.served("the next one")
+			c.served("request after the change")
 		})
 	}
 }
 
-// Guards against a backend taken for down, and a request for failed, where a dial fails while another
-// connection has become free.
+// Guards against an attempt that is reported as ConnectFailed because its dial failed, although another connection to the backend
+// became idle during the dial.
 func TestPool_FailedDialUsesIdleConnection(t *testing.T) {
 	addr, conns := listenBackend(t)
 	fail, dialled := make(chan struct{}), make(chan struct{}, 2)
 	r := startIngress(t, testConfig(addr), func(r *testIngress) {
 		sendTo(0)(r)
 		dial, n := r.ingress.backends.dial, 0
-		r.ingress.backends.dial = func(addr string) (net.Conn, error) { // one after another in this test
+		r.ingress.backends.dial = func(addr string) (net.Conn, error) { // calls do not overlap in this test, so n needs no lock
 			n++
 			dialled <- struct{}{}
 			if n == 1 {
@@ -254,20 +254,20 @@
 	c.send(lookCommand("b")...)
 	receive(t, dialled)
 	write(b, servedReply)
-	c.served("the first")
+	c.served("first request")
 	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
-		t.Fatalf("got %+v", o)
+		t.Fatalf("got outcome %+v, want OK", o)
 	}
 	close(fail)
 	if got := b.command(); len(got) != 4 || got[2] != "b" {
-		t.Fatalf("the free connection got %q", got)
+		t.Fatalf("the idle connection received %q, want the call with id b", got)
 	}
 	write(b, servedReply)
-	c.served("the second")
+	c.served("second request")
 }
 
-// Guards against a late second copy of a refusal or an error that is taken for what became of the next command: it would tell of another
-// request that it never ran. The connection rests until a copy has come, and what does come on it then ends it.
+// Guards against a late duplicate of -BUSY or -ERR that is taken for the reply to the next command, which would be reported as never
+// run. The connection is not reused for duplicateWindowS, and a duplicate that is received in that time ends it.
 func TestPool_DuplicateOfErrorReply(t *testing.T) {
 	for _, answer := range []string{"-BUSY\r\n", "-ERR failed\r\n"} {
 		t.Run(answer[:len(answer)-2], func(t *testing.T) {
@@ -284,21 +284,22 @@
 			receive(t, r.decider.outcomes)
 			c2 := r.client()
 			c2.send(lookCommand("b")...)
-			other := receive(t, conns) // not the one that answered last
+			other := receive(t, conns) // a new connection, not the one that replied last
 			if got := other.command(); len(got) != 4 || got[2] != "b" {
-				t.Fatalf("the new connection got %q", got)
+				t.Fatalf("the new connection received %q, want the call with id b", got)
 			}
 			write(b, answer)
 			if b.command() != nil {
-				t.Error("the connection is used on")
+				t.Error("a command was written to the connection that sent a duplicate")
 			}
 			write(other, servedReply)
-			c2.served("the second")
+			c2.served("second request")
 		})
 	}
 }
 
-// Guards the same for values that come late, behind another answer, and for large ones, of which the start tells.
+// Guards against duplicates of values that are received late, after another reply, and of large values, which are recognized by
+// their start.
 func TestDuplicateFilter_Seen(t *testing.T) {
 	var l duplicateFilter
 	a, b := []byte("a"), []byte("b")
@@ -308,7 +309,7 @@
 		want bool
 	}{{a, 1, false}, {b, 1.01, false}, {a, 1.02, true}, {b, 1.02, true}, {a, 2, false}} {
 		if got := l.seen(step.b, step.at, 0.1); got != step.want {
-			t.Errorf("step %d: %v", i, got)
+			t.Errorf("step %d: seen is %v, want %v", i, got, step.want)
 		}
 	}
 	addr, conns := listenBackend(t)
@@ -323,27 +324,27 @@
 	w.command()
 	write(w, string(answer))
 	if got := c.bulk(); string(got) != string(text) {
-		t.Fatal("not served")
+		t.Fatalf("the client got %d bytes, want the large value of %d bytes", len(got), len(text))
 	}
 	receive(t, r.decider.outcomes)
 	c.send(lookCommand("b")...)
 	if w.command() == nil {
-		t.Fatal("no second command")
+		t.Fatal("the connection did not receive the second command")
 	}
-	go write(w, string(answer)) // its end may be cut off
+	go write(w, string(answer)) // the ingress may close the connection before all of it is written
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Error || o.Completed {
-		t.Errorf("a copy of a large value: %+v", o)
+		t.Errorf("outcome of a duplicate of a large value: got %+v, want Error, not completed", o)
 	}
 }
 
-// Guards against an unsafe request that is sent again though it runs: its last byte is out, written by a goroutine that has not said so
-// yet, as it is given up.
+// Guards against a second attempt for a non-idempotent request that is running: a goroutine has written the command's last byte, but
+// has not yet recorded writeComplete when the attempt times out.
 func TestPool_LastByteWrittenBeforeReported(t *testing.T) {
 	l, change := narrow(t)
-	out, said := make(chan struct{}), make(chan struct{})
+	out, proceed := make(chan struct{}), make(chan struct{})
 	r := startIngress(t, testConfig(l.Addr().String()), func(r *testIngress) {
 		change(r)
-		r.ingress.backends.onLastByte = func() { close(out); <-said }
+		r.ingress.backends.onLastByte = func() { close(out); <-proceed }
 	})
 	c := r.client()
 	c.send("CALL.POST", customer, "a", "c=bill,t=basic,d=600000,units=2,spread=2,first=1", string(make([]byte, resp.MaxValueBytes)))
@@ -352,35 +353,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if args := newTestConn(t, b).command(); len(args) != 5 { // all of it is there: it runs
-		t.Fatal("the command did not come whole")
+	if args := newTestConn(t, b).command(); len(args) != 5 { // the backend has the whole command and runs it
+		t.Fatal("the backend did not receive the whole command")
 	}
 	receive(t, out)
 	r.onLoop(func() { r.ingress.expireAttempt(r.ingress.requests["a"].attempts[0]) })
-	close(said)
+	close(proceed)
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Timeout {
-		t.Errorf("given up while its last byte was out: %+v, may it be sent again?", o)
+		t.Errorf("outcome of a timeout after the last byte was written: got %+v, want Timeout", o)
 	}
 }
 
-// Guards the other side of that edge: what is given up before its last byte never goes out whole.
+// Guards against a command that is written completely although its attempt ended before the last byte.
 func TestPool_WriteAbandonedBeforeLastByte(t *testing.T) {
-	mine, theirs := net.Pipe()
-	defer theirs.Close()
+	local, remote := net.Pipe()
+	defer remote.Close()
 	c := &backendConn{}
 	got := make(chan []byte, 1)
 	go func() {
-		b, _ := io.ReadAll(theirs)
+		b, _ := io.ReadAll(remote)
 		got <- b
 	}()
 	for range 2 {
 		if !c.abandonWrite() {
-			t.Fatal("nothing of it was out")
+			t.Fatal("abandonWrite returned false, although the last byte was not written")
 		}
 	}
-	c.writeRest(mine, []byte("rest"), func() bool { return true }, func() { t.Error("the last byte went out") })
-	mine.Close()
+	c.writeRest(local, []byte("rest"), func() bool { return true }, func() { t.Error("the last byte was written") })
+	local.Close()
 	if b := receive(t, got); string(b) != "res" || !c.abandonWrite() {
-		t.Errorf("%q went out", b)
+		t.Errorf("%q was written, want %q, and the write must stay abandoned", b, "res")
 	}
 }
--- a/internal/dataplane/ingress/backend_reader.go
+++ b/internal/dataplane/ingress/backend_reader.go
@@ -10,11 +10,11 @@
 )
 
 var (
-	errDuplicateReply  = errors.New("a duplicate of an earlier reply")
-	errUnexpectedReply = errors.New("a reply to something else")
+	errDuplicateReply  = errors.New("duplicate of an earlier reply")
+	errUnexpectedReply = errors.New("reply does not match the command")
 )
 
-// replyReader is what the reader of a backend's connection keeps between reads.
+// replyReader is the state that readLoop keeps between reads.
 type replyReader struct {
 	ingress *Ingress
 	conn    *backendConn
@@ -22,7 +22,8 @@
 	recent  duplicateFilter
 }
 
-// readLoop takes the replies of one connection and notices its end, also while it idles. It ends with the connection.
+// readLoop reads the replies on one connection and detects the connection's end, also while it is idle. It stops at that end, or
+// after bytes that make the connection unusable; it then closes the connection and posts handleConnLost to the loop.
 func (c *backendConn) readLoop(in *Ingress) {
 	r := replyReader{ingress: in, conn: c, input: inputbuffer.New(&in.inputBudget)}
 	defer r.input.Release()
@@ -35,7 +36,7 @@
 	in.post(at, func() { in.handleConnLost(c, at) })
 }
 
-// readOnce reads what has come and handles a reply that is complete with it. It reports whether the connection may be read on.
+// readOnce reads once and handles the reply if it is complete. It reports whether to continue reading from the connection.
 func (r *replyReader) readOnce() bool {
 	in, c := r.ingress, r.conn
 	space := r.input.Space()
@@ -45,8 +46,8 @@
 	}
 	n, err := c.conn.Read(space)
 	at := in.clock.Now()
-	if n > 0 && !c.replyExpected.Load() { // what follows can't be told apart
-		in.post(at, func() { in.logFault("unsolicited bytes", "backend", c.backend.ID, "bytes", n) })
+	if n > 0 && !c.replyExpected.Load() { // a later reply could not be told apart from them
+		in.post(at, func() { in.logFault("unsolicited bytes from backend", "backend", c.backend.ID, "bytes", n) })
 		return false
 	}
 	r.input.Advance(n)
@@ -67,8 +68,8 @@
 	return err == nil
 }
 
-// handleLargeReply streams a large value once enough of it has come, and reports whether the connection may be read on. err is what the last
-// read returned.
+// handleLargeReply streams a large value once minLargePrefix bytes of it have been received. It reports whether to continue reading
+// from the connection. err is the error of the last read.
 func (r *replyReader) handleLargeReply(large resp.LargeReply, at float64, err error) bool {
 	prefix := large.ValueAt + minLargePrefix
 	if r.input.Len() < prefix {
@@ -81,7 +82,8 @@
 	return r.conn.streamLargeValue(r.ingress, &r.input, large, at)
 }
 
-// handleReply takes the reply of size bytes that the input starts with, and reports whether the connection may be read on.
+// handleReply parses the reply in the first size bytes of the input and posts it to the loop. It reports whether to continue reading
+// from the connection.
 func (r *replyReader) handleReply(size int, at float64) bool {
 	in, c := r.ingress, r.conn
 	res := callprotocol.ParseReply(r.input.Bytes()[:size])
@@ -89,7 +91,7 @@
 		c.failMalformed(in, at, r.input.Bytes(), res.Err)
 		return false
 	}
-	// A duplicate that was on its way when the next command was written is told apart by this alone.
+	// This is the only check that detects a duplicate that was in transit when the next command was written.
 	if res.Status == policy.OK && r.recent.seen(r.input.Bytes()[:size], at, in.backends.duplicateWindowS) {
 		c.failMalformed(in, at, r.input.Bytes(), errDuplicateReply)
 		return false
@@ -104,17 +106,19 @@
 	return !stray
 }
 
-// failMalformed ends the connection's attempt for what came in place of a reply.
+// failMalformed marks the connection as unusable and ends its attempt as one with a malformed reply. It logs cause and the first 40
+// bytes of got, what was received.
 func (c *backendConn) failMalformed(in *Ingress, at float64, got []byte, cause error) {
 	c.unusable.Store(true)
 	start := string(got[:min(len(got), 40)])
 	in.post(at, func() {
-		in.logFault("bad reply", "backend", c.backend.ID, "why", cause, "bytes", start)
+		in.logFault("invalid reply from backend", "backend", c.backend.ID, "why", cause, "bytes", start)
 		in.handleReply(c, callprotocol.Malformed(cause), at)
 	})
 }
 
-// handleReply ends the attempt that the connection carries, and pools the connection where that is safe.
+// handleReply ends the attempt that the connection carries. It pools the connection if the whole command was written and nothing
+// unexpected was received; otherwise the connection is closed with the attempt.
 func (in *Ingress) handleReply(c *backendConn, res callprotocol.Result, at float64) {
 	a := c.attempt
 	if c.closed || a == nil {
@@ -122,7 +126,7 @@
 	}
 	if res.Status == policy.OK && res.Probe != (a.request == nil) {
 		c.unusable.Store(true)
-		in.logFault("bad reply", "backend", c.backend.ID, "why", errUnexpectedReply)
+		in.logFault("invalid reply from backend", "backend", c.backend.ID, "why", errUnexpectedReply)
 		res = callprotocol.Malformed(errUnexpectedReply)
 	}
 	if c.written.load() == writeComplete && !c.unusable.Load() {
@@ -136,7 +140,7 @@
 	in.finishAttempt(a, res, at)
 }
 
-// handleConnLost takes the end of a connection. Its attempt has not run if the last byte of the command never went out.
+// handleConnLost handles the end of a connection. The connection's attempt did not run if the last byte of its command was never written.
 func (in *Ingress) handleConnLost(c *backendConn, at float64) {
 	if a := c.attempt; a != nil && a.state == attemptOut {
 		status := policy.Reset
--- a/internal/dataplane/ingress/discovery.go
+++ b/internal/dataplane/ingress/discovery.go
@@ -8,10 +8,10 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-// listAgeInterval is how often the age of the endpoint list is looked at, for the log alone.
+// listAgeInterval is the time between two checks of the endpoint list's age, which only affect the log.
 const listAgeInterval = 5 * time.Second
 
-// applyDiscoveryList applies a list that discovery sent at notifiedAt, with what operators cordon laid over it.
+// applyDiscoveryList applies a list that discovery sent at notifiedAt, after it has applied the operators' cordons to the list.
 func (in *Ingress) applyDiscoveryList(list discovery.List, notifiedAt float64) {
 	if in.cordons != nil {
 		list = in.cordons.ApplyList(list)
@@ -19,10 +19,10 @@
 	in.applyListAt(list, notifiedAt)
 }
 
-// applyList applies a list that changes now, by operators.
+// applyList applies a list that changes now because operators changed cordons.
 func (in *Ingress) applyList(list discovery.List) { in.applyListAt(list, in.now) }
 
-// applyListAt applies a list to the pools, and notifies the decider.
+// applyListAt applies a list to the backend pool and passes it to the decider.
 func (in *Ingress) applyListAt(list discovery.List, notifiedAt float64) {
 	if len(list.Endpoints) == 0 && !list.Full {
 		return
@@ -31,25 +31,27 @@
 	in.decider.UpdateBackends(in.now, list.Backends(), list.Full)
 }
 
-// watchDiscovery follows discovery until ctx ends, from each configuration that comes on reread on at the address that it names.
+// watchDiscovery watches discovery until ctx ends. Each configuration received on reread is applied, and its discovery address is
+// used from then on.
 func (in *Ingress) watchDiscovery(ctx context.Context, reread <-chan ingressconfig.Config) {
 	addrs := make(chan string)
-	go in.takeConfigs(ctx, reread, addrs)
+	go in.applyConfigs(ctx, reread, addrs)
 	in.watcher.Run(ctx, addrs)
 }
 
-// takeConfigs takes over what a running ingress can of each configuration, and hands on the address of discovery, until ctx ends.
-func (in *Ingress) takeConfigs(ctx context.Context, reread <-chan ingressconfig.Config, addrs chan<- string) {
+// applyConfigs applies the settings of each configuration received on reread that can change in a running ingress, and then sends
+// its discovery address to addrs. It returns when ctx ends.
+func (in *Ingress) applyConfigs(ctx context.Context, reread <-chan ingressconfig.Config, addrs chan<- string) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case cfg := <-reread:
 			if err := in.onLoop(ctx, func() error { return in.applySettings(cfg) }); err != nil {
-				in.log.Error("configuration not taken over", "error", err)
+				in.log.Error("configuration not applied", "error", err)
 				continue
 			}
-			in.log.Info("configuration read again", "discovery", cfg.Discovery)
+			in.log.Info("configuration reloaded", "discovery", cfg.Discovery)
 			select {
 			case addrs <- cfg.Discovery:
 			case <-ctx.Done():
@@ -59,7 +61,7 @@
 	}
 }
 
-// newWatcher makes the watcher of discovery; watchDiscovery's goroutine owns it but for its age.
+// newWatcher returns a watcher of discovery. The goroutine of watchDiscovery owns it, except for its Age, which any goroutine may read.
 func (in *Ingress) newWatcher() *discovery.Watcher {
 	return discovery.NewWatcher(in.cfg.Discovery, in.cfg.InitialEndpoints.Version,
 		func(list discovery.List) {
@@ -72,14 +74,15 @@
 // EndpointListAge implements Host.
 func (in *Ingress) EndpointListAge() discovery.Age { return in.watcher.Age() }
 
-// logListAge logs, once each way, when the endpoint list gets too old to be trusted. The ingress goes on with it.
+// logListAge logs when the endpoint list becomes too old to be trusted and when it is fresh again, once for each change. The ingress keeps
+// using a stale list.
 func (in *Ingress) logListAge(age discovery.Age) {
 	switch {
 	case age.Stale() && !in.endpointListStale:
 		in.endpointListStale = true
-		in.log.Error("the list of backends is old", "heard_s", age.SinceUpdateS, "told_s", age.ReportedAgeS)
+		in.log.Error("endpoint list is old", "heard_s", age.SinceUpdateS, "told_s", age.ReportedAgeS)
 	case !age.Stale() && in.endpointListStale:
 		in.endpointListStale = false
-		in.log.Info("the list of backends is fresh again")
+		in.log.Info("endpoint list is fresh again")
 	}
 }
--- a/internal/dataplane/ingress/drain.go
+++ b/internal/dataplane/ingress/drain.go
@@ -6,21 +6,22 @@
 	"eiderspread/policy"
 )
 
-// drainState is a drain by operators: the decision module's schedule, and what is logged of it. It does not outlive the process. Loop only.
+// drainState is a drain that operators asked for: the decision module's schedule, and figures for the log. It is lost when the
+// process ends. The event loop owns it.
 type drainState struct {
 	policy.Drain
-	sweepTimer    *timer // of the next look at all connections
-	deadlineTimer *timer // of the end of the time allowed
+	sweepTimer    *timer // runs the next sweep
+	deadlineTimer *timer // runs the checks at the end of the time that operators allow
 
 	// For the log.
 	sweeps              int
-	sweptAt             float64
-	longestSweepGapS    float64 // between two sweeps
-	rejectedPings       int
-	rejectedPingsQueued int // of these: behind other answers
+	sweptAt             float64 // when the last sweep ran
+	longestSweepGapS    float64 // longest time between two sweeps
+	rejectedPings       int     // PINGs answered with an error
+	rejectedPingsQueued int     // of these: answered behind other answers
 }
 
-// recordSweep notes a look at all connections.
+// recordSweep records the time of a sweep for the log.
 func (d *drainState) recordSweep(now float64) {
 	if d.sweeps++; d.sweeps > 1 {
 		d.longestSweepGapS = max(d.longestSweepGapS, now-d.sweptAt)
@@ -28,13 +29,14 @@
 	d.sweptAt = now
 }
 
-// startDrain answers fronts that this ingress takes no clients, and closes the connections that it has, by and by; a second call changes
-// nothing. A process that is replaced, or shuts down, closes them in its own way: an idle connection may be on its way to another process.
+// startDrain starts a drain: load balancers' PINGs get an error, and clients' connections are closed step by step. A second call
+// changes nothing. A process that is being replaced or shuts down does not drain, because it closes connections in its own way: an
+// idle connection may be in transfer to another process.
 func (in *Ingress) startDrain() {
 	if in.drain.Active() || in.shutdown.closingClients || in.successor.stage != handoverNone {
 		return
 	}
-	in.log.Info("drain begins", "connections", in.clients.open(), "requests", len(in.requests))
+	in.log.Info("drain started", "connections", in.clients.open(), "requests", len(in.requests))
 	in.drainLogLines = 0
 	in.drain = drainState{}
 	in.drain.Begin(in.now)
@@ -46,28 +48,30 @@
 	})
 }
 
-// cancelDrain accepts clients again.
+// cancelDrain ends the drain, if there is one, and accepts clients again. It returns errNotAccepting in a shutdown, and in a hot restart
+// once the successor serves.
 func (in *Ingress) cancelDrain() error {
 	if in.shutdown.closingClients {
 		return errNotAccepting
 	}
 	if in.drain.Active() {
-		in.log.Info("drain ends", "after", roundToMillis(in.drain.Elapsed(in.now)))
+		in.log.Info("drain cancelled", "after", roundToMillis(in.drain.Elapsed(in.now)))
 		in.clearDrain()
 	}
 	in.acceptingClients.Store(true)
 	return nil
 }
 
-// clearDrain forgets the drain.
+// clearDrain resets the drain and stops its timers.
 func (in *Ingress) clearDrain() {
 	in.stopTimer(in.drain.sweepTimer)
 	in.stopTimer(in.drain.deadlineTimer)
 	in.drain = drainState{}
 }
 
-// sweepDraining closes idle connections, and toward the end of the time those in use. Requests are decided on as they come, see rejectsRequests,
-// and connections with their answers, see afterAnswersWritten.
+// sweepDraining closes idle connections and, near the end of the drain, connections whose requests are all answered. Two other
+// places take part in a drain: rejectsRequests when a request arrives, and afterAnswersWritten when the answers of a connection have
+// been written.
 func (in *Ingress) sweepDraining() {
 	in.drain.sweepTimer = in.after(in.drain.NextIdleCheckS(in.now), in.sweepDraining)
 	in.drain.recordSweep(in.now)
@@ -92,7 +96,8 @@
 	return c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered()
 }
 
-// answerOpenRequests gives what is open on a connection its final answer now: rejected where that is true, else failed.
+// answerOpenRequests gives each open request of a connection its final answer now: a rejection if a retry by the client is harmless,
+// otherwise a failure.
 func (in *Ingress) answerOpenRequests(c *clientConn) {
 	for _, s := range slices.Clone(c.answerSlots) {
 		if s == nil || s.request == nil || s.request.completed {
--- a/internal/dataplane/ingress/drain_log.go
+++ b/internal/dataplane/ingress/drain_log.go
@@ -2,13 +2,14 @@
 
 import "eiderspread/internal/dataplane/sockets"
 
-// maxDrainLogLines bounds the lines of one drain or shutdown on single connections.
+// maxDrainLogLines limits the log lines about single connections in one drain or shutdown.
 const maxDrainLogLines = 60
 
-// draining reports whether clients are being let go of, by operators or as the process ends.
+// draining reports whether clients' connections are being closed or transferred, in a drain by operators, a hot restart or a shutdown.
 func (in *Ingress) draining() bool { return in.drain.Active() || in.shutdown.closingClients }
 
-// logClientConn writes a line on one connection while the ingress drains, at most maxDrainLogLines a drain.
+// logClientConn logs an event of one client connection. It logs only while the ingress is draining, at most maxDrainLogLines lines
+// in one drain.
 func (in *Ingress) logClientConn(message string, c *clientConn, more ...any) {
 	if !in.draining() || in.drainLogLines >= maxDrainLogLines {
 		return
@@ -21,15 +22,15 @@
 	in.log.Info(message, append(attrs, more...)...)
 }
 
-// logOpenConns writes a line on each connection that is still open at the end of the time for a drain, and what it is doing.
+// logOpenConns logs each connection that is still open at the end of a drain or shutdown, with its state.
 func (in *Ingress) logOpenConns() {
 	in.log.Warn("drain time is over", "connections", in.clients.open(), "requests", len(in.requests), "looks", in.drain.sweeps,
 		"longest_gap", roundToMillis(in.drain.longestSweepGapS), "pings", in.drain.rejectedPings, "pings_behind_answers", in.drain.rejectedPingsQueued)
 	for c := range in.clients.conns {
-		in.logClientConn("connection outlived the drain", c, "reader_stopped", c.reader != readerRunning, "loop_owns_input", c.reader >= readerStopped,
+		in.logClientConn("connection still open after drain", c, "reader_stopped", c.reader != readerRunning, "loop_owns_input", c.reader >= readerStopped,
 			"ending", c.state == connClosing, "writing", c.writing, "unread_bytes", sockets.UnreadBytes(c.rawConn))
 	}
 }
 
-// roundToMillis rounds a span of seconds to milliseconds, for the log.
+// roundToMillis rounds a duration in seconds to whole milliseconds, for the log.
 func roundToMillis(spanS float64) float64 { return float64(int(spanS*1000+0.5)) / 1000 }
--- a/internal/dataplane/ingress/drain_test.go
+++ b/internal/dataplane/ingress/drain_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A connection that is taken for one that rests, as clients are sent away, has a command on its way to the loop.
+// Guards against a drain that closes a connection as idle while a command from it, already read, is queued for the loop.
 func TestDrain_CommandOnItsWayToLoop(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	c := r.client()
@@ -18,24 +18,25 @@
 	r.onLoop(func() {
 		for c := range r.ingress.clients.conns {
 			c.lastUsedAt -= 1
-			c.pipelinePermits <- struct{}{} // as its reader does with each command, before the loop hears of it
+			c.pipelinePermits <- struct{}{} // as the reader does with each command, before it posts it to the loop
 			r.ingress.drain.Begin(r.ingress.now - 0.6)
 			r.ingress.sweepDraining()
 			if c.state != connOpen {
-				t.Error("it was closed with the command on its way")
+				t.Error("the connection was closed while a command was queued for the loop")
 			}
 			<-c.pipelinePermits
 			if r.ingress.sweepDraining(); c.state != connClosing {
-				t.Error("a connection that rests stays")
+				t.Error("an idle connection was not closed")
 			}
 		}
 	})
 	if c.line() != "" {
-		t.Error("no end")
+		t.Error("the client received a line, want the end of the connection")
 	}
 }
 
-// Guards clients and the front when an ingress is drained by hand: no at once, served while they stay, nothing left.
+// Guards a drain by operators: readiness and PING fail at once, clients are served until their connections close, and no connection
+// is left. Activate accepts clients again.
 func TestDrain_ClosesClientsAndActivateReopens(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, adminConfig(t, addr), sendTo(0))
@@ -46,49 +47,49 @@
 	b := receive(t, conns)
 	b.command()
 	if got := r.call("POST", "/v1/ingress/drain"); got != 200 {
-		t.Fatal(got)
+		t.Fatalf("POST /v1/ingress/drain: got status %d, want 200", got)
 	}
 	if r.call("GET", "/v1/readyz") == 200 {
-		t.Error("ready while drained")
+		t.Error("readyz returned 200 during the drain")
 	}
 	if idle.send("PING"); !strings.HasPrefix(idle.line(), "-") {
-		t.Error("PING is still answered with yes")
+		t.Error("PING was not answered with an error during the drain")
 	}
-	late := r.client() // the front has not noticed yet
+	late := r.client() // the load balancer has not noticed the drain yet
 	late.send(lookCommand("late")...)
 	lateB := receive(t, conns)
 	lateB.command()
 	r.drainSince(1.75)
 	if idle.line() != "" {
-		t.Error("an idle connection is kept")
+		t.Error("an idle connection was not closed")
 	}
 	for i, w := range []*testConn{busy, late} {
 		write([]*testConn{b, lateB}[i], servedReply)
 		if w.line() != "$1" || w.line() != "v" || w.line() != "" {
-			t.Error("a request was not answered, or its connection stayed")
+			t.Error("a request was not answered, or its connection was not closed behind the answer")
 		}
 	}
-	r.waitFor("nobody is left", func() bool { return r.ingress.clients.open() == 0 })
+	r.waitFor("all connections of clients are closed", func() bool { return r.ingress.clients.open() == 0 })
 	if r.call("POST", "/v1/ingress/activate") != 200 || r.call("GET", "/v1/readyz") != 200 {
-		t.Error("not taken back")
+		t.Error("activate or readyz after it did not return 200")
 	}
 	again := r.client()
 	if again.send("PING"); again.line() != "+PONG" {
-		t.Error("clients are not taken again")
+		t.Error("a new client's PING was not answered with PONG after activate")
 	}
 }
 
-// Guards requests that were read together with the last one of a connection: each has its answer before the end, however late in a drain they came,
-// and though more of them are there than may be open at once.
-func TestDrain_RequestsReadWithLastOne(t *testing.T) {
+// Guards against pipelined requests that get no answer because a drain closes their connection: each is answered before the close,
+// however late in the drain it was sent, and even if more were sent than maxPipelinedCommands.
+func TestDrain_PipelinedRequestsAnsweredBeforeClose(t *testing.T) {
 	for name, x := range map[string]struct {
-		since float64 // of the drain
+		since float64 // seconds since the drain began
 		many  int
 		want  string
 	}{
-		"served":           {1.75, 3, "$1"},
-		"refused":          {2.5, 3, "-BUSY"},
-		"more than may be": {1.75, maxPipelinedCommands + 3, "$1"},
+		"served":         {1.75, 3, "$1"},
+		"rejected":       {2.5, 3, "-BUSY"},
+		"over the limit": {1.75, maxPipelinedCommands + 3, "$1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := listenBackend(t)
@@ -104,7 +105,7 @@
 			for i := range x.many {
 				line := c.line()
 				if !strings.HasPrefix(line, x.want) {
-					t.Fatalf("answer %d of %d: %q", i, x.many, line)
+					t.Fatalf("answer %d of %d: got %q, want prefix %q", i, x.many, line, x.want)
 				}
 				if strings.HasPrefix(line, "$") {
 					c.line()
@@ -112,35 +113,35 @@
 			}
 			r.onLoop(func() {
 				for client := range r.ingress.clients.conns {
-					client.lastUsedAt -= 1 // as if it had rested
+					client.lastUsedAt -= 1 // as if it had been idle
 				}
 				r.ingress.sweepDraining()
 			})
 			if line := c.line(); line != "" {
-				t.Errorf("behind the last one: %q", line)
+				t.Errorf("after the last answer: got %q, want the end of the connection", line)
 			}
 		})
 	}
 }
 
-// Guards connections on their way to a new process: a drain that is asked for at that moment closes none of them.
+// Guards against a drain that starts during a hot restart and closes connections that are in transfer to the new process.
 func TestDrain_DuringHotRestart(t *testing.T) {
 	r := startIngress(t, adminConfig(t, "127.0.0.1:1"), nil)
 	r.onLoop(func() {
 		r.ingress.successor.stage = handoverPausing
 		r.ingress.startDrain()
 		if r.ingress.drain.Active() {
-			t.Error("it is drained beside the replacement")
+			t.Error("a drain started during a hot restart")
 		}
 		r.ingress.successor.stage = handoverNone
 		if r.ingress.startDrain(); !r.ingress.drain.Active() {
-			t.Error("no drain without a replacement")
+			t.Error("no drain started after the hot restart had ended")
 		}
 	})
 }
 
-// Guards the end of a drain against answers that wait in order behind a slow one: what is ahead of young requests is ended with the mildest answer
-// that is true. What waits alone is left.
+// Guards against young requests that are still unanswered at the end of a drain because their answers wait behind a slow request.
+// That one is ended: rejected if a retry is harmless, otherwise failed. A slow request that no other one waits behind goes on.
 func TestDrain_EndsWithQueuedRequests(t *testing.T) {
 	for class, want := range map[string]string{"look": "-BUSY", "hold": "-BUSY", "bill": "-ERR failed"} {
 		t.Run(class, func(t *testing.T) {
@@ -153,54 +154,54 @@
 				}
 				c.send("CALL.POST", customer, id, "c="+class+",t=basic,k=1,d=300000,units=1,spread=1,first=0", "body")
 			}
-			inLine, alone := r.client(), r.client()
-			ask(inLine, "slow")
+			queued, alone := r.client(), r.client()
+			ask(queued, "slow")
 			receive(t, conns).command()
 			ask(alone, "alone")
 			receive(t, conns).command()
 			r.drainSince(2.5)
-			ask(inLine, "young")
-			r.waitFor("the young one has come", func() bool { return len(r.ingress.requests["slow"].client.answerSlots) == 2 })
+			ask(queued, "young")
+			r.waitFor("the young request has an answer slot", func() bool { return len(r.ingress.requests["slow"].client.answerSlots) == 2 })
 			r.drainSince(3.7)
 			r.onLoop(func() {
-				r.ingress.requests["alone"].client.lastCallAt -= 3 // it came long before
+				r.ingress.requests["alone"].client.lastCallAt -= 3 // as if it had been sent long before
 				r.ingress.sweepDraining()
 			})
 			for i, want := range []string{want, "-BUSY"} {
-				if line := inLine.line(); !strings.HasPrefix(line, want) {
-					t.Errorf("answer %d: %q, want %q", i, line, want)
+				if line := queued.line(); !strings.HasPrefix(line, want) {
+					t.Errorf("answer %d: got %q, want prefix %q", i, line, want)
 				}
 			}
-			if line := inLine.line(); line != "" {
-				t.Errorf("behind them: %q", line)
+			if line := queued.line(); line != "" {
+				t.Errorf("after the answers: got %q, want the end of the connection", line)
 			}
 			if q := receive(t, r.decider.disconnects); q != "slow" {
-				t.Errorf("the module was told that %q is over", q)
+				t.Errorf("the decider was told that request %q is over, want slow", q)
 			}
 			r.onLoop(func() {
 				if r.ingress.requests["alone"] == nil || r.ingress.requests["alone"].completed {
-					t.Error("what nothing waits behind was ended")
+					t.Error("a request that no other one waits behind was ended")
 				}
 			})
 		})
 	}
 }
 
-// Guards clients that write slowly: a connection on which a part of a request has come is no idle one, when operators drain the ingress and when its
-// process ends; the request is served when it is whole.
+// Guards clients that write slowly: neither a drain nor a shutdown may close a connection as idle after a part of a request has been
+// received. The request is served once it is complete.
 func TestDrain_PartialRequestIsNotIdle(t *testing.T) {
-	for _, how := range []string{"drained", "ends"} {
+	for _, how := range []string{"drain", "shutdown"} {
 		t.Run(how, func(t *testing.T) {
 			addr, conns := listenBackend(t)
 			go serveBackend(conns)
 			r := startIngress(t, testConfig(addr), func(r *testIngress) {
 				sendTo(300)(r)
-				r.ingress.acceptFor = time.Hour // until the test says so
+				r.ingress.acceptFor = time.Hour // the shutdown starts closing only when the test calls closeIdle
 			})
 			c := r.client()
 			text := command(lookCommand("slow")...)
 			write(c, text[:20])
-			r.waitFor("a part is read", func() bool {
+			r.waitFor("a part of the request is read", func() bool {
 				for client := range r.ingress.clients.conns {
 					return client.receivingCommand.Load()
 				}
@@ -210,7 +211,7 @@
 				for client := range r.ingress.clients.conns {
 					client.lastUsedAt -= 1
 				}
-				if how == "drained" {
+				if how == "drain" {
 					r.ingress.drain.Begin(r.ingress.now - 1.75)
 					r.ingress.sweepDraining()
 					return
@@ -219,16 +220,17 @@
 			})
 			write(c, text[20:])
 			if line := c.line(); line != "$1" {
-				t.Errorf("got %q", line)
+				t.Errorf("got %q, want $1", line)
 			}
-			if how == "drained" && (c.line() != "v" || c.line() != "") {
-				t.Error("its connection stays")
+			if how == "drain" && (c.line() != "v" || c.line() != "") {
+				t.Error("the connection was not closed after the answer")
 			}
 		})
 	}
 }
 
-// Guards what operators are told of a drain: each connection's end with its reason, and what outlives the time allowed.
+// Guards what a drain logs and counts: the end of each connection with its reason, and the connections that are still open at the
+// end of the drain.
 func TestDrain_LoggedAndCounted(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, adminConfig(t, addr), sendTo(0))
@@ -246,7 +248,7 @@
 	quick.line()
 	receive(t, r.decider.outcomes)
 	if got := r.call("POST", "/v1/ingress/drain"); got != 200 {
-		t.Fatal(got)
+		t.Fatalf("POST /v1/ingress/drain: got status %d, want 200", got)
 	}
 	r.drainSince(1.75)
 	r.waitFor("the idle connection is closed", func() bool { return r.ingress.counters.closed[closeDrained] == 1 })
@@ -254,15 +256,15 @@
 	r.onLoop(func() { r.ingress.log = slog.New(slog.DiscardHandler) })
 	for _, want := range []string{
 		`msg="connection closed"`, "reason=drained", `msg="drain time is over" connections=1 requests=1`,
-		`msg="connection outlived the drain"`, "open=1", "reader_stopped=false", "unread_bytes=0",
+		`msg="connection still open after drain"`, "open=1", "reader_stopped=false", "unread_bytes=0",
 	} {
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("%s is not in the log:\n%s", want, log.String())
+			t.Errorf("the log lacks %s:\n%s", want, log.String())
 		}
 	}
 	var counts CounterStatus
 	r.onLoop(func() { counts = r.ingress.counters.status() })
 	if counts.Accepted != 2 || counts.Requests != 2 || counts.Attempts != 2 || counts.Retries != 0 || counts.Closed["drained"] != 1 {
-		t.Errorf("%+v", counts)
+		t.Errorf("got counters %+v, want 2 accepted, 2 requests, 2 attempts, 0 retries, 1 closed as drained", counts)
 	}
 }
--- a/internal/dataplane/ingress/peers.go
+++ b/internal/dataplane/ingress/peers.go
@@ -16,12 +16,12 @@
 	peerQueueSize    = 64 // datagrams
 )
 
-// peerLink exchanges datagrams with the other ingresses.
+// peerLink exchanges UDP datagrams with the other ingresses.
 type peerLink struct {
 	ingress *Ingress
 	conn    *net.UDPConn
 	queue   chan datagram // from the loop to sendLoop
-	paused  bool          // another process exchanges datagrams for this ingress; loop only
+	paused  bool          // another process of this ingress uses the socket; owned by the event loop
 }
 
 type datagram struct {
@@ -29,7 +29,7 @@
 	data        []byte
 }
 
-// newPeerLink opens the socket, or takes the predecessor's, and starts to send.
+// newPeerLink opens the socket, or uses the predecessor's, and starts sendLoop.
 func (in *Ingress) newPeerLink() (*peerLink, error) {
 	var conn *net.UDPConn
 	if in.predecessor != nil {
@@ -45,13 +45,13 @@
 	return p, nil
 }
 
-// pause leaves the socket to another process.
+// pause stops sending and receiving, so that another process can use the socket.
 func (p *peerLink) pause() {
 	p.paused = true
 	setReadDeadline(p.conn, expiredDeadline)
 }
 
-// resume takes it again.
+// resume starts sending and receiving again after a pause.
 func (p *peerLink) resume() {
 	p.paused = false
 	setReadDeadline(p.conn, time.Time{})
@@ -63,7 +63,8 @@
 	close(p.queue)
 }
 
-// enqueue queues a datagram; with the queue full it is lost, as it may be on its way too.
+// enqueue queues a datagram to one gateway, or to all with policy.Broadcast. It drops the datagram if the queue is full: senders
+// must expect losses, because the network can lose datagrams too.
 func (p *peerLink) enqueue(gateway int, data []byte) {
 	if p.paused {
 		return
@@ -71,49 +72,51 @@
 	destination := p.ingress.cfg.PeerBroadcast
 	if gateway != policy.Broadcast {
 		if gateway < 0 || gateway >= len(p.ingress.cfg.Peers) {
-			p.ingress.logFault("no such peer", "number", gateway)
+			p.ingress.logFault("datagram not sent: unknown peer number", "number", gateway)
 			return
 		}
 		destination = p.ingress.cfg.Peers[gateway]
 	}
 	if len(data) > maxDatagramBytes || !destination.IsValid() {
-		p.ingress.logFault("datagram not sent", "bytes", len(data), "to", destination)
+		p.ingress.logFault("datagram not sent: too long, or no valid destination address", "bytes", len(data), "to", destination)
 		return
 	}
 	select {
 	case p.queue <- datagram{destination, data}:
 	default:
-		p.ingress.logFault("datagram lost: the queue is full")
+		p.ingress.logFault("datagram not sent: the send queue is full")
 	}
 }
 
-// sendLoop sends what is queued until the queue is closed. Datagrams may be lost on their way, so an error is nothing new.
+// sendLoop sends queued datagrams until the queue is closed. It ignores errors, because a datagram may be lost anyway.
 func (p *peerLink) sendLoop() {
 	for d := range p.queue {
 		_, _ = p.conn.WriteToUDPAddrPort(d.data, d.destination)
 	}
 }
 
-// receiveLoop hands on what known peers send, until the link is closed or paused.
+// receiveLoop passes datagrams from known peers to the decider, until the link is closed or paused.
 func (p *peerLink) receiveLoop() {
 	in := p.ingress
-	numbers := map[netip.AddrPort]int{}
+	peerNumbers := map[netip.AddrPort]int{}
 	for i, a := range in.cfg.Peers {
-		numbers[a] = i
+		peerNumbers[a] = i
 	}
-	buf := make([]byte, maxDatagramBytes+1) // one byte more shows an overlong datagram
+	buf := make([]byte, maxDatagramBytes+1) // the extra byte reveals a datagram that is too long
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		} else if err != nil {
-			continue // such as the ICMP answer to a datagram that nobody took
+			continue // such as an ICMP error for a datagram to a closed port
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		number, known := numbers[from]
+		number, known := peerNumbers[from]
 		at := in.clock.Now()
 		if !known || n > maxDatagramBytes {
-			in.post(at, func() { in.logFault("datagram dropped", "from", from, "bytes", n) })
+			in.post(at, func() {
+				in.logFault("received datagram dropped: unknown sender, or too long", "from", from, "bytes", n)
+			})
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
--- a/internal/dataplane/ingress/peers_test.go
+++ b/internal/dataplane/ingress/peers_test.go
@@ -10,7 +10,8 @@
 	"eiderspread/policy"
 )
 
-// Guards against messages taken from strangers, and against datagrams that void a run.
+// Guards against messages accepted from unknown senders, and against sent datagrams that make a run invalid:
+// those that are too long or have no valid destination.
 func TestPeers_Datagrams(t *testing.T) {
 	udp := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -22,23 +23,23 @@
 		return c
 	}
 	addr := func(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
-	friend, stranger, all := udp(), udp(), udp()
+	peer, stranger, broadcast := udp(), udp(), udp()
 	cfg := testConfig()
 	cfg.Settings.PeerMessages = true
 	cfg.PeerListen = netip.MustParseAddrPort("127.0.0.1:0")
-	cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(friend)}
-	cfg.PeerBroadcast = addr(all)
+	cfg.Peers = []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(peer)}
+	cfg.PeerBroadcast = addr(broadcast)
 	r := startIngress(t, cfg, nil)
-	here := r.ingress.peers.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	ingressAddr := r.ingress.peers.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	sendTo := func(c *net.UDPConn, data []byte) {
-		_, err := c.WriteToUDPAddrPort(data, here)
+		_, err := c.WriteToUDPAddrPort(data, ingressAddr)
 		noError(t, err)
 	}
 	sendTo(stranger, []byte("spoof"))
-	sendTo(friend, bytes.Repeat([]byte("x"), maxDatagramBytes+1))
-	sendTo(friend, []byte("hello"))
+	sendTo(peer, bytes.Repeat([]byte("x"), maxDatagramBytes+1))
+	sendTo(peer, []byte("hello"))
 	if m := receive(t, r.decider.messages); m != (peerMessage{1, "hello"}) {
-		t.Errorf("got %+v", m)
+		t.Errorf("the decider got %+v, want hello from peer 1", m)
 	}
 	r.onLoop(func() {
 		r.ingress.SendPeerMessage(1, make([]byte, maxDatagramBytes+1))
@@ -47,10 +48,10 @@
 		r.ingress.SendPeerMessage(policy.Broadcast, []byte("all"))
 	})
 	buf := make([]byte, 512)
-	for c, want := range map[*net.UDPConn]string{friend: "one", all: "all"} {
+	for c, want := range map[*net.UDPConn]string{peer: "one", broadcast: "all"} {
 		n, from, err := c.ReadFromUDPAddrPort(buf)
-		if err != nil || string(buf[:n]) != want || from != here {
-			t.Errorf("got %q from %v, %v; want %q from %v", buf[:n], from, err, want, here)
+		if err != nil || string(buf[:n]) != want || from != ingressAddr {
+			t.Errorf("got %q from %v, %v; want %q from %v", buf[:n], from, err, want, ingressAddr)
 		}
 	}
 }
--- a/internal/dataplane/ingress/send_guard.go
+++ b/internal/dataplane/ingress/send_guard.go
@@ -4,33 +4,33 @@
 	"eiderspread/policy"
 )
 
-// The send guard: what must hold when bytes go out or a connection ends is checked at that very moment, and the result is counted. The rules
-// are the decision module's (policy/attempt_guard.go). They bind two places: writeAttempt (backend_conn.go), by which all writes to backends
-// go, and client_close.go, where the ingress closes connections of clients.
+// The send guard checks the decision module's rules (policy/attempt_guard.go) at the moment when bytes are written or a connection
+// is closed, and counts the results. The rules apply in two places: writeAttempt (backend_conn.go), through which all writes to
+// backends go, and client_close.go, where the ingress closes clients' connections.
 
 const (
-	// disconnectCheckAfterS: a request that has waited for longer is sent only after a look whether its client is still there.
+	// disconnectCheckAfterS is the age, in seconds, from which on a request is sent only after a check that its client is still connected.
 	disconnectCheckAfterS = 0.1
-	// nearMissS before its latest start a write is counted as a near miss.
+	// nearMissS is the time, in seconds, before the latest start in which a write counts as a near miss.
 	nearMissS = 0.02
-	// drainSendGraceS is how long a backend may be sent to after discovery said that it drains or is removed.
+	// drainSendGraceS is how many seconds attempts may still be written to a backend after discovery reported that it drains or is removed.
 	drainSendGraceS = 0.25
-	// networkMarginS is by how much the rules on sockets are longer.
+	// networkMarginS is added, in seconds, to the time limits of rules that are checked on sockets.
 	networkMarginS = 0.05
 )
 
-// guardCounters are what the guard looked at, by rule. Loop only.
+// guardCounters counts the guard's results by rule. The event loop owns it.
 type guardCounters struct {
-	nearMiss [policy.ViolationCount]int // shortly before the latest start that the rule leaves
-	blocked  [policy.ViolationCount]int // not carried out, as the rule would have been broken
-	violated [policy.ViolationCount]int // carried out all the same: the rule is broken
+	nearMiss [policy.ViolationCount]int // written less than nearMissS before the rule's latest start
+	blocked  [policy.ViolationCount]int // not carried out, because it would have broken the rule
+	violated [policy.ViolationCount]int // carried out although it broke the rule
 }
 
-// GuardStatus is how often the guard came into play, by rule; rules that never did are left out.
+// GuardStatus holds the guard's counts by rule; rules with a count of 0 are left out.
 type GuardStatus struct {
-	NearMiss map[string]int `json:"near,omitempty"`     // carried out shortly before its time was over
+	NearMiss map[string]int `json:"near,omitempty"`     // carried out shortly before the rule would have forbidden it
 	Blocked  map[string]int `json:"blocked,omitempty"`  // not carried out
-	Violated map[string]int `json:"violated,omitempty"` // broken
+	Violated map[string]int `json:"violated,omitempty"` // carried out although it broke the rule
 }
 
 func (n *guardCounters) status() GuardStatus {
@@ -44,13 +44,13 @@
 	return GuardStatus{byRule(n.nearMiss), byRule(n.blocked), byRule(n.violated)}
 }
 
-// reportViolation counts a broken rule and logs it.
+// reportViolation counts and logs a broken rule.
 func (in *Ingress) reportViolation(rule policy.Violation, args ...any) {
 	in.guardCounts.violated[rule]++
 	in.logFault("rule broken", append([]any{"rule", rule.String()}, args...)...)
 }
 
-// latestStart is up to when the attempt may be written, and the rule that ends it. A health check has none but its own timeout.
+// latestStart returns until when the attempt may be written, and the rule that forbids it later. For a probe that is its timeout.
 func (in *Ingress) latestStart(a *attempt) (at float64, rule policy.Violation) {
 	if a.request == nil {
 		return a.expiresAt, policy.SendAfterDeadline
@@ -70,7 +70,7 @@
 	return next.LatestStart()
 }
 
-// authorizeWrite reports whether an attempt may be written now; else it is given back to the decider as not sent.
+// authorizeWrite reports whether an attempt may be written now. If not, it ends the attempt as not sent.
 func (in *Ingress) authorizeWrite(a *attempt) bool {
 	now := in.clock.Now()
 	a.latestStart, a.latestStartRule = in.latestStart(a)
@@ -86,7 +86,7 @@
 	return true
 }
 
-// verifyWritten checks afterwards what authorizeWrite has let through.
+// verifyWritten checks, after the write, that an attempt which authorizeWrite allowed was still written in time.
 func (in *Ingress) verifyWritten(a *attempt) {
 	now := in.clock.Now()
 	a.backend.lastWriteAt = now
@@ -96,8 +96,8 @@
 	}
 }
 
-// waitedAndDisconnected reports whether a request has waited and its client has disconnected meanwhile: nothing may be sent for it then. The
-// decider is notified when its current event method has returned.
+// waitedAndDisconnected reports whether a request is older than disconnectCheckAfterS and its client has disconnected: no attempt
+// may be sent for it then. The decider is notified of the disconnect after its current event method has returned.
 func (in *Ingress) waitedAndDisconnected(r *request) bool {
 	c := r.client
 	if in.now-r.receivedAt < disconnectCheckAfterS || !c.disconnected() {
@@ -107,15 +107,16 @@
 	return true
 }
 
-// checkBackendDrain checks that a backend was not sent to too long after discovery said that it drains or is removed, which may have waited
-// for the loop.
+// checkBackendDrain reports a violation if an attempt was written to a backend too long after notifiedAt, when discovery reported
+// that the backend drains or is removed. That report may have waited in the loop's queue, with writes before it.
 func (in *Ingress) checkBackendDrain(backend *backend, notifiedAt float64) {
 	if late := backend.lastWriteAt - notifiedAt - drainSendGraceS; late > networkMarginS {
 		in.reportViolation(policy.SendToDraining, "backend", backend.ID, "late", roundToMillis(late))
 	}
 }
 
-// checkClientClose checks that no answer is owed on a client's connection that this ingress closes.
+// checkClientClose reports a violation if this ingress closes a client's connection while an answer on it is missing or not fully
+// written. At the end of a shutdown only missing answers count.
 func (in *Ingress) checkClientClose(c *clientConn) {
 	unanswered := 0
 	for _, s := range c.answerSlots {
@@ -136,7 +137,7 @@
 	}
 }
 
-// checkClientsDrained checks that no client is left past the time for a drain.
+// checkClientsDrained reports a violation for each connection that should have been closed by the end of a drain.
 func (in *Ingress) checkClientsDrained() {
 	if !in.drain.Active() {
 		return
