--- a/internal/dataplane/hotrestart/descriptors.go
+++ b/internal/dataplane/hotrestart/descriptors.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// TCPConn makes a connection of a descriptor, which it closes. The error of a socket that is something else is ErrWrongSocket. The address
-// isn't checked: a connection that its client has reset has none, and may hold the rest of a value.
+// TCPConn returns the TCP connection of a received descriptor, and closes f. The error for any other socket is ErrWrongSocket. The address
+// isn't checked: a connection that its client has reset has none, and may still hold the rest of a large value.
 func TCPConn(f *os.File) (*net.TCPConn, error) {
 	defer f.Close()
 	conn, err := net.FileConn(f)
@@ -20,10 +20,11 @@
 		return tcp, nil
 	}
 	conn.Close()
-	return nil, fmt.Errorf("%w: %T in place of a TCP connection", ErrWrongSocket, conn)
+	return nil, fmt.Errorf("%w: got %T, want a connected TCP socket", ErrWrongSocket, conn)
 }
 
-// TCPListener makes a listener of a descriptor, which it closes. The error of one that does not listen at addr is ErrWrongSocket.
+// TCPListener returns the listener of a received descriptor, and closes f. The error for a socket that does not listen at addr is
+// ErrWrongSocket.
 func TCPListener(f *os.File, addr string) (*net.TCPListener, error) {
 	defer f.Close()
 	l, err := net.FileListener(f)
@@ -33,7 +34,8 @@
 	return boundTo[*net.TCPListener](l, l.Addr(), addr)
 }
 
-// UDPConn makes a datagram socket of a descriptor, which it closes. The error of one that is not bound to addr is ErrWrongSocket.
+// UDPConn returns the datagram socket of a received descriptor, and closes f. The error for a socket that is not bound to addr is
+// ErrWrongSocket.
 func UDPConn(f *os.File, addr string) (*net.UDPConn, error) {
 	defer f.Close()
 	conn, err := net.FilePacketConn(f)
@@ -43,7 +45,7 @@
 	return boundTo[*net.UDPConn](conn, conn.LocalAddr(), addr)
 }
 
-// boundTo returns socket as a T if it is one and its address is want; else it closes it.
+// boundTo returns socket as a T if it is one and its address is want. Otherwise it closes socket and returns ErrWrongSocket.
 func boundTo[T io.Closer](socket io.Closer, addr net.Addr, want string) (T, error) {
 	typed, ok := socket.(T)
 	if ok && addr.String() == want {
@@ -51,10 +53,10 @@
 	}
 	socket.Close()
 	var none T
-	return none, fmt.Errorf("%w: %T at %s, want %T at %s", ErrWrongSocket, socket, addr, none, want)
+	return none, fmt.Errorf("%w: got %T at %s, want %T at %s", ErrWrongSocket, socket, addr, none, want)
 }
 
-// isListener reports whether a TCP socket listens, and true where the kernel doesn't tell.
+// isListener reports whether a TCP socket listens; true if the kernel returns an error.
 func isListener(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -68,7 +70,7 @@
 	return err != nil || optionErr != nil || accepts != 0
 }
 
-// withDescriptors calls f with the descriptors of all conns behind fds; no conn is closed while f runs.
+// withDescriptors calls f with fds and the descriptors of all conns appended to it. None of conns is closed while f runs.
 func withDescriptors(conns []syscall.Conn, fds []int, f func([]int) error) error {
 	if len(conns) == 0 {
 		return f(fds)
@@ -85,7 +87,8 @@
 	return inner
 }
 
-// openFiles makes files of the descriptors in a socket's control messages. Control messages without descriptors are skipped.
+// openFiles returns the descriptors in a socket's control messages as files, closed on exec. Control messages without descriptors are
+// skipped.
 func openFiles(control []byte) ([]*os.File, error) {
 	if len(control) == 0 {
 		return nil, nil
--- a/internal/dataplane/hotrestart/hotrestart.go
+++ b/internal/dataplane/hotrestart/hotrestart.go
@@ -1,24 +1,25 @@
-// Package hotrestart is the link by which a new process takes the sockets, the state and the open connections of the process that it
-// replaces. It carries messages and file descriptors over a Unix socket; when to ask for, stop and resume what is for the two processes
-// to decide.
+// Package hotrestart implements the link over which a new process takes over the sockets, the state and the open connections of the process
+// that it replaces. The link carries messages and file descriptors over a Unix socket. The two processes decide what they request, stop and
+// resume, and when.
 //
 // The messages, in their order (P is the predecessor, S the successor):
 //
 //	S -> P  Hello       the version of this protocol
 //	P -> S  Sockets     descriptors: the listener of clients and, where gateways are peers, their datagram socket
 //	S -> P  Ready       all other preparation is done
-//	P -> S  Snapshot    a part of the decision module's state, any number of them
-//	P -> S  Proceed     the predecessor accepts nothing more; with its endpoint list and its number of clients
+//	P -> S  Snapshot    a part of the decision module's state; any number of messages
+//	P -> S  Proceed     the predecessor has stopped accepting connections; with its endpoint list and its number of clients
 //	P -> S  Client      descriptor: an idle client connection; with the bytes that were read from it and not used
 //	P -> S  LargeValue  descriptors: a client connection with a large value under way, and the backend connection that it comes from
 //
-// Where the decisions move to the successor, these follow until the predecessor's last request has ended:
+// If the successor takes over the decisions on the predecessor's requests, these messages follow until the last of these requests has
+// ended:
 //
 //	P -> S  Event       a request that was read late, the end of an attempt, a client that disconnected
-//	S -> P  Order       what is to be done to a request that the predecessor holds
+//	S -> P  Order       an action on a request that the predecessor holds
 //
-// The link ends with either process, or when a side closes it because the other takes no message in time: its end is no proof that the other
-// process has ended. What it means follows from the messages that came before.
+// The link ends with either process, or when one side closes it because the other side receives no message in time. The end of the link is
+// therefore no proof that the other process has ended; what it means depends on the messages that were received before.
 package hotrestart
 
 import (
@@ -31,25 +32,25 @@
 // Version is the protocol's version, which Hello carries.
 const Version = 1
 
-// MaxBodyBytes is the most that a message carries beside its descriptors.
+// MaxBodyBytes is the maximum length of a message's body, in bytes.
 const MaxBodyBytes = 128 << 10
 
 const (
-	maxDescriptors = 2   // of a message
+	maxDescriptors = 2   // per message
 	maxSocketPath  = 100 // bytes; the kernel allows 107
 )
 
-// Errors of this package. Those of sockets and files are returned beside them, wrapped.
+// Errors of this package. Errors of sockets and files are returned as well, most of them wrapped.
 var (
-	ErrTruncated   = errors.New("hot restart: message longer than its buffer")
-	ErrTooLarge    = errors.New("hot restart: message over the limits")
+	ErrTruncated   = errors.New("hot restart: message longer than the receive buffer")
+	ErrTooLarge    = errors.New("hot restart: message exceeds the limits")
 	ErrUnexpected  = errors.New("hot restart: unexpected message")
 	ErrWrongSocket = errors.New("hot restart: descriptor is not the expected socket")
-	ErrLocked      = errors.New("hot restart: another process of this name has the lock")
+	ErrLocked      = errors.New("hot restart: another process of this name holds the lock")
 	ErrPathTooLong = errors.New("hot restart: path too long for a Unix socket")
 )
 
-// Kind is the kind of a message, as it stands in the message's first byte.
+// Kind is the kind of a message, which is the message's first byte.
 type Kind byte
 
 // The kinds of messages; the package comment says who sends which.
@@ -104,17 +105,17 @@
 	}
 }
 
-// SocketPath is the path of the Unix socket at which the running process called name listens for its successor. Both processes use the
-// same dir; whatever name holds, the socket is directly in it. The error is ErrPathTooLong.
+// SocketPath returns the path of the Unix socket at which the running process called name listens for its successor. Both processes use the
+// same dir; the socket is directly in dir, whatever characters name has. The error is ErrPathTooLong.
 func SocketPath(dir, name string) (string, error) {
 	path := filePath(dir, name, ".sock")
 	if len(path) > maxSocketPath {
-		return "", fmt.Errorf("%w: %s", ErrPathTooLong, path)
+		return "", fmt.Errorf("%w: %s has %d bytes, want at most %d", ErrPathTooLong, path, len(path), maxSocketPath)
 	}
 	return path, nil
 }
 
-// filePath names a file of the process called name.
+// filePath returns the path of a file in dir that belongs to the process called name.
 func filePath(dir, name, suffix string) string {
 	return filepath.Join(dir, "eiderspread-"+filepath.Base("/"+name)+suffix)
 }
--- a/internal/dataplane/hotrestart/hotrestart_test.go
+++ b/internal/dataplane/hotrestart/hotrestart_test.go
@@ -60,30 +60,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dial := func(say string) net.Conn {
+	dial := func(text string) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
 		setDeadline(t, c)
-		write(t, c, say)
+		write(t, c, text)
 		return c
 	}
-	one := dial("unread")
-	taken, err := l.AcceptTCP()
+	accepted := dial("unread")
+	serverConn, err := l.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
-	waits := dial("queued")
-	if err := b.Send(Client, []byte("rest"), testTimeout, taken); err != nil {
+	queued := dial("queued")
+	if err := b.Send(Client, []byte("rest"), testTimeout, serverConn); err != nil {
 		t.Fatal(err)
 	}
 	if err := b.Send(Sockets, nil, testTimeout, l); err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	taken.Close()
+	serverConn.Close()
 	l.Close()
 	m, err := a.Expect(Client, 1, testTimeout)
 	if err != nil || string(m.Body) != "rest" {
@@ -105,23 +105,23 @@
 	defer l2.Close()
 	late := dial("late")
 	for i, want := range []struct {
-		near net.Conn
-		say  string
-	}{{one, "unread"}, {waits, "queued"}, {late, "late"}} {
-		far := net.Conn(c)
+		client net.Conn
+		text   string
+	}{{accepted, "unread"}, {queued, "queued"}, {late, "late"}} {
+		server := net.Conn(c)
 		if i > 0 {
-			if far, err = l2.Accept(); err != nil {
+			if server, err = l2.Accept(); err != nil {
 				t.Fatal(err)
 			}
-			defer far.Close()
+			defer server.Close()
 		}
-		setDeadline(t, far)
-		got := make([]byte, len(want.say))
-		if _, err := io.ReadFull(far, got); err != nil || string(got) != want.say {
-			t.Fatalf("%q, want %q: %v", got, want.say, err)
+		setDeadline(t, server)
+		got := make([]byte, len(want.text))
+		if _, err := io.ReadFull(server, got); err != nil || string(got) != want.text {
+			t.Fatalf("%q, want %q: %v", got, want.text, err)
 		}
-		write(t, far, "back")
-		if _, err := io.ReadFull(want.near, got[:4]); err != nil || string(got[:4]) != "back" {
+		write(t, server, "back")
+		if _, err := io.ReadFull(want.client, got[:4]); err != nil || string(got[:4]) != "back" {
 			t.Fatalf("%q came back: %v", got[:4], err)
 		}
 	}
--- a/internal/dataplane/hotrestart/link.go
+++ b/internal/dataplane/hotrestart/link.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// network keeps the bounds of messages and passes descriptors; it exists on Linux.
+// network is a socket type that preserves message boundaries and passes descriptors; Linux has it.
 const network = "unixpacket"
 
-// Link is one side of a link. One goroutine at a time sends and one receives; Close may be called by any.
+// Link is one side of a link. One goroutine may send while another one receives; any goroutine may call Close.
 type Link struct {
 	conn   *net.UnixConn
-	buffer []byte // of Receive; made by its first call
+	buffer []byte // of Receive; allocated by its first call
 }
 
-// Dial connects to the process that listens at path. It returns nil without an error where there is none.
+// Dial connects to the process that listens at path. It returns nil without an error if no process listens there.
 func Dial(path string) (*Link, error) {
 	conn, err := net.DialUnix(network, nil, &net.UnixAddr{Name: path, Net: network})
 	switch {
@@ -34,11 +34,11 @@
 // Close ends the link.
 func (l *Link) Close() { l.conn.Close() }
 
-// Send sends a message with the descriptors of conns, within timeout. The connections stay the sender's. A message over the limits is
-// ErrTooLarge, and nothing is sent.
+// Send sends a message with the descriptors of conns, within timeout. The sender keeps conns open. If the message exceeds the limits, Send
+// returns ErrTooLarge and sends nothing.
 func (l *Link) Send(kind Kind, body []byte, timeout time.Duration, conns ...syscall.Conn) error {
 	if len(body) > MaxBodyBytes || len(conns) > maxDescriptors {
-		return fmt.Errorf("%w: %v of %d bytes and %d descriptors", ErrTooLarge, kind, len(body), len(conns))
+		return fmt.Errorf("%w: %v of %d bytes and %d descriptors, want at most %d and %d", ErrTooLarge, kind, len(body), len(conns), MaxBodyBytes, maxDescriptors)
 	}
 	if err := l.conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
@@ -53,8 +53,8 @@
 	})
 }
 
-// Receive waits for the next message, for timeout at most; 0 stands for no limit. Errors are io.EOF once the other
-// side has closed, ErrTruncated and those of the socket; descriptors that came with a message that can't be used are closed.
+// Receive waits for the next message, for timeout at most; with 0 it waits without a limit. The error is io.EOF once the other side has
+// closed the link, ErrTruncated, or an error of the socket. Descriptors that came with an unusable message are closed.
 func (l *Link) Receive(timeout time.Duration) (Message, error) {
 	if l.buffer == nil {
 		l.buffer = make([]byte, 1+MaxBodyBytes)
@@ -86,7 +86,8 @@
 	return Message{Kind: Kind(l.buffer[0]), Body: append([]byte(nil), l.buffer[1:n]...), Files: files}, nil
 }
 
-// Expect is Receive for a message that must be of a kind and bring at least so many descriptors; another one is ErrUnexpected.
+// Expect receives a message that must be of the given kind and have at least the given number of descriptors. For any other message it
+// returns ErrUnexpected.
 func (l *Link) Expect(kind Kind, descriptors int, timeout time.Duration) (Message, error) {
 	m, err := l.Receive(timeout)
 	if err != nil {
@@ -94,7 +95,7 @@
 	}
 	if m.Kind != kind || len(m.Files) < descriptors {
 		m.Close()
-		return m, fmt.Errorf("%w: %v with %d descriptors, want %v with %d", ErrUnexpected, m.Kind, len(m.Files), kind, descriptors)
+		return m, fmt.Errorf("%w: %v with %d descriptors, want %v with at least %d", ErrUnexpected, m.Kind, len(m.Files), kind, descriptors)
 	}
 	return m, nil
 }
--- a/internal/dataplane/hotrestart/listener.go
+++ b/internal/dataplane/hotrestart/listener.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// Listener waits for successors.
+// Listener accepts links from successors.
 type Listener struct {
 	listener *net.UnixListener
 }
 
-// Listen takes path over from the process that listened there; until then its file stays.
+// Listen listens at path. It removes the socket file that an earlier process left there, or still listens at.
 func Listen(path string) (*Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("hot restart: %w", err)
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hot restart: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // by then the file may be the successor's
+	l.SetUnlinkOnClose(false) // when this listener closes, the file may be the successor's
 	if err := os.Chmod(path, 0o600); err != nil {
 		l.Close()
 		return nil, fmt.Errorf("hot restart: %w", err)
@@ -30,7 +30,8 @@
 	return &Listener{listener: l}, nil
 }
 
-// Accept waits for the next link from a process of the same user; others are closed. Its error is that of a closed listener.
+// Accept waits for the next link from a process of the same user; links from other users are closed. It returns an error once the listener
+// is closed.
 func (l *Listener) Accept() (*Link, error) {
 	for {
 		conn, err := l.listener.AcceptUnix()
@@ -44,10 +45,10 @@
 	}
 }
 
-// Close ends the listener; the file stays.
+// Close closes the listener; the socket file stays.
 func (l *Listener) Close() { l.listener.Close() }
 
-// fromSameUser reports whether the other process has this one's user id.
+// fromSameUser reports whether the process at the other end has the user id of this process.
 func fromSameUser(conn *net.UnixConn) (same bool) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/dataplane/hotrestart/lock.go
+++ b/internal/dataplane/hotrestart/lock.go
@@ -7,18 +7,19 @@
 	"syscall"
 )
 
-// Lock is held by the one process of a name that speaks to planners. The kernel releases it when its process ends, and on no other
-// occasion: a process that can't take it must stay quiet, whatever it believes of the other one. It belongs to one goroutine.
+// Lock is a file lock, held by the one process of a name that may send messages to planners. Apart from Release, the lock ends only with
+// its process: a process that can't acquire it must send planners nothing, even if the other process seems to have ended. Only one
+// goroutine may use a Lock.
 type Lock struct {
 	path string
 	file *os.File // nil while it is not held
 }
 
-// NewLock is the lock of the processes called name, as a file in dir, which all of them share. It is not held yet.
+// NewLock returns the lock of the processes called name, a file in dir, which all of them share. The lock is not held yet.
 func NewLock(dir, name string) *Lock { return &Lock{path: filePath(dir, name, ".lock")} }
 
-// Take takes the lock, if it isn't held already. Where another process holds it, Take fails at once with ErrLocked.
-func (l *Lock) Take() error {
+// TryAcquire acquires the lock, unless this process holds it already. If another process holds it, TryAcquire returns ErrLocked at once.
+func (l *Lock) TryAcquire() error {
 	if l.file != nil {
 		return nil
 	}
--- a/internal/dataplane/ingress/decider.go
+++ b/internal/dataplane/ingress/decider.go
@@ -7,8 +7,9 @@
 	"eiderspread/policy"
 )
 
-// Decider is notified of all events and decides on them: the decision module in this process, a *policy.Gateway, or what stands for a module
-// elsewhere. Its methods are called by the loop alone, one at a time, with the times of events in Unix seconds that never go back.
+// Decider receives the events of the ingress and decides on them: a *policy.Gateway, which is the decision module in this process, or a
+// stand-in for a module elsewhere. Only the loop calls its methods, one at a time. now is the time of the event in Unix seconds and never
+// goes back.
 type Decider interface {
 	HandleRequest(now float64, request policy.Request)
 	HandleOutcome(now float64, outcome policy.Outcome)
@@ -19,14 +20,14 @@
 	HandleProbeResult(now float64, p policy.ProbeResult)
 }
 
-// StreamingDecider is a Decider that is notified when an attempt's answer has begun to be streamed to the client: no other attempt may answer
-// the request any more, and how that one ends is its outcome.
+// StreamingDecider is a Decider that is notified when the ingress begins to stream an attempt's answer to the client. From then on no other
+// attempt may answer the request, and the end of that attempt is the request's outcome.
 type StreamingDecider interface {
 	HandleResponseStart(now float64, id string, attempt int)
 }
 
-// ReconfigurableDecider is a Decider that takes other classes, and another number of attempts, while requests are under way. These keep the
-// class that they came with. On an error nothing has changed.
+// ReconfigurableDecider is a Decider whose classes and maximum number of attempts can change while requests are open. Open requests keep
+// the class that they arrived with. If UpdateClasses returns an error, nothing has changed.
 type ReconfigurableDecider interface {
 	UpdateClasses(now float64, classes []policy.Class, maxAttempts int) error
 }
@@ -36,41 +37,42 @@
 	Shedder() *loadshed.Shedder // nil where load is not shed
 }
 
-// SnapshotDecider is a Decider that hands what it knows to its like in another process. Snapshot is its last call before that one serves;
-// Restore is called with each part, once backends are listed and before the first request. A decider whose successor died restores its own
-// snapshot.
+// SnapshotDecider is a Decider that passes its state to a decider of the same kind in a new process. Snapshot is the last call before the
+// new process serves. Restore is called there with each part, after the backends are listed and before the first request. If the new
+// process dies, the decider that took the snapshot restores it.
 type SnapshotDecider interface {
 	Snapshot(now float64) []snapshot.Part
 	Restore(now float64, part snapshot.Part)
 }
 
-// MigratingDecider is a Decider that hands all on, its requests too. From Migrate on it is notified of the events of these requests, and asks for
-// nothing, until Reclaim; RecordOrder reports what the decider in the new process had done to them.
+// MigratingDecider is a Decider that passes its whole state, open requests included, to the decider of a new process. Between Migrate and
+// Reclaim it still receives the events of these requests but calls no actions; RecordOrder reports each order of the new process's decider
+// for them.
 type MigratingDecider interface {
 	Decider
 	Migrate(now float64) []snapshot.Part
-	// Resume goes on with the state of another process, before the first event. shiftS is what has to be added to its times.
+	// Resume continues from the state of another process, before the first event. shiftS seconds have to be added to the times in parts.
 	Resume(now, shiftS float64, parts []snapshot.Part) error
 	RecordOrder(now float64, order snapshot.Order)
 	Reclaim(now float64)
 }
 
-// Host is what a Decider outside the decision module may ask of the ingress beside policy.Actions.
+// Host is the interface that the ingress offers to a Decider outside the decision module: policy.Actions and the methods below.
 type Host interface {
 	policy.Actions
-	// Post runs do on the loop. It may be called by any goroutine but the loop, and blocks while the loop is behind.
+	// Post runs do on the loop. Any goroutine except the loop may call it; it blocks while the loop's event queue is full.
 	Post(do func(now float64))
 	// After runs do on the loop, delayS seconds from now. Loop only.
 	After(delayS float64, do func())
-	// LogFault logs a fault of another party, at a bounded rate. Loop only.
+	// LogFault logs a fault of another party as a warning, at a bounded rate. Loop only.
 	LogFault(message string, args ...any)
 	// Now is the time of the current event in Unix seconds. Loop only.
 	Now() float64
-	// EndpointListAge is how old the list of backends is. Of any goroutine.
+	// EndpointListAge returns the age of the list of backends. Any goroutine may call it.
 	EndpointListAge() discovery.Age
-	// HasPredecessor reports whether this process replaces another one, which lasts for a while. Before the first event.
+	// HasPredecessor reports whether this process replaces another one, which keeps running for a while. Call it before the first event only.
 	HasPredecessor() bool
-	// Cordon keeps off a backend, whatever discovery says, until it is called with false. Loop only.
+	// Cordon takes a backend out of service, whatever state discovery reports, until it is called with false. Loop only.
 	Cordon(id string, cordoned bool)
 }
 
--- a/internal/dataplane/ingress/decider_migration.go
+++ b/internal/dataplane/ingress/decider_migration.go
@@ -11,27 +11,30 @@
 	"eiderspread/policy"
 )
 
-// A decider that migrates from one process to another while the old one's sockets serve their last requests: the old process forwards events of
-// these requests, and executes what the new one's decider orders for them. See docs/forwarder-replacement.md.
+// Migration of a decider from the old process to the new one, while the old process still serves its last requests on its own sockets: the
+// old process forwards the events of these requests, and executes the orders that the new process's decider gives for them. See
+// docs/forwarder-replacement.md.
 
 const (
-	// maxQueuedRelays events, or orders, may wait for the other process; beyond that it counts as dead.
+	// maxQueuedRelays is how many events or orders may wait for the other process. If more would wait, the other process counts as dead and
+	// the link is closed.
 	maxQueuedRelays = 4096
-	// lockRetryInterval is the time between two attempts to have the member lock back.
+	// lockRetryInterval is the time between two attempts to reacquire the member lock; acquireMemberLock retries four times as often.
 	lockRetryInterval = 20 * time.Millisecond
 )
 
-var errPeerProcessSlow = errors.New("too much waits for the other process")
+var errOrderQueueFull = errors.New("order queue is full")
 
 // ---- The old process ----
 
-// eventRelay stands in the place of a decider that has migrated.
+// eventRelay takes the place of a decider that has migrated: the migrated decider still receives all events, and those of requests are also
+// forwarded to the new process.
 type eventRelay struct {
 	MigratingDecider
 	ingress *Ingress
 }
 
-// migrateDecider has the decider migrate, if it is one that does.
+// migrateDecider migrates the decider, if it is a MigratingDecider, and releases the member lock.
 func (in *Ingress) migrateDecider() {
 	d, ok := in.decider.(MigratingDecider)
 	if !ok {
@@ -43,14 +46,15 @@
 	in.memberLock.Release()
 }
 
-// reclaimDecider has a decider that had migrated go on here, as soon as no other process may speak for it.
+// reclaimDecider makes a migrated decider decide in this process again. It retries until it acquires the member lock: before that, another
+// process may still act for this member.
 func (in *Ingress) reclaimDecider() {
 	relay, ok := in.decider.(*eventRelay)
 	if !ok {
 		return
 	}
-	if err := in.memberLock.Take(); err != nil {
-		in.logFault("the new process may still run: this one keeps quiet", "error", err)
+	if err := in.memberLock.TryAcquire(); err != nil {
+		in.logFault("decider not reclaimed: another process may still hold the member lock", "error", err)
 		in.after(lockRetryInterval.Seconds(), in.reclaimDecider)
 		return
 	}
@@ -58,7 +62,7 @@
 	relay.Reclaim(in.now)
 }
 
-// forwardEvent sends an event to the new process; one that can't be sent ends the link.
+// forwardEvent queues an event for the new process. It closes the link if the event can't be encoded or the queue is full.
 func (r *eventRelay) forwardEvent(e snapshot.Event) {
 	s := &r.ingress.successor
 	body, err := json.Marshal(e)
@@ -70,7 +74,7 @@
 		}
 	}
 	if s.link != nil {
-		r.ingress.logFault("the new process does not keep up", "error", err)
+		r.ingress.logFault("event not queued for the new process: closing the link", "error", err)
 		s.link.Close()
 	}
 }
@@ -93,11 +97,11 @@
 	r.forwardEvent(snapshot.Event{Disconnected: id})
 }
 
-// receiveOrder takes an order off the link to the new process.
+// receiveOrder decodes an order of the new process, and has the loop record and execute it while link is the current one.
 func (in *Ingress) receiveOrder(link *hotrestart.Link, body []byte) {
 	var order snapshot.Order
 	if err := json.Unmarshal(body, &order); err != nil {
-		in.Post(func(float64) { in.logFault("order of the new process not decoded", "error", err) })
+		in.Post(func(float64) { in.logFault("order from the new process not decoded", "error", err) })
 		return
 	}
 	in.Post(func(now float64) {
@@ -108,11 +112,11 @@
 	})
 }
 
-// executeOrder does what the new process's decider wants done to a request of this one.
+// executeOrder executes an order of the new process's decider. An attempt for a request that this process no longer has ends as NotSent.
 func (in *Ingress) executeOrder(relay *eventRelay, order snapshot.Order) {
 	switch order.Kind {
 	case snapshot.OrderSend:
-		if in.requests[order.ID] == nil && in.predecessorRequests[order.ID] == nil { // it has ended while the order was on its way
+		if in.requests[order.ID] == nil && in.predecessorRequests[order.ID] == nil { // the request ended while the order was on the link
 			relay.forwardEvent(snapshot.Event{Outcome: &policy.Outcome{ID: order.ID, Backend: order.Backend, Attempt: order.Attempt, Status: policy.NotSent, Completed: true}})
 			return
 		}
@@ -130,28 +134,29 @@
 
 // ---- The new process ----
 
-// predecessorRequest is a request that the predecessor holds.
+// predecessorRequest is a request that the predecessor holds and the decider of this process decides on.
 type predecessorRequest struct {
 	attemptsDone []bool // by the attempt's number
-	completed    bool
+	completed    bool   // the client gets no further answer
 }
 
-// finished reports whether nothing is left of the request.
+// finished reports whether the request is completed and none of its attempts is out.
 func (r *predecessorRequest) finished() bool {
 	return r.completed && !slices.Contains(r.attemptsDone, false)
 }
 
-// acquireMemberLock takes the lock of the process that acts for this member of a fleet. The predecessor may release it a moment after it has
-// announced that.
+// acquireMemberLock acquires the lock of the process that acts for this member of a fleet. It retries for linkTimeout, as another process
+// may release the lock a moment after it announced its end: a process that ends closes its sockets before it releases the lock.
 func (in *Ingress) acquireMemberLock() (err error) {
 	for end := time.Now().Add(linkTimeout); ; time.Sleep(lockRetryInterval / 4) {
-		if err = in.memberLock.Take(); err == nil || time.Now().After(end) {
+		if err = in.memberLock.TryAcquire(); err == nil || time.Now().After(end) {
 			return err
 		}
 	}
 }
 
-// resumeDecider has the decider go on with what came over. Its answers to what can't go on are orders already.
+// resumeDecider has the decider continue from the predecessor's snapshot. Requests that can't continue are answered within Resume, by
+// orders to the predecessor, so the queue of orders is set up first.
 func (in *Ingress) resumeDecider(d MigratingDecider, parts []snapshot.Part) {
 	if len(parts) == 0 {
 		return
@@ -169,11 +174,11 @@
 	}
 	in.now = max(in.now, in.clock.Now())
 	if err := d.Resume(in.now, in.timeShiftS(p), parts); err != nil {
-		in.log.Error("state of the old process lost", "error", err)
+		in.log.Error("state of the old process not resumed", "error", err)
 	}
 }
 
-// sendOrders sends orders until the link or this process ends, or orders is closed.
+// sendOrders sends orders to the predecessor until the link or the loop ends, or orders is closed. It closes the link if a send fails.
 func (in *Ingress) sendOrders(link *hotrestart.Link, orders <-chan []byte) {
 	for {
 		select {
@@ -191,7 +196,7 @@
 	}
 }
 
-// orderPredecessor has the predecessor do something to a request that it holds; false if it has none of that id.
+// orderPredecessor queues an order for a request that the predecessor holds. It returns false if the predecessor has no request of that id.
 func (in *Ingress) orderPredecessor(order snapshot.Order) bool {
 	r := in.predecessorRequests[order.ID]
 	if r == nil || in.predecessor == nil {
@@ -209,7 +214,7 @@
 	return true
 }
 
-// queueOrder has an order sent; one that can't be queued ends the link.
+// queueOrder queues an order for the predecessor. It closes the link if the order can't be encoded or the queue is full.
 func (in *Ingress) queueOrder(order snapshot.Order) {
 	body, err := json.Marshal(order)
 	if err == nil {
@@ -217,32 +222,33 @@
 		case in.predecessor.orders <- body:
 			return
 		default:
-			err = errPeerProcessSlow
+			err = errOrderQueueFull
 		}
 	}
-	in.logFault("the old process does not keep up", "error", err)
+	in.logFault("order not queued for the old process: closing the link", "error", err)
 	in.predecessor.link.Close()
 }
 
-// forgetPredecessorRequest forgets a request of which nothing is left.
+// forgetPredecessorRequest removes a request once it is finished.
 func (in *Ingress) forgetPredecessorRequest(id string, r *predecessorRequest) {
 	if r.finished() {
 		delete(in.predecessorRequests, id)
 	}
 }
 
-// receiveEvent takes an event off the link to the predecessor.
+// receiveEvent decodes an event of the predecessor, and has the loop apply it.
 func (in *Ingress) receiveEvent(p *predecessorState, body []byte) {
 	var e snapshot.Event
 	if err := json.Unmarshal(body, &e); err != nil {
-		in.Post(func(float64) { in.logFault("event of the old process not decoded", "error", err) })
+		in.Post(func(float64) { in.logFault("event from the old process not decoded", "error", err) })
 		return
 	}
 	shiftS := in.timeShiftS(p)
 	in.Post(func(now float64) { in.applyRelayedEvent(now, e, shiftS) })
 }
 
-// applyRelayedEvent notifies the decider of what has become of a request of the predecessor.
+// applyRelayedEvent passes an event of a predecessor's request to the decider. Events that repeat an earlier one, or are of an unknown
+// request, are dropped.
 func (in *Ingress) applyRelayedEvent(now float64, e snapshot.Event, shiftS float64) {
 	switch {
 	case in.predecessorRequests == nil:
@@ -269,7 +275,8 @@
 	}
 }
 
-// endPredecessorRequests ends what the predecessor held, with whose connections it has ended.
+// endPredecessorRequests ends the requests that the predecessor held, as its connections ended with it: to the decider, their clients have
+// disconnected and their open attempts were reset.
 func (in *Ingress) endPredecessorRequests() {
 	orphaned := in.predecessorRequests
 	in.predecessorRequests = nil
--- a/internal/dataplane/ingress/decider_migration_test.go
+++ b/internal/dataplane/ingress/decider_migration_test.go
@@ -58,72 +58,76 @@
 func TestRelay_PredecessorExecutesOrders(t *testing.T) {
 	addr, conns := listenBackend(t)
 	cfg := fleetMemberConfig(t, addr)
-	var was, is *fakeMigratingDecider
-	old := startIngress(t, cfg, func(r *testIngress) {
-		was = newFakeMigratingDecider(r, openRequest("served"), openRequest("refused"), openRequest("left"), openRequest("late"))
+	var oldDecider, newDecider *fakeMigratingDecider
+	predecessor := startIngress(t, cfg, func(r *testIngress) {
+		oldDecider = newFakeMigratingDecider(r, openRequest("served"), openRequest("refused"), openRequest("left"), openRequest("late"))
 	})
-	cfg.Listen = old.ingress.listener.Addr().String()
-	served, refused, left := old.client(), old.client(), old.client()
+	cfg.Listen = predecessor.ingress.listener.Addr().String()
+	served, refused, left := predecessor.client(), predecessor.client(), predecessor.client()
 	for id, w := range map[string]*testConn{"served": served, "refused": refused, "left": left} {
 		w.send(lookCommand(id)...)
-		receive(t, was.requests)
+		receive(t, oldDecider.requests)
 	}
-	young := startIngress(t, cfg, func(r *testIngress) { is = newFakeMigratingDecider(r) })
-	if m, ok := snapshot.Join(receive(t, is.resumed)); !ok || len(m.Requests) != 4 || m.Incarnation != 7 {
+	successor := startIngress(t, cfg, func(r *testIngress) { newDecider = newFakeMigratingDecider(r) })
+	if m, ok := snapshot.Join(receive(t, newDecider.resumed)); !ok || len(m.Requests) != 4 || m.Incarnation != 7 {
 		t.Fatalf("%+v", m)
 	}
-	young.onLoop(func() { young.ingress.Send("served", "s0", 0) })
+	successor.onLoop(func() { successor.ingress.Send("served", "s0", 0) })
 	b := receive(t, conns)
 	b.command()
-	if o := receive(t, was.ordered); o.Kind != snapshot.OrderSend || o.ID != "served" {
+	if o := receive(t, oldDecider.ordered); o.Kind != snapshot.OrderSend || o.ID != "served" {
 		t.Errorf("%+v was not written down", o)
 	}
 	write(b, servedReply)
 	if served.line() != "$1" || served.line() != "v" {
 		t.Error("the answer did not come")
 	}
-	if o := receive(t, is.outcomes); o.ID != "served" || o.Status != policy.OK || !o.Completed {
+	if o := receive(t, newDecider.outcomes); o.ID != "served" || o.Status != policy.OK || !o.Completed {
 		t.Errorf("the new process hears %+v", o)
 	}
-	young.onLoop(func() { young.ingress.Reject("refused", 0.5) })
+	successor.onLoop(func() { successor.ingress.Reject("refused", 0.5) })
 	if refused.line() != "-BUSY 500" {
 		t.Error("not refused")
 	}
-	young.onLoop(func() { young.ingress.Send("late", "s0", 0) }) // the old process knows nothing of it any more
-	if o := receive(t, is.outcomes); o.ID != "late" || o.Status != policy.NotSent || !o.Completed {
+	successor.onLoop(func() { successor.ingress.Send("late", "s0", 0) }) // the old process knows nothing of it any more
+	if o := receive(t, newDecider.outcomes); o.ID != "late" || o.Status != policy.NotSent || !o.Completed {
 		t.Errorf("%+v", o)
 	}
-	old.onLoop(func() { old.ingress.handleDisconnect(old.ingress.requests["left"].client, closeByClient) }) // a reader that rests hears of no hang-up
-	if receive(t, is.disconnects) != "left" {
+	predecessor.onLoop(func() {
+		predecessor.ingress.handleDisconnect(predecessor.ingress.requests["left"].client, closeByClient)
+	}) // a reader that rests hears of no hang-up
+	if receive(t, newDecider.disconnects) != "left" {
 		t.Error("a client that has gone is not told of")
 	}
-	receive(t, old.ended)
-	young.waitFor("nothing is left of it", func() bool { return young.ingress.predecessor == nil && young.ingress.predecessorRequests == nil })
+	receive(t, predecessor.ended)
+	successor.waitFor("nothing is left of it", func() bool {
+		return successor.ingress.predecessor == nil && successor.ingress.predecessorRequests == nil
+	})
 }
 
 // Guards a request of which the old process reads the rest after all went over, and a client that asks the new one for it again.
 func TestRelay_RequestReadAfterHandover(t *testing.T) {
 	cfg := fleetMemberConfig(t, "127.0.0.1:1")
-	var was, is *fakeMigratingDecider
-	old := startIngress(t, cfg, func(r *testIngress) { was = newFakeMigratingDecider(r, openRequest("first")) })
-	cfg.Listen = old.ingress.listener.Addr().String()
-	w := old.client()
+	var oldDecider, newDecider *fakeMigratingDecider
+	predecessor := startIngress(t, cfg, func(r *testIngress) { oldDecider = newFakeMigratingDecider(r, openRequest("first")) })
+	cfg.Listen = predecessor.ingress.listener.Addr().String()
+	w := predecessor.client()
 	w.send(lookCommand("first")...)
-	receive(t, was.requests)
-	young := startIngress(t, cfg, func(r *testIngress) { is = newFakeMigratingDecider(r) })
-	receive(t, is.resumed)
-	old.onLoop(func() { // as if its reader had been that late
-		old.ingress.decider.HandleRequest(old.ingress.now, policy.Request{ID: "second", Class: "look"})
+	receive(t, oldDecider.requests)
+	successor := startIngress(t, cfg, func(r *testIngress) { newDecider = newFakeMigratingDecider(r) })
+	receive(t, newDecider.resumed)
+	predecessor.onLoop(func() { // as if its reader had been that late
+		predecessor.ingress.decider.HandleRequest(predecessor.ingress.now, policy.Request{ID: "second", Class: "look"})
 	})
-	if q := receive(t, is.requests); q.ID != "second" {
+	if q := receive(t, newDecider.requests); q.ID != "second" {
 		t.Errorf("%+v", q)
 	}
-	again := young.client()
+	again := successor.client()
 	again.send(lookCommand("first")...)
 	if !strings.HasPrefix(again.line(), "-ERR") {
 		t.Error("a request that is open was taken twice")
 	}
-	young.onLoop(func() { young.ingress.Fail("first") })
+	successor.onLoop(func() { successor.ingress.Fail("first") })
 	if w.line() != "-ERR failed" {
 		t.Error("not failed")
 	}
@@ -142,8 +146,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := hotrestart.NewLock(os.TempDir(), cfg.Name)
-	if other.Take() == nil {
+	otherLock := hotrestart.NewLock(os.TempDir(), cfg.Name)
+	if otherLock.TryAcquire() == nil {
 		t.Fatal("a running forwarder has no lock")
 	}
 	link := dialAsSuccessor(t, path)
@@ -154,17 +158,17 @@
 	if _, err := link.Expect(hotrestart.Proceed, 0, testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if err := other.Take(); err != nil { // the new process runs on, though its link breaks
+	if err := otherLock.TryAcquire(); err != nil { // the new process runs on, though its link breaks
 		t.Fatal(err)
 	}
 	link.Close()
 	r.waitFor("the link's end was heard", func() bool { return r.ingress.successor.stage == handoverNone })
 	r.onLoop(func() {
-		if _, quiet := r.ingress.decider.(*eventRelay); !quiet || len(m.reclaimed) > 0 {
+		if _, migrated := r.ingress.decider.(*eventRelay); !migrated || len(m.reclaimed) > 0 {
 			t.Error("taken back while another process may speak for this forwarder")
 		}
 	})
-	other.Release()
+	otherLock.Release()
 	receive(t, m.reclaimed)
 	r.waitFor("the gateway is its own again", func() bool { return r.ingress.decider == Decider(m) })
 	r.onLoop(func() { r.ingress.Reject("open", 0) })
@@ -176,14 +180,14 @@
 // Guards against a second process that would speak for a forwarder whose old process has not let go.
 func TestRelay_NoServiceWithoutLock(t *testing.T) {
 	cfg := fleetMemberConfig(t, "127.0.0.1:1")
-	other := hotrestart.NewLock(os.TempDir(), cfg.Name)
-	if err := other.Take(); err != nil {
+	otherLock := hotrestart.NewLock(os.TempDir(), cfg.Name)
+	if err := otherLock.TryAcquire(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := newIngress(cfg, slog.New(slog.NewTextHandler(io.Discard, nil))); err == nil || !strings.Contains(err.Error(), "lock") {
 		t.Errorf("started beside another: %v", err)
 	}
-	other.Release()
+	otherLock.Release()
 	r := startIngress(t, cfg, func(r *testIngress) { newFakeMigratingDecider(r) })
 	cfg.Listen = r.ingress.listener.Addr().String()
 	r.onLoop(func() {}) // it listens for a successor
@@ -208,25 +212,25 @@
 func TestRelay_PredecessorDies(t *testing.T) {
 	addr, conns := listenBackend(t)
 	cfg := fleetMemberConfig(t, addr)
-	old := startIngress(t, cfg, func(r *testIngress) { newFakeMigratingDecider(r, openRequest("a")) })
-	cfg.Listen = old.ingress.listener.Addr().String()
-	w := old.client()
+	predecessor := startIngress(t, cfg, func(r *testIngress) { newFakeMigratingDecider(r, openRequest("a")) })
+	cfg.Listen = predecessor.ingress.listener.Addr().String()
+	w := predecessor.client()
 	w.send(lookCommand("a")...)
-	receive(t, old.decider.requests)
-	var is *fakeMigratingDecider
-	young := startIngress(t, cfg, func(r *testIngress) { is = newFakeMigratingDecider(r) })
-	receive(t, is.resumed)
-	young.onLoop(func() { young.ingress.Send("a", "s0", 0) })
+	receive(t, predecessor.decider.requests)
+	var newDecider *fakeMigratingDecider
+	successor := startIngress(t, cfg, func(r *testIngress) { newDecider = newFakeMigratingDecider(r) })
+	receive(t, newDecider.resumed)
+	successor.onLoop(func() { successor.ingress.Send("a", "s0", 0) })
 	receive(t, conns).command()
-	old.onLoop(func() { old.ingress.successor.link.Close() }) // as far as the new process can tell
-	if receive(t, is.disconnects) != "a" {
+	predecessor.onLoop(func() { predecessor.ingress.successor.link.Close() }) // as far as the new process can tell
+	if receive(t, newDecider.disconnects) != "a" {
 		t.Error("its request is still waited for")
 	}
-	if o := receive(t, is.outcomes); o.ID != "a" || o.Status != policy.Reset || !o.Completed {
+	if o := receive(t, newDecider.outcomes); o.ID != "a" || o.Status != policy.Reset || !o.Completed {
 		t.Errorf("%+v", o)
 	}
 	select {
-	case o := <-is.outcomes:
+	case o := <-newDecider.outcomes:
 		t.Errorf("and once more: %+v", o)
 	case <-time.After(10 * time.Millisecond):
 	}
--- a/internal/dataplane/ingress/golden_test.go
+++ b/internal/dataplane/ingress/golden_test.go
@@ -15,7 +15,7 @@
 // Guards the status, and what goes with a hot restart's messages beside the snapshot.
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "status.json", &Status{})
-	golden.JSON(t, "go.json", &goMessage{})
+	golden.JSON(t, "go.json", &proceedMessage{})
 	golden.JSON(t, "value.json", &valueTransfer{})
 }
 
--- a/internal/dataplane/ingress/hot_restart_predecessor.go
+++ b/internal/dataplane/ingress/hot_restart_predecessor.go
@@ -12,25 +12,26 @@
 	"eiderspread/internal/decision/snapshot"
 )
 
-var errNoSnapshot = errors.New("nothing of what it knows came over")
+var errNoSnapshot = errors.New("no snapshot received")
 
-// predecessorState is what a new process has from the one that it replaces, until the link to that one ends. Loop only, but for the link and
-// what does not change.
+// predecessorState is the state of a new process's link to the process that it replaces, kept until the link ends. Loop only, except the
+// link and the fields that never change.
 type predecessorState struct {
 	link          *hotrestart.Link
 	listener      *net.TCPListener
-	peers         *net.UDPConn    // nil: there are no peer messages
-	snapshot      []snapshot.Part // of what its decider knew; all or none
-	reservedInput int             // bytes of the input budget that it may still use
-	bootTime      float64         // the machine's start by its clock; 0: not known
-	orders        chan []byte     // to the goroutine that sends them, see decider_migration.go; nil: there can be none
+	peers         *net.UDPConn    // nil: peer messages are off
+	snapshot      []snapshot.Part // the state of its decider: all parts, or none
+	reservedInput int             // bytes of the input budget that are reserved for it
+	bootTime      float64         // when the machine started, in Unix seconds by its clock; 0: not known
+	orders        chan []byte     // queue of sendOrders, see decider_migration.go; nil: no decider has migrated
 }
 
-// connectPredecessor asks the process that this one replaces for its sockets; nil if there is none.
+// connectPredecessor connects to the running process that this one replaces, and receives its sockets. It returns nil without an error if
+// no such process runs.
 func connectPredecessor(cfg ingressconfig.Config) (*predecessorState, error) {
 	path, err := hotrestart.SocketPath(os.TempDir(), cfg.Name)
 	if err != nil {
-		return nil, nil // listenForSuccessor logs it
+		return nil, nil // the path is too long: listenForSuccessor logs the error
 	}
 	link, err := hotrestart.Dial(path)
 	if link == nil || err != nil {
@@ -44,7 +45,7 @@
 	return p, nil
 }
 
-// fetchSockets says hello and takes the sockets that come for it.
+// fetchSockets sends Hello and receives the listener and, with peer messages, the datagram socket.
 func (p *predecessorState) fetchSockets(cfg ingressconfig.Config) error {
 	fds := 1
 	if cfg.Settings.PeerMessages {
@@ -66,7 +67,7 @@
 	return err
 }
 
-// handoverError is why a running process can't be replaced.
+// handoverError adds to cause that the running process could not be replaced.
 func handoverError(cause error) error {
 	return fmt.Errorf("the running process does not hand over: %w", cause)
 }
@@ -81,7 +82,7 @@
 	}
 }
 
-// timeShiftS is what has to be added to the predecessor's times, in seconds.
+// timeShiftS returns the seconds to add to the predecessor's times; 0 if the boot time of either process is not known.
 func (in *Ingress) timeShiftS(p *predecessorState) float64 {
 	if p.bootTime == 0 || in.clock.BootTime() == 0 {
 		return 0
@@ -89,24 +90,25 @@
 	return in.clock.BootTime() - p.bootTime
 }
 
-// announceReady notifies the predecessor that this process is ready, and returns once that one accepts nothing more, or has ended. The endpoint list
-// is the predecessor's, which is newer than the configuration's.
+// announceReady notifies the predecessor that this process is ready, and returns once the predecessor has stopped accepting connections,
+// or has ended. The endpoint list is the predecessor's, which is newer than the configuration's.
 //
-// A member of a fleet must have the whole snapshot and the member lock: else the predecessor goes on, or another process.
+// A member of a fleet needs the whole snapshot and the member lock. Without them it returns an error, and the predecessor, or another
+// process, continues to serve.
 func (in *Ingress) announceReady() error {
 	p := in.predecessor
-	message, err := p.awaitGo()
+	message, err := p.awaitProceed()
 	if err == nil {
 		err = in.adoptEndpoints(message)
 	}
 	in.clients.openElsewhere, p.bootTime = max(0, message.OpenClients), message.BootTime
 	if in.memberLock == nil {
-		if err != nil { // the sockets are here: whatever became of the old process, clients are served
-			in.log.Warn("the old process did not say that it has stopped", "error", err)
+		if err != nil { // this process has the sockets and serves clients, whatever became of the old process
+			in.log.Warn("hand-over from the old process incomplete: serving anyway", "error", err)
 		}
 		return nil
 	}
-	if err == nil && len(p.snapshot) == 0 { // promises that nobody knows of could be given twice
+	if err == nil && len(p.snapshot) == 0 { // promises of the old process, unknown here, could be given a second time
 		err = errNoSnapshot
 	}
 	if err == nil {
@@ -118,8 +120,8 @@
 	return nil
 }
 
-// awaitGo sends Ready, and receives the snapshot and the message with which this process goes on.
-func (p *predecessorState) awaitGo() (message goMessage, err error) {
+// awaitProceed sends Ready, and receives the snapshot and the Proceed message.
+func (p *predecessorState) awaitProceed() (message proceedMessage, err error) {
 	err = p.link.Send(hotrestart.Ready, nil, linkTimeout)
 	var m hotrestart.Message
 	for err == nil && m.Kind != hotrestart.Proceed {
@@ -129,8 +131,8 @@
 		m.Close()
 	}
 	if err != nil {
-		p.snapshot = nil // a part of its counts would look to others as if the rest was handed back
-		return goMessage{}, err
+		p.snapshot = nil // with a part of its counts, other processes would see the missing counts as given back
+		return proceedMessage{}, err
 	}
 	err = json.Unmarshal(m.Body, &message)
 	return message, err
@@ -142,14 +144,14 @@
 		return err
 	}
 	if len(p.snapshot) == maxSnapshotParts {
-		return fmt.Errorf("more than %d parts of what its module knows", maxSnapshotParts)
+		return fmt.Errorf("snapshot has more than %d parts", maxSnapshotParts)
 	}
 	p.snapshot = append(p.snapshot, part)
 	return nil
 }
 
-// adoptEndpoints goes on with the predecessor's endpoint list, if it came.
-func (in *Ingress) adoptEndpoints(message goMessage) error {
+// adoptEndpoints replaces the configured endpoint list by the predecessor's, if the message has one.
+func (in *Ingress) adoptEndpoints(message proceedMessage) error {
 	list := message.Endpoints
 	if list == nil {
 		return nil
@@ -157,13 +159,13 @@
 	if err := list.Validate(); err != nil {
 		return err
 	}
-	list.Version = -1 // it may be another agent's: the full list is asked for
+	list.Version = -1 // the version may be another agent's: with -1, the watcher asks for the full list
 	in.cfg.InitialEndpoints = *list
 	in.watcher = in.newWatcher()
 	return nil
 }
 
-// restoreSnapshot has the decider go on with what another one knew.
+// restoreSnapshot has the decider continue from the parts of a snapshot. A decider that takes no snapshots ignores them.
 func (in *Ingress) restoreSnapshot(parts []snapshot.Part) {
 	if d, ok := in.decider.(MigratingDecider); ok {
 		in.resumeDecider(d, parts)
@@ -177,7 +179,8 @@
 	}
 }
 
-// receiveTransfers takes what the predecessor sends, until it ends. It is the one goroutine that receives from the link.
+// receiveTransfers receives events and connections from the predecessor until the link ends. After Proceed, it is the only goroutine that
+// receives from the link.
 func (in *Ingress) receiveTransfers(p *predecessorState) {
 	transferred := 0
 	for {
@@ -213,7 +216,8 @@
 	in.Post(func(float64) { in.handlePredecessorEnd(p, transferred) })
 }
 
-// receiveTransfer takes a connection from the predecessor, or with it a value that is on its way.
+// receiveTransfer takes over a client connection from the predecessor or, with LargeValue, a client connection, its backend connection and
+// the value under way between them.
 func (in *Ingress) receiveTransfer(m hotrestart.Message) error {
 	var conns []*net.TCPConn
 	var err error
@@ -238,7 +242,8 @@
 	return err
 }
 
-// resumeClient begins to read a connection of the predecessor, with what that one had read of it and not used. The caller has a permit for it.
+// resumeClient starts to read a connection of the predecessor. unused is the input that the predecessor read and did not use. The caller
+// holds a connection permit for it.
 func (in *Ingress) resumeClient(conn *net.TCPConn, unused []byte) error {
 	c, err := in.newClientConn(conn)
 	if err != nil {
@@ -255,10 +260,11 @@
 	return nil
 }
 
-// addResumedClient takes a connection of the predecessor among those of this process, or has it transferred to the next one.
+// addResumedClient adds a connection of the predecessor to the client table. While this process hands over to its own successor, the
+// connection is transferred there.
 func (in *Ingress) addResumedClient(c *clientConn) {
 	in.clients.openElsewhere = max(0, in.clients.openElsewhere-1)
-	c.commandReceived, c.callReceived = true, true // as far as this process knows: what it asked may be on its way
+	c.commandReceived, c.callReceived = true, true // assumed, as this process can't know: a command of the client may be on its way
 	if in.successor.stage != handoverActive {
 		in.addClient(c)
 		return
@@ -268,20 +274,21 @@
 	c.stopReader()
 }
 
-// handlePredecessorEnd takes the end of the link: all that the predecessor still had has ended with it.
+// handlePredecessorEnd handles the end of the link: connections and requests that the predecessor still had count as ended.
 func (in *Ingress) handlePredecessorEnd(p *predecessorState, transferred int) {
-	in.log.Info("the old process has ended", "connections", transferred)
+	in.log.Info("link to the old process has ended", "connections", transferred)
 	in.inputBudget.Release(p.reservedInput)
 	in.backends.maxConns = in.backends.maxConnsAlone
 	in.clients.openElsewhere = 0
 	in.predecessor = nil
 	if p.orders != nil {
-		close(p.orders) // ends its sender: orders are given by the loop alone, and to a predecessor alone
+		close(p.orders) // ends sendOrders; no send can follow, as only the loop queues orders, and only while in.predecessor is set
 	}
 	in.endPredecessorRequests()
 	LimitMemory(in.cfg.MemoryMB, MemoryLimitFraction)
 }
 
-// predecessorAlive reports whether this process has to stay for its predecessor: at the end of the link that one would take itself for the one to
-// go on. Its connections and what is decided for its requests may go on to a third process by way of this one.
+// predecessorAlive reports whether this process has to keep running for its predecessor. If the link ended, the predecessor would conclude
+// that its successor died, and serve again. The predecessor's connections, and the events and orders of its requests, may also pass through
+// this process to and from a third one.
 func (in *Ingress) predecessorAlive() bool { return in.predecessor != nil && !in.shutdown.expired }
--- a/internal/dataplane/ingress/hot_restart_successor.go
+++ b/internal/dataplane/ingress/hot_restart_successor.go
@@ -12,46 +12,47 @@
 )
 
 const (
-	// failBeforeKillS before it may be killed, the old process fails what it still owes; values behind which these answers wait migrate then.
+	// failBeforeKillS is how many seconds before it may be killed the old process fails its open requests. Large values that these answers are
+	// queued behind migrate then.
 	failBeforeKillS = 0.3
-	// endBeforeKillS before that it ends, but for its last writes.
+	// endBeforeKillS is how many seconds before it may be killed the old process ends, except for its last writes.
 	endBeforeKillS = 0.25
 )
 
-// successorState is what an old process has of the link to its successor. Loop only, but for the channels and the link.
+// successorState is the state of an old process's hand-over to its successor. Loop only, except the channels and the link.
 type successorState struct {
-	listener    *hotrestart.Listener // for successors; nil: this process can't be replaced
+	listener    *hotrestart.Listener // accepts links of successors; nil: this process can't be replaced
 	link        *hotrestart.Link
 	stage       handoverStage
-	pauseAccept chan struct{}   // closed to end the accepting of connections
-	transfers   chan transfer   // to the goroutine that sends them; as long as there may be connections, each of which is in it once
-	events      chan []byte     // of a decider that has migrated: to the same goroutine
+	pauseAccept chan struct{}   // closed to stop acceptLoop
+	transfers   chan transfer   // queue of sendToSuccessor; has room for every client connection, each of which is queued once at most
+	events      chan []byte     // queue of sendToSuccessor, if the decider has migrated; else nil
 	transferred int             // connections
-	snapshot    []snapshot.Part // that the successor got
-	endTimer    *timer          // of the hand-over that takes too long
+	snapshot    []snapshot.Part // sent to the successor
+	endTimer    *timer          // ends a hand-over that takes too long
 }
 
 // transfer is a connection on its way to the successor.
 type transfer struct {
 	client *clientConn
-	body   []byte      // what was read of it and not used, or with a value a valueTransfer
-	value  *largeValue // that goes along, with its backend's connection; nil: nothing is open
+	body   []byte      // input that was read and not used; with a value, an encoded valueTransfer
+	value  *largeValue // transferred too, with its backend connection; nil: no answer is open
 }
 
-// listenForSuccessor listens for a new process from now on.
+// listenForSuccessor starts to listen for a process that replaces this one.
 func (in *Ingress) listenForSuccessor() {
 	path, err := hotrestart.SocketPath(os.TempDir(), in.cfg.Name)
 	if err == nil {
 		in.successor.listener, err = hotrestart.Listen(path)
 	}
 	if err != nil {
-		in.log.Warn("this process can't be replaced while it runs", "error", err)
+		in.log.Warn("hot restart not available: not listening for a new process", "error", err)
 		return
 	}
 	go in.serveSuccessors(in.successor.listener)
 }
 
-// serveSuccessors serves one new process after the other, until the listener is closed; but for crashes there is one.
+// serveSuccessors serves one new process after the other, until the listener is closed. A second one comes only if the first one fails.
 func (in *Ingress) serveSuccessors(l *hotrestart.Listener) {
 	for {
 		link, err := l.Accept()
@@ -64,11 +65,11 @@
 	}
 }
 
-// serveSuccessor gives a new process the sockets, and takes its messages to the end of the link.
+// serveSuccessor sends a new process the sockets, and receives its messages until the link ends.
 func (in *Ingress) serveSuccessor(link *hotrestart.Link) {
 	m, err := link.Expect(hotrestart.Hello, 0, linkTimeout)
 	if err != nil || len(m.Body) != 1 || m.Body[0] != hotrestart.Version {
-		in.Post(func(float64) { in.logFault("a process of another version asked for the sockets") })
+		in.Post(func(float64) { in.logFault("hand-over rejected: the new process sent no hello of this version") })
 		return
 	}
 	sockets := []syscall.Conn{in.listener}
@@ -82,7 +83,7 @@
 		return
 	}
 	in.Post(func(float64) { in.beginHandover(link) })
-	for err == nil { // until the new process ends, or this one
+	for err == nil { // until the link ends
 		if m, err = link.Receive(0); err == nil && m.Kind == hotrestart.Order {
 			in.receiveOrder(link, m.Body)
 		}
@@ -90,13 +91,14 @@
 	}
 }
 
-// beginHandover ends the accepting of connections; startTransfers goes on once none of them is on its way to the loop any more.
+// beginHandover stops accepting connections. startTransfers continues the hand-over once the loop has all accepted connections. A second
+// hand-over, or one after the shutdown has begun to close clients, is rejected by closing the link.
 func (in *Ingress) beginHandover(link *hotrestart.Link) {
 	if _, migrated := in.decider.(*eventRelay); migrated || in.shutdown.closingClients || in.successor.stage != handoverNone {
 		link.Close()
 		return
 	}
-	in.log.Info("a new process takes over")
+	in.log.Info("hand-over to a new process begins")
 	in.successor.link, in.successor.stage = link, handoverPausing
 	in.acceptingClients.Store(false)
 	in.clearDrain()
@@ -104,7 +106,8 @@
 	setAcceptDeadline(in.listener, expiredDeadline)
 }
 
-// startTransfers has the successor go on, and transfers what is idle. pause is the channel by which the accepting goroutine was stopped.
+// startTransfers has the successor proceed, and starts to transfer idle connections. pause is the channel that stopped acceptLoop: a call
+// for an earlier hand-over is ignored.
 func (in *Ingress) startTransfers(pause chan struct{}) {
 	s := &in.successor
 	if s.stage != handoverPausing || s.pauseAccept != pause {
@@ -114,13 +117,13 @@
 	if in.peers != nil {
 		in.peers.pause()
 	}
-	goBody := in.goBody()
+	proceedBody := in.proceedBody()
 	s.transfers = make(chan transfer, cap(in.clients.connPermits))
 	if d, ok := in.decider.(SnapshotDecider); ok {
 		s.snapshot = d.Snapshot(in.now)
 	}
 	in.migrateDecider()
-	go in.sendToSuccessor(s.link, s.snapshot, goBody, s.transfers, s.events)
+	go in.sendToSuccessor(s.link, s.snapshot, proceedBody, s.transfers, s.events)
 	in.shutdown.closingClients = true
 	in.halveBackendConns()
 	for _, backend := range in.backends.byID {
@@ -138,22 +141,23 @@
 	})
 }
 
-// goBody is the message with which the successor goes on.
-func (in *Ingress) goBody() []byte {
+// proceedBody returns the encoded body of the Proceed message.
+func (in *Ingress) proceedBody() []byte {
 	list := in.cordons.Listed()
-	message := goMessage{in.clients.open(), in.clock.BootTime(), &list}
+	message := proceedMessage{in.clients.open(), in.clock.BootTime(), &list}
 	body, err := json.Marshal(message)
 	if err == nil && len(body) > hotrestart.MaxBodyBytes {
-		message.Endpoints = nil // the successor goes by its own, and by discovery
+		message.Endpoints = nil // the successor uses its configured list, and discovery
 		body, err = json.Marshal(message)
 	}
 	if err != nil {
-		in.logFault("hand-over message not encoded", "error", err)
+		in.logFault("proceed message not encoded", "error", err)
 	}
 	return body
 }
 
-// transferClient gives a connection whose reader has stopped, and whose client waits for nothing, to the successor; false if that can't be.
+// transferClient queues a connection for transfer to the successor. The connection's reader must have stopped, and its client must wait for
+// no answer. transferClient returns false if the connection can't be transferred.
 func (in *Ingress) transferClient(c *clientConn) bool {
 	if in.successor.stage != handoverActive || c.state == connClosing || c.reader == readerTransferring || c.input.Len() > hotrestart.MaxBodyBytes {
 		return false
@@ -163,12 +167,12 @@
 	return true
 }
 
-// sendToSuccessor sends the snapshot, the message to go on and then events and connections, until the link or this process ends. It is the one
-// goroutine that sends on the link; when that fails it closes it, and the goroutine that receives reports the end.
-func (in *Ingress) sendToSuccessor(link *hotrestart.Link, parts []snapshot.Part, goBody []byte, transfers <-chan transfer, events <-chan []byte) {
+// sendToSuccessor sends the snapshot, Proceed and then events and connections, until the link or the loop ends. From then on it is the only
+// goroutine that sends on the link. If a send fails it closes the link, and the receiving goroutine reports the end.
+func (in *Ingress) sendToSuccessor(link *hotrestart.Link, parts []snapshot.Part, proceedBody []byte, transfers <-chan transfer, events <-chan []byte) {
 	err := sendSnapshot(link, parts)
 	if err == nil {
-		err = link.Send(hotrestart.Proceed, goBody, linkTimeout)
+		err = link.Send(hotrestart.Proceed, proceedBody, linkTimeout)
 	}
 	for err == nil {
 		select {
@@ -185,7 +189,7 @@
 	link.Close()
 }
 
-// sendSnapshot sends the parts of a snapshot; what all of them have goes with the first alone.
+// sendSnapshot sends the parts of a snapshot. Classes and backends, which all parts have, are sent with the first part only.
 func sendSnapshot(link *hotrestart.Link, parts []snapshot.Part) error {
 	for i, part := range parts {
 		if i > 0 {
@@ -205,7 +209,7 @@
 	return nil
 }
 
-// send passes the connection, and with a value its backend's, to the successor.
+// send sends the client connection and, with a value, its backend connection to the successor.
 func (t transfer) send(link *hotrestart.Link) error {
 	if t.value != nil {
 		return link.Send(hotrestart.LargeValue, t.body, linkTimeout, t.client.conn, t.value.stream.backendConn.conn)
@@ -213,7 +217,7 @@
 	return link.Send(hotrestart.Client, t.body, linkTimeout, t.client.conn)
 }
 
-// handleTransferred lets go of a connection that the successor has now.
+// handleTransferred releases a connection that was sent to the successor.
 func (in *Ingress) handleTransferred(t transfer) {
 	in.successor.transferred++
 	if t.value != nil {
@@ -223,13 +227,14 @@
 	in.closeClient(t.client, closeHandedOver)
 }
 
-// handleSuccessorLost takes the end of the link. A successor that ended before this process did leaves everything to it.
+// handleSuccessorLost handles the end of the link to a successor while this process still runs: this process takes its state back and
+// serves again.
 func (in *Ingress) handleSuccessorLost(link *hotrestart.Link) {
 	s := &in.successor
 	if s.link != link || s.stage == handoverNone {
 		return
 	}
-	in.log.Error("the new process has ended; this one goes on", "transferred", s.transferred)
+	in.log.Error("link to the new process lost: this process continues to serve", "transferred", s.transferred)
 	stageBefore := s.stage
 	in.stopTimer(s.endTimer)
 	if _, migrated := in.decider.(*eventRelay); migrated {
@@ -240,12 +245,12 @@
 	in.successor = successorState{listener: s.listener, pauseAccept: make(chan struct{})}
 	in.resumeMigratingValues()
 	if stageBefore == handoverActive {
-		in.takeAllLimits()
+		in.restoreFullLimits()
 		if in.peers != nil {
 			in.peers.resume()
 		}
 	}
-	if in.successor.listener != nil { // the successor's own has replaced its file: the next process would find nobody
+	if in.successor.listener != nil { // the successor replaced the socket file: the next process would find no listener
 		in.successor.listener.Close()
 		in.listenForSuccessor()
 	}
@@ -257,7 +262,7 @@
 			in.restartReader(c)
 		}
 	}
-	if in.shutdown.requested { // it accepts no connections again, and what was to be transferred ends with the shutdown
+	if in.shutdown.requested { // no connections are accepted again; those that were to be transferred end with the shutdown
 		return
 	}
 	in.shutdown.closingClients = false
--- a/internal/dataplane/ingress/hot_restart_test.go
+++ b/internal/dataplane/ingress/hot_restart_test.go
@@ -43,12 +43,12 @@
 	other, otherConns := listenBackend(t)
 	go serveBackend(otherConns)
 	cfg := adminConfig(t, addr, other)
-	old := startIngress(t, cfg, sendTo(0))
-	cfg.Listen = old.ingress.listener.Addr().String()
-	if old.call("POST", "/v1/backends/s1/suspend") != 200 {
+	predecessor := startIngress(t, cfg, sendTo(0))
+	cfg.Listen = predecessor.ingress.listener.Addr().String()
+	if predecessor.call("POST", "/v1/backends/s1/suspend") != 200 {
 		t.Fatal("no")
 	}
-	idle, half, busy := old.client(), old.client(), old.client()
+	idle, half, busy := predecessor.client(), predecessor.client(), predecessor.client()
 	idle.send("PING")
 	idle.line()
 	text := command(lookCommand("half")...)
@@ -57,19 +57,19 @@
 	b := receive(t, conns)
 	b.command()
 	write(busy, command(lookCommand("behind")...)[:50])
-	old.waitFor("the halves have been read", func() bool { return len(old.ingress.requests) == 1 })
+	predecessor.waitFor("the halves have been read", func() bool { return len(predecessor.ingress.requests) == 1 })
 
-	young := startIngress(t, cfg, func(r *testIngress) {
+	successor := startIngress(t, cfg, func(r *testIngress) {
 		r.decider.onRequest = func(q policy.Request) { r.ingress.Send(q.ID, "s0", 0) }
 	})
-	young.waitFor("the new process is ready", young.ingress.acceptingClients.Load)
-	if old.call("GET", "/v1/readyz") == 200 || young.call("GET", "/v1/readyz") != 200 {
+	successor.waitFor("the new process is ready", successor.ingress.acceptingClients.Load)
+	if predecessor.call("GET", "/v1/readyz") == 200 || successor.call("GET", "/v1/readyz") != 200 {
 		t.Error("not the new process alone is ready")
 	}
 	for s := (policy.Backend{}); s.State != policy.Draining; {
-		s = backendIn(t, receive(t, young.decider.lists), "s1")
+		s = backendIn(t, receive(t, successor.decider.lists), "s1")
 	}
-	fresh := young.client()
+	fresh := successor.client()
 	fresh.send("PING")
 	if fresh.line() != "+PONG" {
 		t.Error("a new connection is not served")
@@ -79,7 +79,7 @@
 		t.Error("an idle connection was not passed on")
 	}
 	write(half, text[30:])
-	if q := receive(t, young.decider.requests); q.ID != "half" {
+	if q := receive(t, successor.decider.requests); q.ID != "half" {
 		t.Errorf("%+v came in place of the request in two halves", q)
 	}
 	hb := receive(t, conns)
@@ -91,7 +91,7 @@
 		t.Error("the request in two halves was not answered")
 	}
 	select {
-	case <-old.ended:
+	case <-predecessor.ended:
 		t.Fatal("the old process ended with a request open")
 	default:
 	}
@@ -99,13 +99,13 @@
 	if busy.line() != "$1" || busy.line() != "v" {
 		t.Error("the old process did not answer what it had taken")
 	}
-	receive(t, old.ended)
+	receive(t, predecessor.ended)
 	write(busy, command(lookCommand("behind")...)[50:])
-	if q := receive(t, young.decider.requests); q.ID != "behind" {
+	if q := receive(t, successor.decider.requests); q.ID != "behind" {
 		t.Errorf("%+v", q)
 	}
-	young.waitFor("the link has ended", func() bool { return young.ingress.predecessor == nil })
-	if young.call("POST", "/v1/backends/s1/resume") != 200 {
+	successor.waitFor("the link has ended", func() bool { return successor.ingress.predecessor == nil })
+	if successor.call("POST", "/v1/backends/s1/resume") != 200 {
 		t.Error("what was held before can't be called back")
 	}
 }
@@ -282,11 +282,11 @@
 	addr, conns := listenBackend(t)
 	go serveBackend(conns)
 	cfg := adminConfig(t, addr)
-	was := startIngress(t, cfg, sendTo(0))
-	cfg.Listen = was.ingress.listener.Addr().String()
+	current := startIngress(t, cfg, sendTo(0))
+	cfg.Listen = current.ingress.listener.Addr().String()
 	var clients []*testConn
 	for range 5 {
-		clients = append(clients, was.client())
+		clients = append(clients, current.client())
 	}
 	for n := range 10 {
 		for i, w := range clients {
@@ -295,10 +295,10 @@
 				t.Fatalf("client %d is not served by process %d", i, n)
 			}
 		}
-		is := startIngress(t, cfg, sendTo(0))
-		is.waitFor("the next serves", is.ingress.acceptingClients.Load)
-		receive(t, was.ended)
-		is.waitFor("the link has ended", func() bool { return is.ingress.predecessor == nil })
-		was = is
+		next := startIngress(t, cfg, sendTo(0))
+		next.waitFor("the next serves", next.ingress.acceptingClients.Load)
+		receive(t, current.ended)
+		next.waitFor("the link has ended", func() bool { return next.ingress.predecessor == nil })
+		current = next
 	}
 }
