--- a/internal/dataplane/hotrestart/golden_test.go
+++ b/internal/dataplane/hotrestart/golden_test.go
@@ -10,7 +10,7 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the messages of a hot restart and the names of the files by which two processes find each other.
+// Guards against changes of the messages of a hot restart, and of the paths of the socket and the lock file, which two versions share.
 func TestGoldenMessages(t *testing.T) {
 	l, err := Listen(filepath.Join(t.TempDir(), "s"))
 	if err != nil {
@@ -52,7 +52,7 @@
 		}
 		m, err := link.Expect(kind, 0, time.Minute)
 		if err != nil || !bytes.Equal(m.Body, []byte{Version, byte(i)}) {
-			t.Errorf("message %d is read as %q, %v", i, m.Body, err)
+			t.Errorf("message %d: got body %q, error %v", i, m.Body, err)
 		}
 	}
 }
--- a/internal/dataplane/hotrestart/hotrestart_test.go
+++ b/internal/dataplane/hotrestart/hotrestart_test.go
@@ -15,7 +15,7 @@
 
 const testTimeout = 20 * time.Second
 
-// pair is a link and its other side.
+// pair returns both sides of a link, and the path of its socket.
 func pair(t *testing.T) (a, b *Link, path string) {
 	t.Helper()
 	path, err := SocketPath(t.TempDir(), "n")
@@ -52,8 +52,8 @@
 	}
 }
 
-// Guards what the replacement rests on: a connection goes on at the receiver with every byte, while the sender closes it,
-// and a listener's queue is taken over with it.
+// Guards the transfer of sockets: a connection continues at the receiver without losing a byte though the sender closes its copy, and a
+// listener is transferred with the connections in its accept queue.
 func TestLink_PassesSockets(t *testing.T) {
 	a, b, _ := pair(t)
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -87,7 +87,7 @@
 	l.Close()
 	m, err := a.Expect(Client, 1, testTimeout)
 	if err != nil || string(m.Body) != "rest" {
-		t.Fatal(m, err)
+		t.Fatalf("got client message %+v, error %v, want body %q", m, err, "rest")
 	}
 	c, err := TCPConn(m.Files[0])
 	if err != nil {
@@ -118,16 +118,16 @@
 		setDeadline(t, server)
 		got := make([]byte, len(want.text))
 		if _, err := io.ReadFull(server, got); err != nil || string(got) != want.text {
-			t.Fatalf("%q, want %q: %v", got, want.text, err)
+			t.Fatalf("connection %d: server got %q, want %q: %v", i, got, want.text, err)
 		}
 		write(t, server, "back")
 		if _, err := io.ReadFull(want.client, got[:4]); err != nil || string(got[:4]) != "back" {
-			t.Fatalf("%q came back: %v", got[:4], err)
+			t.Fatalf("connection %d: client got %q, want %q: %v", i, got[:4], "back", err)
 		}
 	}
 }
 
-// Guards the descriptors of a process that is told nonsense: each that came is closed.
+// Guards against descriptors that leak when a message of the wrong kind, with too few descriptors or with a wrong socket is received.
 func TestLink_MalformedMessagesLeakNothing(t *testing.T) {
 	a, b, _ := pair(t)
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -152,11 +152,11 @@
 	for range 20 {
 		send(Proceed, l, l)
 		if _, err := a.Expect(Sockets, 1, testTimeout); !errors.Is(err, ErrUnexpected) {
-			t.Fatal("another kind was taken:", err)
+			t.Fatalf("message of another kind: got error %v, want %v", err, ErrUnexpected)
 		}
 		send(Sockets, l)
 		if _, err := a.Expect(Sockets, 2, testTimeout); !errors.Is(err, ErrUnexpected) {
-			t.Fatal("too few descriptors were taken:", err)
+			t.Fatalf("message with too few descriptors: got error %v, want %v", err, ErrUnexpected)
 		}
 		send(Sockets, l)
 		m, err := a.Expect(Sockets, 1, testTimeout)
@@ -164,50 +164,51 @@
 			t.Fatal(err)
 		}
 		if _, err := TCPListener(m.Files[0], "127.0.0.1:1"); !errors.Is(err, ErrWrongSocket) || !strings.Contains(err.Error(), "want *net.TCPListener at 127.0.0.1:1") {
-			t.Fatal(err)
+			t.Fatalf("listener at another address: got error %v, want %v with the wanted address", err, ErrWrongSocket)
 		}
 		send(Client, l)
 		if m, err = a.Receive(testTimeout); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := TCPConn(m.Files[0]); !errors.Is(err, ErrWrongSocket) {
-			t.Fatal("a listener passes for a connection:", err)
+			t.Fatalf("listener in place of a connection: got error %v, want %v", err, ErrWrongSocket)
 		}
 	}
 	if after := open(); after > before {
-		t.Errorf("%d descriptors, %d before", after, before)
+		t.Errorf("%d descriptors are open, %d were before", after, before)
 	}
 	if err := b.Send(Client, make([]byte, MaxBodyBytes+1), testTimeout); !errors.Is(err, ErrTooLarge) {
-		t.Error("an overlong message was sent:", err)
+		t.Errorf("message of MaxBodyBytes+1: got error %v, want %v", err, ErrTooLarge)
 	}
 	if err := b.Send(Client, bytes.Repeat([]byte("x"), MaxBodyBytes), testTimeout); err != nil {
 		t.Error(err)
 	}
 	if m, err := a.Receive(testTimeout); err != nil || len(m.Body) != MaxBodyBytes {
-		t.Error(len(m.Body), err)
+		t.Errorf("got a body of %d bytes, error %v, want %d bytes", len(m.Body), err, MaxBodyBytes)
 	}
 	b.Close()
 	if _, err := a.Receive(testTimeout); !errors.Is(err, io.EOF) {
-		t.Error("the end of the link is no error:", err)
+		t.Errorf("receive after the other side closed the link: got error %v, want %v", err, io.EOF)
 	}
 }
 
-// Guards starts beside what a killed process left, and against paths that the system would cut.
+// Guards starts next to the socket file of a killed process or of a running predecessor, and against socket paths that the kernel would
+// truncate or that lie outside the directory.
 func TestSocketPath(t *testing.T) {
 	dir := t.TempDir()
 	path, _ := SocketPath(dir, "n")
 	if l, err := Dial(path); l != nil || err != nil {
-		t.Fatal("nothing is there:", l, err)
+		t.Fatalf("dial without a socket file: got %v, %v, want no link and no error", l, err)
 	}
 	fd, err := syscall.Socket(syscall.AF_UNIX, syscall.SOCK_SEQPACKET, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrUnix{Name: path}), syscall.Close(fd)); err != nil { // as a killed process leaves it
+	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrUnix{Name: path}), syscall.Close(fd)); err != nil { // as left by a killed process
 		t.Fatal(err)
 	}
 	if l, err := Dial(path); l != nil || err != nil {
-		t.Fatal("nobody listens:", l, err)
+		t.Fatalf("dial without a listener: got %v, %v, want no link and no error", l, err)
 	}
 	first, err := Listen(path)
 	if err != nil {
@@ -219,13 +220,13 @@
 	}
 	first.Close()
 	if l, err := Dial(path); l == nil || err != nil {
-		t.Fatal("the old process took the new one's path away:", err)
+		t.Fatal("new process not reachable after the old one closed its listener:", err)
 	}
 	second.Close()
 	if _, err := SocketPath(strings.Repeat("x", 100), "n"); !errors.Is(err, ErrPathTooLong) {
-		t.Error("a path that is too long is no error:", err)
+		t.Errorf("path of more than 100 bytes: got error %v, want %v", err, ErrPathTooLong)
 	}
 	if p, _ := SocketPath(dir, "../../n"); filepath.Dir(p) != dir {
-		t.Error("a name leads out of the folder:", p)
+		t.Errorf("name with slashes: got path %s, want one in %s", p, dir)
 	}
 }
--- a/internal/dataplane/ingress/decider_test.go
+++ b/internal/dataplane/ingress/decider_test.go
@@ -2,7 +2,8 @@
 
 import "eiderspread/policy"
 
-// The ingress looks for these abilities of its decider while it runs: one that the module lost would be passed over in silence.
+// The ingress finds these interfaces of its decider by type assertions at run time: without this check, an interface that policy.Gateway no
+// longer implements would be ignored without an error.
 var (
 	_ Decider               = (*policy.Gateway)(nil)
 	_ SnapshotDecider       = (*policy.Gateway)(nil)
--- a/internal/dataplane/ingress/golden_test.go
+++ b/internal/dataplane/ingress/golden_test.go
@@ -12,14 +12,14 @@
 	"eiderspread/policy"
 )
 
-// Guards the status, and what goes with a hot restart's messages beside the snapshot.
+// Guards the JSON keys of the status, and of the hot restart's messages other than the snapshot.
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "status.json", &Status{})
 	golden.JSON(t, "go.json", &proceedMessage{})
 	golden.JSON(t, "value.json", &valueTransfer{})
 }
 
-// Guards the names by which the status counts.
+// Guards the names of the status's counters.
 func TestGoldenNames(t *testing.T) {
 	var b strings.Builder
 	for r := range closeReasonsCount {
@@ -37,7 +37,7 @@
 	golden.Check(t, "names.txt", []byte(b.String()))
 }
 
-// Guards what is read of a command and written to a backend, or said of one that can't be taken.
+// Guards how commands are parsed, how they are written to backends, and the error replies to commands that are rejected.
 func TestGoldenCommands(t *testing.T) {
 	schema := callprotocol.NewSchema(testConfig().Settings.Settings)
 	var b bytes.Buffer
@@ -62,7 +62,7 @@
 	golden.Check(t, "commands.out", b.Bytes())
 }
 
-// Guards what is read of a backend's answers.
+// Guards how the replies of backends are parsed.
 func TestGoldenReplies(t *testing.T) {
 	var b strings.Builder
 	for _, line := range strings.Split(strings.TrimSpace(string(golden.Load(t, "replies.txt"))), "\n") {
@@ -80,7 +80,7 @@
 	golden.Check(t, "replies.out", []byte(b.String()))
 }
 
-// Guards the answers that clients are given, byte for byte.
+// Guards the replies to clients, byte for byte.
 func TestGoldenAnswers(t *testing.T) {
 	backend, conns := listenBackend(t)
 	r := startIngress(t, testConfig(backend), nil)
@@ -108,11 +108,11 @@
 		for range lines {
 			line, err := w.r.ReadBytes('\n')
 			if got = append(got, line...); err != nil {
-				t.Fatalf("%q, %v", got, err)
+				t.Fatalf("read %q, then error %v", got, err)
 			}
 		}
 	}
-	read(c, 7) // the value's are two
+	read(c, 7) // the value takes two of them
 	c = startIngress(t, testConfig(), nil).client()
 	c.send("PING")
 	read(c, 1)
--- a/internal/dataplane/ingress/harness_test.go
+++ b/internal/dataplane/ingress/harness_test.go
@@ -23,16 +23,16 @@
 	"eiderspread/policy"
 )
 
-// testTimeout bounds how long a test waits for what must come. It decides nothing but when to give up.
+// testTimeout bounds how long a test waits for an event that must happen. No check depends on its value.
 const testTimeout = 20 * time.Second
 
 const customer = "00000000b4d65521"
 
-// servedReply is a backend's reply with a value, without figures.
+// servedReply is a backend's reply with a value and without a load report.
 const servedReply = "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
-// fakeDecider stands in for the decision module: a test says what it does on a request, and sees what
-// it is told.
+// fakeDecider is a stand-in for the decision module: a test sets what it does on a request, and receives the events that it was notified
+// of.
 type fakeDecider struct {
 	onRequest   func(policy.Request)
 	requests    chan policy.Request
@@ -82,7 +82,7 @@
 
 func (m *fakeDecider) HandleProbeResult(_ float64, p policy.ProbeResult) { m.probed <- p }
 
-// sendTo has the module send each request to s0.
+// sendTo has the decider send each request to s0.
 func sendTo(timeoutS float64) func(*testIngress) {
 	return func(r *testIngress) {
 		r.decider.onRequest = func(q policy.Request) { r.ingress.Send(q.ID, "s0", timeoutS) }
@@ -98,7 +98,7 @@
 	terminate context.CancelFunc
 
 	reread       chan ingressconfig.Config
-	otherDecider Decider // nil: mod
+	otherDecider Decider // nil: decider
 }
 
 func testConfig(backends ...string) ingressconfig.Config {
@@ -125,7 +125,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &testIngress{t: t, ingress: in, decider: newFakeDecider(), ended: make(chan struct{}), terminate: cancel, reread: make(chan ingressconfig.Config)}
-	in.backends.duplicateWindowS = 0 // the tests' answers are alike
+	in.backends.duplicateWindowS = 0 // the replies in tests are identical, and must not count as duplicates
 	if change != nil {
 		change(r)
 	}
@@ -134,7 +134,7 @@
 		if r.otherDecider == nil {
 			r.otherDecider = r.decider
 		}
-		_ = in.serve(ctx, r.reread, r.otherDecider) // a test that has it fail sees that in the log
+		_ = in.serve(ctx, r.reread, r.otherDecider) // a test that has serve fail calls it itself
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -158,7 +158,7 @@
 	}
 }
 
-// waitFor waits for something that the loop comes to by itself.
+// waitFor waits until holds, which runs on the loop, returns true.
 func (r *testIngress) waitFor(message string, holds func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -167,7 +167,7 @@
 			return
 		}
 	}
-	r.t.Fatal("never came to: " + message)
+	r.t.Fatal("timed out waiting until: " + message)
 }
 
 func (r *testIngress) client() *testConn {
@@ -179,13 +179,13 @@
 	return newTestConn(r.t, c)
 }
 
-// openResources is what an ingress holds: timers, and what is left of the budget.
+// openResources returns the number of timers that are set, and the bytes left of the input budget.
 func (r *testIngress) openResources() (timers int, left int64) {
 	r.onLoop(func() { timers, left = len(r.ingress.timers), r.ingress.inputBudget.Available() })
 	return timers, left
 }
 
-// drainSince has the drain look as if it had begun so many seconds ago.
+// drainSince restarts the drain as if it had begun ago seconds earlier.
 func (r *testIngress) drainSince(ago float64) {
 	r.onLoop(func() {
 		r.ingress.drain.End()
@@ -193,10 +193,10 @@
 	})
 }
 
-// waitForNoRequests waits until all clients were handed over, or could be.
+// waitForNoRequests waits until the hand-over is active and the readers of all clients have stopped.
 func (r *testIngress) waitForNoRequests() {
 	r.t.Helper()
-	r.waitFor("its readers rest", func() bool {
+	r.waitFor("all client readers have stopped", func() bool {
 		for c := range r.ingress.clients.conns {
 			if c.reader < readerStopped {
 				return false
@@ -206,9 +206,10 @@
 	})
 }
 
-// fillPipeline has the pipeline of a client full, with more of it unread, and nothing sent on yet: its reader does not read.
+// fillPipeline fills the pipeline of a client with requests that the decider has received and not sent, and leaves more of them unread: the
+// client's reader waits for a permit. It returns the ids of all requests.
 func (r *testIngress) fillPipeline(c *testConn) (ids []string) {
-	for i := range 4 * maxPipelinedCommands { // more than its reader's buffer holds
+	for i := range 4 * maxPipelinedCommands { // more than the reader's buffer holds
 		ids = append(ids, fmt.Sprint("w", i))
 		c.send(lookCommand(ids[i])...)
 	}
@@ -217,11 +218,11 @@
 	}
 	var there *clientConn
 	r.onLoop(func() { there = r.ingress.requests["w0"].client })
-	r.waitFor("its reader waits", func() bool { return len(there.pipelinePermits) == maxPipelinedCommands })
+	r.waitFor("the client's pipeline is full", func() bool { return len(there.pipelinePermits) == maxPipelinedCommands })
 	return ids
 }
 
-// shrinkClientBuffers leaves little room between the ingress and a client.
+// shrinkClientBuffers sets 64 KiB socket buffers between the ingress and a client.
 func (r *testIngress) shrinkClientBuffers(w *testConn) {
 	w.send("PING")
 	w.line()
@@ -233,11 +234,11 @@
 	})
 }
 
-// slow makes the buffers between the one client and the ingress small, so that a client that does not read is noticed.
+// slow sets 4 KiB socket buffers between the ingress and its only client, so that writes to a client that does not read block soon.
 func (r *testIngress) slow(w *testConn) {
 	r.t.Helper()
 	noError(r.t, w.Conn.(*net.TCPConn).SetReadBuffer(4<<10))
-	r.waitFor("the client is known", func() bool {
+	r.waitFor("the ingress has the client's connection", func() bool {
 		for c := range r.ingress.clients.conns {
 			noError(r.t, c.conn.SetWriteBuffer(4<<10))
 			return true
@@ -246,7 +247,7 @@
 	})
 }
 
-// ids waits for the next list that the module gets.
+// ids waits for the next list that the decider receives, and returns id and state of each backend.
 func (r *testIngress) ids() (ids []string) {
 	r.t.Helper()
 	for _, s := range receive(r.t, r.decider.lists) {
@@ -261,15 +262,15 @@
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received before the timeout")
 		panic("unreachable")
 	}
 }
 
-// write sends text as it stands. An error says that the connection has ended, which what is read from it shows too.
+// write sends text unchanged. It ignores errors: a connection that has ended also shows in the reads of the test.
 func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// noError fails the test, which goes on, for an error that it does not expect.
+// noError marks the test as failed if err is not nil, and continues it.
 func noError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -315,14 +316,15 @@
 	return args
 }
 
+// served reads one reply, which must be the value of servedReply.
 func (w *testConn) served(message string) {
 	w.t.Helper()
 	if a, b := w.line(), w.line(); a != "$1" || b != "v" {
-		w.t.Errorf("%s: got %q, %q", message, a, b)
+		w.t.Errorf("%s: got reply lines %q, %q, want $1, v", message, a, b)
 	}
 }
 
-// bulk reads a bulk string; what is not whole is returned as it came.
+// bulk reads a bulk string and returns its value, or the part of it that was received.
 func (w *testConn) bulk() []byte {
 	var size int
 	if _, err := fmt.Sscanf(w.line(), "$%d", &size); err != nil {
@@ -348,7 +350,7 @@
 	return []string{"CALL.GET", customer, id, "c=look,t=basic,d=600000,units=2,spread=2,first=1"}
 }
 
-// fields is a command's parts as a reader has them.
+// fields returns the arguments of a command as byte slices, as a reader parses them.
 func fields(command []string) (args [][]byte) {
 	for _, part := range command {
 		args = append(args, []byte(part))
@@ -356,7 +358,7 @@
 	return args
 }
 
-// listenBackend takes connections of a backend.
+// listenBackend listens as a backend and passes each accepted connection to conns.
 func listenBackend(t *testing.T) (addr string, conns chan *testConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -376,7 +378,7 @@
 	return l.Addr().String(), conns
 }
 
-// serveBackend answers every request at a backend with a value.
+// serveBackend answers every request at a backend with servedReply.
 func serveBackend(conns chan *testConn) {
 	for w := range conns {
 		go func() {
@@ -397,7 +399,7 @@
 	}
 }
 
-// narrow takes connections of a backend, between which and the ingress there is little room.
+// narrow listens as a backend, and sets 4 KiB socket buffers between it and the ingress.
 func narrow(t *testing.T) (l net.Listener, change func(*testIngress)) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		var err error
@@ -422,7 +424,7 @@
 	}
 }
 
-// pair is two ends of one connection.
+// pair returns both ends of a TCP connection.
 func pair(t *testing.T) (mine, theirs *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -443,7 +445,7 @@
 	return c.(*net.TCPConn), receive(t, accepted).(*net.TCPConn)
 }
 
-// tcpPair is a client's end of a connection, and the other.
+// tcpPair returns both ends of a TCP connection, the client's end as a testConn.
 func tcpPair(t *testing.T) (*testConn, *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -461,7 +463,7 @@
 	return newTestConn(t, mine), theirs.(*net.TCPConn)
 }
 
-// unsent are the bytes of a connection that its peer has not acknowledged.
+// unsent returns the number of bytes in a connection's send queue that the peer has not acknowledged.
 func unsent(t *testing.T, c *net.TCPConn) (n int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
--- a/internal/dataplane/ingress/hot_restart_test.go
+++ b/internal/dataplane/ingress/hot_restart_test.go
@@ -11,7 +11,7 @@
 	"eiderspread/policy"
 )
 
-// dialAsSuccessor is a new process that has been given the sockets.
+// dialAsSuccessor connects as a new process does, and receives the sockets, which it closes.
 func dialAsSuccessor(t *testing.T, path string) *hotrestart.Link {
 	t.Helper()
 	link, err := hotrestart.Dial(path)
@@ -27,7 +27,7 @@
 	return link
 }
 
-// completeHandover has it say that it is ready, and waits for the word to go on.
+// completeHandover sends Ready and waits for Proceed.
 func completeHandover(t *testing.T, link *hotrestart.Link) {
 	t.Helper()
 	noError(t, link.Send(hotrestart.Ready, nil, testTimeout))
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards every kind of connection while a process is replaced: idle, busy, with half a command read, with a command
-// behind an open one, new. Each is answered, none is refused or closed, and what is held stays held.
+// Guards connections of every kind while a process is replaced: idle, with an open request, with half a command read, with half a command
+// behind an open request, and new. Each is answered, none is refused or closed, and backends that operators cordoned stay cordoned.
 func TestHotRestart_TransfersClients(t *testing.T) {
 	addr, conns := listenBackend(t)
 	other, otherConns := listenBackend(t)
@@ -46,7 +46,7 @@
 	predecessor := startIngress(t, cfg, sendTo(0))
 	cfg.Listen = predecessor.ingress.listener.Addr().String()
 	if predecessor.call("POST", "/v1/backends/s1/suspend") != 200 {
-		t.Fatal("no")
+		t.Fatal("backend s1 was not suspended")
 	}
 	idle, half, busy := predecessor.client(), predecessor.client(), predecessor.client()
 	idle.send("PING")
@@ -64,7 +64,7 @@
 	})
 	successor.waitFor("the new process is ready", successor.ingress.acceptingClients.Load)
 	if predecessor.call("GET", "/v1/readyz") == 200 || successor.call("GET", "/v1/readyz") != 200 {
-		t.Error("not the new process alone is ready")
+		t.Error("readyz: want the new process ready and the old one not ready")
 	}
 	for s := (policy.Backend{}); s.State != policy.Draining; {
 		s = backendIn(t, receive(t, successor.decider.lists), "s1")
@@ -72,23 +72,23 @@
 	fresh := successor.client()
 	fresh.send("PING")
 	if fresh.line() != "+PONG" {
-		t.Error("a new connection is not served")
+		t.Error("new connection: got no +PONG from the new process")
 	}
 	idle.send("PING")
 	if idle.line() != "+PONG" {
-		t.Error("an idle connection was not passed on")
+		t.Error("idle connection: got no +PONG after the hand-over")
 	}
 	write(half, text[30:])
 	if q := receive(t, successor.decider.requests); q.ID != "half" {
-		t.Errorf("%+v came in place of the request in two halves", q)
+		t.Errorf("new process got request %+v, want half", q)
 	}
 	hb := receive(t, conns)
 	if hb.command() == nil {
-		t.Fatal("not sent")
+		t.Fatal("request half was not sent to the backend")
 	}
 	write(hb, servedReply)
 	if half.line() != "$1" || half.line() != "v" {
-		t.Error("the request in two halves was not answered")
+		t.Error("request half: the client did not get the value")
 	}
 	select {
 	case <-predecessor.ended:
@@ -97,25 +97,26 @@
 	}
 	write(b, servedReply)
 	if busy.line() != "$1" || busy.line() != "v" {
-		t.Error("the old process did not answer what it had taken")
+		t.Error("request busy: the client did not get the value from the old process")
 	}
 	receive(t, predecessor.ended)
 	write(busy, command(lookCommand("behind")...)[50:])
 	if q := receive(t, successor.decider.requests); q.ID != "behind" {
-		t.Errorf("%+v", q)
+		t.Errorf("new process got request %+v, want behind", q)
 	}
 	successor.waitFor("the link has ended", func() bool { return successor.ingress.predecessor == nil })
 	if successor.call("POST", "/v1/backends/s1/resume") != 200 {
-		t.Error("what was held before can't be called back")
+		t.Error("backend s1, suspended before the hand-over, can't be resumed at the new process")
 	}
 }
 
-// Guards the end of a process that was asked to end, and of which the successor has died: it answers what it holds, and does
-// not come back to life.
+// Guards the shutdown of a process that got SIGTERM during a hand-over and whose successor then dies: it answers its open requests and
+// ends; it accepts no connections again.
 func TestHotRestart_SuccessorDiesAfterSIGTERM(t *testing.T) {
 	for _, order := range []string{"after it leaves", "before"} {
 		t.Run(order, func(t *testing.T) {
-			r := startIngress(t, adminConfig(t, "127.0.0.1:1"), func(r *testIngress) { r.ingress.acceptFor = time.Hour }) // until the test says so
+			// The test calls stopAccepting itself.
+			r := startIngress(t, adminConfig(t, "127.0.0.1:1"), func(r *testIngress) { r.ingress.acceptFor = time.Hour })
 			open, idle := r.client(), r.client()
 			idle.send("PING")
 			idle.line()
@@ -125,10 +126,10 @@
 			link := dialAsSuccessor(t, path)
 			completeHandover(t, link)
 			r.terminate()
-			r.waitFor("it has heard the signal", func() bool { return r.ingress.shutdown.requested })
+			r.waitFor("the shutdown is requested", func() bool { return r.ingress.shutdown.requested })
 			die := func() {
 				link.Close()
-				r.waitFor("it knows that its successor has died", func() bool { return r.ingress.successor.stage == handoverNone })
+				r.waitFor("the loop has handled the death of the successor", func() bool { return r.ingress.successor.stage == handoverNone })
 			}
 			if order == "before" {
 				die()
@@ -139,17 +140,17 @@
 			}
 			r.onLoop(func() { r.ingress.Fail("open") })
 			if open.line() != "-ERR failed" {
-				t.Error("what it had taken was not answered")
+				t.Error("request open: the client did not get -ERR failed")
 			}
 			receive(t, r.ended)
 			if r.ingress.shutdown.expired {
-				t.Error("it waited for a listener that rests")
+				t.Error("the shutdown expired after its last request was answered, as if it waited for the paused listener")
 			}
 		})
 	}
 }
 
-// Guards the descriptors of an ingress that runs as two processes: what the other one still has counts.
+// Guards the limit on descriptors while an ingress runs as two processes: the connections of the other process count.
 func TestHotRestart_ConnectionsElsewhereCountAgainstLimit(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
 		r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen, r.ingress.clients.openElsewhere = 2, 2, 1
@@ -162,25 +163,25 @@
 		}
 		w.send("PING")
 		if w.line() != "+PONG" {
-			t.Fatal("not served")
+			t.Fatalf("client %d got no +PONG", i)
 		}
 	}
 	if r.onLoop(func() {
 		if n := r.ingress.clients.open(); n != 1 {
-			t.Errorf("%d connections here and one elsewhere, 2 may be", n)
+			t.Errorf("%d connections in this process and 1 in the other, want 1 and 1", n)
 		}
 	}); first.line() != "" {
-		t.Error("the one that idles longest was not closed")
+		t.Error("the connection that was idle longest was not closed")
 	}
 }
 
-// Guards clients against a new process that dies right after it took over: the old one goes on with all of them.
+// Guards clients against a new process that dies before or right after it took over: the old process continues to serve all of them.
 func TestHotRestart_SuccessorDies(t *testing.T) {
 	addr, conns := listenBackend(t)
 	go serveBackend(conns)
 	r := startIngress(t, adminConfig(t, addr), func(r *testIngress) {
 		r.decider.onRequest = func(q policy.Request) {
-			if q.ID != "open" { // which keeps the old process
+			if q.ID != "open" { // stays open, so that the old process does not end
 				r.ingress.Send(q.ID, "s0", 0)
 			}
 		}
@@ -198,48 +199,49 @@
 	}
 	for round := range 3 {
 		link := dialAsSuccessor(t, path)
-		var limit *timer
-		if round > 0 { // the first dies before it is ready
+		var endTimer *timer
+		if round > 0 { // the first new process dies before it is ready
 			completeHandover(t, link)
 			if r.call("GET", "/v1/readyz") == 200 {
-				t.Error("ready with nobody at the listener")
+				t.Error("readyz: the old process is ready though it does not accept connections")
 			}
-			r.onLoop(func() { limit = r.ingress.successor.endTimer })
+			r.onLoop(func() { endTimer = r.ingress.successor.endTimer })
 		}
-		most := 0
-		link.Close() // with what was passed on meanwhile
-		r.waitFor("the old process goes on", func() bool {
-			most = r.ingress.backends.maxConns
-			return r.ingress.acceptingClients.Load() && r.ingress.successor.stage == handoverNone && (limit == nil || limit.index < 0) // else all ends by it
+		maxConns := 0
+		link.Close() // connections that were transferred by now are lost
+		// endTimer must be stopped: it would end the process.
+		r.waitFor("the old process accepts connections again", func() bool {
+			maxConns = r.ingress.backends.maxConns
+			return r.ingress.acceptingClients.Load() && r.ingress.successor.stage == handoverNone && (endTimer == nil || endTimer.index < 0)
 		})
-		if want := freeDescriptors(r.ingress.cfg) * 3 / 8; most != want {
-			t.Errorf("%d connections to backends, want %d again", most, want)
+		if want := freeDescriptors(r.ingress.cfg) * 3 / 8; maxConns != want {
+			t.Errorf("limit of %d connections to backends, want %d as before the hand-over", maxConns, want)
 		}
 		late := r.client()
 		late.send(lookCommand(fmt.Sprint("late", round))...)
 		if late.line() != "$1" || late.line() != "v" {
-			t.Fatal("a new connection is not served")
+			t.Fatalf("round %d: a new connection did not get the value", round)
 		}
 	}
 }
 
-// Guards the running process against one of other addresses.
+// Guards the running process against a hand-over to a process with another listen address, which must not start.
 func TestHotRestart_OtherListenAddressRejected(t *testing.T) {
 	cfg := adminConfig(t, "127.0.0.1:1")
 	r := startIngress(t, cfg, nil)
-	r.onLoop(func() {}) // it serves, and listens for a successor
+	r.onLoop(func() {}) // by then, it serves and listens for a successor
 	cfg.Listen = "127.0.0.1:1"
 	if _, err := newIngress(cfg, r.ingress.log); err == nil || !strings.Contains(err.Error(), "does not hand over") {
-		t.Fatal(err)
+		t.Fatalf("start with another listen address: got error %v, want a failed hand-over", err)
 	}
 	w := r.client()
 	if w.send("PING"); w.line() != "+PONG" {
-		t.Fatal("the running process suffered by it")
+		t.Fatal("the running process does not answer PING after the failed hand-over")
 	}
 }
 
-// Guards chains: a process that is replaced while the one before it still ends. Idle connections come to the last one by way of the
-// middle one, what the first holds is answered, and each ends when all before it have.
+// Guards a process that is replaced while its own predecessor still drains. Idle connections reach the third process through the second,
+// the first answers its open request, and each process ends only after its predecessor.
 func TestHotRestart_WhilePredecessorStillDrains(t *testing.T) {
 	addr, conns := listenBackend(t)
 	cfg := adminConfig(t, addr)
@@ -257,27 +259,27 @@
 	third.waitFor("the third serves", third.ingress.acceptingClients.Load)
 	idle.send("PING")
 	if idle.line() != "+PONG" {
-		t.Fatal("an idle connection did not come through")
+		t.Fatal("idle connection: got no +PONG from the third process")
 	}
 	select {
 	case <-second.ended:
-		t.Fatal("the second ended while the first has a request open: the first would go on by itself")
+		t.Fatal("the second process ended before the first, which has an open request: the first would serve again")
 	default:
 	}
 	write(b, servedReply)
 	if busy.line() != "$1" || busy.line() != "v" {
-		t.Fatal("not answered")
+		t.Fatal("request busy: the client did not get the value from the first process")
 	}
 	receive(t, first.ended)
 	receive(t, second.ended)
 	busy.send(lookCommand("again")...)
 	if q := receive(t, third.decider.requests); q.ID != "again" {
-		t.Errorf("%+v came to the third", q)
+		t.Errorf("third process got request %+v, want again", q)
 	}
-	third.waitFor("nothing is left of the others", func() bool { return third.ingress.predecessor == nil })
+	third.waitFor("the link to the predecessor has ended", func() bool { return third.ingress.predecessor == nil })
 }
 
-// Guards ten replacements in a row, with connections that live through all of them.
+// Guards connections that stay open through ten replacements in a row.
 func TestHotRestart_TenInARow(t *testing.T) {
 	addr, conns := listenBackend(t)
 	go serveBackend(conns)
@@ -292,7 +294,7 @@
 		for i, w := range clients {
 			w.send(lookCommand(fmt.Sprint("r", n, "-", i))...)
 			if w.line() != "$1" || w.line() != "v" {
-				t.Fatalf("client %d is not served by process %d", i, n)
+				t.Fatalf("client %d did not get the value from process %d", i, n)
 			}
 		}
 		next := startIngress(t, cfg, sendTo(0))
