--- a/internal/dataplane/callprotocol/call.go
+++ b/internal/dataplane/callprotocol/call.go
@@ -10,26 +10,26 @@
 	"eiderspread/policy"
 )
 
-// Where the parts of a call stand in Call.Args.
+// Indexes into Call.Args.
 const (
 	argCommand = iota
 	argAccount
 	argID
 	argFields
-	argBody // of a write
+	argBody // only in a write
 
 	readArgs  = argBody
 	writeArgs = argBody + 1
 )
 
-// Bounds on the parts of a call.
+// Bounds on the arguments of a call and on the values of its fields.
 const (
 	maxIDLen     = 128
 	maxFieldsLen = 1 << 10
 	accountLen   = 16      // hex digits
-	maxAccount   = 1 << 33 // accounts' numbers are below
+	maxAccount   = 1 << 33 // exclusive
 	maxTimeoutMS = 600_000
-	maxUnits     = 1 << 30 // where the settings have no bound
+	maxUnits     = 1 << 30 // if the settings give no bound
 )
 
 var (
@@ -38,7 +38,7 @@
 	commandPing  = []byte("PING")
 )
 
-// Command is what a client asks for.
+// Command is the kind of a client's command.
 type Command uint8
 
 // The commands that clients may send.
@@ -48,7 +48,7 @@
 	CommandPing
 )
 
-// CommandOf names the command by its first argument, in either case.
+// CommandOf returns the kind of the command whose first argument is name. It ignores case.
 func CommandOf(name []byte) Command {
 	switch {
 	case bytes.EqualFold(name, commandRead), bytes.EqualFold(name, commandWrite):
@@ -59,21 +59,21 @@
 	return CommandUnknown
 }
 
-// Call is a client's request as it was read: what the module has to know of it, and the command to forward.
+// Call is a parsed CALL command: the request for the decision module, and the arguments to forward to a backend.
 type Call struct {
 	policy.Request              // without its deadline
-	Spec           policy.Class // as the class stood when the request came
-	TimeoutS       float64      // how long the client waits
-	Args           [][]byte     // command, account, id, fields and, in a write, the body; nil once forgotten
+	Spec           policy.Class // the request's class, with the settings in force when the command was parsed
+	TimeoutS       float64      // how long the client waits for the answer
+	Args           [][]byte     // command, account, id, fields and, in a write, the body; nil after Forget
 	Size           int          // bytes of all arguments
 
-	timeout span // of the timeout's value in the fields
+	timeout byteRange // the value of the timeout in the fields argument
 }
 
-// span is a part of a text, by its first byte and the one behind its last.
-type span struct{ start, end int }
+// byteRange is the half-open range [start, end) of bytes in a text.
+type byteRange struct{ start, end int }
 
-// Own copies the arguments, which alias a reader's buffer until then.
+// Own copies the arguments out of the reader's buffer, which they alias before.
 func (c *Call) Own() {
 	b, args := make([]byte, 0, c.Size), make([][]byte, len(c.Args))
 	for i, arg := range c.Args {
@@ -84,10 +84,11 @@
 	c.Args = args
 }
 
-// Forget lets go of the arguments; the call can't be forwarded any more.
+// Forget drops the arguments, so that their memory can be freed. The call can't be forwarded afterwards.
 func (c *Call) Forget() { c.Args = nil }
 
-// AppendCommand appends the command for a backend: all as it came, but the timeout is what remains of it, in seconds. The least is 1 ms.
+// AppendCommand appends the command for a backend: the client's arguments unchanged, except that the timeout is replaced by timeoutS, the
+// remaining time in seconds. It is rounded up to whole milliseconds, and is at least 1 ms.
 func (c *Call) AppendCommand(b []byte, timeoutS float64) []byte {
 	fields := c.Args[argFields]
 	ms := strconv.AppendInt(make([]byte, 0, 8), max(1, int64(math.Ceil(timeoutS*1000))), 10)
@@ -108,7 +109,7 @@
 	return b
 }
 
-// AppendProbe appends the command of a health check, which a backend answers with its load report.
+// AppendProbe appends the command of a health check. A backend answers it with its load report.
 func AppendProbe(b []byte) []byte {
 	return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(b, 2), "INFO"), "load")
 }
--- a/internal/dataplane/callprotocol/errors.go
+++ b/internal/dataplane/callprotocol/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// CallError is why a client's command was rejected as malformed. Its text goes to the client as it stands.
+// CallError says why a client's command is malformed. Its text is sent to the client unchanged.
 type CallError struct{ text string }
 
 func (e *CallError) Error() string { return e.text }
@@ -14,7 +14,7 @@
 	return &CallError{fmt.Sprintf(format, args...)}
 }
 
-// Why a reply can't be used.
+// Reasons why a backend's reply can't be used.
 var (
 	ErrNoValue  = errors.New("no value")
 	ErrNotReply = errors.New("not a reply")
--- a/internal/dataplane/callprotocol/reply.go
+++ b/internal/dataplane/callprotocol/reply.go
@@ -11,26 +11,26 @@
 	"eiderspread/policy"
 )
 
-// Result is how an attempt or a health check ended.
+// Result is the outcome of an attempt or a health check.
 type Result struct {
 	Status policy.Status
-	Value  []byte       // with OK: in RESP, as the backend wrote it; nil for a health check
-	Load   *policy.Load // nil: none was reported
-	Probe  bool         // the reply to a health check
-	Err    error        // why the reply could not be used; nil: it could
+	Value  []byte       // with OK: the value as the backend encoded it in RESP; nil for a health check
+	Load   *policy.Load // nil if the reply has no valid load report
+	Probe  bool         // whether the reply answers a health check
+	Err    error        // why the reply can't be used; nil if it can
 }
 
-// Malformed is the result of a reply that can't be used: its request may have run, and all that is known of the backend is that it is up and
-// at work.
+// Malformed returns the result of a reply that can't be used. The request may have run. All that such a reply says about the backend is that it
+// is up and handles requests.
 func Malformed(cause error) Result { return Result{Status: policy.Error, Err: cause} }
 
-// ParseReply reads one whole reply. A value stands whatever the load report behind it looks like.
+// ParseReply parses one complete reply. An invalid load report does not invalidate the value before it.
 func ParseReply(b []byte) Result {
 	_, v := redcon.ReadNextRESP(b)
 	switch v.Type {
 	case redcon.Array:
 		return parseValueReply(v)
-	case redcon.Bulk: // of a health check
+	case redcon.Bulk: // the reply to a health check
 		if v.Data != nil {
 			return Result{Status: policy.OK, Probe: true, Load: ParseLoad(string(v.Data))}
 		}
@@ -40,7 +40,7 @@
 	return Malformed(ErrNotReply)
 }
 
-// parseValueReply reads a value, figures on its use, which are the client's, and a load report.
+// parseValueReply parses an array of the value, usage figures, which are meant for the client and ignored here, and a load report.
 func parseValueReply(v redcon.RESP) Result {
 	var elements []redcon.RESP
 	v.ForEach(func(e redcon.RESP) bool {
@@ -57,7 +57,8 @@
 	return res
 }
 
-// parseErrorReply reads BUSY, which promises that the request did not run, or any other error. What stands behind the last space may be a load report.
+// parseErrorReply parses an error reply. BUSY guarantees that the request did not run; after any other error it may have run. The text after the
+// last space may be a load report.
 func parseErrorReply(text string) Result {
 	res := Result{Status: policy.Error}
 	if code, _, _ := strings.Cut(text, " "); code == "BUSY" {
@@ -67,13 +68,13 @@
 	return res
 }
 
-// Bounds on what a load report is believed. Utilization is measured, and may come a little above 1.
+// Upper bounds of the figures in a load report. Backends measure their utilization, which may therefore come out slightly above 1.
 const (
 	maxLoadFigure  = 1e6
 	maxUtilization = 4
 )
 
-// ParseLoad reads a load report; nil if it has no figure or one out of range, as the rest is no better then.
+// ParseLoad parses a load report. It returns nil if the report has no figure, or one out of range: the other figures can't be trusted then either.
 func ParseLoad(text string) *policy.Load {
 	load, reported := settings.NoLoad, false
 	for part := range strings.SplitSeq(text, ",") {
@@ -82,7 +83,7 @@
 		if err != nil {
 			continue
 		}
-		if !(v >= 0 && v <= maxLoadFigure) { // NaN is out of range too
+		if !(v >= 0 && v <= maxLoadFigure) { // this form also rejects NaN
 			return nil
 		}
 		settings.SetLoad(&load, name, v)
--- a/internal/dataplane/callprotocol/schema.go
+++ b/internal/dataplane/callprotocol/schema.go
@@ -11,15 +11,15 @@
 	"eiderspread/policy"
 )
 
-// Schema is what a call may name. It never changes and is safe for concurrent use.
+// Schema holds the classes, the plans and the bounds against which calls are checked. It is immutable and safe for concurrent use.
 type Schema struct {
 	classes  map[string]policy.Class
-	plans    map[string]string // each name to itself, so that requests share its bytes
+	plans    map[string]string // from each name to itself, so that all requests share one copy of the string
 	gateways int
-	maxUnits int // 0: maxUnits
+	maxUnits int // 0: the constant maxUnits applies
 }
 
-// NewSchema takes the classes, the plans and the bounds of the settings.
+// NewSchema returns the schema of the settings.
 func NewSchema(s policy.Settings) *Schema {
 	v := &Schema{map[string]policy.Class{}, map[string]string{}, s.Gateways, s.MaxRequestUnits}
 	for _, c := range s.Classes {
@@ -31,7 +31,7 @@
 	return v
 }
 
-// ParseCall reads a call's command. The call aliases args until Own. An error is a *CallError, worded for the client.
+// ParseCall parses a CALL command. The call aliases args until Own is called. An error is a *CallError, whose text is meant for the client.
 func (v *Schema) ParseCall(args [][]byte) (*Call, error) {
 	command := args[argCommand]
 	write := bytes.EqualFold(command, commandWrite)
@@ -69,13 +69,13 @@
 	return readArgs
 }
 
-// validAccount reports whether b is an account's number, in the one way that it may be written.
+// validAccount reports whether b is an account number in its canonical form: 16 lower-case hex digits of a number below maxAccount.
 func validAccount(b []byte) bool {
 	n, err := strconv.ParseUint(string(b), 16, 64)
 	return err == nil && len(b) == accountLen && n < maxAccount && !bytes.ContainsAny(b, "ABCDEF")
 }
 
-// printable reports whether b holds visible ASCII alone.
+// printable reports whether b consists of printable ASCII characters without spaces.
 func printable(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c > '~' {
@@ -85,13 +85,13 @@
 	return true
 }
 
-// field is one of the fields that a call may hold, as a bit.
+// field is a bit for each field that a call may have.
 type field uint
 
 const (
 	fieldClass field = 1 << iota
 	fieldPlan
-	fieldTimeout // of the client, in milliseconds
+	fieldTimeout // milliseconds
 	fieldIdempotencyKey
 	fieldClientRetry
 	fieldUnits
@@ -101,12 +101,12 @@
 	requiredFields = fieldClass | fieldPlan | fieldTimeout | fieldUnits | fieldGatewayCount | fieldFirstGateway
 )
 
-// fieldNames are the protocol's names, in the order of the bits.
+// fieldNames are the protocol's names of the fields, in the order of the bits.
 var fieldNames = []string{"c", "t", "d", "k", "r", "units", "spread", "first"}
 
 func (f field) String() string { return fieldNames[bits.TrailingZeros(uint(f))] }
 
-// parseFields reads the list of names and values. Names that are not known are forwarded unread.
+// parseFields parses the comma-separated list of name=value pairs into c. It ignores fields with unknown names; they are forwarded unchanged.
 func (v *Schema) parseFields(c *Call, list string) error {
 	var seen field
 	at := 0
@@ -125,7 +125,7 @@
 				return callErrorf("field %s: invalid value %.40q", name, value)
 			}
 			if f == fieldTimeout {
-				c.timeout = span{at + len(name) + len("="), at + len(part)}
+				c.timeout = byteRange{at + len(name) + len("="), at + len(part)}
 			}
 		}
 		at += len(part) + len(",")
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// setField takes in one value and reports whether it is valid.
+// setField sets one field of c from its text and reports whether the value is valid.
 func (v *Schema) setField(c *Call, f field, value string) (ok bool) {
 	var n int
 	switch f {
@@ -168,7 +168,7 @@
 	return ok
 }
 
-// parseDecimal reads a number from least to most in its one canonical form: digits alone, and no leading zero.
+// parseDecimal parses a number from least to most in its canonical form: decimal digits without a leading zero.
 func parseDecimal(text string, least, most int) (n int, ok bool) {
 	if text == "" || len(text) > 1 && text[0] == '0' || len(text) > len("1000000000") {
 		return 0, false
--- a/internal/dataplane/resp/command_test.go
+++ b/internal/dataplane/resp/command_test.go
@@ -7,8 +7,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// FuzzParseCommand guards the readers of clients, in which a panic would end the process: whatever comes,
-// a command is whole, unfinished or wrong, and the codec reads the same in what is taken for whole.
+// FuzzParseCommand guards the readers of clients, in which a panic would end the process: any input is a complete,
+// incomplete or malformed command, and the redcon codec parses a complete command to the same arguments.
 func FuzzParseCommand(f *testing.F) {
 	const call = "*4\r\n$8\r\nCALL.GET\r\n$16\r\n00000000b4d65521\r\n$1\r\na\r\n$48\r\nc=look,t=basic,d=600000,units=2,spread=2,first=1\r\n"
 	for _, seed := range []string{call, "*1\r\n$4\r\nPING\r\n", "*2\r\n$-1\r\n$1\r\na\r\n", "*1\r\n$+1\r\na\r\n",
@@ -22,22 +22,22 @@
 		}
 		args, n, err := ParseCommand(b, nil)
 		if n < 0 || n > len(b) || n > 0 && err != nil {
-			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
+			t.Fatalf("ParseCommand(%q) = %d, %v, want 0 to %d, and 0 with an error", b, n, err, len(b))
 		}
 		if n == 0 {
 			return
 		}
 		complete, codec, _, rest, err := redcon.ReadNextCommand(b[:n], nil)
 		if !complete || err != nil || len(rest) != 0 || len(codec) != len(args) {
-			t.Fatalf("the codec reads %q, %v in %q", codec, err, b[:n])
+			t.Fatalf("redcon parses %q, error %v, from %q; want one complete command of %d arguments", codec, err, b[:n], len(args))
 		}
 		for i := range args {
 			if !bytes.Equal(args[i], codec[i]) {
-				t.Fatalf("argument %d is %q, the codec reads %q", i, args[i], codec[i])
+				t.Fatalf("argument %d is %q, redcon parses %q", i, args[i], codec[i])
 			}
 		}
 		if _, m, err := ParseCommand(b[:n-1], nil); m != 0 || err != nil {
-			t.Fatalf("less its last byte it gives %d, %v", m, err)
+			t.Fatalf("without its last byte the command gives %d, %v, want 0 (incomplete) and no error", m, err)
 		}
 	})
 }
--- a/internal/dataplane/resp/reply.go
+++ b/internal/dataplane/resp/reply.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ReplyLen is the length in bytes of the reply that b starts with, 0 while it is incomplete, or what is wrong with it.
+// ReplyLen returns the length in bytes of the reply at the start of b, 0 while the reply is incomplete, or an error for a malformed reply.
 func ReplyLen(b []byte) (int, error) { return replyLen(b, 0) }
 
 func replyLen(b []byte, depth int) (int, error) {
@@ -17,7 +17,7 @@
 	case '*':
 		return arrayLen(b, depth)
 	}
-	return 0, fmt.Errorf("unknown type %q", b[0]) // at once: its line may never end
+	return 0, fmt.Errorf("unknown type %q", b[0]) // without waiting for the end of the line, which may never come
 }
 
 func bulkLen(b []byte) (int, error) {
@@ -59,15 +59,15 @@
 	return n, nil
 }
 
-// LargeReply is the start of a reply whose first element is a bulk string above MaxValueBytes.
+// LargeReply describes a reply whose first element is a bulk string longer than MaxValueBytes.
 type LargeReply struct {
 	ValueAt   int // offset of the value's first byte
 	ValueSize int // bytes
-	Elements  int // of the reply, the value among them
+	Elements  int // number of elements of the reply, including the value
 }
 
-// ParseLargeReply reads the start of a reply. ok is false for any reply without a large value, and while too little of it has come.
-// A value above maxBytes is not large but wrong, which ReplyLen reports.
+// ParseLargeReply parses the header of the reply at the start of b and the header of its first element. ok is false if the first element is not
+// a large value, and while either header is incomplete. A value over maxBytes does not count as large: ReplyLen rejects it with ErrOversized.
 func ParseLargeReply(b []byte, maxBytes int) (r LargeReply, ok bool) {
 	if len(b) == 0 || b[0] != '*' {
 		return LargeReply{}, false
--- a/internal/dataplane/resp/resp.go
+++ b/internal/dataplane/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp frames the RESP2 messages of clients and backends: it finds where a command or a reply ends, and bounds what may come,
-// before the bytes that a length announces have been read. It keeps no state; buffers are the caller's.
+// Package resp frames the RESP2 messages of clients and backends: it finds the end of a command or a reply, and rejects a message that exceeds
+// the bounds as soon as its header announces the length, before the announced bytes are read. It keeps no state; buffers belong to the caller.
 package resp
 
 import (
@@ -8,21 +8,21 @@
 	"strconv"
 )
 
-// Bounds on one message. The underlying codec has none: it would wait for a value of any announced size.
+// Bounds on one message. The redcon codec has none: it would wait for a value of any announced size.
 const (
-	// MaxValueBytes bounds a bulk string, but for the first of a large reply, see ParseLargeReply.
+	// MaxValueBytes bounds the value of a bulk string, except for the first element of a large reply, see ParseLargeReply.
 	MaxValueBytes = 64 << 10
-	// MaxElements bounds an array.
+	// MaxElements bounds the number of elements of an array.
 	MaxElements = 16
-	// MaxFrameBytes bounds a whole message: one value, and what stands beside it.
+	// MaxFrameBytes bounds a whole message: one value of maximum size, with headers and short elements.
 	MaxFrameBytes = MaxValueBytes + 8*maxLineBytes
 
-	maxDepth       = 4       // arrays in arrays
-	maxLineBytes   = 1 << 10 // a line of text or a number
-	maxHeaderBytes = 16      // a type, a length and the end of the line
+	maxDepth       = 4       // nested arrays
+	maxLineBytes   = 1 << 10 // a simple string, an error or an integer
+	maxHeaderBytes = 16      // the type, the length and the line end
 )
 
-// What can be wrong with a message. Texts go to clients as they stand.
+// Errors for malformed messages. Their texts are sent to clients unchanged.
 var (
 	ErrOversized      = errors.New("value over 64 KiB")
 	ErrLength         = errors.New("invalid length")
@@ -36,13 +36,13 @@
 
 // Header is the first line of a bulk string or an array.
 type Header struct {
-	Length int  // of the value in bytes, or of the array in elements
-	Null   bool // a length of -1
-	Size   int  // bytes of the line with its end; 0: the line is incomplete, and nothing else is known
+	Length int  // bytes of the value, or elements of the array
+	Null   bool // whether the length is -1
+	Size   int  // bytes of the line with its line end; 0: the line is incomplete, and the other fields are not set
 }
 
-// ParseHeader reads the line that b, which is not empty, starts with: a type and a length, in digits alone. What can't become a header any
-// more is an error, also while the line is incomplete.
+// ParseHeader parses the header at the start of b, a type followed by a length in decimal digits. An incomplete line that can't become a valid
+// header is an error already. b must not be empty.
 func ParseHeader(b []byte) (Header, error) {
 	text, size, err := headerText(b)
 	if err != nil {
@@ -60,7 +60,8 @@
 	return Header{Length: length, Null: null, Size: size}, nil
 }
 
-// headerText returns what stands between the type and the end of a header's line, and the line's bytes with its end; 0: it is incomplete.
+// headerText returns the text between the type and the line end of a header, and the size in bytes of the line with its line end. A size of 0
+// means that the line is incomplete; the text then holds all that has come of it.
 func headerText(b []byte) (text []byte, size int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxHeaderBytes)], '\n')
 	switch {
@@ -74,8 +75,8 @@
 	return b[1 : end-1], end + 1, nil
 }
 
-// parseLength reads a length: digits without a leading 0, or -1 for null. The text of an incomplete line may be the beginning of one, and may
-// end in a carriage return.
+// parseLength parses a length: digits without a leading zero, or -1 for null. The text of an incomplete line may also be a prefix of a length,
+// or end in a carriage return.
 func parseLength(text []byte, complete bool) (length int, null bool, err error) {
 	for i, c := range text {
 		switch {
@@ -83,7 +84,7 @@
 			null = true
 		case null && i == 1 && c == '1':
 		case !null && c >= '0' && c <= '9' && (i == 0 || text[0] != '0'):
-			length = length*10 + int(c-'0') // of 14 digits at most
+			length = length*10 + int(c-'0') // no overflow: the text has at most 14 digits
 		case !complete && c == '\r' && i == len(text)-1:
 		default:
 			return 0, false, ErrLength
@@ -92,7 +93,7 @@
 	return length, null, nil
 }
 
-// lineLen is the length of the line of text or the number that b starts with; 0: it is incomplete.
+// lineLen returns the size in bytes of the simple string, error or integer at the start of b with its line end; 0 while it is incomplete.
 func lineLen(b []byte) (int, error) {
 	end := bytes.IndexByte(b[:min(len(b), maxLineBytes+1)], '\n')
 	switch {
--- a/internal/dataplane/resp/resp_test.go
+++ b/internal/dataplane/resp/resp_test.go
@@ -27,7 +27,7 @@
 		{"$" + strings.Repeat("1", maxHeaderBytes), Header{}, ErrLineTooLong},
 	} {
 		if got, err := ParseHeader([]byte(tc.text)); got != tc.want || !errors.Is(err, tc.err) {
-			t.Errorf("%q: %+v, %v", tc.text, got, err)
+			t.Errorf("ParseHeader(%q) = %+v, %v, want %+v, %v", tc.text, got, err, tc.want, tc.err)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 		{"+" + strings.Repeat("x", maxLineBytes), 0, ErrLineTooLong},
 	} {
 		if got, err := ReplyLen([]byte(tc.text)); got != tc.want || !errors.Is(err, tc.err) {
-			t.Errorf("%.40q: %d, %v", tc.text, got, err)
+			t.Errorf("ReplyLen(%.40q) = %d, %v, want %d, %v", tc.text, got, err, tc.want, tc.err)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 		"":                      {},
 	} {
 		if got, ok := ParseLargeReply([]byte(text), maxBytes); got != want || ok != (want != LargeReply{}) {
-			t.Errorf("%q: %+v, %v", text, got, ok)
+			t.Errorf("ParseLargeReply(%q) = %+v, %v, want %+v", text, got, ok, want)
 		}
 	}
 }
