--- a/internal/dataplane/admin/golden_test.go
+++ b/internal/dataplane/admin/golden_test.go
@@ -11,14 +11,14 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the operators' calls: paths, methods, status codes and texts.
+// Guards the operators' interface against unintended changes of paths, methods, status codes and texts.
 func TestGoldenCalls(t *testing.T) {
-	s, in := serve(t)
+	s, h := serve(t)
 	var b strings.Builder
 	for _, err := range []error{nil, ErrUnknown, errors.New("not now")} {
-		in.mu.Lock()
-		in.err = err
-		in.mu.Unlock()
+		h.mu.Lock()
+		h.err = err
+		h.mu.Unlock()
 		for _, call := range strings.Fields("GET/v1/readyz POST/v1/readyz POST/v1/ingress/drain POST/v1/ingress/activate GET/v1/ingress/drain " +
 			"POST/v1/backends/a%2Fb/suspend POST/v1/backends/a/resume POST/v1/backends/a/novel POST/v1/backends//resume GET/") {
 			method, path, _ := strings.Cut(call, "/")
@@ -35,8 +35,8 @@
 			fmt.Fprintf(&b, "%s %d %q %q %v\n", call, resp.StatusCode, resp.Header.Get("Allow"), body, err)
 		}
 	}
-	in.mu.Lock()
-	fmt.Fprintln(&b, in.calls)
-	in.mu.Unlock()
+	h.mu.Lock()
+	fmt.Fprintln(&b, h.calls)
+	h.mu.Unlock()
 	golden.Check(t, "calls.txt", []byte(b.String()))
 }
--- a/internal/dataplane/admin/listener.go
+++ b/internal/dataplane/admin/listener.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// boundedListener bounds the connections to MaxConns. A new one always gets in, unless calls are being carried out on all others: the one that has
-// been silent for longest is closed for it.
+// boundedListener limits the open connections to MaxConns. When a connection arrives beyond the limit, the listener closes the oldest
+// connection whose call has not started. If calls run on all connections, it closes the new one instead.
 type boundedListener struct {
 	net.Listener
 	mutex sync.Mutex
@@ -18,7 +18,7 @@
 	net.Conn
 	listener    *boundedListener
 	acceptedAt  time.Time
-	callStarted bool // its call was read to its end; under listener.mutex
+	callStarted bool // the header of its call has been read, and the handler runs; under listener.mutex
 }
 
 // Accept implements net.Listener.
@@ -28,15 +28,15 @@
 		if err != nil {
 			return nil, err
 		}
-		if mine := l.admit(c); mine != nil {
-			return mine, nil
+		if admitted := l.admit(c); admitted != nil {
+			return admitted, nil
 		}
 		c.Close()
 	}
 }
 
-// admit takes a connection among the open ones, and closes another for it if there are too many; nil where none may be closed: calls are being
-// carried out on all of them, each of which ends within callTimeout.
+// admit adds a connection to the open ones, and closes the oldest connection whose call has not started if there are too many. It returns
+// nil if calls run on all open connections; each of these calls ends within callTimeout.
 func (l *boundedListener) admit(c net.Conn) *boundedConn {
 	l.mutex.Lock()
 	var oldest *boundedConn
@@ -50,16 +50,16 @@
 		l.mutex.Unlock()
 		return nil
 	}
-	mine := &boundedConn{Conn: c, listener: l, acceptedAt: time.Now()}
-	l.conns[mine] = struct{}{}
+	admitted := &boundedConn{Conn: c, listener: l, acceptedAt: time.Now()}
+	l.conns[admitted] = struct{}{}
 	l.mutex.Unlock()
 	if full {
 		oldest.Close()
 	}
-	return mine
+	return admitted
 }
 
-// markCallStarted keeps the connection from being closed for another one.
+// markCallStarted protects the connection from being closed in favor of a new one.
 func (c *boundedConn) markCallStarted() {
 	c.listener.mutex.Lock()
 	defer c.listener.mutex.Unlock()
--- a/internal/dataplane/admin/server.go
+++ b/internal/dataplane/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' HTTP/1.1 interface at an address of its own, one call a connection. It decides nothing; what a call asks for
-// is a Handler's to carry out. Every answer leaves within a second, also while others that have connected say nothing.
+// Package admin serves the operators' HTTP/1.1 interface on a separate address, with one call per connection. It only routes calls; a
+// Handler carries them out. A complete call is answered within a second, even while other connections stay silent.
 package admin
 
 import (
@@ -17,40 +17,40 @@
 )
 
 const (
-	// MaxConns bounds the connections; beyond it the one that has been silent for longest is closed.
+	// MaxConns limits the open connections. Beyond it, the oldest connection that has not sent its call yet is closed.
 	MaxConns = 16
 
-	callTimeout    = 900 * time.Millisecond // from the connection to the answer
+	callTimeout    = 900 * time.Millisecond // for reading a call, and again for carrying it out
 	maxHeaderBytes = 8 << 10
 	maxIDLen       = 256 // bytes of a backend's id
 )
 
-// ErrUnknown is what a Handler returns for an id that nobody knows: the answer is 404.
+// ErrUnknown is returned by a Handler for the id of a backend that does not exist. The answer is 404.
 var ErrUnknown = errors.New("unknown id")
 
-// Handler carries calls out. Each method returns once what was asked for holds, or with an error: ErrUnknown is answered by 404, any other by
-// 503. Methods are called concurrently.
+// Handler carries out calls. Each method returns nil once the call has taken effect. An error that wraps ErrUnknown is answered with 404,
+// any other error with 503. Methods are called concurrently.
 type Handler interface {
-	// Ready returns nil as long as clients are accepted.
+	// Ready returns nil as long as the ingress accepts clients.
 	Ready(ctx context.Context) error
-	// Suspend cordons the backend of an id.
+	// Suspend cordons the backend with the id.
 	Suspend(ctx context.Context, id string) error
-	// Resume takes that back.
+	// Resume uncordons the backend with the id.
 	Resume(ctx context.Context, id string) error
-	// Drain lets go of all clients.
+	// Drain begins to disconnect all clients.
 	Drain(ctx context.Context) error
-	// Activate accepts clients again.
+	// Activate ends a drain and accepts clients again.
 	Activate(ctx context.Context) error
 }
 
-// Server answers calls until it is closed.
+// Server serves the interface until it is closed.
 type Server struct {
 	handler    Handler
 	httpServer http.Server
 	listener   *boundedListener
 }
 
-// Listen opens the interface at addr. Serve answers at it.
+// Listen opens the interface at addr, an IP address with a port. Connections are answered once Serve runs.
 func Listen(addr string, handler Handler) (*Server, error) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		return nil, fmt.Errorf("console: %w", err)
@@ -69,19 +69,19 @@
 	return s, nil
 }
 
-// Addr is the address at which the server listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Serve answers calls until Close.
-func (s *Server) Serve() { _ = s.httpServer.Serve(s.listener) } // it says that the server was closed
+func (s *Server) Serve() { _ = s.httpServer.Serve(s.listener) } // returns http.ErrServerClosed after Close
 
-// Close ends the server and all its connections.
+// Close stops the server and closes all its connections.
 func (s *Server) Close() { s.httpServer.Close() }
 
-// connKey is the key of a call's connection in its context.
+// connKey is the context key of the connection on which a call arrived.
 type connKey struct{}
 
-// call carries out one call.
+// call carries out one call on the Handler.
 type call func(context.Context) error
 
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// route finds what a path asks for, and by which method; nil where there is nothing.
+// route returns the call that the path of r names and its HTTP method. The call is nil if the path is unknown.
 func (s *Server) route(r *http.Request) (do call, method string) {
 	switch path := r.URL.EscapedPath(); path {
 	case "/v1/readyz":
@@ -124,7 +124,7 @@
 	}
 }
 
-// routeBackend finds what a path below /v1/backends asks for; nil where there is nothing.
+// routeBackend returns the call for a path /v1/backends/ID/suspend or /v1/backends/ID/resume, nil for any other path.
 func (s *Server) routeBackend(path string) call {
 	rest, ok := strings.CutPrefix(path, "/v1/backends/")
 	escaped, verb, hasVerb := strings.Cut(rest, "/")
--- a/internal/dataplane/admin/server_test.go
+++ b/internal/dataplane/admin/server_test.go
@@ -17,47 +17,48 @@
 
 const testTimeout = 20 * time.Second
 
-// fakeHandler records calls and answers with what a test says.
+// fakeHandler records calls and returns the error that a test sets.
 type fakeHandler struct {
 	mu    sync.Mutex
 	calls []string
 	err   error
-	block bool // until the call's context ends
+	block bool // whether calls block until their context ends
 }
 
-func (in *fakeHandler) call(ctx context.Context, text string) error {
-	in.mu.Lock()
-	in.calls = append(in.calls, text)
-	err, block := in.err, in.block
-	in.mu.Unlock()
+func (h *fakeHandler) call(ctx context.Context, text string) error {
+	h.mu.Lock()
+	h.calls = append(h.calls, text)
+	err, block := h.err, h.block
+	h.mu.Unlock()
 	if block {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	return err
 }
-func (in *fakeHandler) Ready(ctx context.Context) error { return in.call(ctx, "ready") }
-func (in *fakeHandler) Suspend(ctx context.Context, id string) error {
-	return in.call(ctx, "suspend "+id)
+func (h *fakeHandler) Ready(ctx context.Context) error { return h.call(ctx, "ready") }
+func (h *fakeHandler) Suspend(ctx context.Context, id string) error {
+	return h.call(ctx, "suspend "+id)
 }
-func (in *fakeHandler) Resume(ctx context.Context, id string) error {
-	return in.call(ctx, "resume "+id)
+func (h *fakeHandler) Resume(ctx context.Context, id string) error {
+	return h.call(ctx, "resume "+id)
 }
-func (in *fakeHandler) Drain(ctx context.Context) error    { return in.call(ctx, "drain") }
-func (in *fakeHandler) Activate(ctx context.Context) error { return in.call(ctx, "activate") }
+func (h *fakeHandler) Drain(ctx context.Context) error    { return h.call(ctx, "drain") }
+func (h *fakeHandler) Activate(ctx context.Context) error { return h.call(ctx, "activate") }
 
+// serve starts a server with a fakeHandler.
 func serve(t *testing.T) (*Server, *fakeHandler) {
-	in := &fakeHandler{}
-	s, err := Listen("127.0.0.1:0", in)
+	h := &fakeHandler{}
+	s, err := Listen("127.0.0.1:0", h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go s.Serve()
 	t.Cleanup(s.Close)
-	return s, in
+	return s, h
 }
 
-// request makes one call and returns its status.
+// request makes one call with the method and path in head, and returns the HTTP status.
 func request(t *testing.T, s *Server, head string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr().String())
@@ -65,7 +66,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
+	_ = c.SetDeadline(time.Now().Add(testTimeout)) // the next read reports an error
 	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: x\r\n\r\n", head)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -73,13 +74,13 @@
 	}
 	defer resp.Body.Close()
 	if !resp.Close {
-		t.Error("the connection is kept")
+		t.Errorf("%s: the connection stays open after the answer", head)
 	}
 	return resp.StatusCode
 }
 
 func TestServer_Routes(t *testing.T) {
-	s, in := serve(t)
+	s, h := serve(t)
 	for _, c := range []struct {
 		head, call string
 		err        error
@@ -102,17 +103,18 @@
 		{"POST /v1/backends/" + strings.Repeat("x", maxIDLen+1) + "/suspend", "", nil, 404},
 		{"GET /", "", nil, 404},
 	} {
-		in.mu.Lock()
-		in.calls, in.err = nil, c.err
-		in.mu.Unlock()
+		h.mu.Lock()
+		h.calls, h.err = nil, c.err
+		h.mu.Unlock()
 		got := request(t, s, c.head)
-		if calls := strings.Join(in.calls, ";"); got != c.want || calls != c.call {
+		if calls := strings.Join(h.calls, ";"); got != c.want || calls != c.call {
 			t.Errorf("%s: %d and %q, want %d and %q", c.head, got, calls, c.want, c.call)
 		}
 	}
 }
 
-// Guards the door against callers that say nothing, or half a call, in any number.
+// Guards against connections that block other callers: any number of them may send nothing or only part of a call,
+// and a complete call is still answered.
 func TestServer_SilentConnectionsEvicted(t *testing.T) {
 	s, _ := serve(t)
 	var silent []net.Conn
@@ -128,32 +130,32 @@
 		silent = append(silent, c)
 	}
 	if got := request(t, s, "GET /v1/readyz"); got != 200 {
-		t.Fatal(got)
+		t.Fatalf("readyz beside silent connections: status %d, want 200", got)
 	}
-	for _, c := range silent { // each of them ends too
-		_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
+	for _, c := range silent { // the server closes each of them in the end
+		_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // the next read reports an error
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatal("a silent caller is kept")
+			t.Fatalf("a silent connection is still open after %v", testTimeout)
 		}
 	}
 	s.listener.mutex.Lock()
 	defer s.listener.mutex.Unlock()
 	if len(s.listener.conns) > MaxConns {
-		t.Fatal(len(s.listener.conns), "connections")
+		t.Fatalf("%d connections are open, want %d at most", len(s.listener.conns), MaxConns)
 	}
 }
 
-// Guards a call whose ingress does not come to it: no is said in time.
+// Guards against a call that hangs while the ingress is too busy to carry it out: it is answered with 503 at its timeout.
 func TestServer_HandlerTimeout(t *testing.T) {
-	s, in := serve(t)
-	in.block = true
+	s, h := serve(t)
+	h.block = true
 	if got := request(t, s, "POST /v1/ingress/drain"); got != 503 {
-		t.Fatal(got)
+		t.Fatalf("drain with a blocked handler: status %d, want 503", got)
 	}
 }
 
 func TestListen_BadAddress(t *testing.T) {
 	if _, err := Listen("nowhere", &fakeHandler{}); err == nil {
-		t.Fatal("taken")
+		t.Fatal("Listen accepts the address \"nowhere\", want an error")
 	}
 }
--- a/internal/dataplane/callprotocol/reply.go
+++ b/internal/dataplane/callprotocol/reply.go
@@ -20,8 +20,8 @@
 	Err    error        // why the reply can't be used; nil if it can
 }
 
-// Malformed returns the result of a reply that can't be used. The request may have run. All that such a reply says about the backend is that it
-// is up and handles requests.
+// Malformed returns the result of a reply that can't be used. The request may have run. All that such a reply says about the backend is
+// that it is up and handles requests.
 func Malformed(cause error) Result { return Result{Status: policy.Error, Err: cause} }
 
 // ParseReply parses one complete reply. An invalid load report does not invalidate the value before it.
@@ -57,8 +57,8 @@
 	return res
 }
 
-// parseErrorReply parses an error reply. BUSY guarantees that the request did not run; after any other error it may have run. The text after the
-// last space may be a load report.
+// parseErrorReply parses an error reply. BUSY guarantees that the request did not run; after any other error it may have run. The text
+// after the last space may be a load report.
 func parseErrorReply(text string) Result {
 	res := Result{Status: policy.Error}
 	if code, _, _ := strings.Cut(text, " "); code == "BUSY" {
@@ -74,7 +74,8 @@
 	maxUtilization = 4
 )
 
-// ParseLoad parses a load report. It returns nil if the report has no figure, or one out of range: the other figures can't be trusted then either.
+// ParseLoad parses a load report. It returns nil if the report has no figure, or one out of range: the other figures can't be trusted then
+// either.
 func ParseLoad(text string) *policy.Load {
 	load, reported := settings.NoLoad, false
 	for part := range strings.SplitSeq(text, ",") {
--- a/internal/dataplane/callprotocol/schema.go
+++ b/internal/dataplane/callprotocol/schema.go
@@ -106,7 +106,8 @@
 
 func (f field) String() string { return fieldNames[bits.TrailingZeros(uint(f))] }
 
-// parseFields parses the comma-separated list of name=value pairs into c. It ignores fields with unknown names; they are forwarded unchanged.
+// parseFields parses the comma-separated list of name=value pairs into c. It ignores fields with unknown names; they are forwarded
+// unchanged.
 func (v *Schema) parseFields(c *Call, list string) error {
 	var seen field
 	at := 0
--- a/internal/dataplane/ingressconfig/config.go
+++ b/internal/dataplane/ingressconfig/config.go
@@ -1,5 +1,6 @@
-// Package ingressconfig reads the platform's configuration of an ingress and the operator's file beside it, and says what of a configuration that
-// is read again a running ingress can take over. The platform's names of the keys stand here alone.
+// Package ingressconfig reads the platform's configuration file of an ingress, and the operator's file. It also decides whether a running
+// ingress can apply a reloaded configuration. The platform's key names are defined only here and, for the settings object, in package
+// settings.
 package ingressconfig
 
 import (
@@ -16,31 +17,31 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-// Config is what an ingress is configured with at its start.
+// Config is the configuration of an ingress.
 type Config struct {
 	Name           string
 	Listen         string // address for clients
 	Discovery      string // address of discovery
-	AdminAddr      string // where operators call; empty: nowhere
-	Seed           uint64 // of the decider's randomness
-	MemoryMB       int    // 0: no limit, and buffers as for DefaultMemoryMB
+	AdminAddr      string // address of the operators' interface; empty: none
+	Seed           uint64 // seeds the decider's random numbers
+	MemoryMB       int    // memory limit; 0: none, and buffers are sized for DefaultMemoryMB
 	MaxDescriptors int    // file descriptors that the process may hold
 
-	PeerListen    netip.AddrPort   // not valid: no peers
-	Peers         []netip.AddrPort // by the gateway's number
-	PeerBroadcast netip.AddrPort   // reaches all of them; not valid: there is none
+	PeerListen    netip.AddrPort   // address for messages of other ingresses; invalid: no peers
+	Peers         []netip.AddrPort // by gateway number
+	PeerBroadcast netip.AddrPort   // address that reaches all peers; invalid: none
 
-	InitialEndpoints discovery.List // until discovery's list has come
+	InitialEndpoints discovery.List // used until the first list from discovery arrives
 	Settings         settings.Settings
-	keys             keySet   // of the file
-	OperatorConfig   Operator // of the operator's file, if there is one
-	FleetMember      bool     // of a fleet, whose planners operators call to cordon a backend
+	keys             keySet   // keys in the configuration file
+	OperatorConfig   Operator // from the operator's file; zero if there is none
+	FleetMember      bool     // whether the ingress belongs to a fleet, in which operators cordon backends at the planners
 
-	// Dial makes connections to backends in place of the system's own; nil: none does. Not of the file.
+	// Dial connects to backends; nil: the operating system's TCP stack is used. It is not part of the file.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
 }
 
-// DefaultMemoryMB is what buffers are sized for where the configuration has no memory limit.
+// DefaultMemoryMB is the memory for which buffers are sized if the configuration has no memory limit.
 const DefaultMemoryMB = 192
 
 const defaultMaxDescriptors = 1024
@@ -50,7 +51,7 @@
 	errConnTimeouts = errors.New("settings: limits.dialTimeoutS and limits.connIdleS must be above 0")
 )
 
-// fileConfig is the configuration file as the platform words it; unknown keys are passed over.
+// fileConfig is the configuration file with the platform's key names. Unknown keys are ignored.
 type fileConfig struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -68,7 +69,7 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// Read reads the configuration file. An error names the file and the key.
+// Read reads and checks the configuration file. An error names the file and the key.
 func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return c, nil
 }
 
-// parseAddrs checks the addresses, which are used as they stand, and the seed.
+// parseAddrs checks the addresses of the ingress itself and of discovery, parses the seed, and sets AdminAddr.
 func (c *Config) parseAddrs(f fileConfig) (err error) {
 	for name, addr := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// parseSettings reads the settings, and checks the endpoint list.
+// parseSettings parses the settings and checks the initial endpoint list.
 func (c *Config) parseSettings(f fileConfig) (err error) {
 	if len(f.Settings) == 0 {
 		return errNoSettings
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// parsePeers reads the addresses of the other ingresses, if the settings allow messages to them.
+// parsePeers parses the addresses of the other ingresses if the settings allow messages between ingresses.
 func (c *Config) parsePeers(f fileConfig) (err error) {
 	if !c.Settings.PeerMessages {
 		return nil
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// CheckAdminAddr checks the address at which operators call, and returns it; empty is none.
+// CheckAdminAddr returns addr, the address of the operators' interface, or an error if it is neither empty nor an IP address with a port.
 func CheckAdminAddr(addr string) (string, error) {
 	if addr == "" {
 		return "", nil
--- a/internal/dataplane/ingressconfig/config_test.go
+++ b/internal/dataplane/ingressconfig/config_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || len(c.Peers) != 2 || c.MaxDescriptors != 1024 || !c.InitialEndpoints.Full || c.InitialEndpoints.Version != 41 {
-		t.Errorf("got %+v", c)
+		t.Errorf("got %+v, want seed 8c1f30d27a5be964, 2 peers, 1024 descriptors and a full list of version 41", c)
 	}
 	for want, change := range map[string][2]string{
 		"unexpected end":          {goodConfig, "{"},
@@ -34,7 +34,7 @@
 	} {
 		if _, err := parse([]byte(strings.Replace(goodConfig, change[0], change[1], 1))); err == nil ||
 			!strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("%q replaced by %q: got error %v, want one with %q", change[0], change[1], err, want)
 		}
 	}
 }
--- a/internal/dataplane/ingressconfig/golden_test.go
+++ b/internal/dataplane/ingressconfig/golden_test.go
@@ -9,7 +9,7 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the keys of the operator's file and of the configuration.
+// Guards against unintended changes of the keys in the operator's file and in the configuration.
 func TestGoldenFiles(t *testing.T) {
 	o, err := ReadOperator(golden.Path("ingress.toml"))
 	if err != nil {
--- a/internal/dataplane/ingressconfig/keys.go
+++ b/internal/dataplane/ingressconfig/keys.go
@@ -5,14 +5,14 @@
 	"maps"
 )
 
-// keySet is the set of the keys in a configuration, by their paths; a key that all elements of a list have stands once, with [] in place of their
-// number.
+// keySet is the set of the keys in a configuration, by their paths. For a list, only the keys that all its elements have are included, once
+// each, with [] in place of the index: settings.profiles[].deadlineS.
 type keySet map[string]bool
 
-// openEndedKeys are lists and objects whose keys may come and go.
+// openEndedKeys are paths of lists and objects whose keys may differ from one configuration to the next, and are not in the set.
 var openEndedKeys = map[string]bool{"known": true}
 
-// parseKeySet reads the keys of a configuration.
+// parseKeySet returns the keys of a configuration in JSON.
 func parseKeySet(text []byte) (keySet, error) {
 	var v any
 	if err := json.Unmarshal(text, &v); err != nil {
@@ -23,7 +23,7 @@
 	return s, nil
 }
 
-// add adds the keys of what stands at a path.
+// add adds the keys of the value v at path.
 func (s keySet) add(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/dataplane/ingressconfig/operator.go
+++ b/internal/dataplane/ingressconfig/operator.go
@@ -8,13 +8,13 @@
 	"eiderspread/internal/observability/trace"
 )
 
-// Operator is the operator's file of an ingress, deploy/ingress.toml: what the platform's configuration does not know. All of it is off
-// unless asked for.
+// Operator is the operator's file of an ingress (deploy/ingress.toml is an example): options that the platform's configuration does not
+// have. All of them are off by default.
 type Operator struct {
-	Status   string          `toml:"status"`   // where the status is served, on loopback; empty: nowhere
-	Trace    string          `toml:"trace"`    // folder for traces of decisions; empty: none are written
-	TraceMB  int             `toml:"trace_mb"` // bounds each file; 0: trace.DefaultMostMB
-	Overload loadshed.Config `toml:"overload"` // how the fleet sheds load as one
+	Status   string          `toml:"status"`   // loopback address at which the status is served; empty: not served
+	Trace    string          `toml:"trace"`    // folder for decision traces; empty: none are written
+	TraceMB  int             `toml:"trace_mb"` // maximum size of each trace file; 0: trace.DefaultMaxMB
+	Overload loadshed.Config `toml:"overload"` // load shedding, coordinated across the fleet
 }
 
 // ReadOperator reads and checks the operator's file. An error names the file and the key.
--- a/internal/dataplane/ingressconfig/operator_test.go
+++ b/internal/dataplane/ingressconfig/operator_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// Guards the operator's file of an ingress: one clear line for each fault; the example is good.
+// Guards against a fault in the operator's file that is accepted, or whose error is unclear or longer than one line, and
+// against an example file that is invalid.
 func TestReadOperator(t *testing.T) {
 	if o, err := ReadOperator("../../../deploy/ingress.toml"); err != nil || o.Status == "" {
-		t.Errorf("the example: %+v, %v", o, err)
+		t.Errorf("example file: got %+v, error %v, want a status address and no error", o, err)
 	}
 	for want, text := range map[string]string{
 		"":                             "",
@@ -28,7 +29,7 @@
 		}
 		_, err := ReadOperator(path)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q: got %v, want %q", text, err, want)
+			t.Errorf("%q: got error %v, want one line with %q", text, err, want)
 		}
 	}
 }
--- a/internal/dataplane/ingressconfig/reload.go
+++ b/internal/dataplane/ingressconfig/reload.go
@@ -11,13 +11,13 @@
 	"strconv"
 )
 
-// What a running ingress takes over from a configuration that is read again: the address of discovery, the classes and the number of attempts.
-// All of a file is taken or none of it.
+// A running ingress applies only these values of a reloaded configuration: the address of discovery, the classes and the number of
+// attempts. It applies all of them or, if the file has a fault, none.
 
 var errNoClasses = errors.New("settings: no classes")
 
-// Reload reads the configuration again at each signal and hands it on, until done is closed. What can't be read or used is logged, and the ingress
-// goes on as it is; first is the configuration that it started with.
+// Reload reads the configuration again at each signal and sends it to the channel to, until done is closed. A configuration that can't be
+// read or applied is logged and skipped, and the ingress keeps its current one. first is the configuration that the ingress started with.
 func Reload(hup <-chan os.Signal, done <-chan struct{}, read func() (Config, error), first Config, to chan<- Config, log *slog.Logger) {
 	for {
 		select {
@@ -30,11 +30,11 @@
 			err = cfg.CheckReload(first)
 		}
 		if err != nil {
-			log.Error("configuration not taken over", "error", err)
+			log.Error("configuration not applied", "error", err)
 			continue
 		}
 		if cfg.NeedsRestart(first) {
-			log.Warn("of the new configuration the address of discovery, classes and attempts alone are taken over before a restart")
+			log.Warn("configuration changes other than the discovery address, classes and attempts take effect only after a restart")
 		}
 		select {
 		case to <- cfg:
@@ -44,8 +44,8 @@
 	}
 }
 
-// NeedsRestart reports whether more differs than what a running ingress takes over from a configuration that is read again, or than what is new
-// with each start.
+// NeedsRestart reports whether c differs from another configuration in a value that a running ingress can't apply. It ignores the initial
+// endpoints and the seed, which change with each start, and Dial.
 func (c Config) NeedsRestart(from Config) bool {
 	c.Discovery, c.InitialEndpoints, c.Seed, c.keys = from.Discovery, from.InitialEndpoints, from.Seed, from.keys
 	c.Dial, from.Dial = nil, nil
@@ -53,20 +53,20 @@
 	return !reflect.DeepEqual(c, from)
 }
 
-// CheckReload returns what is wrong with a configuration that was read again, beside one that holds: a key that is missing now, or a figure that
-// no request can be served by.
+// CheckReload returns an error if a reloaded configuration can't be applied in place of the configuration from: a key of from is missing,
+// or the ingress could not serve requests with its classes or number of attempts.
 func (c Config) CheckReload(from Config) error {
 	missing := slices.DeleteFunc(slices.Sorted(maps.Keys(from.keys)), func(k string) bool { return c.keys[k] })
 	if len(missing) > 0 {
 		return fmt.Errorf("%s is missing", strconv.Quote(missing[0]))
 	}
 	if c.Settings.MaxAttempts <= 0 {
-		return fmt.Errorf("settings: limits.maxAttempts is %d", c.Settings.MaxAttempts)
+		return fmt.Errorf("settings: limits.maxAttempts is %d, must be above 0", c.Settings.MaxAttempts)
 	}
 	seen := map[string]bool{}
 	for _, class := range c.Settings.Classes {
 		if !(class.DeadlineS > 0) || !(class.LatencyObjectiveS > 0) || class.Name == "" || seen[class.Name] {
-			return fmt.Errorf("settings: class %q: a name of its own, a deadline and an aim above 0 are needed", class.Name)
+			return fmt.Errorf("settings: class %q: name must be unique and not empty, deadlineS and aimS must be above 0", class.Name)
 		}
 		seen[class.Name] = true
 	}
--- a/internal/dataplane/ingressconfig/reload_test.go
+++ b/internal/dataplane/ingressconfig/reload_test.go
@@ -12,7 +12,7 @@
 	{"name":"bill","aimS":1,"deadlineS":2,"effect":"fragile","worth":5}],
 	"packages":[{"name":"basic","unitsPerS":5,"peakUnits":9,"pays":1}]}}`
 
-// Guards a running ingress against files that are broken: of each nothing is taken.
+// Guards against a broken file that a running ingress applies, in whole or in part.
 func TestReload_RejectsIncompleteConfigurations(t *testing.T) {
 	first, err := parse([]byte(goodSettings))
 	if err != nil {
@@ -36,7 +36,7 @@
 		"deadline null":     {`"deadlineS":2,"effect":"fragile"`, `"deadlineS":null,"effect":"fragile"`, "deadline"},
 		"no classes": {`{"name":"look","aimS":1,"deadlineS":2,"effect":"retryable","worth":1},
 	{"name":"bill","aimS":1,"deadlineS":2,"effect":"fragile","worth":5}`, ``, "missing"},
-		"a class twice":        {`"name":"bill"`, `"name":"look"`, "name of its own"},
+		"a class twice":        {`"name":"bill"`, `"name":"look"`, "name must be unique"},
 		"a key of a plan gone": {`"peakUnits":9,`, ``, "settings.packages[].peakUnits"},
 		"no known":             {`"known":{"version":1,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]},`, ``, `"known"`},
 		"unknown effect":       {`"effect":"fragile"`, `"effect":"odd"`, "unknown effect"},
@@ -44,7 +44,7 @@
 		text := goodSettings
 		if c.old != "" {
 			if text = strings.Replace(goodSettings, c.old, c.new, 1); text == goodSettings {
-				t.Fatalf("%s: nothing is changed", name)
+				t.Fatalf("%s: %q does not occur in the configuration", name, c.old)
 			}
 		}
 		next, err := parse([]byte(text))
@@ -52,7 +52,7 @@
 			err = next.CheckReload(first)
 		}
 		if (err != nil) != (c.want != "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want %q", name, err, c.want)
 		}
 	}
 }
--- a/internal/dataplane/inputbuffer/inputbuffer.go
+++ b/internal/dataplane/inputbuffer/inputbuffer.go
@@ -1,23 +1,23 @@
-// Package inputbuffer bounds the memory that input takes: each connection has a small buffer of its own, and what all of them hold beyond
-// that comes from one budget.
+// Package inputbuffer bounds the memory that buffered input takes. Each connection may hold a small buffer of its own; all memory beyond
+// these buffers is reserved from one shared budget.
 package inputbuffer
 
 import "sync/atomic"
 
-// ReadSize is the size in bytes of a connection's own buffer, which no budget counts.
+// ReadSize is the size in bytes of a connection's own buffer, which is not counted in the budget.
 const ReadSize = 4 << 10
 
-// Budget bounds the bytes that goroutines hold for others, beyond the first ReadSize of each buffer. It is safe for concurrent use; the zero
-// value has nothing to give.
+// Budget bounds the bytes that all connections buffer together, beyond the first ReadSize bytes of each buffer. It is safe for concurrent
+// use. The zero value has no bytes available.
 type Budget struct{ available atomic.Int64 }
 
-// Reset makes n bytes available, whatever is reserved.
+// Reset makes n bytes available, whatever has been reserved.
 func (b *Budget) Reset(n int64) { b.available.Store(n) }
 
-// Available is how many bytes are left.
+// Available returns the number of bytes that are not reserved.
 func (b *Budget) Available() int64 { return b.available.Load() }
 
-// Reserve takes n bytes, or nothing if so many are not left.
+// Reserve reserves n bytes, or none and returns false if fewer are available.
 func (b *Budget) Reserve(n int) bool {
 	if b.available.Add(-int64(n)) < 0 {
 		b.available.Add(int64(n))
@@ -26,25 +26,25 @@
 	return true
 }
 
-// Release gives n reserved bytes back.
+// Release returns n reserved bytes to the budget.
 func (b *Budget) Release(n int) { b.available.Add(int64(n)) }
 
-// Buffer gathers what is read from one connection. One goroutine uses it at a time.
+// Buffer holds bytes that were read from one connection. It is not safe for concurrent use.
 type Buffer struct {
 	data     []byte
 	budget   *Budget
-	reserved int // of the budget, for what data's capacity has above ReadSize
+	reserved int // bytes reserved from the budget for the capacity of data above ReadSize
 }
 
-// New returns an empty buffer that grows by the budget.
+// New returns an empty buffer that reserves bytes from budget as it grows.
 func New(budget *Budget) Buffer { return Buffer{budget: budget} }
 
-// NewUncounted returns a buffer that holds a copy of data, which the budget does not count: its sender has bounded it.
+// NewUncounted returns a buffer with a copy of data, which is not counted in the budget because the sender of data has bounded its size.
 func NewUncounted(budget *Budget, data []byte) Buffer {
 	return Buffer{budget: budget, data: append(make([]byte, 0, ReadSize), data...)}
 }
 
-// Fill makes a copy of data the buffer's content; false if the budget does not reach.
+// Fill sets the content of the buffer to a copy of data. It returns false if the budget has too few bytes available.
 func (f *Buffer) Fill(data []byte) bool {
 	f.data = append(make([]byte, 0, max(ReadSize, len(data))), data...)
 	if more := cap(f.data) - ReadSize; more > 0 {
@@ -56,13 +56,14 @@
 	return true
 }
 
-// Bytes is what was read and not discarded yet, until the next call of another method.
+// Bytes returns the content: the bytes that were read and are not discarded yet. The slice is valid until the next call of another method.
 func (f *Buffer) Bytes() []byte { return f.data }
 
-// Len is how many bytes that is.
+// Len returns the length of the content in bytes.
 func (f *Buffer) Len() int { return len(f.data) }
 
-// Space is where to read into, nil if the budget does not reach; Advance says how much came.
+// Space returns the free space into which the caller reads, and reserves bytes from the budget if the buffer has to grow. It returns nil if
+// the budget has too few bytes available. After a read, the caller passes the number of bytes read to Advance.
 func (f *Buffer) Space() []byte {
 	if cap(f.data)-len(f.data) < ReadSize/2 {
 		size := max(ReadSize, 2*len(f.data)+ReadSize/2)
@@ -80,7 +81,8 @@
 // Advance adds the first n bytes of Space to the content.
 func (f *Buffer) Advance(n int) { f.data = f.data[:len(f.data)+n] }
 
-// Discard forgets the first n bytes, and lets go of a buffer that one large message blew up.
+// Discard removes the first n bytes of the content. If no content is left, it releases a buffer that a large message has grown beyond
+// ReadSize.
 func (f *Buffer) Discard(n int) {
 	rest := f.data[n:]
 	if len(rest) == 0 && cap(f.data) > ReadSize {
@@ -90,7 +92,7 @@
 	f.data = f.data[:copy(f.data, rest)]
 }
 
-// Release lets go of all; the buffer is empty and may be used again.
+// Release drops the content and returns the reserved bytes to the budget. The buffer may be used again.
 func (f *Buffer) Release() {
 	f.budget.Release(f.reserved)
 	f.data, f.reserved = nil, 0
--- a/internal/dataplane/inputbuffer/inputbuffer_test.go
+++ b/internal/dataplane/inputbuffer/inputbuffer_test.go
@@ -14,14 +14,15 @@
 func TestBudget_ReserveIsAllOrNothing(t *testing.T) {
 	b := budgetOf(10)
 	if !b.Reserve(10) || b.Reserve(1) || b.Available() != 0 {
-		t.Errorf("%d left", b.Available())
+		t.Errorf("a budget of 10 does not give exactly one reservation of 10: %d bytes available, want 0", b.Available())
 	}
 	if b.Release(4); !b.Reserve(4) {
-		t.Error("what was released can't be reserved")
+		t.Error("4 released bytes can't be reserved again")
 	}
 }
 
-// Guards the budget: a buffer takes from it what it grows beyond ReadSize, and gives all of that back.
+// Guards against bytes that are lost from the budget: a buffer reserves what it grows beyond ReadSize, and releases all
+// of that once its content is discarded.
 func TestBuffer_Grows(t *testing.T) {
 	budget := budgetOf(1 << 20)
 	f := New(budget)
@@ -32,17 +33,17 @@
 		rest = rest[n:]
 	}
 	if !bytes.Equal(f.Bytes(), want) {
-		t.Fatalf("%d bytes, want %d", f.Len(), len(want))
+		t.Fatalf("the content of %d bytes differs from the %d bytes read into the buffer", f.Len(), len(want))
 	}
 	if budget.Available() >= 1<<20-2*ReadSize {
-		t.Errorf("%d bytes left of the budget", budget.Available())
+		t.Errorf("%d bytes available, want at least %d reserved", budget.Available(), 2*ReadSize)
 	}
 	f.Discard(ReadSize)
 	if !bytes.Equal(f.Bytes(), want[ReadSize:]) {
-		t.Error("the rest differs")
+		t.Errorf("the content after a discard of %d bytes differs from the rest of the input", ReadSize)
 	}
 	if f.Discard(f.Len()); f.Len() != 0 || budget.Available() != 1<<20 {
-		t.Errorf("%d bytes, %d left of the budget", f.Len(), budget.Available())
+		t.Errorf("after a discard of all: content of %d bytes, want 0; %d bytes available, want %d", f.Len(), budget.Available(), 1<<20)
 	}
 }
 
@@ -50,10 +51,10 @@
 	f := New(budgetOf(0))
 	f.Advance(copy(f.Space(), make([]byte, ReadSize)))
 	if f.Space() != nil {
-		t.Error("it grows beyond its own buffer")
+		t.Error("the buffer grows beyond ReadSize with an empty budget")
 	}
 	if (&Buffer{budget: budgetOf(0)}).Fill(make([]byte, ReadSize+1)) {
-		t.Error("it is filled beyond its own buffer")
+		t.Error("Fill beyond ReadSize succeeds with an empty budget")
 	}
 }
 
@@ -62,17 +63,17 @@
 	f := New(budget)
 	data := make([]byte, 2*ReadSize)
 	if !f.Fill(data) || f.Len() != len(data) || budget.Available() > ReadSize {
-		t.Errorf("%d bytes, %d left of the budget", f.Len(), budget.Available())
+		t.Errorf("Fill fails, or content of %d bytes, want %d; %d bytes available, want %d at most", f.Len(), len(data), budget.Available(), ReadSize)
 	}
 	data[0] = 1
 	if f.Bytes()[0] != 0 {
-		t.Error("the content is the caller's")
+		t.Error("the content aliases the caller's data")
 	}
 	if f.Release(); budget.Available() != 2*ReadSize {
-		t.Errorf("%d left of the budget", budget.Available())
+		t.Errorf("after Release: %d bytes available, want %d", budget.Available(), 2*ReadSize)
 	}
 	uncounted := NewUncounted(budget, data)
 	if uncounted.Release(); budget.Available() != 2*ReadSize {
-		t.Errorf("%d left of the budget", budget.Available())
+		t.Errorf("after Release of an uncounted buffer: %d bytes available, want %d", budget.Available(), 2*ReadSize)
 	}
 }
--- a/internal/dataplane/resp/command.go
+++ b/internal/dataplane/resp/command.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// ParseCommand parses the command at the start of b, an array of bulk strings. It appends the arguments, which alias b, to args and returns the
-// length of the command in bytes, 0 while the command is incomplete, or an error for a malformed command. b must not be empty.
+// ParseCommand parses the command at the start of b, an array of bulk strings. It appends the arguments, which alias b, to args and returns
+// the length of the command in bytes, 0 while the command is incomplete, or an error for a malformed command. b must not be empty.
 func ParseCommand(b []byte, args [][]byte) ([][]byte, int, error) {
 	if b[0] != '*' {
 		return nil, 0, fmt.Errorf("expected '*', got %q", b[0])
@@ -33,8 +33,8 @@
 	return args, n, nil
 }
 
-// parseArgument parses the bulk string at b[at:], which must not be empty. It returns the value, and the size of header, value and line end in
-// bytes, 0 while the bulk string is incomplete.
+// parseArgument parses the bulk string at b[at:], which must not be empty. It returns the value, and the size of header, value and line end
+// in bytes, 0 while the bulk string is incomplete.
 func parseArgument(b []byte, at int) (value []byte, size int, err error) {
 	if b[at] != '$' {
 		return nil, 0, fmt.Errorf("expected '$', got %q", b[at])
--- a/internal/dataplane/resp/reply.go
+++ b/internal/dataplane/resp/reply.go
@@ -66,8 +66,9 @@
 	Elements  int // number of elements of the reply, including the value
 }
 
-// ParseLargeReply parses the header of the reply at the start of b and the header of its first element. ok is false if the first element is not
-// a large value, and while either header is incomplete. A value over maxBytes does not count as large: ReplyLen rejects it with ErrOversized.
+// ParseLargeReply parses the header of the reply at the start of b and the header of its first element. ok is false if the first element is
+// not a large value, and while either header is incomplete. A value over maxBytes does not count as large: ReplyLen rejects it with
+// ErrOversized.
 func ParseLargeReply(b []byte, maxBytes int) (r LargeReply, ok bool) {
 	if len(b) == 0 || b[0] != '*' {
 		return LargeReply{}, false
--- a/internal/dataplane/resp/resp.go
+++ b/internal/dataplane/resp/resp.go
@@ -1,5 +1,6 @@
-// Package resp frames the RESP2 messages of clients and backends: it finds the end of a command or a reply, and rejects a message that exceeds
-// the bounds as soon as its header announces the length, before the announced bytes are read. It keeps no state; buffers belong to the caller.
+// Package resp frames the RESP2 messages of clients and backends: it finds the end of a command or a reply, and rejects a message that
+// exceeds the bounds as soon as its header announces the length, before the announced bytes are read. It keeps no state; buffers belong to
+// the caller.
 package resp
 
 import (
@@ -41,8 +42,8 @@
 	Size   int  // bytes of the line with its line end; 0: the line is incomplete, and the other fields are not set
 }
 
-// ParseHeader parses the header at the start of b, a type followed by a length in decimal digits. An incomplete line that can't become a valid
-// header is an error already. b must not be empty.
+// ParseHeader parses the header at the start of b, a type followed by a length in decimal digits. An incomplete line that can't become a
+// valid header is an error already. b must not be empty.
 func ParseHeader(b []byte) (Header, error) {
 	text, size, err := headerText(b)
 	if err != nil {
@@ -60,8 +61,8 @@
 	return Header{Length: length, Null: null, Size: size}, nil
 }
 
-// headerText returns the text between the type and the line end of a header, and the size in bytes of the line with its line end. A size of 0
-// means that the line is incomplete; the text then holds all that has come of it.
+// headerText returns the text between the type and the line end of a header, and the size in bytes of the line with its line end. A size of
+// 0 means that the line is incomplete; the text then holds all that has come of it.
 func headerText(b []byte) (text []byte, size int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxHeaderBytes)], '\n')
 	switch {
@@ -75,8 +76,8 @@
 	return b[1 : end-1], end + 1, nil
 }
 
-// parseLength parses a length: digits without a leading zero, or -1 for null. The text of an incomplete line may also be a prefix of a length,
-// or end in a carriage return.
+// parseLength parses a length: digits without a leading zero, or -1 for null. The text of an incomplete line may also be a prefix of a
+// length, or end in a carriage return.
 func parseLength(text []byte, complete bool) (length int, null bool, err error) {
 	for i, c := range text {
 		switch {
--- a/internal/dataplane/settings/golden_test.go
+++ b/internal/dataplane/settings/golden_test.go
@@ -8,7 +8,7 @@
 	"eiderspread/policy"
 )
 
-// Guards the keys of the settings, and which value each of them is.
+// Guards against unintended changes of the keys in the settings object, and of the field that each key sets.
 func TestGoldenSettings(t *testing.T) {
 	var w wireSettings
 	golden.Fill(&w)
--- a/internal/dataplane/settings/settings.go
+++ b/internal/dataplane/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings object that the simulator's first message and a real ingress's configuration both carry, and names the
-// figures of load reports. The platform's words stand here alone; the rest of the program knows the fields of policy.Settings.
+// Package settings parses the settings object, which is part of both the simulator's first message and a real ingress's configuration, and
+// maps the names of load figures to the fields of policy.Load. The platform's names are defined only here; the rest of the program uses
+// policy.Settings.
 package settings
 
 import (
@@ -9,16 +10,16 @@
 	"eiderspread/policy"
 )
 
-// Settings is what the decision module needs, and beside it what only a real ingress has to know.
+// Settings holds the settings of the decision module, and those that only a real ingress uses.
 type Settings struct {
 	policy.Settings
-	ConnIdleS       float64 // a backend closes a connection that has been idle for so many seconds
-	DialTimeoutS    float64 // seconds after which a connection that is not made has failed
-	MaxOpenRequests int     // 0: no such limit
+	ConnIdleS       float64 // backends close a connection after it has been idle for this time, in seconds
+	DialTimeoutS    float64 // timeout of connection attempts to backends, in seconds
+	MaxOpenRequests int     // 0: unlimited
 }
 
-// Parse translates the settings object. An error names the class and the value that is not known; whether figures make sense is for policy.New to
-// say.
+// Parse parses the settings object. If a class has an unknown effect or keyScope, the error is an *UnknownValueError. Parse does not check
+// whether the numbers make sense; policy.New does.
 func Parse(text []byte) (Settings, error) {
 	var w wireSettings
 	if err := json.Unmarshal(text, &w); err != nil {
@@ -38,7 +39,7 @@
 	return s, nil
 }
 
-// UnknownValueError is a value of a class that is not one of those that its key may have.
+// UnknownValueError reports a class with a key whose value is none of the allowed ones.
 type UnknownValueError struct{ Class, Key, Value string }
 
 func (e *UnknownValueError) Error() string {
--- a/internal/dataplane/settings/settings_test.go
+++ b/internal/dataplane/settings/settings_test.go
@@ -16,10 +16,10 @@
 		t.Fatal(err)
 	}
 	if s.Gateways != 3 || s.Self != 1 || s.ConnIdleS != 15 || s.DialTimeoutS != 0.25 || s.MaxOpenRequests != 20000 || s.MaxAttempts != 5 {
-		t.Errorf("got %+v", s)
+		t.Errorf("got %+v, want the values of %s", s, text)
 	}
 	if len(s.Classes) != 1 || s.Classes[0].Idempotency != policy.NonIdempotent || len(s.Plans) != 1 || s.Plans[0].HardLimitBurst != 147 {
-		t.Errorf("got %+v and %+v", s.Classes, s.Plans)
+		t.Errorf("got classes %+v and plans %+v, want one non-idempotent class and one plan with a hard limit burst of 147", s.Classes, s.Plans)
 	}
 	for want, change := range map[string][2]string{
 		`unknown effect "mild"`: {"fragile", "mild"},
@@ -27,7 +27,7 @@
 		"unexpected end":        {text, "{"},
 	} {
 		if _, err := Parse([]byte(strings.Replace(text, change[0], change[1], 1))); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("%q replaced by %q: got error %v, want one with %q", change[0], change[1], err, want)
 		}
 	}
 }
@@ -38,6 +38,6 @@
 		SetLoad(&l, name, float64(i))
 	}
 	if l != (policy.Load{InFlight: 0, Queue: 1, Utilization: 2, ServiceMS: 3, ServedPerS: 4, FailedPerS: 5}) {
-		t.Errorf("got %+v", l)
+		t.Errorf("got %+v, want each figure set to its index in the list of names", l)
 	}
 }
--- a/internal/dataplane/settings/translate.go
+++ b/internal/dataplane/settings/translate.go
@@ -2,14 +2,14 @@
 
 import "eiderspread/policy"
 
-// idempotencies are the values of effect.
+// idempotencies maps the values of a class's key effect.
 var idempotencies = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.KeyedIdempotent, "fragile": policy.NonIdempotent}
 
-// keyScopes are the values of keyScope.
+// keyScopes maps the values of a class's key keyScope; the default is all.
 var keyScopes = map[string]policy.KeyScope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
 	"cell": policy.ScopeCell}
 
-// policySettings translates all but classes and plans.
+// policySettings returns the settings without classes and plans.
 func (w wireSettings) policySettings() policy.Settings {
 	return policy.Settings{
 		Self: w.Self, Gateways: w.Gateways, Zone: w.Zone,
--- a/internal/dataplane/settings/wire.go
+++ b/internal/dataplane/settings/wire.go
@@ -1,6 +1,6 @@
 package settings
 
-// wireSettings is the settings object as the platform words it; unknown keys are passed over.
+// wireSettings is the settings object with the platform's key names. Unknown keys are ignored.
 type wireSettings struct {
 	Gateways int    `json:"balancers"`
 	Self     int    `json:"me"`
@@ -11,7 +11,7 @@
 		UnitsFromResponse bool    `json:"truedUp"`
 	} `json:"familyInfo"`
 	LoadReports struct {
-		CarriedBy string `json:"how"` // probe, answers
+		CarriedBy string `json:"how"` // "probe" or "answers"
 	} `json:"feedback"`
 	Limits struct {
 		CancelAllowed     bool    `json:"cancel"`
@@ -43,7 +43,7 @@
 	MinBatchIntervalS float64 `json:"tickS"`
 }
 
-// wirePlan is a plan.
+// wirePlan is a plan with the platform's key names.
 type wirePlan struct {
 	Name                    string  `json:"name"`
 	Rate                    float64 `json:"unitsPerS"`
@@ -57,7 +57,7 @@
 	HardLimitSlack          float64 `json:"ceilingSlack"`
 }
 
-// wireClass is a class of requests.
+// wireClass is a class of requests with the platform's key names.
 type wireClass struct {
 	Name                string  `json:"name"`
 	LatencyObjectiveS   float64 `json:"aimS"`
--- a/internal/dataplane/sockets/sockets_test.go
+++ b/internal/dataplane/sockets/sockets_test.go
@@ -9,8 +9,8 @@
 
 const testTimeout = 20 * time.Second
 
-// pair is two ends of one connection.
-func pair(t *testing.T) (near, far *net.TCPConn, raw syscall.RawConn) {
+// tcpPair returns the two ends of a TCP connection, and the raw connection of the near end.
+func tcpPair(t *testing.T) (near, far *net.TCPConn, raw syscall.RawConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,55 +33,55 @@
 	return near, far, raw
 }
 
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not in time: ", what)
+			t.Fatalf("timeout after %v waiting for: %s", testTimeout, what)
 		}
 	}
 }
 
 func TestStateOfConnection(t *testing.T) {
-	near, far, raw := pair(t)
+	near, far, raw := tcpPair(t)
 	if !OpenAndSilent(raw) || PeerClosed(raw) || UnreadBytes(raw) != 0 || EndsWithin(near, 1) {
-		t.Error("a new connection is not open and silent")
+		t.Error("a new connection is not reported as open, silent and empty")
 	}
 	if _, err := far.Write([]byte("abc")); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "bytes", func() bool { return UnreadBytes(raw) == 3 })
+	waitFor(t, "3 unread bytes", func() bool { return UnreadBytes(raw) == 3 })
 	if OpenAndSilent(raw) || PeerClosed(raw) || EndsWithin(near, 4) {
-		t.Error("a connection with bytes is silent, or has ended")
+		t.Error("a connection with 3 unread bytes is reported as silent or closed by the peer")
 	}
 	if err := far.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the end behind bytes", func() bool { return PeerClosed(raw) })
+	waitFor(t, "the end of the peer after unread bytes", func() bool { return PeerClosed(raw) })
 	if !EndsWithin(near, 4) || EndsWithin(near, 3) {
-		t.Error("three bytes are left")
+		t.Error("EndsWithin does not report the end after exactly 3 unread bytes")
 	}
 	var got [3]byte
 	if _, err := near.Read(got[:]); err != nil || string(got[:]) != "abc" {
-		t.Fatalf("%q, %v: a look took bytes", got, err)
+		t.Fatalf("read %q, error %v, want \"abc\": the queries have consumed input", got, err)
 	}
 	if OpenAndSilent(raw) || !PeerClosed(raw) {
-		t.Error("an ended connection is open")
+		t.Error("a connection that the peer has closed is reported as open")
 	}
 	near.Close()
 	if OpenAndSilent(raw) || !PeerClosed(raw) || !EndsWithin(near, 1) || UnreadBytes(raw) != -1 {
-		t.Error("a closed connection is open")
+		t.Error("a connection that was closed locally is reported as open")
 	}
 }
 
 func TestWriteNonBlocking(t *testing.T) {
-	near, far, raw := pair(t)
+	near, far, raw := tcpPair(t)
 	if err := near.SetWriteBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
 	chunk := make([]byte, 1<<20)
 	total := 0
-	for range 1000 { // nobody reads: the socket is full at some time
+	for range 1000 { // the peer reads nothing, so that the socket buffer fills up
 		n, err := WriteNonBlocking(raw, chunk)
 		if err != nil {
 			t.Fatal(err)
@@ -91,11 +91,11 @@
 		}
 	}
 	if n, err := WriteNonBlocking(raw, chunk); n != 0 || err != nil || total == 0 {
-		t.Errorf("a full socket took %d bytes of %d, %v", n, total, err)
+		t.Errorf("write to a full socket: %d bytes, error %v, want 0 bytes and no error; %d bytes were written before", n, err, total)
 	}
 	far.Close()
 	near.Close()
 	if _, err := WriteNonBlocking(raw, chunk); err == nil {
-		t.Error("a closed connection takes bytes")
+		t.Error("a write to a closed connection succeeds, want an error")
 	}
 }
