--- a/cmd/eiderspread/drain_test.go
+++ b/cmd/eiderspread/drain_test.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	drainTime     = 4 * time.Second // after which a drained ingress may hold no client, by the operators' page
-	drainRecent   = 2 * time.Second // but for connections whose request is older than this
-	drainSlack    = 250 * time.Millisecond
-	drainWarmUp   = 300 * time.Millisecond
-	drainClients  = 12
-	drainPause    = 15 * time.Millisecond  // of a client between an answer and its next request
-	noticedLately = 700 * time.Millisecond // a front that notices sends no new connection so long after the call
-	lateInDrain   = 2 * time.Second        // a request that comes later would be too young at the end
+	drainTime       = 4 * time.Second        // after it a drained ingress may hold no client connection, as the operators' documentation says
+	drainRecent     = 2 * time.Second        // except for connections that wait for the answer to a request older than this
+	drainSlack      = 250 * time.Millisecond // a connection must stay open for this much longer to count as a failure
+	drainWarmUp     = 300 * time.Millisecond
+	drainClients    = 12
+	drainPause      = 15 * time.Millisecond  // pause of a client between an answer and its next request
+	drainNoticeTime = 700 * time.Millisecond // a load balancer that notices the drain opens no connections this long after the call
+	lateInDrain     = 2 * time.Second        // a request sent later would be more recent than drainRecent at the end of the drain
 )
 
-// persistentConn is a connection that a client keeps open between its requests, as long as the ingress does.
+// persistentConn is a connection that a client keeps open between requests, until the ingress closes it.
 type persistentConn struct {
 	net.Conn
 	reader         *bufio.Reader
 	mutex          sync.Mutex
 	requests       int
 	lastSent       time.Time
-	awaitingAnswer bool // an answer
+	awaitingAnswer bool
 	ended          bool
 }
 
-// request sends a request and reads its answer: whether it was served, and whether the connection is still open. A connection that ends between two
-// answers has lost nothing.
+// request sends a request and reads its answer. It reports whether the request was served and whether the connection is still open. A
+// request is lost if the connection ends within the answer, or before the first answer; a connection may end between two answers.
 func (k *persistentConn) request(id string, lost *atomic.Int64) (served, open bool) {
 	k.mutex.Lock()
 	k.requests++
@@ -57,14 +57,14 @@
 	k.awaitingAnswer = false
 	if err != nil {
 		k.ended = true
-		if first || line != "" { // nothing was answered on it, or half of an answer
+		if first || line != "" { // the connection ended before its first answer, or within an answer
 			lost.Add(1)
 		}
 	}
 	return served, err == nil
 }
 
-// violation is how the connection breaks the rule at the end of a drain, or "".
+// violation describes why the connection should not be open at the end of a drain; "" if it may be.
 func (k *persistentConn) violation(now time.Time) string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -79,16 +79,16 @@
 	return ""
 }
 
-// persistentFront is clients behind a front that goes on dealing requests to an ingress, whatever that says to PING: each client keeps its
-// connection while it can and opens another when it has ended.
+// persistentFront simulates clients behind a load balancer, their front, that keeps sending requests to a draining ingress, whatever the
+// ingress answers to PING. Each client keeps its connection open, and opens a new one when the ingress has closed it.
 type persistentFront struct {
 	listen        string
 	stop          chan struct{}
 	ids           atomic.Int64
-	lost          atomic.Int64 // requests whose connection ended with no answer on it
-	openedLate    atomic.Int64 // connections opened later than noticedLately after the call
-	servedLate    atomic.Int64 // requests that were sent later than lateInDrain after the call, and served
-	drainCalledAt atomic.Int64 // when operators called, Unix nanoseconds
+	lost          atomic.Int64 // requests that were lost, see persistentConn.request
+	openedLate    atomic.Int64 // connections opened later than drainNoticeTime after the drain call
+	servedLate    atomic.Int64 // requests sent later than lateInDrain after the drain call, and served
+	drainCalledAt atomic.Int64 // time of the drain call, Unix nanoseconds; 0: not called yet
 
 	mutex   sync.Mutex
 	open    map[*persistentConn]bool
@@ -103,8 +103,8 @@
 			return
 		}
 		k := &persistentConn{Conn: conn, reader: bufio.NewReader(conn)}
-		_ = conn.SetDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
-		if f.sinceDrainCall() > noticedLately {
+		_ = conn.SetDeadline(time.Now().Add(testTimeout)) // the next read reports an error
+		if f.sinceDrainCall() > drainNoticeTime {
 			f.openedLate.Add(1)
 		}
 		f.mutex.Lock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// sinceDrainCall is how long ago operators called; 0 before they have.
+// sinceDrainCall returns the time since the drain call; 0 before it.
 func (f *persistentFront) sinceDrainCall() time.Duration {
 	called := f.drainCalledAt.Load()
 	if called == 0 {
@@ -147,7 +147,7 @@
 	return time.Duration(time.Now().UnixNano() - called)
 }
 
-// violations tells which connections break the rule at one moment.
+// violations returns the connections that should not be open at the end of a drain, with the reasons.
 func (f *persistentFront) violations(now time.Time) map[*persistentConn]string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -160,11 +160,10 @@
 	return list
 }
 
-// Guards the end of a drain by operators (incident 2026-12-02): 4 s after the call the process holds no client's connection that is idle or has a
-// request from the last 2 s, also where clients go on coming on new connections, as they do behind a front that does not notice; and no request
-// that comes in its second half is served. Each ingress is a process of its own. (That no connection which is opened late is used again was asked
-// here first. It made an ingress end connections after each answer, and pipelined commands cross the end of one after the other: on the bench, rule
-// lost. What is used again late is refused now, which this test asks for instead, beside what is held at the end.)
+// Guards against a drain that does not end (incident 2026-12-02): 4 s after the call, the process may hold no client connection that is
+// idle or has a request from the last 2 s, even if clients keep opening connections because their load balancer ignores the drain. A
+// request sent in the second half of the drain must not be served. To close connections after each answer instead loses pipelined commands
+// that cross the close (rule "lost" of the bench). The ingress runs as a separate process.
 func TestDrain_ReleasesPersistentClients(t *testing.T) {
 	for name, answerAfter := range map[string]time.Duration{"quick backend": 20 * time.Millisecond, "slow backend": 600 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -181,7 +180,7 @@
 	for range drainClients {
 		front.clients.Go(func() { front.client(t) })
 	}
-	time.Sleep(drainWarmUp) // clients are at work when operators call
+	time.Sleep(drainWarmUp) // clients have requests in flight when the drain is called
 	resp, err := http.Post("http://"+console+"/v1/ingress/drain", "", strings.NewReader(""))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
@@ -195,46 +194,46 @@
 	still := front.violations(time.Now().Add(-drainSlack))
 	for k, why := range held {
 		if still[k] != "" {
-			t.Errorf("%v after the call a connection with %d requests is held, %s", drainTime, k.requests, why)
+			t.Errorf("%v after the drain call a connection with %d requests is still open: %s", drainTime, k.requests, why)
 		}
 	}
 	close(front.stop)
 	front.clients.Wait()
 	if n := front.openedLate.Load(); n < drainClients {
-		t.Errorf("%d connections were opened later than %v after the call: no occasion", n, noticedLately)
+		t.Errorf("%d connections were opened later than %v after the drain call, want at least %d: the drain was not exercised", n, drainNoticeTime, drainClients)
 	}
 	if n := front.servedLate.Load(); n > 0 {
-		t.Errorf("%d requests that were sent later than %v after the call were served", n, lateInDrain)
+		t.Errorf("%d requests sent later than %v after the drain call were served, want 0", n, lateInDrain)
 	}
 	if n := front.lost.Load(); n > 0 {
-		t.Errorf("%d requests were lost", n)
+		t.Errorf("%d requests were lost: the connection ended before its first answer or within an answer", n)
 	}
 }
 
 const (
-	pipelineAhead = 4 // commands that a pipelining client has open
-	// A command sent so long before its client saw the end was at the ingress when that ended the connection: the client pauses behind each answer,
-	// and may have several to read ahead of the end.
-	pipelineFlight = (pipelineAhead + 4) * drainPause
+	pipelineDepth = 4 // commands that a pipelining client keeps in flight
+	// A command sent longer than this before its client reads the end of the connection had reached the ingress before the ingress closed it.
+	// The bound is this long because the client pauses after each answer, and may have several answers to read before the end.
+	pipelineFlight = (pipelineDepth + 4) * drainPause
 )
 
-// pipeliningClient keeps several commands open on each connection, and opens another when one has ended. It counts commands that lay at the ingress
-// when that ended their connection, and got no answer.
+// pipeliningClient keeps several commands in flight on each connection, and opens a new connection when one has ended. It counts as lost
+// the commands that the ingress had received when it closed their connection, and did not answer.
 func pipeliningClient(listen string, stop <-chan struct{}, ids, answered, lost *atomic.Int64) error {
 	for {
 		conn, err := net.Dial("tcp", listen)
 		if err != nil {
 			return err
 		}
-		_ = conn.SetDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
+		_ = conn.SetDeadline(time.Now().Add(testTimeout)) // the next read reports an error
 		reader := bufio.NewReader(conn)
-		var open []time.Time // when each was sent
+		var open []time.Time // send times of the commands in flight
 		send := func() {
 			id, fields := fmt.Sprintf("q-%d", ids.Add(1)), "c=look,t=basic,d=2000,units=1,spread=1,first=0"
 			open = append(open, time.Now())
 			fmt.Fprintf(conn, "*4\r\n$8\r\nCALL.GET\r\n$16\r\n00000000b4d65521\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n", len(id), id, len(fields), fields)
 		}
-		for range pipelineAhead {
+		for range pipelineDepth {
 			send()
 		}
 		for len(open) > 0 {
@@ -253,7 +252,7 @@
 			answered.Add(1)
 			open = open[1:]
 			select {
-			case <-stop: // the rest is answered
+			case <-stop: // wait for the answers to the commands in flight
 			case <-time.After(drainPause):
 				send()
 			}
@@ -267,8 +266,8 @@
 	}
 }
 
-// Guards pipelined commands as an ingress is drained (found by the sweep after the incident of 2026-12-02): a connection ends when all that has come
-// on it is answered, however many commands its client keeps open.
+// Guards against pipelined commands that are lost in a drain (found by the sweep after the incident of 2026-12-02): the ingress may close a
+// connection only when all commands received on it are answered, however many its client keeps in flight.
 func TestDrain_AnswersPipelinedCommands(t *testing.T) {
 	console := freeAddress(t)
 	listen, _ := startProgram(t, programOptions{deadline: "2", console: console, answerAfter: 300 * time.Millisecond})
@@ -294,9 +293,10 @@
 	close(stop)
 	all.Wait()
 	if before == 0 || answered.Load() < before+int64(drainClients) {
-		t.Errorf("%d answers before the call, %d in all: no occasion", before, answered.Load())
+		t.Errorf("%d answers before the drain call, %d in all, want some before and at least %d after it: the drain was not exercised",
+			before, answered.Load(), drainClients)
 	}
 	if n := lost.Load(); n > 0 {
-		t.Errorf("%d commands lay at the ingress when it ended their connection, and got no answer", n)
+		t.Errorf("%d commands that the ingress had received got no answer before it closed their connection", n)
 	}
 }
--- a/cmd/eiderspread/main.go
+++ b/cmd/eiderspread/main.go
@@ -1,8 +1,8 @@
-// Command eiderspread is one ingress with the decision module in its own process.
+// Command eiderspread runs one ingress, with the decision module in the same process.
 //
-// EDGE_CONFIG names the configuration file, EDGE_OPERATOR the operator's file, if there is one, and EDGE_CONSOLE the address at which operators
-// call, where the configuration names none. SIGHUP reads both files again, SIGTERM drains. With -check it reads the files, says what is wrong
-// with them, and ends.
+// Environment variables: EDGE_CONFIG names the configuration file, EDGE_OPERATOR the operator's file, which is optional, and EDGE_CONSOLE
+// the address of the operators' interface, used if the configuration names none. SIGHUP reloads both files, SIGTERM drains the ingress and
+// ends the process. With -check, the program checks the files, prints the first fault and exits.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	"eiderspread/internal/dataplane/ingressconfig"
 )
 
-// maxProcs is 1: an ingress has one core.
+// maxProcs limits the Go scheduler to the one core that an ingress has.
 const maxProcs = 1
 
 var errNoConfig = errors.New("EDGE_CONFIG names no configuration file")
@@ -33,16 +33,16 @@
 }
 
 func run(args []string) error {
-	set := flag.NewFlagSet("eiderspread", flag.ContinueOnError)
-	check := set.Bool("check", false, "check the configuration and the operator's file, and end")
-	if err := set.Parse(args); err != nil {
+	flags := flag.NewFlagSet("eiderspread", flag.ContinueOnError)
+	check := flags.Bool("check", false, "check the configuration and the operator's file, and end")
+	if err := flags.Parse(args); err != nil {
 		return err
 	}
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
 		return errNoConfig
 	}
-	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read when it is taken
+	hup := make(chan os.Signal, 1) // one pending signal is enough: the files are read after it is received
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	cfg, err := readConfig(path)
@@ -54,14 +54,14 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("ingress", cfg.Name)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	reread := make(chan ingressconfig.Config)
+	reloaded := make(chan ingressconfig.Config)
 	done := make(chan struct{})
 	defer close(done)
-	go reloadOnSignal(hup, done, path, cfg, reread, log)
-	return ingress.Run(ctx, cfg, reread, log)
+	go reloadOnSignal(hup, done, path, cfg, reloaded, log)
+	return ingress.Run(ctx, cfg, reloaded, log)
 }
 
-// readConfig reads the configuration, and the operator's file if EDGE_OPERATOR names one.
+// readConfig reads the configuration file at path, and the operator's file if EDGE_OPERATOR names one.
 func readConfig(path string) (ingressconfig.Config, error) {
 	cfg, err := ingressconfig.Read(path)
 	if cfg.AdminAddr == "" && err == nil {
@@ -73,7 +73,7 @@
 	return cfg, err
 }
 
-// reloadOnSignal reads the configuration again at each signal and hands it on, until done is closed.
+// reloadOnSignal runs ingressconfig.Reload for the configuration file at path until done is closed.
 func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, path string, first ingressconfig.Config, to chan<- ingressconfig.Config, log *slog.Logger) {
 	ingressconfig.Reload(hup, done, func() (ingressconfig.Config, error) { return readConfig(path) }, first, to, log)
 }
--- a/cmd/eiderspread/main_test.go
+++ b/cmd/eiderspread/main_test.go
@@ -20,8 +20,8 @@
 	"eiderspread/internal/dataplane/ingressconfig"
 )
 
-// Guards against a start that hangs or panics on a configuration that can't be used: it must be
-// told in one plain line.
+// Guards against a start that hangs or panics on an invalid configuration. The error must be one line that names the
+// fault.
 func TestRun_BadConfigurationIsOneLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                             "EDGE_CONFIG names no configuration file",
@@ -41,16 +41,16 @@
 		t.Setenv("EDGE_CONFIG", path)
 		err := run(nil)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got %v, want one line with %q", text, err, want)
+			t.Errorf("%q: got error %v, want one line with %q", text, err, want)
 		}
 	}
 	t.Setenv("EDGE_CONFIG", filepath.Join(t.TempDir(), "none"))
 	if err := run(nil); err == nil || !strings.Contains(err.Error(), "no such file") {
-		t.Errorf("a missing file: got %v", err)
+		t.Errorf("missing file: got error %v, want \"no such file\"", err)
 	}
 }
 
-// Guards against a bad file that is taken over, or that ends the rereading.
+// Guards against an invalid file that is applied at a reload, or that stops later reloads.
 func TestReload_BadFileIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -66,26 +66,26 @@
 	write(`{"listen":`)
 	hup <- syscall.SIGHUP
 	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "level=ERROR") || !strings.Contains(got, "unexpected end") {
-		t.Errorf("logged %q", got)
+		t.Errorf("logged %q for an invalid file, want level=ERROR and \"unexpected end\"", got)
 	}
 	write(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"balancers":1,` +
 		`"limits":{"dialTimeoutS":0.25,"connIdleS":15,"maxAttempts":2},` +
 		`"profiles":[{"name":"look","aimS":1,"deadlineS":2,"effect":"retryable","worth":1}]}}`)
 	hup <- syscall.SIGHUP
-	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "classes and attempts alone") {
-		t.Errorf("logged %q", got)
+	if got, _ := lines.ReadString('\n'); !strings.Contains(got, "other than the discovery address, classes and attempts") {
+		t.Errorf("logged %q for a valid file with other changes, want a warning that they need a restart", got)
 	}
 	if cfg := <-to; cfg.Discovery != "127.0.0.1:2" || len(to) > 0 {
-		t.Errorf("handed on %+v and %d more", cfg, len(to))
+		t.Errorf("received %+v and %d more configurations, want one with discovery 127.0.0.1:2", cfg, len(to))
 	}
 }
 
-const testTimeout = 20 * time.Second // when a test gives up on what must come
+const testTimeout = 20 * time.Second // bounds each wait of a test
 
-// Guards against a reload that ends the process: two SIGHUPs, between them one with a file that can't
-// be read, each followed by the watch at the address that holds, while a client is served throughout.
+// Guards against a SIGHUP that ends the process or disturbs its clients. Two reloads change the discovery address, and
+// one between them reads an invalid file. The ingress must watch each new address, and serve a client throughout.
 func TestReload_OnSIGHUP(t *testing.T) {
-	spare := make(chan os.Signal, 8) // SIGHUP must not end the test if the program doesn't take it
+	spare := make(chan os.Signal, 8) // a SIGHUP that the program does not handle must not end the test process
 	signal.Notify(spare, syscall.SIGHUP)
 	defer signal.Stop(spare)
 
@@ -159,10 +159,10 @@
 		select {
 		case got := <-watched:
 			if got != want {
-				t.Fatalf("agent %d is watched, want %d", got, want)
+				t.Fatalf("discovery agent %d is watched, want agent %d", got, want)
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("agent %d is not watched", want)
+			t.Fatalf("discovery agent %d is not watched after %v", want, testTimeout)
 		}
 	}
 	hup := func() {
@@ -185,7 +185,7 @@
 				return err
 			}
 			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(3 * testTimeout)) // an error shows in the next read
+			_ = c.SetDeadline(time.Now().Add(3 * testTimeout)) // the next read reports an error
 			r := bufio.NewReader(c)
 			for n := 0; ; n++ {
 				fields := "c=look,t=basic,d=20000,units=1,spread=1,first=0"
@@ -194,7 +194,7 @@
 					len(id), id, len(fields), fields)
 				for _, want := range []string{"$1\r\n", "v\r\n"} {
 					if got, err := r.ReadString('\n'); err != nil || got != want {
-						return errors.Join(fmt.Errorf("request %d: got %q", n, got), err)
+						return errors.Join(fmt.Errorf("request %d: got %q, want %q", n, got, want), err)
 					}
 				}
 				select {
@@ -212,7 +212,7 @@
 		t.Fatal(err)
 	}
 	hup()
-	write(agents[2]) // whichever of the last two files the second signal finds
+	write(agents[2]) // the signal before may find either of the last two files
 	hup()
 	watches(2)
 	close(stop)
@@ -228,6 +228,6 @@
 			t.Errorf("the program ended with %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("the program did not end after SIGTERM")
+		t.Errorf("the program did not end within %v of SIGTERM", testTimeout)
 	}
 }
--- a/cmd/eiderspread/term_test.go
+++ b/cmd/eiderspread/term_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// runAsProgramEnv is set where a test starts itself as the program.
+// runAsProgramEnv is an environment variable. If it is set, the test binary runs the program instead of the tests.
 const runAsProgramEnv = "EIDERSPREAD_TEST_RUNS_IT"
 
 func TestMain(m *testing.M) {
@@ -27,14 +27,15 @@
 	os.Exit(m.Run())
 }
 
-// programOptions are what a test asks of the program and of the stand-in for its backend.
+// programOptions configure the program and the fake backend of a test.
 type programOptions struct {
-	deadline    string        // of requests, in seconds
-	console     string        // the operators' address; empty: none
-	answerAfter time.Duration // how long the backend takes for a request
+	deadline    string        // deadline and latency objective of requests, in seconds
+	console     string        // address of the operators' interface; empty: none
+	answerAfter time.Duration // time that the backend takes for each request
 }
 
-// startProgram starts the program as a process of its own, with one backend that answers all requests.
+// startProgram starts the program as a separate process, with one fake backend that answers all requests, and returns the address for
+// clients once the program listens at it.
 func startProgram(t *testing.T, options programOptions) (listen string, cmd *exec.Cmd) {
 	t.Helper()
 	backend, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,12 +78,12 @@
 			c.Close()
 			return listen, cmd
 		} else if time.Now().After(end) {
-			t.Fatal("the program does not listen")
+			t.Fatalf("the program does not listen at %s after %v", listen, testTimeout)
 		}
 	}
 }
 
-// freeAddress is one on loopback at which nobody listens.
+// freeAddress returns a loopback address at which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,7 +94,7 @@
 	return free.Addr().String()
 }
 
-// serveRequests answers each request of one connection with a part of its id, in order, until the connection ends.
+// serveRequests answers the requests of one connection in order until the connection ends, each with its id without the prefix q-.
 func serveRequests(c net.Conn, answerAfter time.Duration) {
 	defer c.Close()
 	for r := bufio.NewReader(c); ; {
@@ -108,31 +109,32 @@
 	}
 }
 
-// Clients that always have requests under way, and new ones, go on through a planned restart: a connection ends between two whole answers,
-// none is reset, and what came whole before the signal is served. A close with a command unread resets it, and takes answers along.
+// Guards against answers that are lost at a planned restart, while clients keep several requests in flight and send new ones. A connection
+// must end after a complete answer, none may be reset, and complete commands received before SIGTERM must be served. A close with a command
+// unread resets the connection, and the answers that are still on their way are lost.
 func TestShutdown_ClientsActiveAfterSIGTERM(t *testing.T) {
-	const clients, ahead = 6, 4
+	const clients, inFlight = 6, 4
 	listen, cmd := startProgram(t, programOptions{deadline: "0.4"})
-	var all, first sync.WaitGroup
+	var all, warmedUp sync.WaitGroup
 	errs := make(chan error, clients)
 	for n := range clients {
-		first.Add(1)
+		warmedUp.Add(1)
 		all.Go(func() {
 			errs <- func() error {
 				c, err := net.Dial("tcp", listen)
 				if err != nil {
-					first.Done()
+					warmedUp.Done()
 					return err
 				}
 				defer c.Close()
-				_ = c.SetDeadline(time.Now().Add(testTimeout)) // an error shows in the next read
+				_ = c.SetDeadline(time.Now().Add(testTimeout)) // the next read reports an error
 				r := bufio.NewReader(c)
 				send := func(k int) error {
 					id, fields := fmt.Sprintf("q-%d-%d", n, k), "c=look,t=basic,d=400,units=1,spread=1,first=0"
 					_, err := fmt.Fprintf(c, "*4\r\n$8\r\nCALL.GET\r\n$16\r\n00000000b4d6552%d\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n", n, len(id), id, len(fields), fields)
 					return err
 				}
-				for k := range ahead {
+				for k := range inFlight {
 					if err := send(k); err != nil {
 						return err
 					}
@@ -141,26 +143,26 @@
 					line, err := r.ReadString('\n')
 					switch {
 					case errors.Is(err, io.EOF) && line == "" && k > 0:
-						return nil // the end, between two answers
+						return nil // the connection ended between two answers
 					case err != nil:
-						return fmt.Errorf("answer %d: %q, %w", k, line, err)
+						return fmt.Errorf("answer %d: got %q, %w; want an answer, or the end after a complete one", k, line, err)
 					case line[0] == '$':
 						want := fmt.Sprintf("%d-%d\r\n", n, k)
 						if value, err := r.ReadString('\n'); err != nil || value != want {
-							return errors.Join(fmt.Errorf("answer %d: %q, want %q", k, value, want), err)
+							return errors.Join(fmt.Errorf("answer %d: got value %q, want %q", k, value, want), err)
 						}
 					case line[0] != '-':
-						return fmt.Errorf("answer %d: %q", k, line)
+						return fmt.Errorf("answer %d: got %q, want a value or an error reply", k, line)
 					}
 					if k == 20 {
-						first.Done()
+						warmedUp.Done()
 					}
-					_ = send(k + ahead) // to an end that was sent already, perhaps: what comes back tells
+					_ = send(k + inFlight) // may fail on a connection that has ended; the next read reports it
 				}
 			}()
 		})
 	}
-	first.Wait()
+	warmedUp.Wait()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
