--- a/internal/dataplane/ingress/event_loop.go
+++ b/internal/dataplane/ingress/event_loop.go
@@ -6,10 +6,10 @@
 	"runtime/debug"
 )
 
-// eventQueueSize is how many events may wait for the loop; beyond it readers wait.
+// eventQueueSize is the capacity of the event queue. Goroutines that post events block while the queue is full.
 const eventQueueSize = 1024
 
-// event is something that happened outside the loop, with the time at which it did.
+// event is an event that occurred outside the loop, and the function with which the loop handles it.
 type event struct {
 	occurredAt float64
 	run        func()
@@ -34,7 +34,7 @@
 	}
 }
 
-// post hands the loop an event of another goroutine.
+// post queues an event of another goroutine for the loop. It blocks while the queue is full, and drops the event if the loop has ended.
 func (in *Ingress) post(at float64, run func()) {
 	select {
 	case in.events <- event{at, run}:
@@ -42,7 +42,7 @@
 	}
 }
 
-// onLoop runs do on the loop and returns what it returned, or an error when ctx or the loop ends first. do may run all the same then.
+// onLoop runs do on the loop and returns its result. If ctx or the loop ends first, onLoop returns an error, and do may still run.
 func (in *Ingress) onLoop(ctx context.Context, do func() error) error {
 	result := make(chan error, 1)
 	select {
@@ -62,7 +62,7 @@
 	}
 }
 
-// handleEvent runs one event and the outcomes that it deferred. A panic costs the event, not the process.
+// handleEvent runs one event and the outcomes that it deferred. A panic ends only the function that panicked, not the process.
 func (in *Ingress) handleEvent(e event) {
 	in.now = max(in.now, e.occurredAt)
 	in.runRecovered(e.run)
@@ -83,16 +83,16 @@
 	run()
 }
 
-// maxFaultLogsPerSecond bounds the log lines on faults of others.
+// maxFaultLogsPerSecond limits the log lines about faults of other parties.
 const maxFaultLogsPerSecond = 5
 
-// logLimiter counts the lines of one second.
+// logLimiter counts the log lines of the current second.
 type logLimiter struct {
-	second int64 // Unix
+	second int64 // Unix time
 	count  int
 }
 
-// logFault logs a fault of another party, unless there were many within this second. Loop only.
+// logFault logs a fault of another party, up to maxFaultLogsPerSecond lines a second. Loop only.
 func (in *Ingress) logFault(message string, args ...any) {
 	if second := int64(in.now); second != in.faultLimiter.second {
 		in.faultLimiter = logLimiter{second: second}
--- a/internal/dataplane/ingress/event_loop_test.go
+++ b/internal/dataplane/ingress/event_loop_test.go
@@ -4,13 +4,13 @@
 	"testing"
 )
 
-// Guards the module's clock: an event that was stamped before one already handled must not turn it back.
+// Guards against a time that goes backward for the decider: an event may carry an earlier time than the event handled before it.
 func TestLoop_TimeIsMonotonic(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), nil)
 	var first, second float64
 	r.ingress.post(r.ingress.clock.Now()+5, func() { first = r.ingress.now })
 	r.onLoop(func() { second = r.ingress.now })
 	if second < first {
-		t.Errorf("the time went from %f to %f", first, second)
+		t.Errorf("the loop's time went backward, from %f to %f", first, second)
 	}
 }
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -22,14 +22,14 @@
 	"eiderspread/policy"
 )
 
-// inputMemoryFraction of the memory limit is for unfinished and queued input, beside a first buffer a connection. The collector lets as much
-// again lie, and the program itself needs some MB.
+// inputMemoryFraction is the fraction of the memory limit that unfinished and queued input may use, in addition to the first buffer of each
+// connection. The garbage collector may leave as much again uncollected, and the program itself needs some MB.
 const inputMemoryFraction = 0.2
 
-// sweepInterval is how often idle connections are looked for.
+// sweepInterval is the interval at which connections that have been idle for too long are closed.
 const sweepInterval = time.Second
 
-// Ingress is one gateway on real sockets. Its loop owns it, but for what says otherwise.
+// Ingress runs one gateway on real sockets. The event loop owns all fields, except where a comment says otherwise.
 type Ingress struct {
 	cfg    ingressconfig.Config
 	log    *slog.Logger
@@ -38,52 +38,53 @@
 	done   chan struct{} // closed when the loop has ended
 
 	decider Decider
-	now     float64 // of the current event; never goes back
+	now     float64 // time of the current event; never goes backward
 
 	timers        timerHeap
-	systemTimer   *time.Timer // set to the first of timers
-	systemTimerAt float64     // when it rings; 0: it is not set
-	deferred      []func()    // outcomes that an action caused, for when the event method that asked for it has returned
+	systemTimer   *time.Timer // set for the first of timers
+	systemTimerAt float64     // when systemTimer expires; 0: it is not set
+	deferred      []func()    // report outcomes of actions, once the event method that requested the action has returned
 	faultLimiter  logLimiter
 
 	listener         *net.TCPListener
-	acceptFor        time.Duration // from SIGTERM on, in which new connections are still accepted
+	acceptFor        time.Duration // how long after SIGTERM new connections are still accepted
 	acceptingClients atomic.Bool   // whether this process is ready for clients; of any goroutine
 	clients          clientTable
-	requests         map[string]*request // by id: those that are owed an answer or have attempts out
+	requests         map[string]*request // by ID: those that are not answered yet or have attempts in flight
 	largeValues      map[*largeValue]struct{}
-	inputBudget      inputbuffer.Budget // for what clients and backends have sent and nobody has used up yet; of any goroutine
+	inputBudget      inputbuffer.Budget // bytes for unprocessed input and unread answers; of any goroutine
 
 	backends    backendPool
-	writeBuffer []byte // of the command that is being written
-	peers       *peerLink
+	writeBuffer []byte    // encodes the command that is being written
+	peers       *peerLink // nil: there are no peer messages
 
-	classes     []policy.Class                      // of the newest settings
-	maxAttempts int                                 // of the newest settings
-	schema      atomic.Pointer[callprotocol.Schema] // of the newest settings; of any goroutine
+	classes     []policy.Class                      // from the newest settings
+	maxAttempts int                                 // from the newest settings
+	schema      atomic.Pointer[callprotocol.Schema] // from the newest settings; of any goroutine
 
 	watcher           *discovery.Watcher
 	endpointListStale bool // as last logged
 
 	admin       *admin.Server      // nil: there is no admin address
-	cordons     *cordontable.Table // what operators took out; nil without an admin address and out of a fleet
-	cordonStore *cordontable.Store // the same in a file, of the admin server's goroutines; nil in a fleet
+	cordons     *cordontable.Table // backends that operators cordoned; nil outside a fleet if there is no admin address
+	cordonStore *cordontable.Store // keeps them in a file; of the admin server's goroutines; nil in a fleet or without an admin address
 
 	drain         drainState
-	drainLogLines int // written of this drain or shutdown
+	drainLogLines int // lines on single connections, logged in this drain or shutdown
 	shutdown      shutdownState
 
-	successor           successorState                 // toward a process that replaces this one
-	predecessor         *predecessorState              // toward the process that this one replaces; nil once that has ended
-	predecessorRequests map[string]*predecessorRequest // that it holds and the decider here decides on; nil: there are none
-	memberLock          *hotrestart.Lock               // held by the process that acts for this member of a fleet; nil without an admin address and outside a fleet
+	successor           successorState                 // hand-over to a process that replaces this one
+	predecessor         *predecessorState              // hand-over from the process that this one replaces; nil: none, or its link has ended
+	predecessorRequests map[string]*predecessorRequest // by ID: held by the predecessor, decided on here; nil: there are none
+	memberLock          *hotrestart.Lock               // of the process that acts for a fleet member; nil outside a fleet or without an admin address
 
 	counters    ingressCounters
 	guardCounts guardCounters
 }
 
-// Run serves until ctx ends and then drains. It returns nil after a complete drain. Of each configuration that comes on reread, which may be
-// nil, the address of discovery, the classes and the number of attempts are taken over.
+// Run serves clients until ctx ends, then drains, and returns nil once the drain is complete. It also returns nil after a successor has
+// taken over. From each configuration received on reread, which may be nil, Run applies the discovery address, the classes and the number
+// of attempts.
 func Run(ctx context.Context, cfg ingressconfig.Config, reread <-chan ingressconfig.Config, log *slog.Logger) error {
 	var recorder *trace.Recorder
 	err := RunWithDecider(ctx, cfg, reread, log, func(serveCtx context.Context, h Host) (Decider, error) {
@@ -101,8 +102,8 @@
 	return err
 }
 
-// RunWithDecider is Run with a decider that newDecider makes. What newDecider starts ends with the context that it gets, which ends when the
-// drain is complete.
+// RunWithDecider is Run with a decider that newDecider creates. Goroutines that newDecider starts must end with the context that it
+// receives. That context ends when RunWithDecider returns, after the drain.
 func RunWithDecider(ctx context.Context, cfg ingressconfig.Config, reread <-chan ingressconfig.Config, log *slog.Logger,
 	newDecider func(context.Context, Host) (Decider, error)) error {
 	in, err := newIngress(cfg, log)
@@ -125,7 +126,7 @@
 	return in.serve(ctx, reread, decider)
 }
 
-// newIngress opens an ingress's sockets; nothing is read from them yet.
+// newIngress returns an ingress with open sockets. It reads nothing from them.
 func newIngress(cfg ingressconfig.Config, log *slog.Logger) (*Ingress, error) {
 	in := &Ingress{cfg: cfg, log: log, clock: monotime.NewClock(), events: make(chan event, eventQueueSize),
 		done: make(chan struct{}), requests: map[string]*request{}, largeValues: map[*largeValue]struct{}{}, systemTimer: time.NewTimer(time.Hour),
@@ -150,7 +151,7 @@
 	return in, nil
 }
 
-// openListener has the clients' listener: the predecessor's, if there is one.
+// openListener sets the listener for clients: the predecessor's listener if there is a predecessor, else a new one.
 func (in *Ingress) openListener() (err error) {
 	if in.cfg.AdminAddr != "" {
 		if in.predecessor, err = connectPredecessor(in.cfg); err != nil {
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// openMemberLock takes the lock of the process that acts for this member of a fleet, unless a predecessor still holds it.
+// openMemberLock acquires the lock that only the process acting for this fleet member may hold, unless a predecessor still holds it.
 func (in *Ingress) openMemberLock() error {
 	if in.cfg.AdminAddr == "" || !in.cfg.FleetMember {
 		return nil
@@ -184,7 +185,7 @@
 	return in.acquireMemberLock()
 }
 
-// openAdmin listens for operators' calls and makes the table of what they cordon.
+// openAdmin creates the table of cordoned backends, and listens on the admin address if there is one.
 func (in *Ingress) openAdmin() (err error) {
 	if in.cfg.AdminAddr != "" || in.cfg.FleetMember {
 		in.cordons = cordontable.New()
@@ -199,7 +200,7 @@
 	return err
 }
 
-// openPeers opens the socket toward the other ingresses, if there are any.
+// openPeers opens the socket for messages to and from the other ingresses, if the settings enable peer messages.
 func (in *Ingress) openPeers() (err error) {
 	if !in.cfg.Settings.PeerMessages {
 		return nil
@@ -230,7 +231,8 @@
 	}
 }
 
-// serve starts the readers and runs the loop to the end of the drain.
+// serve starts the goroutines of the ingress and runs the event loop until the drain is complete. It returns an error only if the
+// hand-over from the predecessor fails.
 func (in *Ingress) serve(ctx context.Context, reread <-chan ingressconfig.Config, decider Decider) error {
 	defer in.closeSockets()
 	background, cancel := context.WithCancel(context.Background())
@@ -268,11 +270,11 @@
 	})
 	in.log.Info("serving", "listen", in.cfg.Listen, "backends", len(in.backends.byID), "held", in.cordonCount(), "replaces_another", in.predecessor != nil)
 	in.runLoop(ctx)
-	in.log.Info("served to the end", "requests_open", len(in.requests))
+	in.log.Info("shutdown complete", "requests_open", len(in.requests))
 	return nil
 }
 
-// cordonCount is how many backends operators have cordoned.
+// cordonCount returns the number of backends that operators have cordoned.
 func (in *Ingress) cordonCount() int {
 	if in.cordons == nil {
 		return 0
--- a/internal/dataplane/ingress/large_value.go
+++ b/internal/dataplane/ingress/large_value.go
@@ -10,35 +10,36 @@
 	"eiderspread/policy"
 )
 
-// A value above resp.MaxValueBytes is streamed from its backend's connection to its client's: the backend's reader writes it, once the loop
-// allows it to write there. No more than a chunk of it is kept, so that a client that reads slowly slows its own backend down and nobody
-// else.
+// A value larger than resp.MaxValueBytes is streamed from the backend's connection to the client's: the reader of the backend's connection
+// writes it, once the loop allows that. The ingress buffers at most one chunk, so that a client that reads slowly slows down only its own
+// backend.
 const (
-	maxLargeValue   = 4 << 20          // bytes of a value
-	minLargePrefix  = 2 << 10          // bytes of it that must have come: a wrong length is mostly followed by fewer
-	streamChunkSize = 16 << 10         // bytes, of the input budget; where that does not reach, inputbuffer.ReadSize at a time must do
-	stallTimeout    = 10 * time.Second // that either side may let pass without a byte
+	maxLargeValue   = 4 << 20          // bytes of a value, at most
+	minLargePrefix  = 2 << 10          // bytes of the value that must arrive before it is streamed: a wrong length is mostly followed by fewer
+	streamChunkSize = 16 << 10         // bytes, reserved from the input budget; inputbuffer.ReadSize is used if the budget is exhausted
+	stallTimeout    = 10 * time.Second // longest time without progress on either side
 )
 
 var (
-	errStalled            = errors.New("the rest of a large value did not come")
+	errTruncated          = errors.New("large value truncated: the backend did not send the rest")
 	errClientDisconnected = errors.New("the client has disconnected")
-	errNoReceiver         = errors.New("a large value that nobody waits for")
+	errNoReceiver         = errors.New("no client waits for the large value")
 )
 
-// largeValue is one on its way to its client. The loop owns it, but for what the reader uses once mayWrite is closed.
+// largeValue is a large value that is being streamed to its client. The loop owns it, except for the fields that the reader of the
+// backend's connection uses once mayWrite is closed.
 type largeValue struct {
 	client   *clientConn
-	attempt  *attempt      // nil: the predecessor has begun it
+	attempt  *attempt      // nil: the predecessor began to stream the value
 	mayWrite chan struct{} // closed once the reader may write to the client
-	started  bool          // and whether that is so
+	started  bool          // whether the reader may write to the client
 	stream   *valueStream
 }
 
-// streamLargeValue streams a large value and reads what stands behind it, and posts what came of it to the loop. It reports whether the connection
-// may be read on. It runs on the backend's reader.
+// streamLargeValue streams a large value to its client, reads the rest of the reply, and posts the result to the loop. It reports whether
+// reading from the connection may continue. It runs on the reader goroutine of the backend's connection.
 func (c *backendConn) streamLargeValue(in *Ingress, input *inputbuffer.Buffer, large resp.LargeReply, at float64) bool {
-	arrived := min(input.Len(), large.ValueAt+large.ValueSize) // of the value and what stands before it
+	arrived := min(input.Len(), large.ValueAt+large.ValueSize) // bytes of the reply, up to the end of the value
 	v := c.announceLargeValue(in, newValueStream(c, large.ValueSize, input.Bytes()[large.ValueAt:arrived]), at)
 	if v == nil {
 		return false
@@ -74,7 +75,8 @@
 	return err == nil && !c.unusable.Load()
 }
 
-// announceLargeValue has the loop give the value its place among the client's answers; nil if nobody waits for it.
+// announceLargeValue has the loop put the value into the answer slot of its request. It returns nil if no client waits for the value, or
+// if the loop has ended.
 func (c *backendConn) announceLargeValue(in *Ingress, stream *valueStream, at float64) *largeValue {
 	begun := make(chan *largeValue, 1)
 	in.post(at, func() { begun <- in.beginLargeValue(c, stream) })
@@ -86,7 +88,8 @@
 	}
 }
 
-// beginLargeValue completes the request of a large value, of which nothing is written yet; nil if nobody waits for it.
+// beginLargeValue completes the request of a large value, before any byte of the value is written. It returns nil if no client waits for
+// the value.
 func (in *Ingress) beginLargeValue(c *backendConn, stream *valueStream) *largeValue {
 	a := c.attempt
 	ended := a == nil || a.state != attemptOut
@@ -111,7 +114,7 @@
 	return v
 }
 
-// startNextLargeValue lets the reader of the large value that is next in order write to the client, if nothing else is being written there.
+// startNextLargeValue allows a large value in the client's first answer slot to be written, if no other output is pending or being written.
 func (in *Ingress) startNextLargeValue(c *clientConn) {
 	if c.state != connOpen || c.writing || len(c.pendingOutput) > 0 || len(c.answerSlots) == 0 {
 		return
@@ -122,7 +125,8 @@
 	}
 }
 
-// handleLargeValueEnd takes the end of a large value: complete, or broken off by cause, which its client can tell by the connection's end.
+// handleLargeValueEnd handles the end of a large value's stream. If cause is not nil, the value is incomplete, and the client's connection
+// is closed to show that.
 func (in *Ingress) handleLargeValueEnd(v *largeValue, res callprotocol.Result, cause error) {
 	c := v.client
 	if v.started {
@@ -133,7 +137,7 @@
 		if v.attempt != nil {
 			id = v.attempt.request.ID
 		}
-		in.logFault("a large value broke off", "id", id, "why", cause)
+		in.logFault("large value aborted", "id", id, "why", cause)
 	}
 	if v.attempt != nil && v.attempt.conn != nil && cause == nil {
 		if conn := v.attempt.conn; !conn.unusable.Load() && conn.written.load() == writeComplete {
@@ -158,12 +162,12 @@
 	}
 }
 
-// finishLargeValue ends a large value's attempt, or what stands for it.
+// finishLargeValue ends the attempt of a large value. A value from the predecessor has none, so its backend's connection is closed instead.
 func (in *Ingress) finishLargeValue(v *largeValue, res callprotocol.Result) {
 	delete(in.largeValues, v)
 	if v.stream.resumed {
 		in.closeBackendConn(v.stream.backendConn)
 		return
 	}
-	in.finishAttempt(v.attempt, res, in.now) // closes the connection, unless it was pooled
+	in.finishAttempt(v.attempt, res, in.now) // closes the backend's connection, unless it was pooled
 }
--- a/internal/dataplane/ingress/large_value_migration.go
+++ b/internal/dataplane/ingress/large_value_migration.go
@@ -13,27 +13,28 @@
 	"eiderspread/policy"
 )
 
-// A large value that outlives its process, see docs/operating-days.md: the stream stops between two chunks, the loop decides whether the value
-// goes to the successor, and the stream goes on if it does not.
+// Migration of large values that are still being streamed late in a hot restart, see docs/operating-days.md: the stream stops between two
+// chunks, and the loop transfers the value to the successor, or resumes the stream if that is not possible.
 
 const (
-	migrateValuesAfterS      = 2.0  // from the hand-over on, after which a value that is still on its way migrates
-	migrateValuesIntervalS   = 0.1  // between two looks for such values
-	migrateValuesBeforeFailS = 0.7  // or so long before open requests fail, if that is earlier
-	maxMigratedValueBytes    = 90e3 // that may go along with a value, as JSON, so that they fit a message
+	migrateValuesAfterS      = 2.0  // seconds from the first transfers until values that are still being streamed migrate
+	migrateValuesIntervalS   = 0.1  // seconds between two searches for such values
+	migrateValuesBeforeFailS = 0.7  // values start to migrate at least this many seconds before open requests fail
+	maxMigratedValueBytes    = 90e3 // limit on the buffered bytes that are sent with a value, as JSON, so that they fit in one message
 )
 
-// valueTransfer is a large value on its way to the successor, as its message words it.
+// valueTransfer is the body of the message that transfers a large value to the successor.
 type valueTransfer struct {
-	Unwritten     []byte `json:"Out"`    // for the client, before anything else
-	Unread        int    `json:"Left"`   // bytes of the value, to be read from the backend
-	BackendInput  []byte `json:"Rest"`   // read from the backend beyond the value
-	ClientInput   []byte `json:"Input"`  // read from the client and not used
-	QueuedAnswers []byte `json:"Behind"` // answers that wait behind the value
-	QueuedSlots   int    `json:"Slots"`  // so many
+	Unwritten     []byte `json:"Out"`    // to be written to the client first
+	Unread        int    `json:"Left"`   // bytes of the value that are still to be read from the backend
+	BackendInput  []byte `json:"Rest"`   // read from the backend behind the value
+	ClientInput   []byte `json:"Input"`  // read from the client and not processed
+	QueuedAnswers []byte `json:"Behind"` // answers to be written behind the value
+	QueuedSlots   int    `json:"Slots"`  // number of these answers
 }
 
-// migratable reports whether a value's client waits for nothing but it, and for answers that are final.
+// migratable reports whether a value can be transferred: it is being streamed, the reader of its client's connection has stopped, and all
+// answers behind the value are final and leave the connection open.
 func (in *Ingress) migratable(v *largeValue) bool {
 	c := v.client
 	if !v.started || c.state == connClosed || c.reader != readerStopped || c.answerSlots[0].value != v {
@@ -47,7 +48,8 @@
 	return true
 }
 
-// migrateValues stops the streams that can go to the successor, again and again while there are any.
+// migrateValues stops the streams of the values that can be transferred to the successor. It repeats this every migrateValuesIntervalS
+// during the hand-over, as more values become migratable.
 func (in *Ingress) migrateValues() {
 	if in.successor.stage != handoverActive {
 		return
@@ -63,14 +65,15 @@
 	}
 }
 
-// handleStreamStopped takes a value whose stream has stopped: it goes to the successor, or on here. backendInput is what was read beyond it.
+// handleStreamStopped transfers a value whose stream has stopped to the successor, or resumes the stream here. backendInput is the input
+// that was read from the backend behind the value.
 func (in *Ingress) handleStreamStopped(v *largeValue, backendInput []byte) {
 	c := v.client
 	if c.state == connClosed {
 		return
 	}
 	if in.successor.stage == handoverActive && in.migratable(v) {
-		if body := transferOf(v, backendInput); body != nil {
+		if body := encodeTransfer(v, backendInput); body != nil {
 			c.reader = readerTransferring
 			in.successor.transfers <- transfer{c, body, v}
 			return
@@ -79,14 +82,14 @@
 	in.resumeStream(v)
 }
 
-// transferOf is the message that hands a value over; nil if it would be too long.
-func transferOf(v *largeValue, backendInput []byte) []byte {
-	c, f := v.client, v.stream
-	t := valueTransfer{Unwritten: f.unwritten, Unread: f.unread, BackendInput: backendInput, ClientInput: bytes.Clone(c.input.Bytes())}
+// encodeTransfer returns the body of the message that transfers a value to the successor, or nil if it would be too long.
+func encodeTransfer(v *largeValue, backendInput []byte) []byte {
+	c, stream := v.client, v.stream
+	t := valueTransfer{Unwritten: stream.unwritten, Unread: stream.unread, BackendInput: backendInput, ClientInput: bytes.Clone(c.input.Bytes())}
 	for _, s := range c.answerSlots[1:] {
 		t.QueuedAnswers, t.QueuedSlots = append(t.QueuedAnswers, s.answer...), t.QueuedSlots+1
 	}
-	if len(t.Unwritten)+len(t.BackendInput)+len(t.ClientInput)+len(t.QueuedAnswers) >= maxMigratedValueBytes*3/4 { // JSON makes 4 bytes of 3
+	if len(t.Unwritten)+len(t.BackendInput)+len(t.ClientInput)+len(t.QueuedAnswers) >= maxMigratedValueBytes*3/4 { // base64 makes 4 bytes of 3
 		return nil
 	}
 	body, err := json.Marshal(t)
@@ -96,14 +99,14 @@
 	return body
 }
 
-// resumeStream has a value that has stopped go on in this process.
+// resumeStream continues a stopped stream in this process.
 func (in *Ingress) resumeStream(v *largeValue) {
 	v.stream.stopping = false
 	v.stream.stopRequested.Store(false)
 	v.stream.migrated <- false
 }
 
-// resumeMigratingValues has the values that were on their way to a successor that has died go on here.
+// resumeMigratingValues continues the streams of the values that were being transferred when the successor died.
 func (in *Ingress) resumeMigratingValues() {
 	for v := range in.largeValues {
 		if v.client.reader == readerTransferring && v.stream.stopping {
@@ -113,14 +116,15 @@
 	}
 }
 
-// handleValueMigrated lets go of a value that the successor has now.
+// handleValueMigrated releases a value that has been transferred to the successor, and closes its client's connection in this process.
 func (in *Ingress) handleValueMigrated(v *largeValue) {
 	v.stream.migrated <- true
 	in.finishLargeValue(v, callprotocol.Result{Status: policy.OK})
 	in.closeClient(v.client, closeHandedOver)
 }
 
-// resumeLargeValue goes on with a value that the predecessor had begun. The caller has a permit for the client's connection.
+// resumeLargeValue continues to stream a value that the predecessor began. body is an encoded valueTransfer. The caller holds one of
+// clientTable.connPermits for the client's connection.
 func (in *Ingress) resumeLargeValue(client, backendSide *net.TCPConn, body []byte) error {
 	var t valueTransfer
 	if err := json.Unmarshal(body, &t); err != nil {
@@ -138,7 +142,7 @@
 	v := &largeValue{client: c, stream: stream, started: true}
 	c.answerSlots = []*answerSlot{{value: v}}
 	c.pipelinePermits <- struct{}{}
-	if t.QueuedSlots > 0 { // one in place of all: they are written together
+	if t.QueuedSlots > 0 { // one slot for all of them: they are written together
 		c.answerSlots = append(c.answerSlots, &answerSlot{answer: t.QueuedAnswers})
 		c.pipelinePermits <- struct{}{}
 	}
@@ -160,7 +164,7 @@
 	return nil
 }
 
-// addResumedValue takes a value from the predecessor, and its client, among those of this process.
+// addResumedValue adds a value from the predecessor, and its client's connection, to those of this process.
 func (in *Ingress) addResumedValue(v *largeValue) {
 	c := v.client
 	in.clients.openElsewhere = max(0, in.clients.openElsewhere-1)
--- a/internal/dataplane/ingress/large_value_stream.go
+++ b/internal/dataplane/ingress/large_value_stream.go
@@ -16,49 +16,52 @@
 	"eiderspread/policy"
 )
 
-// blockedPollInterval is how often the backend is looked at while the client does not read.
+// blockedPollInterval is the interval at which the backend's connection is checked for its end while the client does not read.
 const blockedPollInterval = 20 * time.Millisecond
 
-// endOfValue stands behind the bytes of a value.
+// endOfValue terminates the header line and the bytes of a RESP bulk string.
 const endOfValue = "\r\n"
 
-var errMigrating = errors.New("another process is to stream the value on")
+var errMigrating = errors.New("stream stopped: the large value migrates to the successor")
 
-// valueStream is how far a large value has come. The goroutine that streams it owns it, but for what says otherwise.
+// valueStream is the progress of streaming a large value. The goroutine that streams the value owns it, except where a comment says
+// otherwise.
 type valueStream struct {
-	unwritten []byte // read and not written yet
-	unread    int    // bytes of the value that are not read yet
+	unwritten []byte // output that is not written to the client yet
+	unread    int    // bytes of the value that are not read from the backend yet
 
-	stopRequested atomic.Bool // set by the loop: stop between two chunks
-	clientBlocked atomic.Bool // the client has not read for a while; of any goroutine
-	migrated      chan bool   // from the loop, to a stream that has stopped: whether the value is another process's now
+	stopRequested atomic.Bool // set by the loop to stop the stream between two chunks
+	clientBlocked atomic.Bool // the last write to the client made no progress; of any goroutine
+	migrated      chan bool   // from the loop to a stopped stream; true: the successor has the value, false: continue here
 
 	// Loop only.
 	backendConn *backendConn // never changes
-	stopping    bool         // it has to stop
-	resumed     bool         // the predecessor has begun it: no attempt stands for it here
+	stopping    bool         // the loop has requested a stop
+	resumed     bool         // the predecessor began to stream the value: there is no attempt in this process
 }
 
-// newValueStream starts with the header of a value of size bytes, and the first of these.
+// newValueStream returns the stream of a value of size bytes, of which first is already read. The header is generated.
 func newValueStream(conn *backendConn, size int, first []byte) *valueStream {
 	header := append(strconv.AppendInt([]byte{'$'}, int64(size), 10), endOfValue...)
 	return &valueStream{unwritten: append(header, first...), unread: size - len(first), backendConn: conn, migrated: make(chan bool, 1)}
 }
 
-// interrupted reports whether a read or write that ended with err, or one that would come next, is to be given up for the loop.
-func (f *valueStream) interrupted(err error) bool {
-	return (err == nil || errors.Is(err, os.ErrDeadlineExceeded)) && f.stopRequested.Load()
+// interrupted reports whether the stream has to stop, as the loop has requested. err is the result of the last read or write, nil before
+// one; any other error than an expired deadline takes precedence.
+func (s *valueStream) interrupted(err error) bool {
+	return (err == nil || errors.Is(err, os.ErrDeadlineExceeded)) && s.stopRequested.Load()
 }
 
-// streamToEnd streams the value for as long as it is this process's; errMigrating means that it is another's.
+// streamToEnd streams the value until it is complete, fails or has been transferred to the successor; it returns errMigrating for a
+// transfer.
 func (v *largeValue) streamToEnd(in *Ingress, input *inputbuffer.Buffer) error {
 	for {
 		err := v.stream.run(in, v.stream.backendConn, input, v.client.conn)
 		if !errors.Is(err, errMigrating) {
 			return err
 		}
-		rest := bytes.Clone(input.Bytes())
-		in.post(in.clock.Now(), func() { in.handleStreamStopped(v, rest) })
+		backendInput := bytes.Clone(input.Bytes())
+		in.post(in.clock.Now(), func() { in.handleStreamStopped(v, backendInput) })
 		select {
 		case migrated := <-v.stream.migrated:
 			if migrated {
@@ -72,39 +75,40 @@
 	}
 }
 
-// run streams the value until it is complete, breaks off, or is to stop. Its last bytes go out once it has proved complete.
-func (f *valueStream) run(in *Ingress, c *backendConn, input *inputbuffer.Buffer, to net.Conn) error {
-	if err := f.copyValue(in, c, to); err != nil {
+// run streams the value until it is complete, fails or has to stop; it returns errMigrating for a stop. It writes the terminator only
+// after the backend has sent it, so that an incomplete value never looks complete.
+func (s *valueStream) run(in *Ingress, c *backendConn, input *inputbuffer.Buffer, to net.Conn) error {
+	if err := s.copyValue(in, c, to); err != nil {
 		return err
 	}
 	if err := c.readAtLeast(input, len(endOfValue)); err != nil {
-		if f.interrupted(err) {
+		if s.interrupted(err) {
 			return errMigrating
 		}
-		return errStalled
+		return errTruncated
 	}
 	if !bytes.HasPrefix(input.Bytes(), []byte(endOfValue)) {
 		return resp.ErrLengthMismatch
 	}
 	input.Discard(len(endOfValue))
-	f.unwritten = []byte(endOfValue)
+	s.unwritten = []byte(endOfValue)
 	for {
-		if err := f.writeUnwritten(c, to); !errors.Is(err, errMigrating) {
+		if err := s.writeUnwritten(c, to); !errors.Is(err, errMigrating) {
 			return err
 		}
-		f.stopRequested.Store(false) // two bytes are not worth a migration
+		s.stopRequested.Store(false) // the two bytes that are left are not worth a migration
 	}
 }
 
-// copyValue writes what was read, and reads and writes what is left of the value, a chunk at a time.
-func (f *valueStream) copyValue(in *Ingress, c *backendConn, to net.Conn) error {
+// copyValue writes the unwritten bytes, and then reads and writes the rest of the value in chunks.
+func (s *valueStream) copyValue(in *Ingress, c *backendConn, to net.Conn) error {
 	var chunk []byte
 	for {
-		if err := f.writeUnwritten(c, to); err != nil {
-			f.unwritten = bytes.Clone(f.unwritten) // the chunk may be released
+		if err := s.writeUnwritten(c, to); err != nil {
+			s.unwritten = bytes.Clone(s.unwritten) // not a part of the chunk, whose budget is released
 			return err
 		}
-		if f.unread == 0 {
+		if s.unread == 0 {
 			return nil
 		}
 		if chunk == nil {
@@ -113,55 +117,58 @@
 				chunk = make([]byte, streamChunkSize)
 			}
 		}
-		if err := f.readChunk(c, chunk); err != nil {
+		if err := s.readChunk(c, chunk); err != nil {
 			return err
 		}
 	}
 }
 
 // readChunk reads the next bytes of the value into chunk.
-func (f *valueStream) readChunk(c *backendConn, chunk []byte) error {
-	setReadDeadline(c.conn, time.Now().Add(stallTimeout)) // before the look at stopRequested: the loop sets that first, and then a deadline of its own
-	if f.interrupted(nil) {
+func (s *valueStream) readChunk(c *backendConn, chunk []byte) error {
+	// The deadline is set before stopRequested is checked: the loop sets stopRequested first and then an expired deadline, so that either the
+	// check or the read notices the stop.
+	setReadDeadline(c.conn, time.Now().Add(stallTimeout))
+	if s.interrupted(nil) {
 		return errMigrating
 	}
-	n, err := c.conn.Read(chunk[:min(f.unread, len(chunk))])
-	f.unwritten, f.unread = chunk[:n], f.unread-n
-	if n == 0 && f.interrupted(err) {
+	n, err := c.conn.Read(chunk[:min(s.unread, len(chunk))])
+	s.unwritten, s.unread = chunk[:n], s.unread-n
+	if n == 0 && s.interrupted(err) {
 		return errMigrating
 	} else if n == 0 && err != nil {
-		return errStalled
+		return errTruncated
 	}
 	return nil
 }
 
-// writeUnwritten writes what was read, until all of it is out or the stream is to stop. A value of which the rest can't come any more ends at
-// once: its client may read for seconds what there is, and would then be cut off by nobody but this ingress.
-func (f *valueStream) writeUnwritten(c *backendConn, to net.Conn) error {
-	for wroteAt := time.Now(); len(f.unwritten) > 0; {
-		setWriteDeadline(to, time.Now().Add(blockedPollInterval)) // before the look at stopRequested, as in readChunk
-		if f.interrupted(nil) {
+// writeUnwritten writes the unwritten bytes, until all are written or the stream has to stop. While the client does not read, it fails as
+// soon as the backend can't send the rest of the value any more: otherwise the client might read the available bytes for seconds, and then
+// be cut off by this ingress.
+func (s *valueStream) writeUnwritten(c *backendConn, to net.Conn) error {
+	for wroteAt := time.Now(); len(s.unwritten) > 0; {
+		setWriteDeadline(to, time.Now().Add(blockedPollInterval)) // before stopRequested is checked, as in readChunk
+		if s.interrupted(nil) {
 			return errMigrating
 		}
-		n, err := to.Write(f.unwritten)
-		if f.unwritten = f.unwritten[n:]; n > 0 {
+		n, err := to.Write(s.unwritten)
+		if s.unwritten = s.unwritten[n:]; n > 0 {
 			wroteAt = time.Now()
 		}
-		f.clientBlocked.Store(n == 0 && err != nil)
+		s.clientBlocked.Store(n == 0 && err != nil)
 		switch {
 		case err == nil:
-		case f.interrupted(err):
+		case s.interrupted(err):
 			return errMigrating
 		case !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(wroteAt) > stallTimeout:
 			return errClientDisconnected
-		case f.unread > 0 && sockets.EndsWithin(c.conn, f.unread):
-			return errStalled
+		case s.unread > 0 && sockets.EndsWithin(c.conn, s.unread):
+			return errTruncated
 		}
 	}
 	return nil
 }
 
-// readAtLeast reads until n bytes are there.
+// readAtLeast reads from the backend until input holds at least n bytes.
 func (c *backendConn) readAtLeast(input *inputbuffer.Buffer, n int) error {
 	for input.Len() < n {
 		space := input.Space()
@@ -178,8 +185,8 @@
 	return nil
 }
 
-// readTrailer reads the elements behind the value, figures on its use and the load report, and returns the latter. The value stands whatever
-// they look like; a connection on which they can't be read is of no further use.
+// readTrailer reads the reply's elements behind the value, which are usage figures and the load report, and returns the load report. The
+// value is valid whatever these elements contain. A connection on which they can't be read is marked unusable.
 func (c *backendConn) readTrailer(input *inputbuffer.Buffer, elements int) (load *policy.Load) {
 	for i := range elements {
 		n, err := resp.ReplyLen(input.Bytes())
@@ -199,7 +206,7 @@
 		}
 		input.Discard(n)
 	}
-	if input.Len() > 0 { // more than belongs to the reply
+	if input.Len() > 0 { // bytes behind the end of the reply
 		c.unusable.Store(true)
 	}
 	return load
--- a/internal/dataplane/ingress/large_value_test.go
+++ b/internal/dataplane/ingress/large_value_test.go
@@ -17,56 +17,57 @@
 	"eiderspread/policy"
 )
 
-// large is a value of so many bytes, and the answer that brings it.
-func large(size int, seed uint64) (text []byte, answer []byte) {
+// large returns a random value of size bytes, and the backend's reply with that value and a load report.
+func large(size int, seed uint64) (value []byte, answer []byte) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	text = make([]byte, size)
-	for i := range text {
-		text[i] = byte(rng.Uint32())
+	value = make([]byte, size)
+	for i := range value {
+		value[i] = byte(rng.Uint32())
 	}
-	return text, fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$-1\r\n$12\r\ncpu_share=.5\r\n", size, text)
+	return value, fmt.Appendf(nil, "*3\r\n$%d\r\n%s\r\n$-1\r\n$12\r\ncpu_share=.5\r\n", size, value)
 }
 
-// slowLarge has a client ask for a large value at r, and its backend give so much of it.
-func slowLarge(t *testing.T, r *testIngress, conns chan *testConn, id string, first int) (w, b *testConn, text, rest []byte) {
+// startLargeValue has a client of r request a large value, and the backend send the first bytes of the reply. It returns the connections of
+// the client and the backend, the value, and the rest of the reply.
+func startLargeValue(t *testing.T, r *testIngress, conns chan *testConn, id string, first int) (w, b *testConn, value, rest []byte) {
 	t.Helper()
-	text, answer := large(1<<20, 9)
+	value, answer := large(1<<20, 9)
 	w = r.client()
 	w.send(lookCommand(id)...)
-	w.send("PING") // answered behind it
+	w.send("PING") // answered after the value
 	b = receive(t, conns)
 	if b.command() == nil {
-		t.Fatal("not sent")
+		t.Fatal("the backend got no command")
 	}
 	write(b, string(answer[:first]))
-	r.waitFor("it has begun", func() bool { return len(r.ingress.largeValues) == 1 })
-	return w, b, text, answer[first:]
+	r.waitFor("the value is being streamed", func() bool { return len(r.ingress.largeValues) == 1 })
+	return w, b, value, answer[first:]
 }
 
-// Guards values that are too large to be kept, in pieces cut anywhere: byte for byte, in order with other answers, their
-// connections used again, and nothing held that the budget does not know.
+// Guards the streaming of values that are too large to be buffered and arrive in pieces of any size: they come byte for byte and in order
+// with other answers, their backend connection is used again, and the input budget is not used up.
 func TestLargeValue_Streamed(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(0))
 	w := r.client()
 	rng := rand.New(rand.NewPCG(5, 5))
 	for round, size := range []int{resp.MaxValueBytes + 1, 300_000, maxLargeValue} {
-		text, answer := large(size, uint64(round))
+		value, answer := large(size, uint64(round))
 		w.send(lookCommand(fmt.Sprint("large", round))...)
-		w.send("PING") // answered behind it
+		w.send("PING") // answered after the value
 		b := (*testConn)(nil)
 		if round == 0 {
 			b = receive(t, conns)
 			defer func() {
 				if len(conns) > 0 {
-					t.Error("a connection that was still good was not used again")
+					t.Error("a new connection to the backend was opened, want the first one used again")
 				}
 			}()
 			conns <- b
 		}
 		b = receive(t, conns)
 		if b.command() == nil {
-			t.Fatal("not sent")
+			t.Fatal("the backend got no command")
 		}
 		go func() {
 			for len(answer) > 0 {
@@ -75,69 +76,71 @@
 				answer = answer[n:]
 			}
 		}()
-		if got := w.bulk(); !bytes.Equal(got, text) {
-			t.Fatalf("%d bytes came, of %d", len(got), size)
+		if got := w.bulk(); !bytes.Equal(got, value) {
+			t.Fatalf("got %d bytes, want the value of %d bytes", len(got), size)
 		}
 		if got := w.line(); got != "+PONG" {
-			t.Fatalf("behind it: %q", got)
+			t.Fatalf("answer after the value: got %q, want +PONG", got)
 		}
 		if o := receive(t, r.decider.outcomes); o.Status != policy.OK || o.Load == nil || !o.Completed {
-			t.Fatalf("the module was told %+v", o)
+			t.Fatalf("got outcome %+v, want a completed one with status OK and a load report", o)
 		}
 		if round < 2 {
-			r.waitFor("the connection is free", func() bool { return len(r.ingress.backends.byID["s0"].idleConns) == 1 })
+			r.waitFor("the backend connection is idle", func() bool { return len(r.ingress.backends.byID["s0"].idleConns) == 1 })
 			conns <- b
 		}
 	}
-	if _, left := r.openResources(); left <= 0 {
-		t.Error("the budget is used up")
+	if _, available := r.openResources(); available <= 0 {
+		t.Error("the input budget is exhausted")
 	}
 }
 
-// Guards a client that reads slowly: its backend waits, nothing piles up, and the module is told how fast the backend was.
+// Guards against a client that reads slowly and makes others wait or uses up memory: only its own backend waits, and the value is not
+// buffered. The decider gets the latency of the backend (up to the first byte), not of the client; the test does not check the figure.
 func TestLargeValue_SlowClientDelaysOwnBackendOnly(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(0))
-	_, free := r.openResources()
+	_, availableBefore := r.openResources()
 	slow := r.client()
 	r.shrinkClientBuffers(slow)
 	slow.send(lookCommand("slow")...)
 	b := receive(t, conns)
 	b.command()
-	text, answer := large(maxLargeValue, 1)
+	value, answer := large(maxLargeValue, 1)
 	wrote := make(chan struct{})
 	go func() { write(b, string(answer)); close(wrote) }()
-	r.waitFor("the value is under way", func() bool { q := r.ingress.requests["slow"]; return q != nil && q.attempts[0].firstByteAt > 0 })
+	r.waitFor("the first bytes of the value have arrived", func() bool { q := r.ingress.requests["slow"]; return q != nil && q.attempts[0].firstByteAt > 0 })
 	other := r.client()
 	other.send("PING")
 	if other.line() != "+PONG" {
-		t.Error("others wait for a slow reader")
+		t.Error("another client got no answer while one reads slowly")
 	}
-	if _, left := r.openResources(); free-left > streamChunkSize+2*inputbuffer.ReadSize {
-		t.Errorf("%d bytes are held", free-left)
+	if _, available := r.openResources(); availableBefore-available > streamChunkSize+2*inputbuffer.ReadSize {
+		t.Errorf("%d bytes of the input budget are reserved, want at most %d", availableBefore-available, streamChunkSize+2*inputbuffer.ReadSize)
 	}
-	r.onLoop(func() { r.ingress.Cancel("slow", 0) }) // a module that has lost patience: the answer has begun
-	if got := slow.bulk(); !bytes.Equal(got, text) {
-		t.Fatalf("%d bytes came", len(got))
+	r.onLoop(func() { r.ingress.Cancel("slow", 0) }) // has no effect, as the answer has begun
+	if got := slow.bulk(); !bytes.Equal(got, value) {
+		t.Fatalf("got %d bytes, want the value of %d bytes", len(got), len(value))
 	}
 	<-wrote
 	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
-		t.Errorf("%+v", o)
+		t.Errorf("got outcome %+v, want status OK", o)
 	}
 }
 
-// Guards clients against parts that pass for whole values, and what is owed to others on the way.
+// Guards against an incomplete large value that looks complete to its client. If none of it was written, the request stays open and still
+// gets its answer from the decider.
 func TestLargeValue_Truncated(t *testing.T) {
-	text, whole := large(200_000, 3)
+	value, whole := large(200_000, 3)
 	for name, c := range map[string]struct {
 		answer []byte
 		close  bool
 		want   policy.Status
 	}{
-		"cut off":          {whole[:150_000], true, policy.Reset},
-		"longer than said": {append([]byte("*3\r\n$199999\r\n"), append(bytes.Clone(text), "\r\n$-1\r\n$-1\r\n"...)...), false, policy.Reset},
-		"too large":        {fmt.Appendf(nil, "*3\r\n$%d\r\n%s", maxLargeValue+1, text), false, policy.Error},
-		"little of it":     {fmt.Appendf(nil, "*3\r\n$%d\r\nnoise", 200_000), true, policy.Reset},
+		"cut off":              {whole[:150_000], true, policy.Reset},
+		"longer than declared": {append([]byte("*3\r\n$199999\r\n"), append(bytes.Clone(value), "\r\n$-1\r\n$-1\r\n"...)...), false, policy.Reset},
+		"too large":            {fmt.Appendf(nil, "*3\r\n$%d\r\n%s", maxLargeValue+1, value), false, policy.Error},
+		"little of it":         {fmt.Appendf(nil, "*3\r\n$%d\r\nnoise", 200_000), true, policy.Reset},
 	} {
 		addr, conns := listenBackend(t)
 		r := startIngress(t, testConfig(addr), sendTo(0))
@@ -150,24 +153,25 @@
 			b.Close()
 		}
 		if o := receive(t, r.decider.outcomes); o.Status != c.want {
-			t.Errorf("%s: the module was told %+v", name, o)
+			t.Errorf("%s: got outcome %+v, want status %v", name, o, c.want)
 		}
 		if strings.HasPrefix(name, "too") || strings.HasPrefix(name, "little") {
 			r.onLoop(func() { r.ingress.Fail("x") })
 			if got := w.line(); got != "-ERR failed" {
-				t.Errorf("%s: the client got %q", name, got)
+				t.Errorf("%s: the client got %q, want -ERR failed", name, got)
 			}
 			continue
 		}
 		got, _ := io.ReadAll(w.r)
 		if _, rest, ok := bytes.Cut(got, []byte("\r\n")); !ok || bytes.HasSuffix(rest, []byte("\r\n")) && len(rest) >= 200_002 {
-			t.Errorf("%s: a part passes for the whole", name)
+			t.Errorf("%s: the client got an incomplete value that looks complete", name)
 		}
-		r.waitFor("nothing is kept", func() bool { return len(r.ingress.requests) == 0 && r.ingress.clients.open() == 0 })
+		r.waitFor("no request and no client connection is open", func() bool { return len(r.ingress.requests) == 0 && r.ingress.clients.open() == 0 })
 	}
 }
 
-// Guards backends against clients that leave in the middle, or before their turn has come.
+// Guards against backend connections and requests that stay open after a client has disconnected, in the middle of a large value or while
+// the value still waits behind another answer.
 func TestLargeValue_ClientDisconnects(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), func(r *testIngress) {
@@ -178,9 +182,9 @@
 		}
 	})
 	_, answer := large(maxLargeValue, 4)
-	for _, ahead := range []bool{false, true} {
+	for _, queued := range []bool{false, true} {
 		w := r.client()
-		if ahead {
+		if queued {
 			w.send(lookCommand("first")...) // never answered: the value waits behind it
 			receive(t, r.decider.requests)
 		}
@@ -189,33 +193,33 @@
 		b := receive(t, conns)
 		b.command()
 		go write(b, string(answer))
-		r.waitFor("the value is under way", func() bool { q := r.ingress.requests["x"]; return q != nil && q.attempts[0].firstByteAt > 0 })
+		r.waitFor("the first bytes of the value have arrived", func() bool { q := r.ingress.requests["x"]; return q != nil && q.attempts[0].firstByteAt > 0 })
 		w.Close()
 		if o := receive(t, r.decider.outcomes); o.Status != policy.Cancelled || !o.Completed {
-			t.Errorf("%+v", o)
+			t.Errorf("got outcome %+v, want a completed one with status Cancelled", o)
 		}
-		r.waitFor("nothing is kept", func() bool { return len(r.ingress.requests) == 0 && r.ingress.backends.openConns == 0 })
-		if ahead {
+		r.waitFor("no request and no backend connection is open", func() bool { return len(r.ingress.requests) == 0 && r.ingress.backends.openConns == 0 })
+		if queued {
 			receive(t, r.decider.disconnects)
 		}
 	}
 }
 
-// Guards large values at a replacement: one that is on its way goes on in the new process, whole, with what waits behind it and what its
-// client still asks, and the old one ends without it.
+// Guards against large values that a hot restart cuts off: the new process streams the rest of the value, then the answers queued behind
+// it, and reads the client's further input. The old process ends without waiting for the value.
 func TestLargeValue_MigratesToSuccessor(t *testing.T) {
 	addr, conns := listenBackend(t)
 	cfg := adminConfig(t, addr)
-	old := startIngress(t, cfg, sendTo(0))
-	cfg.Listen = old.ingress.listener.Addr().String()
-	w, b, text, rest := slowLarge(t, old, conns, "large", 100_000)
+	predecessor := startIngress(t, cfg, sendTo(0))
+	cfg.Listen = predecessor.ingress.listener.Addr().String()
+	w, b, value, rest := startLargeValue(t, predecessor, conns, "large", 100_000)
 	write(w, command(lookCommand("next")...)[:40])
-	young := startIngress(t, cfg, sendTo(0))
-	young.waitFor("the new process serves", young.ingress.acceptingClients.Load)
-	old.waitForNoRequests()
-	old.onLoop(old.ingress.migrateValues) // as if so long had passed
-	receive(t, old.ended)
-	young.waitFor("it has the value", func() bool { return len(young.ingress.largeValues) == 1 })
+	successor := startIngress(t, cfg, sendTo(0))
+	successor.waitFor("the new process serves", successor.ingress.acceptingClients.Load)
+	predecessor.waitForNoRequests()
+	predecessor.onLoop(predecessor.ingress.migrateValues) // as if migrateValuesAfterS had passed
+	receive(t, predecessor.ended)
+	successor.waitFor("the new process has the value", func() bool { return len(successor.ingress.largeValues) == 1 })
 	go func() {
 		for len(rest) > 0 {
 			n := min(len(rest), 5000)
@@ -223,56 +227,59 @@
 			rest = rest[n:]
 		}
 	}()
-	if got := w.bulk(); !bytes.Equal(got, text) {
-		t.Fatalf("%d bytes came, of %d", len(got), len(text))
+	if got := w.bulk(); !bytes.Equal(got, value) {
+		t.Fatalf("got %d bytes, want the value of %d bytes", len(got), len(value))
 	}
 	if got := w.line(); got != "+PONG" {
-		t.Fatalf("behind it: %q", got)
+		t.Fatalf("answer after the value: got %q, want +PONG", got)
 	}
 	write(w, command(lookCommand("next")...)[40:])
-	if q := receive(t, young.decider.requests); q.ID != "next" {
-		t.Errorf("%+v came in place of the request in two halves", q)
+	if q := receive(t, successor.decider.requests); q.ID != "next" {
+		t.Errorf("got request %+v, want request next, sent in two halves", q)
 	}
 	receive(t, conns)
-	young.waitFor("nothing is left of it", func() bool { return len(young.ingress.largeValues) == 0 && young.ingress.backends.openConns == 1 })
+	successor.waitFor("the value is finished and one backend connection is open", func() bool {
+		return len(successor.ingress.largeValues) == 0 && successor.ingress.backends.openConns == 1
+	})
 }
 
-// Guards a value whose client has another request open: it waits for that one, which fails at the last, and moves then.
+// Guards against an answer that is lost when a large value migrates while its client has another request open: the value migrates only once
+// that request has its answer, here a failure at the end of the hand-over.
 func TestLargeValue_MigratesOnceQueuedAnswersKnown(t *testing.T) {
 	addr, conns := listenBackend(t)
 	cfg := adminConfig(t, addr)
-	old := startIngress(t, cfg, sendTo(0))
-	cfg.Listen = old.ingress.listener.Addr().String()
-	w, b, text, rest := slowLarge(t, old, conns, "large", 100_000)
+	predecessor := startIngress(t, cfg, sendTo(0))
+	cfg.Listen = predecessor.ingress.listener.Addr().String()
+	w, b, value, rest := startLargeValue(t, predecessor, conns, "large", 100_000)
 	w.send(lookCommand("behind")...)
 	receive(t, conns).command()
-	young := startIngress(t, cfg, sendTo(0))
-	young.waitFor("the new process serves", young.ingress.acceptingClients.Load)
-	old.waitForNoRequests()
-	old.onLoop(func() {
-		old.ingress.migrateValues()
-		for v := range old.ingress.largeValues {
+	successor := startIngress(t, cfg, sendTo(0))
+	successor.waitFor("the new process serves", successor.ingress.acceptingClients.Load)
+	predecessor.waitForNoRequests()
+	predecessor.onLoop(func() {
+		predecessor.ingress.migrateValues()
+		for v := range predecessor.ingress.largeValues {
 			if v.stream.stopping {
-				t.Error("it was to move without the answer behind it")
+				t.Error("the value migrates although the answer behind it is not final")
 			}
 		}
-		old.ingress.failOpenRequests()
+		predecessor.ingress.failOpenRequests()
 	})
-	receive(t, old.ended)
+	receive(t, predecessor.ended)
 	go write(b, string(rest))
-	if got := w.bulk(); !bytes.Equal(got, text) {
-		t.Fatalf("%d bytes came, of %d", len(got), len(text))
+	if got := w.bulk(); !bytes.Equal(got, value) {
+		t.Fatalf("got %d bytes, want the value of %d bytes", len(got), len(value))
 	}
 	if got := w.line() + w.line(); got != "+PONG-ERR failed" {
-		t.Fatalf("behind it: %q", got)
+		t.Fatalf("answers after the value: got %q, want +PONG and -ERR failed", got)
 	}
 }
 
-// Guards a value against a new process that dies before it has it: it goes on where it was.
+// Guards against a large value that is lost because the new process dies before it has received it: the old process resumes the stream.
 func TestLargeValue_ResumesWhenSuccessorDies(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, adminConfig(t, addr), sendTo(0))
-	w, b, text, rest := slowLarge(t, r, conns, "large", 100_000)
+	w, b, value, rest := startLargeValue(t, r, conns, "large", 100_000)
 	path, err := hotrestart.SocketPath(os.TempDir(), r.ingress.cfg.Name)
 	if err != nil {
 		t.Fatal(err)
@@ -285,23 +292,23 @@
 		r.ingress.successor.transfers = make(chan transfer, 8)
 		r.ingress.migrateValues()
 	})
-	r.waitFor("it has stopped", func() bool { return len(r.ingress.successor.transfers) == 1 })
+	r.waitFor("the stream has stopped", func() bool { return len(r.ingress.successor.transfers) == 1 })
 
 	link.Close()
 	go write(b, string(rest))
-	if got := w.bulk(); !bytes.Equal(got, text) {
-		t.Fatalf("%d bytes came, of %d", len(got), len(text))
+	if got := w.bulk(); !bytes.Equal(got, value) {
+		t.Fatalf("got %d bytes, want the value of %d bytes", len(got), len(value))
 	}
 	if got := w.line(); got != "+PONG" {
-		t.Fatalf("behind it: %q", got)
+		t.Fatalf("answer after the value: got %q, want +PONG", got)
 	}
 	if w.send("PING"); w.line() != "+PONG" {
-		t.Error("the client is not served any more")
+		t.Error("PING after the value was not answered with +PONG")
 	}
 }
 
-// Guards a client that reads slowly against an ingress that cuts it off seconds after its backend has gone: a value that can't become whole
-// ends at once, though its client is not reading.
+// Guards against a slow client that is cut off only seconds after the backend of its large value has disconnected: a value that can't be
+// completed ends at once, although its client is not reading.
 func TestLargeValue_EndsWithBackend(t *testing.T) {
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(0))
@@ -315,7 +322,7 @@
 	go func() {
 		left := 0
 		defer func() { wrote <- left }()
-		for rest := answer[:len(answer)-1]; len(rest) > 0; { // until nothing goes on any more
+		for rest := answer[:len(answer)-1]; len(rest) > 0; { // until the backend can't write any more
 			noError(t, b.SetWriteDeadline(time.Now().Add(100*time.Millisecond)))
 			n, err := b.Write(rest[:min(len(rest), 64<<10)])
 			if rest = rest[n:]; err != nil {
@@ -331,50 +338,51 @@
 		}
 		return false
 	})
-	t.Logf("%d bytes were not taken from the backend", left)
+	t.Logf("%d bytes of the reply were not written by the backend", left)
 	noError(t, b.Conn.(*net.TCPConn).SetLinger(0))
 	b.Close()
 	if o := receive(t, r.decider.outcomes); o.Status != policy.Reset {
-		t.Errorf("ended as %v, want as one that its backend broke off", o.Status)
+		t.Errorf("got status %v, want %v", o.Status, policy.Reset)
 	}
 }
 
-// Guards a large value that its backend has given whole before it went: what the kernel still holds of it goes over as well.
+// Guards against a large value that is truncated by a hot restart after its backend has sent all of it and disconnected: the bytes that the
+// kernel still holds migrate with the connection.
 func TestLargeValue_OfDeadBackendMigrates(t *testing.T) {
 	addr, conns := listenBackend(t)
 	cfg := adminConfig(t, addr)
-	old := startIngress(t, cfg, sendTo(0))
-	cfg.Listen = old.ingress.listener.Addr().String()
-	w := old.client()
-	old.slow(w)
-	text, answer := large(150_000, 4)
+	predecessor := startIngress(t, cfg, sendTo(0))
+	cfg.Listen = predecessor.ingress.listener.Addr().String()
+	w := predecessor.client()
+	predecessor.slow(w)
+	value, answer := large(150_000, 4)
 	w.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.command()
 	write(b, string(answer[:5000]))
-	old.waitFor("it has begun", func() bool {
-		for v := range old.ingress.largeValues {
+	predecessor.waitFor("the value is being streamed", func() bool {
+		for v := range predecessor.ingress.largeValues {
 			noError(t, v.stream.backendConn.conn.SetReadBuffer(400<<10))
 			return true
 		}
 		return false
 	})
 	write(b, string(answer[5000:]))
-	old.waitFor("the client is not reading", func() bool {
-		for v := range old.ingress.largeValues {
+	predecessor.waitFor("writes to the client are blocked", func() bool {
+		for v := range predecessor.ingress.largeValues {
 			return v.stream.clientBlocked.Load()
 		}
 		return false
 	})
-	old.waitFor("the kernel has it all", func() bool { return unsent(t, b.Conn.(*net.TCPConn)) == 0 })
+	predecessor.waitFor("the kernel has received the whole reply", func() bool { return unsent(t, b.Conn.(*net.TCPConn)) == 0 })
 	noError(t, b.Conn.(*net.TCPConn).SetLinger(0))
-	b.Close() // resets it
-	young := startIngress(t, cfg, sendTo(0))
-	young.waitFor("the new process serves", young.ingress.acceptingClients.Load)
-	old.waitForNoRequests()
-	old.onLoop(old.ingress.migrateValues)
-	receive(t, old.ended)
-	if got := w.bulk(); !bytes.Equal(got, text) {
-		t.Fatalf("%d bytes came, of %d", len(got), len(text))
+	b.Close() // resets the connection
+	successor := startIngress(t, cfg, sendTo(0))
+	successor.waitFor("the new process serves", successor.ingress.acceptingClients.Load)
+	predecessor.waitForNoRequests()
+	predecessor.onLoop(predecessor.ingress.migrateValues)
+	receive(t, predecessor.ended)
+	if got := w.bulk(); !bytes.Equal(got, value) {
+		t.Fatalf("got %d bytes, want the value of %d bytes", len(got), len(value))
 	}
 }
--- a/internal/dataplane/ingress/reload.go
+++ b/internal/dataplane/ingress/reload.go
@@ -7,14 +7,14 @@
 	"eiderspread/internal/dataplane/ingressconfig"
 )
 
-// applySettings takes the classes and the number of attempts of a configuration, all or nothing. Loop only.
+// applySettings applies the classes and the number of attempts of a new configuration, both or neither. Loop only.
 func (in *Ingress) applySettings(cfg ingressconfig.Config) error {
 	if slices.Equal(cfg.Settings.Classes, in.classes) && cfg.Settings.MaxAttempts == in.maxAttempts {
 		return nil
 	}
 	decider, ok := in.decider.(ReconfigurableDecider)
 	if !ok {
-		in.log.Warn("classes and attempts are not taken over by this program before a restart")
+		in.log.Warn("new classes and number of attempts apply only after a restart")
 		return nil
 	}
 	if err := decider.UpdateClasses(in.now, cfg.Settings.Classes, cfg.Settings.MaxAttempts); err != nil {
@@ -28,6 +28,6 @@
 	for _, class := range in.classes {
 		names = append(names, class.Name)
 	}
-	in.log.Info("settings taken over", "classes", names, "attempts", in.maxAttempts)
+	in.log.Info("settings applied", "classes", names, "attempts", in.maxAttempts)
 	return nil
 }
--- a/internal/dataplane/ingress/reload_test.go
+++ b/internal/dataplane/ingress/reload_test.go
@@ -8,12 +8,12 @@
 	"eiderspread/policy"
 )
 
-// Guards the readers: a class that has come is read, one that has gone is not, and a change that the module refuses
-// leaves everything as it was.
+// Guards against readers that parse calls by outdated classes: after a reload, calls of an added class are accepted and calls of a removed
+// class are rejected. A change that the decider rejects leaves everything as it was.
 func TestReload_NewClasses(t *testing.T) {
 	cfg := testConfig("127.0.0.1:1")
 	r := startIngress(t, cfg, nil)
-	ask := func(class string) string {
+	sendCall := func(class string) string {
 		w := r.client()
 		w.send("CALL.GET", customer, "id-"+class, "c="+class+",t=basic,d=600000,units=2,spread=2,first=1")
 		select {
@@ -31,20 +31,20 @@
 	next.Settings.Classes = []policy.Class{{Name: "peek", LatencyObjectiveS: 1, DeadlineS: 2, Idempotency: policy.Idempotent}, cfg.Settings.Classes[2]}
 	next.Settings.MaxAttempts = 1000
 	if err := r.reconfigure(next); err == nil {
-		t.Fatal("a refusal of the module is not told")
+		t.Fatal("applySettings returned no error for settings that the decider rejects")
 	}
-	if got := ask("peek"); !strings.HasPrefix(got, "-ERR") {
-		t.Errorf("taken though refused: %q", got)
+	if got := sendCall("peek"); !strings.HasPrefix(got, "-ERR") {
+		t.Errorf("call of a class in rejected settings: got %q, want -ERR", got)
 	}
 	next.Settings.MaxAttempts = 1
 	if err := r.reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
-	if got := ask("peek"); got != "peek" {
-		t.Errorf("a new class: %q", got)
+	if got := sendCall("peek"); got != "peek" {
+		t.Errorf("call of an added class: got %q, want it accepted as class peek", got)
 	}
-	if got := ask("look"); !strings.HasPrefix(got, "-ERR") {
-		t.Errorf("a class that has gone: %q", got)
+	if got := sendCall("look"); !strings.HasPrefix(got, "-ERR") {
+		t.Errorf("call of a removed class: got %q, want -ERR", got)
 	}
 }
 
--- a/internal/dataplane/ingress/shutdown.go
+++ b/internal/dataplane/ingress/shutdown.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// acceptAfterSIGTERM is how long new connections are accepted: they come for up to 0.4 s after a planned restart was announced, and what
-	// is lost from 0.7 s on counts.
+	// acceptAfterSIGTERM is how long after SIGTERM new connections are accepted: clients open them for up to 0.4 s after a planned restart is
+	// announced, and losses count from 0.7 s on.
 	acceptAfterSIGTERM = 500 * time.Millisecond
-	// closeIdleInterval is the time between two looks for connections that may close.
+	// closeIdleInterval is the interval at which idle connections are closed during a shutdown.
 	closeIdleInterval = 100 * time.Millisecond
 	// SIGKILL may follow SIGTERM after min(longest deadline of the classes, maxKillDeadlineS) + killMarginS, all in seconds.
 	maxKillDeadlineS = 3.0
 	killMarginS      = 0.7
-	// expireBeforeKillS before that the shutdown is over: what is still unanswered fails.
+	// expireBeforeKillS is how many seconds before the earliest SIGKILL the shutdown expires: requests that are still open fail.
 	expireBeforeKillS = 0.2
 )
 
-// finalWriteS is how long those last answers may take to be written and read, in seconds, before all connections close. Tests make it longer.
+// finalWriteS is how many seconds after its expiry a shutdown closes all connections: the last answers must be written and read until then.
+// Tests make it longer.
 var finalWriteS = 0.15
 
-// shutdownState is how far the process is on its way to its end. A shutdown goes from requested over closingClients to expired; a hot restart
-// sets closingClients alone, and takes it back if the successor dies.
+// shutdownState is the progress of a shutdown, which sets requested, then closingClients and, if it takes too long, expired. A hot restart
+// sets closingClients without requested, and clears it if the successor dies and no shutdown was requested.
 type shutdownState struct {
-	requested      bool // SIGTERM has come
-	closingClients bool // no new connections are taken; each closes once all on it is answered, or is transferred
-	expired        bool // what was unanswered has failed; requests are rejected
+	requested      bool // SIGTERM was received
+	closingClients bool // no new connections are accepted; an open one closes, or is transferred, once everything on it is answered
+	expired        bool // all open requests have failed; new requests are rejected
 
-	// The listener closes once the kernel has no accepted connection left in it.
-	drainingAcceptQueue atomic.Bool // set by the loop, for the accepting goroutine
-	acceptQueuePending  bool        // the accepting goroutine has not seen that yet
+	// The listener closes once the kernel's accept queue is empty: closing it earlier would reset the connections in the queue.
+	drainingAcceptQueue atomic.Bool // set by the loop, read by acceptLoop
+	acceptQueuePending  bool        // acceptLoop has not found the queue empty yet
 }
 
-// requestShutdown begins the shutdown.
+// requestShutdown starts a shutdown. New connections are accepted for another acceptFor.
 func (in *Ingress) requestShutdown() {
 	in.shutdown.requested = true
-	in.log.Info("draining")
+	in.log.Info("shutdown started")
 	in.after(in.acceptFor.Seconds(), in.stopAccepting)
 }
 
@@ -45,7 +46,7 @@
 	return in.shutdown.closingClients && in.clients.open() == 0 && !in.shutdown.acceptQueuePending && !in.predecessorAlive()
 }
 
-// killDelayS is how many seconds after SIGTERM the process may be killed.
+// killDelayS returns how many seconds after SIGTERM the process may be killed at the earliest.
 func (in *Ingress) killDelayS() float64 {
 	longest := 0.0
 	for _, c := range in.classes {
@@ -54,9 +55,9 @@
 	return min(longest, maxKillDeadlineS) + killMarginS
 }
 
-// stopAccepting ends the time in which new connections are taken, but for those that the kernel has accepted by now.
+// stopAccepting stops accepting new connections, except those in the kernel's accept queue, and starts to close idle connections.
 func (in *Ingress) stopAccepting() {
-	listenerPaused := in.shutdown.closingClients || in.successor.stage != handoverNone // for a successor that accepts, or has tried to
+	listenerPaused := in.shutdown.closingClients || in.successor.stage != handoverNone // acceptLoop was stopped for a successor
 	in.shutdown.closingClients = true
 	in.acceptingClients.Store(false)
 	if !listenerPaused {
@@ -64,27 +65,27 @@
 		in.shutdown.acceptQueuePending = true
 		setAcceptDeadline(in.listener, time.Now().Add(acceptQueuePoll))
 	} else {
-		in.listener.Close() // the successor has a descriptor of its own
+		in.listener.Close() // the successor has its own descriptor
 	}
 	in.every(closeIdleInterval, func() {
-		if in.successor.stage == handoverNone { // else idle connections are transferred
+		if in.successor.stage == handoverNone { // else idle connections are transferred to the successor
 			in.clients.closeIdle(in)
 		}
 	})
 	in.clients.closeIdle(in)
-	if in.successor.stage != handoverActive { // else the hand-over's timer ends it
+	if in.successor.stage != handoverActive { // else the hand-over's timer calls expireShutdown
 		in.after(max(in.killDelayS()-expireBeforeKillS-acceptAfterSIGTERM.Seconds(), 0), in.expireShutdown)
 	}
 }
 
-// expireShutdown ends a shutdown that takes too long: what is unanswered fails while its client can read that, and what is written by then is
-// read.
+// expireShutdown ends a shutdown or hand-over that takes too long. All open requests fail, and the remaining connections close finalWriteS
+// later, so that clients can still read these errors and the answers written before.
 func (in *Ingress) expireShutdown() {
 	in.shutdown.expired = true
 	in.logOpenConns()
 	in.failOpenRequests()
 	for c := range in.clients.conns {
-		if c.fullyAnswered() { // else what has come is rejected first
+		if c.fullyAnswered() { // else the input that has arrived is rejected first
 			in.closeGracefully(c, closeShutdownEnd)
 		}
 	}
--- a/internal/dataplane/ingress/status.go
+++ b/internal/dataplane/ingress/status.go
@@ -12,33 +12,33 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-// Status is what an ingress reports to people.
+// Status is the state of an ingress as its status page reports it.
 type Status struct {
 	Kind              string           `json:"kind"` // "ingress"
 	Name              string           `json:"name"`
-	EndpointList      discovery.Age    `json:"list"`               // how old the list of backends is
+	EndpointList      discovery.Age    `json:"list"`               // age of the endpoint list
 	EndpointListStale bool             `json:"old"`                // too old to be trusted
-	Backends          int              `json:"backends"`           // that are known
-	Clients           int              `json:"clients"`            // connections
-	Requests          int              `json:"requests"`           // open
+	Backends          int              `json:"backends"`           // known backends
+	Clients           int              `json:"clients"`            // client connections
+	Requests          int              `json:"requests"`           // open requests
 	ClosingClients    bool             `json:"leaving"`            // at a shutdown or a hot restart
 	Draining          bool             `json:"draining"`           // by operators
-	Counters          CounterStatus    `json:"counts"`             // of what it did, and why
-	Guard             GuardStatus      `json:"guard"`              // of rules, see policy/attempt_guard.go
-	Overload          *loadshed.Status `json:"overload,omitempty"` // nil: off
+	Counters          CounterStatus    `json:"counts"`             // events, by reason
+	Guard             GuardStatus      `json:"guard"`              // checks of the send guard, by rule, see policy/attempt_guard.go
+	Overload          *loadshed.Status `json:"overload,omitempty"` // nil: load shedding is off
 }
 
-// statusTimeout bounds an answer, and the reading of its call.
+// statusTimeout limits the wait for the loop's answer, and the time in which the headers of an HTTP request must arrive.
 const statusTimeout = time.Second
 
-// serveStatus serves the status until ctx ends.
+// serveStatus serves the status page over HTTP until ctx ends.
 func (in *Ingress) serveStatus(ctx context.Context) error {
 	l, err := net.Listen("tcp", in.cfg.OperatorConfig.Status)
 	if err != nil {
 		return fmt.Errorf("status: %w", err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(in.handleStatus), ReadHeaderTimeout: statusTimeout}
-	go func() { _ = srv.Serve(l) }() // returns with Close
+	go func() { _ = srv.Serve(l) }() // returns when srv is closed
 	context.AfterFunc(ctx, func() { srv.Close() })
 	return nil
 }
@@ -49,7 +49,7 @@
 	select {
 	case st := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(st) // an error is the caller's disconnect
+		_ = json.NewEncoder(w).Encode(st) // fails only if the caller has disconnected
 	case <-r.Context().Done():
 	case <-time.After(statusTimeout):
 	}
--- a/internal/dataplane/ingress/telemetry.go
+++ b/internal/dataplane/ingress/telemetry.go
@@ -6,17 +6,17 @@
 const (
 	closeUnset        closeReason = iota // not closed yet
 	closeByClient                        // the client closed or reset it
-	closeIdleTimeout                     // it was idle for too long
-	closeDrained                         // operators drain the ingress and nothing was open on it
-	closeShutdown                        // the process ends and nothing was open on it
-	closeShutdownEnd                     // the time for the shutdown was over
-	closeBadInput                        // what the client sent can't be read, or did not come in time
-	closeNoCapacity                      // to make room for another connection, or for want of room
+	closeIdleTimeout                     // the connection was idle for too long
+	closeDrained                         // operators drain the ingress, and no request was open on the connection
+	closeShutdown                        // the process shuts down, and no request was open on the connection
+	closeShutdownEnd                     // the shutdown expired
+	closeBadInput                        // the client's input was invalid, incomplete for too long or beyond the input budget
+	closeNoCapacity                      // closed to make room for another connection, or rejected for lack of room
 	closeSlowReader                      // the client does not read its answers
-	closeNoMemory                        // no memory for what the client sent or does not read
+	closeNoMemory                        // the input budget was exhausted by answers that the client had not read
 	closeWriteFailed                     // a write to the client failed
-	closeValueFailed                     // a large value broke off
-	closeHandedOver                      // another process has it now
+	closeValueFailed                     // a large value ended before it was complete
+	closeHandedOver                      // the connection was transferred to the successor
 	closeReasonsCount int         = iota
 )
 
@@ -27,15 +27,15 @@
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
-// rejectReason says why the ingress rejected a request that the decision module never had.
+// rejectReason says why the ingress rejected a request without passing it to the decision module.
 type rejectReason uint8
 
 const (
 	rejectNoCapacity   rejectReason = iota // too many client connections
-	rejectNoMemory                         // too much input waits
-	rejectOpenLimit                        // as many requests are open as the settings allow
-	rejectOpenID                           // a request of this id is open
-	rejectDraining                         // 1.9 s or more into a drain, or the time of a shutdown or hot restart is over
+	rejectNoMemory                         // the input budget is exhausted
+	rejectOpenLimit                        // the settings' limit on open requests is reached
+	rejectOpenID                           // a request with this ID is open
+	rejectDraining                         // a drain has lasted for 1.9 s or more, or a shutdown or hot restart has expired
 	rejectReasonsCount int          = iota
 )
 
@@ -43,16 +43,16 @@
 
 func (r rejectReason) String() string { return rejectReasonNames[r] }
 
-// unsentReason says why an attempt that the module asked for was not written to a backend.
+// unsentReason says why an attempt that the decision module requested was not written to a backend.
 type unsentReason uint8
 
 const (
-	unsentAttemptLimit       unsentReason = iota // as many attempts were made as are allowed
-	unsentBackendState                           // the backend drains, is removed or has moved
-	unsentRequestCompleted                       // the request has its final answer
-	unsentTooLate                                // its time is over
-	unsentClientDisconnected                     // its client has disconnected
-	unsentNoConnection                           // no connection to the backend may be made
+	unsentAttemptLimit       unsentReason = iota // the limit on attempts of a request is reached
+	unsentBackendState                           // the backend drains, is removed, has moved or is unknown
+	unsentRequestCompleted                       // the request has its final answer, or its client has disconnected
+	unsentTooLate                                // the attempt's deadline or latest start has passed
+	unsentClientDisconnected                     // the client was found to have disconnected
+	unsentNoConnection                           // the limit on connections to backends is reached
 	unsentReasonsCount       int          = iota
 )
 
@@ -60,28 +60,28 @@
 
 func (r unsentReason) String() string { return unsentReasonNames[r] }
 
-// ingressCounters are what an ingress counts of its own acts. Loop only.
+// ingressCounters counts the events that an ingress reports in its status. Loop only.
 type ingressCounters struct {
-	accepted   int // connections of clients
-	requests   int // that were accepted
-	attempts   int // that the decider asked for
-	retries    int // of these: a request's second and later ones
-	cutByDrain int // requests that were ended at the end of a drain, for others that waited behind them
+	accepted   int // client connections
+	requests   int // accepted requests
+	attempts   int // requested by the decider
+	retries    int // of these: second and later attempts of a request
+	cutByDrain int // requests ended late in a drain, because the answers of others waited behind theirs
 	closed     [closeReasonsCount]int
 	rejected   [rejectReasonsCount]int
 	unsent     [unsentReasonsCount]int
 }
 
-// CounterStatus is what an ingress counts, for people: each reason by its name, those that never occurred left out.
+// CounterStatus is the counters of an ingress on its status page. Reasons that never occurred are left out.
 type CounterStatus struct {
-	Accepted   int            `json:"accepted"`          // connections of clients
-	Requests   int            `json:"taken"`             // that the ingress did not reject itself
-	Attempts   int            `json:"attempts"`          // that the decision module asked for
-	Retries    int            `json:"retries"`           // of these: a request's second and later ones
-	CutByDrain int            `json:"cut,omitempty"`     // requests that were ended at the end of a drain, for others that waited behind them
-	Closed     map[string]int `json:"closed,omitempty"`  // connections of clients, by reason
-	Rejected   map[string]int `json:"refused,omitempty"` // requests that the decision module never had, by reason
-	Unsent     map[string]int `json:"unsent,omitempty"`  // attempts that were not written, by reason
+	Accepted   int            `json:"accepted"`          // client connections
+	Requests   int            `json:"taken"`             // requests that the ingress did not reject itself
+	Attempts   int            `json:"attempts"`          // requested by the decision module
+	Retries    int            `json:"retries"`           // of these: second and later attempts of a request
+	CutByDrain int            `json:"cut,omitempty"`     // requests ended late in a drain, because the answers of others waited behind theirs
+	Closed     map[string]int `json:"closed,omitempty"`  // client connections, by reason
+	Rejected   map[string]int `json:"refused,omitempty"` // requests not passed to the decision module, by reason
+	Unsent     map[string]int `json:"unsent,omitempty"`  // attempts not written to a backend, by reason
 }
 
 func (n *ingressCounters) status() CounterStatus {
@@ -89,7 +89,7 @@
 		countsByName(n.rejected[:], rejectReasonNames[:]), countsByName(n.unsent[:], unsentReasonNames[:])}
 }
 
-// countsByName names the counts that are above 0.
+// countsByName returns the counts above 0, by name.
 func countsByName(counts []int, names []string) map[string]int {
 	named := map[string]int{}
 	for i, count := range counts {
--- a/internal/dataplane/ingress/telemetry_test.go
+++ b/internal/dataplane/ingress/telemetry_test.go
@@ -6,7 +6,7 @@
 	"eiderspread/policy"
 )
 
-// Guards the counts of what was not sent and not taken, and why.
+// Guards against unsent attempts and rejected requests that are not counted, or counted by a wrong reason.
 func TestCounters_Rejections(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
 		r.decider.onRequest = func(q policy.Request) { r.ingress.Send(q.ID, "nobody", 0) }
@@ -19,6 +19,6 @@
 	var counts CounterStatus
 	r.onLoop(func() { counts = r.ingress.counters.status() })
 	if counts.Unsent["backend_state"] != 1 || counts.Rejected["open_id"] != 1 {
-		t.Errorf("%+v", counts)
+		t.Errorf("got %+v, want 1 attempt unsent for backend_state and 1 request rejected for open_id", counts)
 	}
 }
--- a/internal/dataplane/ingress/timers.go
+++ b/internal/dataplane/ingress/timers.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// timer runs a function on the loop at a time, unless it is stopped before. The number of timers is bounded by what is open: a request and an
-// attempt hold one each until they end, the decider and the loop a few.
+// timer runs a function on the loop at expiresAt, unless it is stopped before. The number of timers is bounded: each request and each
+// attempt holds one until it ends, and the decider and the loop hold a few.
 type timer struct {
 	expiresAt float64
 	run       func()
-	index     int // in the heap, -1 outside
+	index     int // in the heap; -1: not in the heap
 }
 
-// timerHeap implements heap.Interface, the next timer first.
+// timerHeap implements heap.Interface, ordered by expiry time.
 type timerHeap []*timer
 
 // Len implements heap.Interface.
@@ -52,7 +52,7 @@
 	return t
 }
 
-// every runs a function on the loop again and again, for as long as the loop runs.
+// every runs a function on the loop at each interval, until the loop ends.
 func (in *Ingress) every(interval time.Duration, run func()) {
 	in.after(interval.Seconds(), func() {
 		in.every(interval, run)
@@ -60,14 +60,14 @@
 	})
 }
 
-// stopTimer lets go of a timer and all that it holds. It may be nil or have run.
+// stopTimer removes a timer, and with it the reference to its function. t may be nil, or have expired.
 func (in *Ingress) stopTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&in.timers, t.index)
 	}
 }
 
-// armSystemTimer sets the one system timer to the first of the heap, unless it rings before that anyway.
+// armSystemTimer sets the system timer for the first timer of the heap, unless it is already set for that time or an earlier one.
 func (in *Ingress) armSystemTimer() {
 	if len(in.timers) == 0 || in.systemTimerAt != 0 && in.systemTimerAt <= in.timers[0].expiresAt {
 		return
--- a/internal/dataplane/ingress/tracing.go
+++ b/internal/dataplane/ingress/tracing.go
@@ -9,7 +9,7 @@
 	"eiderspread/policy"
 )
 
-// startTracing has the module's decisions written until ctx ends, if the operator's file asks for it; else it returns nil.
+// startTracing records decision traces until ctx ends. It returns nil if the operator's configuration names no directory for them.
 func startTracing(ctx context.Context, cfg ingressconfig.Config, now float64, gateway *policy.Gateway, log *slog.Logger) (*trace.Recorder, error) {
 	if cfg.OperatorConfig.Trace == "" {
 		return nil, nil
