--- a/cmd/decisiontrace/overload.go
+++ b/cmd/decisiontrace/overload.go
@@ -12,7 +12,7 @@
 )
 
 type overloadCmd struct {
-	Folder string `arg:"" type:"existingdir" help:"Folder of testbed overload -keep; a drawing is put beside each file."`
+	Folder string `arg:"" type:"existingdir" help:"Folder written by testbed overload -keep. An SVG picture is written next to each JSON file."`
 }
 
 func (c *overloadCmd) Run() error {
@@ -21,7 +21,7 @@
 		return err
 	}
 	if len(paths) == 0 {
-		return fmt.Errorf("%s: no figures of testbed overload -keep", c.Folder)
+		return fmt.Errorf("%s: no *.json files, want a folder written by testbed overload -keep", c.Folder)
 	}
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
@@ -30,7 +30,7 @@
 		}
 		var l oracle.Load
 		if err := json.Unmarshal(text, &l); err != nil {
-			return fmt.Errorf("%s: %w", path, err)
+			return fmt.Errorf("decode %s: %w", path, err)
 		}
 		name := strings.TrimSuffix(path, ".json")
 		if err := loadplot.Draw(&l, filepath.Base(name), name+".svg"); err != nil {
--- a/internal/observability/trace/analyse/analyse_test.go
+++ b/internal/observability/trace/analyse/analyse_test.go
@@ -11,7 +11,8 @@
 	"eiderspread/policy"
 )
 
-// testFile returns the trace of one gateway with a plan of 2 units per second and a class of weight 3.
+// testFile returns the trace of one gateway. Its plan has a rate of 2 units per second, a burst of 4 and weight 1.5; its class has
+// weight 3.
 func testFile(name string, gateway int, list ...reason.Decision) *trace.File {
 	return &trace.File{
 		Header: trace.Header{
@@ -35,7 +36,7 @@
 	return decision(at, reason.StepRejected, why, id, units)
 }
 
-// threeRejections is a run of two gateways that reject x, y and z.
+// threeRejections returns a run of two gateways: n0 rejects x and y, n1 rejects z.
 func threeRejections() *Run {
 	retry := sent(0.2, "a", 3)
 	retry.Attempt = 1
@@ -45,7 +46,7 @@
 	})
 }
 
-// The window is charged with the first attempts of all gateways; retries and rejections take nothing.
+// Only first attempts take units from the replayed window, and those of all gateways do. Retries and rejections take nothing.
 func TestJoin_WindowFreeCountsAllGateways(t *testing.T) {
 	want := map[string]struct {
 		free float64
@@ -58,15 +59,15 @@
 		}
 		delete(want, r.ID)
 		if math.Abs(r.WindowFree-w.free) > 1e-9 || r.Fits() != w.fits {
-			t.Errorf("%s: %v units free, fits %v, want %+v", r.ID, r.WindowFree, r.Fits(), w)
+			t.Errorf("record %s: %v units free, fits %v; want %+v", r.ID, r.WindowFree, r.Fits(), w)
 		}
 	}
 	if len(want) > 0 {
-		t.Errorf("records that are missing: %v", want)
+		t.Errorf("the run has no records for %v", want)
 	}
 }
 
-// A first attempt beyond the quota takes nothing from the window, but from the hard limit.
+// A first attempt with more units than the window has takes nothing from the window, but takes its units from the hard limit.
 func TestJoin_AttemptsBeyondTheQuota(t *testing.T) {
 	run := Join([]*trace.File{testFile("n0", 0, sent(0, "a", 4), sent(0, "b", 4), rejected(0.5, reason.WindowExhausted, "x", 1),
 		rejected(1, reason.WindowExhausted, "y", 2), sent(1, "d", 4), rejected(1.0, reason.HardLimitExhausted, "v", 1))})
@@ -74,20 +75,20 @@
 		switch r.ID {
 		case "x":
 			if r.WindowFree != 1 || !r.WithinHardLimit || !r.Fits() {
-				t.Errorf("x: %+v", r)
+				t.Errorf("record x: got %+v, want 1 unit free, within the hard limit and fitting", r)
 			}
 		case "v":
 			if r.WithinHardLimit || r.Fits() || r.WindowFree != 2 {
-				t.Errorf("v: %+v", r)
+				t.Errorf("record v: got %+v, want 2 units free, beyond the hard limit and not fitting", r)
 			}
 		}
 	}
 }
 
 func TestRun_SumBy(t *testing.T) {
-	rows := threeRejections().SumBy(Rejected, Keys["reason"])
+	rows := threeRejections().SumBy(RejectedOrFailed, Keys["reason"])
 	if len(rows) != 3 || rows[0].Key != "own-room" || rows[0].FittingValue != 2*3*1.5 || rows[1].Key != "denied" || rows[2].Fitting != 0 {
-		t.Errorf("%+v", rows)
+		t.Errorf("got rows %+v; want 3: own-room with a fitting value of 9, then denied, then one without fitting records", rows)
 	}
 	var b bytes.Buffer
 	if err := PrintTable(&b, "reason", rows); err != nil {
@@ -95,13 +96,13 @@
 	}
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	if len(lines) != 5 || !strings.HasPrefix(strings.TrimSpace(lines[4]), "all") {
-		t.Errorf("want a head, three rows and their sum:\n%s", b.String())
+		t.Errorf("got table:\n%swant a header, three rows and their sum", b.String())
 	}
 }
 
 func TestRun_WriteCSV(t *testing.T) {
 	var b bytes.Buffer
-	if err := threeRejections().WriteCSV(&b, Rejected); err != nil {
+	if err := threeRejections().WriteCSV(&b, RejectedOrFailed); err != nil {
 		t.Fatal(err)
 	}
 	const want = `at,gateway,step,reason,id,account,plan,class,units,later,left,aim,latency,owner,prime,room,age,mine,others,ceiling,pool,out,most,attempt,server,status,from,free,fits
@@ -110,6 +111,6 @@
 1.0000,n0,refuse,own-room,y,00000007,p,c,2.0000,false,0.0000,0.0000,0.0000,0,0,0.0000,0.0000,0.0000,0.0000,0.0000,0.0000,0,0.0000,0,,0,0,2.0000,true
 `
 	if b.String() != want {
-		t.Errorf("got:\n%swant:\n%s", b.String(), want)
+		t.Errorf("got CSV:\n%swant:\n%s", b.String(), want)
 	}
 }
--- a/internal/observability/trace/analyse/run.go
+++ b/internal/observability/trace/analyse/run.go
@@ -1,6 +1,6 @@
-// Package analyse joins the traces of all gateways of a run and sums their decisions: which gateway rejected what, for which
-// reason, and whether the account's quota and hard limit had the units at that moment, by the first attempts of all
-// gateways.
+// Package analyse joins the decision traces of all gateways of a run and sums the decisions: which gateway rejected which
+// requests, and for which reason. It replays the first attempts of all gateways to tell whether the account's quota and hard
+// limit had the units at the time of each decision.
 package analyse
 
 import (
@@ -16,38 +16,40 @@
 	"eiderspread/policy"
 )
 
-// Record is a decision with its gateway, and with what a gateway would have known of the account that saw the first
-// attempts of all gateways at once.
+// Record is a decision with its gateway and the state of the account's window and hard limit at that time. The state is
+// replayed from the first attempts of all gateways, so it can differ from what the gateway knew.
 type Record struct {
 	reason.Decision
-	Gateway         int
-	Name            string  // of the gateway
-	Counted         bool    // the account's plan has a rate; if not, the fields below mean nothing
-	WindowFree      float64 // units that were available in the account's window just before
-	WithinHardLimit bool    // the account's hard limit had the units
+	Gateway         int // number of the gateway
+	GatewayName     string
+	HasQuota        bool    // whether the account's plan has a rate; if not, the fields below are zero
+	WindowFree      float64 // units in the account's window just before the decision
+	WithinHardLimit bool    // whether the account's hard limit had the units
 }
 
-// Fits reports whether the units were within quota and hard limit.
-func (r Record) Fits() bool { return r.Counted && r.Units <= r.WindowFree && r.WithinHardLimit }
+// Fits reports whether the account's quota and hard limit had the units of the record. It is false for an account without a quota.
+func (r Record) Fits() bool { return r.HasQuota && r.Units <= r.WindowFree && r.WithinHardLimit }
 
-// Rejected reports whether the record is a final answer by the gateway itself: a rejection or a failure.
-func Rejected(r Record) bool { return r.Step == reason.StepRejected || r.Step == reason.StepFailed }
+// RejectedOrFailed reports whether the gateway itself ended the request with this record, by a rejection or a failure.
+func RejectedOrFailed(r Record) bool {
+	return r.Step == reason.StepRejected || r.Step == reason.StepFailed
+}
 
-// Run is what the traces of one run hold.
+// Run holds the joined trace files of one run.
 type Run struct {
-	Records   []Record // by time
+	Records   []Record // in order of time
 	Plans     map[string]policy.Plan
 	Classes   map[string]policy.Class
 	Start     float64 // time of the first record, Unix seconds
-	Lost      uint64  // decisions that are in no file, as a ring was full
-	Truncated int     // files that end within a record
+	Lost      uint64  // decisions that are in no file because a gateway's ring was full
+	Truncated int     // number of truncated files
 	Files     int
 }
 
 // Load reads trace files and joins them.
 func Load(paths []string) (*Run, error) {
 	if len(paths) == 0 {
-		return nil, errors.New("no traces given")
+		return nil, errors.New("no trace files found in the arguments")
 	}
 	files := make([]*trace.File, len(paths))
 	for i, path := range paths {
@@ -67,12 +69,12 @@
 	defer f.Close()
 	file, err := trace.Read(f)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("read trace file %s: %w", path, err)
 	}
 	return file, nil
 }
 
-// Join merges files by time, and replays what each account used.
+// Join merges the records of all files in order of time and replays the use of each account.
 func Join(files []*trace.File) *Run {
 	run := &Run{Plans: map[string]policy.Plan{}, Classes: map[string]policy.Class{}, Files: len(files)}
 	for _, f := range files {
@@ -87,7 +89,7 @@
 			run.Truncated++
 		}
 		for _, d := range f.Decisions {
-			run.Records = append(run.Records, Record{Decision: d, Gateway: f.Gateway, Name: f.Name})
+			run.Records = append(run.Records, Record{Decision: d, Gateway: f.Gateway, GatewayName: f.Name})
 		}
 	}
 	slices.SortStableFunc(run.Records, func(a, b Record) int { return cmp.Compare(a.At, b.At) })
@@ -98,8 +100,9 @@
 	return run
 }
 
-// replay counts each account's window and hard limit over all gateways, both full at the account's first record. First
-// attempts are charged; one that does not fit the window takes nothing from it.
+// replay sets HasQuota, WindowFree and WithinHardLimit of all records. It charges the first attempts of all gateways to each
+// account's window and hard limit, which are both full at the account's first record. A first attempt with more units than the
+// window has takes nothing from the window, but is charged to the hard limit.
 func (run *Run) replay() {
 	type usage struct{ window, hardLimit quota.Bucket }
 	accounts := map[uint32]*usage{}
@@ -114,7 +117,7 @@
 			u = &usage{quota.Bucket{Level: p.Burst, UpdatedAt: r.At}, quota.Bucket{Level: p.HardLimitBurst, UpdatedAt: r.At}}
 			accounts[r.Account] = u
 		}
-		r.Counted, r.WithinHardLimit = true, true
+		r.HasQuota, r.WithinHardLimit = true, true
 		r.WindowFree = u.window.Refill(r.At, p.Rate, p.Burst)
 		if p.HardLimitRate > 0 {
 			r.WithinHardLimit = r.Units <= u.hardLimit.Refill(r.At, p.HardLimitRate, p.HardLimitBurst)
@@ -128,7 +131,8 @@
 	}
 }
 
-// Value returns what a timely answer to the request earns within the quota: units by the weights of class and plan.
+// Value returns the value of answering the request in time and within the quota: its units times the weights of its class and
+// plan. The weight of an unknown plan is 1, that of an unknown class 0.
 func (run *Run) Value(r Record) float64 {
 	planWeight := 1.0
 	if p, ok := run.Plans[r.Plan]; ok {
--- a/internal/observability/trace/analyse/table.go
+++ b/internal/observability/trace/analyse/table.go
@@ -13,17 +13,17 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// Row sums the records of one key.
+// Row holds the sums over all records with the same key.
 type Row struct {
 	Key           string
 	Count         int
-	Fitting       int // records that fit the account's quota and hard limit, see Record.Fits
+	Fitting       int // records for which Record.Fits is true
 	ClientRetries int
 	Units         float64
-	Value         float64 // see Run.Value
-	FittingValue  float64 // of the fitting records
-	ReplyAgeSumS  float64 // ages of the owner replies that the decisions are based on, seconds
-	ShortfallSum  float64 // units beyond what the gateway itself saw as available
+	Value         float64 // sum of Run.Value
+	FittingValue  float64 // sum of Run.Value over the fitting records
+	ReplyAgeSumS  float64 // sum of the ages of the owner replies that the decisions are based on, in seconds
+	ShortfallSum  float64 // units by which the records exceed what the gateway knew as available in the window
 }
 
 func (row *Row) add(other Row) {
@@ -37,7 +37,7 @@
 	row.ShortfallSum += other.ShortfallSum
 }
 
-// rowOf returns the row of a single record.
+// rowOf returns the Row of one record, without its key.
 func (run *Run) rowOf(r Record) Row {
 	row := Row{Count: 1, Units: r.Units, Value: run.Value(r), ReplyAgeSumS: float64(r.ReplyAgeS),
 		ShortfallSum: max(r.Units-float64(r.WindowAvailable), 0)}
@@ -50,11 +50,12 @@
 	return row
 }
 
-// SumBy sums the wanted records by a key, the rows of the highest fitting value first.
-func (run *Run) SumBy(want func(Record) bool, key func(Record) string) []Row {
+// SumBy sums the records that filter accepts by key. It sorts the rows by descending FittingValue, then descending Count,
+// then ascending Key.
+func (run *Run) SumBy(filter func(Record) bool, key func(Record) string) []Row {
 	rows := map[string]Row{}
 	for _, r := range run.Records {
-		if want(r) {
+		if filter(r) {
 			k := key(r)
 			row := rows[k]
 			row.Key = k
@@ -67,17 +68,18 @@
 	})
 }
 
-// Keys are the keys by which records can be summed, by name.
+// Keys maps the name of each key to the function that returns the key of a record, for SumBy.
 var Keys = map[string]func(Record) string{
 	"reason":  func(r Record) string { return r.Reason.String() },
 	"plan":    func(r Record) string { return r.Plan },
 	"class":   func(r Record) string { return r.Class },
-	"gateway": func(r Record) string { return r.Name },
+	"gateway": func(r Record) string { return r.GatewayName },
 	"account": func(r Record) string { return fmt.Sprintf("%08x", r.Account) },
 	"owner":   ownerRole,
 }
 
-// ownerRole returns who counted the account: the gateway itself, another one, or a stand-in of a suspected owner.
+// ownerRole returns which gateway counted the account: the gateway itself, another one, or a stand-in for a suspected owner. A
+// record with a stand-in returns "stand-in" also if the gateway itself is the stand-in.
 func ownerRole(r Record) string {
 	switch {
 	case r.Owner != r.PrimaryOwner:
@@ -88,7 +90,7 @@
 	return "another"
 }
 
-// PrintTable writes rows and their sum as a table; keyName heads the column of keys.
+// PrintTable writes rows and their sum as a table. keyName is the heading of the first column.
 func PrintTable(w io.Writer, keyName string, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%s\tnumber\tunits\tworth\twith room\tits worth\tlater tries\tword's age s\tshort units\t\n", keyName)
@@ -107,13 +109,13 @@
 		r.ReplyAgeSumS/n, r.ShortfallSum/n)
 }
 
-// csvColumns are the columns of WriteCSV. Their names are part of the form.
+// csvColumns are the columns of WriteCSV. Their names are part of the output format and do not change.
 var csvColumns = []struct {
 	name  string
 	value func(run *Run, r Record) string
 }{
 	{"at", func(run *Run, r Record) string { return decimal(r.At - run.Start) }},
-	{"gateway", func(_ *Run, r Record) string { return r.Name }},
+	{"gateway", func(_ *Run, r Record) string { return r.GatewayName }},
 	{"step", func(_ *Run, r Record) string { return r.Step.String() }},
 	{"reason", func(_ *Run, r Record) string { return r.Reason.String() }},
 	{"id", func(_ *Run, r Record) string { return r.ID }},
@@ -145,40 +147,41 @@
 
 func decimal(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
 
-// WriteCSV writes the wanted records, one per line, under a line of column names.
-func (run *Run) WriteCSV(w io.Writer, want func(Record) bool) error {
+// WriteCSV writes the records that filter accepts as CSV, one per line, after a header line with the column names.
+func (run *Run) WriteCSV(w io.Writer, filter func(Record) bool) error {
 	out := csv.NewWriter(w)
 	line := make([]string, len(csvColumns))
 	for i, c := range csvColumns {
 		line[i] = c.name
 	}
 	if err := out.Write(line); err != nil {
-		return fmt.Errorf("csv: %w", err)
+		return fmt.Errorf("write CSV header: %w", err)
 	}
 	for _, r := range run.Records {
-		if !want(r) {
+		if !filter(r) {
 			continue
 		}
 		for i, c := range csvColumns {
 			line[i] = c.value(run, r)
 		}
 		if err := out.Write(line); err != nil {
-			return fmt.Errorf("csv: %w", err)
+			return fmt.Errorf("write CSV record: %w", err)
 		}
 	}
 	out.Flush()
 	return out.Error()
 }
 
-// CountOverTime counts the wanted records by reason, in bins of stepS seconds from the start of the run.
-func (run *Run) CountOverTime(stepS float64, want func(Record) bool) (bins int, counts map[reason.Reason][]int) {
+// CountOverTime counts the records that filter accepts by reason, in bins of stepS seconds from the start of the run. bins is the
+// number of bins up to the last record of the run, and the length of each list in counts.
+func (run *Run) CountOverTime(stepS float64, filter func(Record) bool) (bins int, counts map[reason.Reason][]int) {
 	bin := func(r Record) int { return int((r.At - run.Start) / stepS) }
 	for _, r := range run.Records {
 		bins = max(bins, bin(r)+1)
 	}
 	counts = map[reason.Reason][]int{}
 	for _, r := range run.Records {
-		if !want(r) {
+		if !filter(r) {
 			continue
 		}
 		if counts[r.Reason] == nil {
--- a/internal/observability/trace/bench_test.go
+++ b/internal/observability/trace/bench_test.go
@@ -9,27 +9,27 @@
 	"eiderspread/policy"
 )
 
-// nullActions takes a module's actions; it remembers where the last request was sent.
-type nullActions struct{ backend string }
+// discardActions ignores all actions of the decision module, except that it stores the backend of the last sent request.
+type discardActions struct{ backend string }
 
-func (n *nullActions) Send(_, backend string, _ float64) { n.backend = backend }
-func (*nullActions) Reject(string, float64)              {}
-func (*nullActions) Fail(string)                         {}
-func (*nullActions) Cancel(string, int)                  {}
-func (*nullActions) SetTimer(uint64, float64)            {}
-func (*nullActions) Probe(string)                        {}
-func (*nullActions) SendPeerMessage(int, []byte)         {}
-func (*nullActions) Log(string)                          {}
+func (n *discardActions) Send(_, backend string, _ float64) { n.backend = backend }
+func (*discardActions) Reject(string, float64)              {}
+func (*discardActions) Fail(string)                         {}
+func (*discardActions) Cancel(string, int)                  {}
+func (*discardActions) SetTimer(uint64, float64)            {}
+func (*discardActions) Probe(string)                        {}
+func (*discardActions) SendPeerMessage(int, []byte)         {}
+func (*discardActions) Log(string)                          {}
 
-// BenchmarkModule measures a request and its answer in the decision module, without a tracer and with the recorder's ring.
-// The writer, off the event loop, is BenchmarkWrite.
+// BenchmarkModule measures the decision module's time for one request and its outcome, without a tracer ("off") and with the
+// ring as the tracer ("on"). The writer does not run on the event loop; BenchmarkWrite measures it.
 func BenchmarkModule(b *testing.B) {
 	b.Run("off", func(b *testing.B) { benchmarkModule(b, false) })
 	b.Run("on", func(b *testing.B) { benchmarkModule(b, true) })
 }
 
 func benchmarkModule(b *testing.B, traced bool) {
-	actions := &nullActions{}
+	actions := &discardActions{}
 	settings := policy.Settings{
 		Gateways: 1, MaxAttempts: 3, MaxRequestUnits: 4,
 		Classes: []policy.Class{{Name: "look", LatencyObjectiveS: 1, DeadlineS: 2, PriorityWeight: 1}},
@@ -60,7 +60,7 @@
 	}
 }
 
-// BenchmarkWrite measures the writer's time for a decision, and the decision's size on disk.
+// BenchmarkWrite measures the writer's time and the file size for one decision.
 func BenchmarkWrite(b *testing.B) {
 	w, err := NewWriter(io.Discard, Header{})
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 	list := make([]reason.Decision, 1000)
 	for i := range list {
-		d := testRecord(i)
+		d := testDecision(i)
 		d.RemainingS, d.ObjectiveRemainingS, d.MeanLatencyS = 1, 0.5, 0.1
 		d.HardLimitLocal, d.HardLimitShared, d.LocalDemand, d.OtherDemand = 3, 4, 20, 30
 		list[i] = d
--- a/internal/observability/trace/golden_test.go
+++ b/internal/observability/trace/golden_test.go
@@ -9,7 +9,8 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the file of a trace, and the names of steps and reasons.
+// Guards the stored form of a trace file, the names of steps and reasons, and the stored numbers of statuses, idempotency values and
+// key scopes. A file written by this version must equal the golden file, and the golden file must decode to the same values.
 func TestGoldenFile(t *testing.T) {
 	var want File
 	golden.Fill(&want.Header)
@@ -38,6 +39,6 @@
 	golden.Check(t, "names.txt", names.Bytes())
 	golden.Same(t, "numbers of statuses", []config.Status{config.OK, config.Error, config.Rejected, config.Timeout, config.ConnectFailed, config.Reset,
 		config.Cancelled, config.NotSent}, []config.Status{0, 1, 2, 3, 4, 5, 6, 7})
-	golden.Same(t, "numbers of effects", []config.Idempotency{config.Idempotent, config.KeyedIdempotent, config.NonIdempotent}, []config.Idempotency{0, 1, 2})
-	golden.Same(t, "numbers of scopes", []config.KeyScope{config.ScopeAll, config.ScopeZone, config.ScopeCell}, []config.KeyScope{0, 1, 2})
+	golden.Same(t, "numbers of idempotency values", []config.Idempotency{config.Idempotent, config.KeyedIdempotent, config.NonIdempotent}, []config.Idempotency{0, 1, 2})
+	golden.Same(t, "numbers of key scopes", []config.KeyScope{config.ScopeAll, config.ScopeZone, config.ScopeCell}, []config.KeyScope{0, 1, 2})
 }
--- a/internal/observability/trace/plots/plots.go
+++ b/internal/observability/trace/plots/plots.go
@@ -1,4 +1,4 @@
-// Package plots draws what the traces of a run show.
+// Package plots draws pictures of a run from its decision traces: rejections by reason and the units available to an account.
 package plots
 
 import (
@@ -23,18 +23,18 @@
 	height = 14 * vg.Centimeter
 )
 
-// maxReasons is how many reasons RejectionReasons draws one by one, each in its own colour; the others are one bar.
+// maxReasons is the number of reasons that RejectionReasons draws each in its own colour. It draws all others as one bar.
 const maxReasons = 6
 
-// RejectionReasons draws the number of the wanted records by reason over time, stacked, in bins of stepS seconds. The
-// file's extension gives the format. It returns an error if there is nothing to draw.
-func RejectionReasons(run *analyse.Run, stepS float64, want func(analyse.Record) bool, path string) error {
-	bins, counts := run.CountOverTime(stepS, want)
+// RejectionReasons draws the number of records that filter accepts over time, as bars stacked by reason, in bins of stepS
+// seconds. The extension of path sets the picture's format. It returns an error if filter accepts no record.
+func RejectionReasons(run *analyse.Run, stepS float64, filter func(analyse.Record) bool, path string) error {
+	bins, counts := run.CountOverTime(stepS, filter)
 	if bins == 0 || len(counts) == 0 {
-		return errors.New("nothing was refused")
+		return errors.New("no rejections or failures to draw")
 	}
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Refusals and failures by reason", "seconds", fmt.Sprintf("in %g s", stepS)
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Rejections and failures by reason", "seconds", fmt.Sprintf("records per %g s", stepS)
 	p.Legend.Top = true
 	barWidth := max((width-4*vg.Centimeter)/vg.Length(bins), vg.Points(1))
 	var below *plotter.BarChart
@@ -52,18 +52,18 @@
 		p.Add(bars)
 		p.Legend.Add(fmt.Sprintf("%s (%d)", s.name, s.total), bars)
 	}
-	p.Y.Max *= 1.35 // the legend stands above the bars
+	p.Y.Max *= 1.35 // leaves space for the legend above the bars
 	return p.Save(width, height, path)
 }
 
-// series is one colour of RejectionReasons.
+// series holds the bars of one colour in RejectionReasons.
 type series struct {
 	name   string
 	total  int
-	values plotter.Values // by bin
+	values plotter.Values // number of records by bin
 }
 
-// seriesOf returns the most frequent reasons, and the others in one.
+// seriesOf returns a series for each of the maxReasons most frequent reasons, in descending order, and one series for all others.
 func seriesOf(counts map[reason.Reason][]int, bins int) (list []series) {
 	for _, r := range reason.Reasons() {
 		if counts[r] == nil {
@@ -80,7 +80,7 @@
 	if len(list) <= maxReasons {
 		return list
 	}
-	others := series{name: "others", total: list[maxReasons].total, values: make(plotter.Values, bins)} // total: of the first of them alone
+	others := series{name: "others", total: list[maxReasons].total, values: make(plotter.Values, bins)} // total counts only the first of the others
 	for _, s := range list[maxReasons:] {
 		for bin, n := range s.values {
 			others.values[bin] += n
@@ -89,29 +89,29 @@
 	return append(list[:maxReasons], others)
 }
 
-// AvailableUnits draws the units available to an account over time as each gateway saw them, beside what was free by the
-// first attempts of all gateways, and where requests were rejected. account is the key of analyse.Keys. It returns an
-// error if no wanted record is of the account.
-func AvailableUnits(run *analyse.Run, account string, want func(analyse.Record) bool, path string) error {
+// AvailableUnits draws the units available to an account over time: one line for what each gateway knew, one line for the units
+// replayed from the first attempts of all gateways, and a dot for each rejection or failure. account is an account's key as in
+// analyse.Keys. The extension of path sets the picture's format. It returns an error if filter accepts no record of the account.
+func AvailableUnits(run *analyse.Run, account string, filter func(analyse.Record) bool, path string) error {
 	views, free, rejections := map[string]plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
 	plan := ""
 	for _, r := range run.Records {
-		if !want(r) || r.Account == 0 || analyse.Keys["account"](r) != account {
+		if !filter(r) || r.Account == 0 || analyse.Keys["account"](r) != account {
 			continue
 		}
 		plan = r.Plan
 		at := r.At - run.Start
-		views[r.Name] = append(views[r.Name], plotter.XY{X: at, Y: float64(r.WindowAvailable)})
+		views[r.GatewayName] = append(views[r.GatewayName], plotter.XY{X: at, Y: float64(r.WindowAvailable)})
 		free = append(free, plotter.XY{X: at, Y: r.WindowFree})
-		if analyse.Rejected(r) {
+		if analyse.RejectedOrFailed(r) {
 			rejections = append(rejections, plotter.XY{X: at, Y: r.WindowFree})
 		}
 	}
 	if len(free) == 0 {
-		return fmt.Errorf("no record of account %s", account)
+		return fmt.Errorf("no record of account %s to draw", account)
 	}
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = fmt.Sprintf("Room of account %s (%s)", account, plan), "seconds", "units"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = fmt.Sprintf("Available units of account %s (plan %s)", account, plan), "seconds", "units"
 	p.Legend.Top = true
 	if err := addLine(p, "true", free, color.Black, vg.Points(2)); err != nil {
 		return err
--- a/internal/observability/trace/plots/plots_test.go
+++ b/internal/observability/trace/plots/plots_test.go
@@ -18,7 +18,7 @@
 
 func noRecord(analyse.Record) bool { return false }
 
-// testRun has rejections of one account for every reason: more than are drawn one by one.
+// testRun returns a run with rejections of one account for every reason. There are more reasons than maxReasons.
 func testRun() *analyse.Run {
 	var list []reason.Decision
 	for i, r := range reason.Reasons() {
@@ -33,12 +33,12 @@
 func TestPlots_AreDrawn(t *testing.T) {
 	run, dir := testRun(), t.TempDir()
 	for name, draw := range map[string]func(path string) error{
-		"reasons.png": func(path string) error { return RejectionReasons(run, 1, analyse.Rejected, path) },
+		"reasons.png": func(path string) error { return RejectionReasons(run, 1, analyse.RejectedOrFailed, path) },
 		"rooms.png":   func(path string) error { return AvailableUnits(run, "00000007", everyRecord, path) },
 	} {
 		path := filepath.Join(dir, name)
 		if err := draw(path); err != nil {
-			t.Fatal(name, err)
+			t.Fatalf("draw %s: %v", name, err)
 		}
 		f, err := os.Open(path)
 		if err != nil {
@@ -47,10 +47,10 @@
 		defer f.Close()
 		img, err := png.Decode(f)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("decode %s as PNG: %v", name, err)
 		}
 		if img.Bounds().Dx() < 500 {
-			t.Errorf("%s is %d pixels wide", name, img.Bounds().Dx())
+			t.Errorf("%s is %d pixels wide, want at least 500", name, img.Bounds().Dx())
 		}
 	}
 }
@@ -58,9 +58,9 @@
 func TestPlots_NothingToDraw(t *testing.T) {
 	run, path := testRun(), filepath.Join(t.TempDir(), "none.png")
 	if RejectionReasons(run, 1, noRecord, path) == nil || AvailableUnits(run, "00000008", everyRecord, path) == nil {
-		t.Error("no error although there is nothing to draw")
+		t.Error("RejectionReasons or AvailableUnits returned no error with nothing to draw")
 	}
 	if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a file was written: %v", err)
+		t.Errorf("stat of %s: error %v, want %v: no file may be written", path, err, fs.ErrNotExist)
 	}
 }
--- a/internal/observability/trace/recorder.go
+++ b/internal/observability/trace/recorder.go
@@ -1,5 +1,5 @@
 // Package trace records a gateway's decisions and their reasons in a file, and reads such files. The event loop puts
-// decisions into a ring and never waits for the disk: while the ring is full, decisions are dropped and counted.
+// decisions into a ring buffer and never waits for the disk: while the ring is full, decisions are dropped and counted.
 package trace
 
 import (
@@ -17,29 +17,31 @@
 )
 
 const (
-	ringSize      = 8192 // decisions, about 2 MB: what a gateway at its limit decides in a second
+	ringSize      = 8192 // decisions, about 2 MB; a gateway at its limit makes about as many in a second
 	flushInterval = 100 * time.Millisecond
-	// DefaultMaxMB bounds a file, in megabytes, if the operators' file does not.
+	// DefaultMaxMB is the size limit of a trace file in megabytes (2^20 bytes) if the operator's file sets none.
 	DefaultMaxMB = 256
 )
 
-// Recorder writes a gateway's decisions to a file of its own.
+// Recorder writes the decisions of one gateway to one trace file.
 type Recorder struct {
 	ring     *Ring
 	path     string
 	file     *os.File
 	writer   *Writer
 	maxBytes int64
-	flushes  chan chan error // requests of Flush; each gets the result of one write
+	flushes  chan chan error // requests of Flush; each receives stopCause after a write
 	done     chan struct{}
 	log      *slog.Logger
 
-	buffer  []reason.Decision // scratch space of write
-	stopped error             // why nothing is written any more
+	buffer    []reason.Decision // reused by write
+	stopCause error             // why the recorder stopped writing; nil while it writes
 }
 
-// Open creates a file in dir, named for the gateway, its start and the process, and starts to write. At maxMB megabytes
-// (0: DefaultMaxMB) recording stops. When ctx ends, the recorder writes what it has, closes the file and then Done.
+// Open creates a trace file in dir and returns a Recorder that writes to it. The file name consists of the gateway's name, its
+// start time in Unix milliseconds and the process id. Recording stops when the file reaches maxMB megabytes (2^20 bytes each;
+// 0 or less: DefaultMaxMB). When ctx ends, the recorder writes the decisions in the ring, closes the file and then the channel
+// of Done.
 func Open(ctx context.Context, dir string, maxMB int, h Header, log *slog.Logger) (*Recorder, error) {
 	path := filepath.Join(dir, fmt.Sprintf("%s-%d-%d.trace", h.Name, int64(h.StartedAt*1000), os.Getpid()))
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o640)
@@ -59,7 +61,7 @@
 	return r, nil
 }
 
-// Start is Open for a program: in addition, SIGUSR1 has all decisions so far written at once.
+// Start is like Open, and in addition flushes the recorder each time the process receives SIGUSR1.
 func Start(ctx context.Context, dir string, maxMB int, h Header, log *slog.Logger) (*Recorder, error) {
 	r, err := Open(ctx, dir, maxMB, h, log)
 	if err != nil {
@@ -72,7 +74,7 @@
 		for {
 			select {
 			case <-signals:
-				_ = r.Flush(ctx) // the recorder has logged a failure itself
+				_ = r.Flush(ctx) // write has logged a failure
 			case <-r.Done():
 				return
 			}
@@ -81,36 +83,37 @@
 	return r, nil
 }
 
-// CheckFolder returns an error if an operators' file asks for a trace that can't be written: dir is no folder, or maxMB is
-// below 0. An empty dir stands for no trace.
+// CheckFolder checks the trace settings of an operator's file. It returns an error if maxMB is below 0 or dir is not an
+// existing folder. An empty dir means that no trace is written.
 func CheckFolder(dir string, maxMB int) error {
 	if maxMB < 0 {
-		return errors.New("trace_mb must not be below 0")
+		return fmt.Errorf("trace_mb is %d, must not be below 0", maxMB)
 	}
 	if dir == "" {
 		return nil
 	}
 	if st, err := os.Stat(dir); err != nil || !st.IsDir() {
-		return fmt.Errorf("trace: %s is no folder", dir)
+		return fmt.Errorf("trace: %s is not an existing folder", dir)
 	}
 	return nil
 }
 
-// Put records a decision. It is called by the event loop alone and does not wait for the disk.
+// Put adds a decision to the ring without waiting for the disk. Only the event loop calls it.
 func (r *Recorder) Put(d reason.Decision) { r.ring.Put(d) }
 
-// Done returns a channel that is closed when the file is.
+// Done returns a channel that is closed after the file is closed.
 func (r *Recorder) Done() <-chan struct{} { return r.done }
 
-// Wait waits until Done is closed; it returns at once for a nil recorder.
+// Wait blocks until the file is closed. It returns at once for a nil recorder.
 func (r *Recorder) Wait() {
 	if r != nil {
 		<-r.done
 	}
 }
 
-// Flush has all decisions so far written. It fails if recording has stopped early, as the file is full or can't be
-// written. It must not be called by the event loop.
+// Flush waits until the recorder has written all decisions put so far. It returns an error if recording has stopped because
+// the file reached its size limit or a write failed, or if ctx ends first; it returns nil after Done. The event loop must not
+// call it, because it waits for the disk.
 func (r *Recorder) Flush(ctx context.Context) error {
 	result := make(chan error, 1)
 	select {
@@ -125,7 +128,7 @@
 
 func (r *Recorder) run(ctx context.Context) {
 	defer close(r.done)
-	defer func() { _ = r.file.Close() }() // each write was checked
+	defer func() { _ = r.file.Close() }() // the errors of all writes were checked
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
@@ -139,22 +142,23 @@
 			r.write()
 		case result := <-r.flushes:
 			r.write()
-			result <- r.stopped
+			result <- r.stopCause
 		}
 	}
 }
 
-// write writes what is in the ring. After a failure, which it logs, it only empties the ring.
+// write moves the decisions from the ring to the file. When a write fails or the file reaches its size limit, write logs it
+// and sets stopCause; from then on it only empties the ring.
 func (r *Recorder) write() {
 	var lost uint64
-	if r.buffer, lost = r.ring.Drain(r.buffer[:0]); r.stopped != nil || len(r.buffer) == 0 && lost == 0 {
+	if r.buffer, lost = r.ring.Drain(r.buffer[:0]); r.stopCause != nil || len(r.buffer) == 0 && lost == 0 {
 		return
 	}
-	r.stopped = r.writer.Write(r.buffer, lost)
-	if r.stopped == nil && r.writer.Size() >= r.maxBytes {
-		r.stopped = fmt.Errorf("trace: %s is full", r.path)
+	r.stopCause = r.writer.Write(r.buffer, lost)
+	if r.stopCause == nil && r.writer.Size() >= r.maxBytes {
+		r.stopCause = fmt.Errorf("trace: %s reached its size limit of %d bytes", r.path, r.maxBytes)
 	}
-	if r.stopped != nil {
-		r.log.Error("decisions are not traced any more", "error", r.stopped)
+	if r.stopCause != nil {
+		r.log.Error("decision trace stopped", "error", r.stopCause)
 	}
 }
--- a/internal/observability/trace/recorder_test.go
+++ b/internal/observability/trace/recorder_test.go
@@ -12,7 +12,7 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// All decisions put before the end are in the file.
+// Flush writes all decisions put before it. The end of the context writes the rest; decisions put afterwards are dropped.
 func TestRecorder_WritesUntilTheEnd(t *testing.T) {
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -20,26 +20,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Put(testRecord(0))
+	r.Put(testDecision(0))
 	if err := r.Flush(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if f := readSingleFile(t, dir); len(f.Decisions) != 1 {
-		t.Fatalf("%d decisions after a flush, want 1", len(f.Decisions))
+		t.Fatalf("%d decisions in the file after Flush, want 1", len(f.Decisions))
 	}
-	r.Put(testRecord(1))
+	r.Put(testDecision(1))
 	cancel()
 	<-r.Done()
 	if f := readSingleFile(t, dir); len(f.Decisions) != 2 || f.Truncated {
-		t.Fatalf("%d decisions at the end, want 2", len(f.Decisions))
+		t.Fatalf("%d decisions in the closed file (truncated: %v), want 2 and not truncated", len(f.Decisions), f.Truncated)
 	}
-	r.Put(testRecord(2)) // after the end it is dropped
+	r.Put(testDecision(2)) // dropped, as the recorder is done
 	if err := r.Flush(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A full file ends the trace, and the gateway goes on.
+// When the file reaches its size limit, recording stops: Flush returns an error and the file grows no further. Put still returns,
+// so the gateway goes on.
 func TestRecorder_IsBounded(t *testing.T) {
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -51,19 +52,19 @@
 	full := false
 	for i := 0; i < 100 && !full; i++ {
 		for k := range ringSize {
-			r.Put(testRecord(k))
+			r.Put(testDecision(k))
 		}
 		full = r.Flush(ctx) != nil
 	}
 	if !full {
-		t.Fatal("the file is never full")
+		t.Fatalf("Flush returned no error after 100 rings of %d decisions, want the size limit of 1 MB reached", ringSize)
 	}
 	before := fileSize(t, r.path)
 	for k := range ringSize {
-		r.Put(testRecord(k))
+		r.Put(testDecision(k))
 	}
 	if err := r.Flush(ctx); err == nil || fileSize(t, r.path) != before {
-		t.Fatalf("%d bytes in a full file, %d before; error of a flush: %v", fileSize(t, r.path), before, err)
+		t.Fatalf("file at its size limit grew from %d to %d bytes, or Flush returned no error: %v", before, fileSize(t, r.path), err)
 	}
 }
 
@@ -79,7 +80,7 @@
 		valid bool
 	}{{"", 0, true}, {dir, 0, true}, {dir, 5, true}, {dir, -1, false}, {"", -1, false}, {file, 0, false}, {filepath.Join(dir, "missing"), 0, false}} {
 		if err := CheckFolder(tc.dir, tc.maxMB); (err == nil) != tc.valid {
-			t.Errorf("folder %q, %d MB: error %v", tc.dir, tc.maxMB, err)
+			t.Errorf("CheckFolder(%q, %d): error %v, want valid = %v", tc.dir, tc.maxMB, err, tc.valid)
 		}
 	}
 }
@@ -93,12 +94,12 @@
 	return st.Size()
 }
 
-// readSingleFile reads the only trace in a folder.
+// readSingleFile reads the only trace file in dir.
 func readSingleFile(t *testing.T, dir string) *File {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.trace"))
 	if err != nil || len(paths) != 1 {
-		t.Fatal(paths, err)
+		t.Fatalf("trace files %v in %s, error %v; want one file", paths, dir, err)
 	}
 	b, err := os.ReadFile(paths[0])
 	if err != nil {
--- a/internal/observability/trace/ring.go
+++ b/internal/observability/trace/ring.go
@@ -6,23 +6,24 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// Ring is a bounded queue of decisions between the event loop, which adds them, and one writer, which drains it. Both may
-// use it at the same time.
+// Ring is a bounded queue of decisions between the event loop, which adds decisions, and one writer, which drains the queue.
+// It is safe for concurrent use.
 type Ring struct {
 	mutex    sync.Mutex
 	records  []reason.Decision
-	oldest   int    // index in records
-	count    int    // records in use, from oldest on
-	lost     uint64 // since the last Drain
+	oldest   int    // index of the oldest decision in records
+	count    int    // decisions in the ring
+	lost     uint64 // decisions dropped since the last Drain
 	halfFull chan struct{}
 }
 
-// NewRing returns a ring for so many decisions, at least one.
+// NewRing returns a ring for capacity decisions, at least one.
 func NewRing(capacity int) *Ring {
 	return &Ring{records: make([]reason.Decision, max(capacity, 1)), halfFull: make(chan struct{}, 1)}
 }
 
-// Put adds a decision; if the ring is full, it counts the decision as lost. It blocks for no longer than a Drain copies.
+// Put adds a decision. If the ring is full, it drops the decision and counts it as lost. It blocks at most while a Drain
+// copies the decisions.
 func (r *Ring) Put(d reason.Decision) {
 	if !r.add(d) {
 		return
@@ -33,7 +34,7 @@
 	}
 }
 
-// add reports whether the ring is half full with the decision; it is false for one that is lost.
+// add adds a decision and reports whether the ring is at least half full afterwards. It returns false for a lost decision.
 func (r *Ring) add(d reason.Decision) (halfFull bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -46,17 +47,18 @@
 	return r.count >= len(r.records)/2
 }
 
-// HalfFull yields a value when the ring has become half full.
+// HalfFull returns a channel that receives a value when a Put leaves the ring at least half full.
+// It holds at most one value, which can be from before the last Drain.
 func (r *Ring) HalfFull() <-chan struct{} { return r.halfFull }
 
-// Drain moves all decisions to the end of list, oldest first, and returns it with the number of decisions lost since the
-// last Drain.
+// Drain removes all decisions from the ring and appends them to list, oldest first. It returns list and the number of decisions
+// lost since the last Drain.
 func (r *Ring) Drain(list []reason.Decision) ([]reason.Decision, uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for range r.count {
 		list = append(list, r.records[r.oldest])
-		r.records[r.oldest] = reason.Decision{} // releases its strings
+		r.records[r.oldest] = reason.Decision{} // lets the garbage collector free its strings
 		r.oldest = (r.oldest + 1) % len(r.records)
 	}
 	lost := r.lost
--- a/internal/observability/trace/spans/otlp.go
+++ b/internal/observability/trace/spans/otlp.go
@@ -24,7 +24,7 @@
 	Name string `json:"name"`
 }
 
-// span is a span. Times are decimal strings of nanoseconds, ids are hex.
+// span is one OTLP span. Times are decimal strings of Unix nanoseconds, ids are hex strings.
 type span struct {
 	TraceID    string      `json:"traceId"`
 	SpanID     string      `json:"spanId"`
@@ -76,7 +76,7 @@
 	return attribute{key, map[string]float64{"doubleValue": value}}
 }
 
-// newResourceSpans returns the spans of one gateway.
+// newResourceSpans wraps the spans of one gateway with its resource and scope.
 func newResourceSpans(gateway string, spans []span) resourceSpans {
 	return resourceSpans{
 		Resource: resource{Attributes: []attribute{stringAttribute("service.name", "eiderspread"), stringAttribute("service.instance.id", gateway)}},
--- a/internal/observability/trace/spans/spans_test.go
+++ b/internal/observability/trace/spans/spans_test.go
@@ -11,7 +11,7 @@
 	"eiderspread/policy"
 )
 
-// writtenSpan is a span with the field names of OTLP's JSON encoding, as a reader has it.
+// writtenSpan is a span as a reader decodes it, with the field names of OTLP's JSON encoding.
 type writtenSpan struct {
 	TraceID, SpanID, ParentSpanID, Name, StartTimeUnixNano, EndTimeUnixNano string
 	Status                                                                  struct {
@@ -20,7 +20,7 @@
 	}
 }
 
-// writeSpans returns the spans that Write writes, of the only gateway.
+// writeSpans returns the spans that Write writes for the only gateway of run.
 func writeSpans(t *testing.T, run *analyse.Run, rejectedOnly bool) []writtenSpan {
 	t.Helper()
 	var b bytes.Buffer
@@ -38,8 +38,8 @@
 	return got.ResourceSpans[0].ScopeSpans[0].Spans
 }
 
-// A request with two attempts and one that is rejected: ids of OTLP's lengths, attempts below their request, statuses by
-// their ends.
+// Writes a request with two attempts and a rejected request. Ids must have OTLP's lengths, an attempt's parent must be its
+// request's span, and the status must tell how the attempt or request ended.
 func TestWrite_SpansOfRequests(t *testing.T) {
 	started := func(at float64, attempt int) reason.Decision {
 		return reason.Decision{At: at, Step: reason.StepSent, ID: "a", Attempt: attempt, Backend: "z1", Class: "look"}
@@ -57,20 +57,20 @@
 
 	spans := writeSpans(t, run, false)
 	if len(spans) != 4 {
-		t.Fatalf("%d spans, want 4", len(spans))
+		t.Fatalf("got %d spans, want 4: request a, its two attempts, request b", len(spans))
 	}
 	root := spans[0]
 	if len(root.TraceID) != 32 || len(root.SpanID) != 16 || root.StartTimeUnixNano != "10000000000" || root.EndTimeUnixNano != "11000000000" || root.Status.Code != 1 {
-		t.Errorf("request: %+v", root)
+		t.Errorf("span of request a: got %+v; want ids of 32 and 16 digits, 10 s to 11 s, status 1 (OK)", root)
 	}
 	for i, code := range []int{2, 1} {
 		if s := spans[1+i]; s.ParentSpanID != root.SpanID || s.TraceID != root.TraceID || s.Status.Code != code {
-			t.Errorf("attempt %d: %+v, want status %d", i, s, code)
+			t.Errorf("span of attempt %d: got %+v; want status %d, the trace and parent of request a", i, s, code)
 		}
 	}
 
 	spans = writeSpans(t, run, true)
 	if len(spans) != 1 || spans[0].Status.Code != 2 || spans[0].Status.Message != "refuse: cap" {
-		t.Errorf("rejected requests: %+v", spans)
+		t.Errorf("rejected requests: got %+v; want one span with status 2 (error) and message \"refuse: cap\"", spans)
 	}
 }
