--- a/internal/membership/agent/agent.go
+++ b/internal/membership/agent/agent.go
@@ -1,8 +1,8 @@
-// Package agent is the program on a machine that merges the endpoint lists of a roster and of etcd into one and serves it, in the roster's
-// protocol, to the ingress, forwarder or planner beside it, which then need no etcd client.
+// Package agent merges the endpoint lists of a discovery service and of etcd into one list and serves it, in the discovery protocol, to the
+// ingress, forwarder or planner on the same machine, so that these need no etcd client.
 //
-// One loop owns the merged list. Sources post what they report to it; changes go to the publisher, which serves them, and to the state
-// file, which keeps what is known across restarts.
+// One goroutine, the loop, owns the merged list. The sources post their reports to it. The loop passes changes to the publisher, which
+// serves them, and to the state file, which preserves the list and all reports across restarts.
 package agent
 
 import (
@@ -27,24 +27,24 @@
 	readHeaderTimeout = time.Second
 )
 
-// Agent is one agent. Its loop, which is Run's goroutine, owns merger, changed and the calls of writer.
+// Agent merges its sources and serves the result. The loop, which runs in Run's goroutine, owns merger and unsaved and calls writer.
 type Agent struct {
 	cfg       Config
 	log       *slog.Logger
 	clock     monotime.Clock
 	merger    *merge.Merger
 	publisher *publisher
-	events    chan func(now float64) // to be run by the loop
+	events    chan func(now float64) // functions for the loop to run
 	done      chan struct{}          // closed when the loop has ended
 	etcd      *etcdsource.Source
 	listener  net.Listener
 
-	writer        *stateWriter // nil: no state file
-	changed       bool         // what is known differs from what was last given to writer
-	serveDeadline float64      // from then on the list is served by those sources that are current
+	writer        *stateWriter // nil: there is no state file
+	unsaved       bool         // the state has changed since it was last passed to writer
+	serveDeadline float64      // from this time on one current source is enough to serve the list
 }
 
-// Open makes an agent and its listener. It reads the state file, if there is one.
+// Open returns an agent that listens on cfg.Listen, with the state of its state file, if there is one. Run serves it.
 func Open(cfg Config, log *slog.Logger) (*Agent, error) {
 	a := &Agent{cfg: cfg, log: log, clock: monotime.NewClock(), events: make(chan func(float64), eventQueueSize), done: make(chan struct{})}
 	var saved savedState
@@ -73,8 +73,8 @@
 	return a, nil
 }
 
-// Reload takes over, from a configuration that was read again, where etcd is and how one logs in there. The list and its version stay.
-// restart reports whether more differs, which takes a restart.
+// Reload applies the etcd endpoints, user, password and TLS certificates of a new configuration. The list and its version stay. restart
+// reports whether other settings differ as well; these are applied only by a restart.
 func (a *Agent) Reload(cfg Config) (restart bool) {
 	a.etcd.Reconfigure(cfg.Etcd)
 	was := a.cfg
@@ -82,16 +82,16 @@
 	return !reflect.DeepEqual(was, cfg)
 }
 
-// Addr is where the list is served. It is safe for concurrent use, as EtcdStatus and EndpointList are.
+// Addr returns the address that serves the list. Addr, EtcdStatus and EndpointList are safe for concurrent use.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// EtcdStatus is the state of the etcd source.
+// EtcdStatus returns the status of the etcd source.
 func (a *Agent) EtcdStatus() etcdsource.Status { return a.etcd.Status() }
 
-// EndpointList is the merged list as it is served.
+// EndpointList returns the merged list in the form in which it is served, also before it is served.
 func (a *Agent) EndpointList() discovery.List { return a.publisher.fullList() }
 
-// Run serves until ctx ends. Its error is that of the status listener.
+// Run serves until ctx ends. It fails only if the status address can't be listened on.
 func (a *Agent) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -111,14 +111,14 @@
 		defer stop()
 	}
 	go a.etcd.Run(ctx)
-	if a.cfg.Roster != "" {
-		go a.watchRoster(ctx)
+	if a.cfg.Discovery != "" {
+		go a.watchDiscovery(ctx)
 	}
 	a.loop(ctx)
 	return nil
 }
 
-// serve answers HTTP on a listener until the server is closed.
+// serve starts an HTTP server on a listener. The caller closes the server.
 func (a *Agent) serve(ctx context.Context, l net.Listener, handler http.Handler) *http.Server {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, BaseContext: func(net.Listener) context.Context { return ctx }}
 	go func() {
@@ -129,7 +129,7 @@
 	return server
 }
 
-// startWriter begins to write the state file; stop writes what has changed since and ends it.
+// startWriter starts the goroutine that writes the state file. stop writes the state once more if it has changed, then ends the goroutine.
 func (a *Agent) startWriter() (stop func()) {
 	end, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -137,7 +137,7 @@
 		a.writer.run(end)
 	}()
 	return func() {
-		if a.changed && a.publisher.isReady() {
+		if a.unsaved && a.publisher.isReady() {
 			a.writer.replace(a.state())
 		}
 		close(end)
@@ -145,11 +145,11 @@
 	}
 }
 
-// loop runs events and looks after time until ctx ends.
+// loop runs posted functions and, at each tick, the work that is due by time, until ctx ends.
 func (a *Agent) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	logged := map[string]bool{} // by source: whether it was current
+	logged := map[string]bool{} // by source name: whether it was current when last logged
 	for {
 		select {
 		case run := <-a.events:
@@ -167,7 +167,7 @@
 	}
 }
 
-// post has the loop run f, unless it has ended.
+// post queues f for the loop, which calls it with its current time in s. After the loop has ended, f is dropped.
 func (a *Agent) post(f func(now float64)) {
 	select {
 	case a.events <- f:
@@ -175,15 +175,15 @@
 	}
 }
 
-// publish passes changes on.
+// publish passes changed entries to the publisher and marks the state as unsaved.
 func (a *Agent) publish(changes []merge.Entry) {
-	a.changed = a.changed || len(changes) > 0
+	a.unsaved = a.unsaved || len(changes) > 0
 	a.publisher.publish(changes)
 	a.serveIfReady()
 }
 
-// serveIfReady has the list served once all sources are current, or one is and the time to wait for the others is over. An ingress must
-// not be given an empty list by an agent that has just started, nor one without the stricter reports of another source.
+// serveIfReady starts to serve the list once all sources are current, or once one is current and serveDeadline has passed. An agent that
+// has just started must not give an ingress an empty list, or a list that lacks the stricter reports of another source.
 func (a *Agent) serveIfReady() {
 	all, some := true, false
 	for _, s := range a.merger.SourceStatuses() {
@@ -194,20 +194,20 @@
 	}
 }
 
-// saveIfChanged gives what is known to the writer if it has changed and would be written at once.
+// saveIfChanged passes the state to the writer if it has changed, the list is being served and the writer is idle.
 func (a *Agent) saveIfChanged() {
-	if a.writer != nil && a.changed && a.publisher.isReady() && a.writer.idle() {
-		a.changed = false
+	if a.writer != nil && a.unsaved && a.publisher.isReady() && a.writer.idle() {
+		a.unsaved = false
 		a.writer.next <- a.state()
 	}
 }
 
-// state is what is to be kept across a restart.
+// state returns the state to preserve across a restart.
 func (a *Agent) state() savedState {
 	return savedState{a.publisher.currentVersion(), a.merger.Snapshot()}
 }
 
-// logSources logs each source that became current or stale; logged holds what was logged last.
+// logSources logs each source that became current or stale. logged holds, by source name, the state that was last logged.
 func (a *Agent) logSources(ctx context.Context, logged map[string]bool) {
 	for _, s := range a.merger.SourceStatuses() {
 		if was, known := logged[s.Name]; known && was == s.Current {
--- a/internal/membership/agent/agent_test.go
+++ b/internal/membership/agent/agent_test.go
@@ -14,7 +14,8 @@
 	"eiderspread/internal/membership/merge"
 )
 
-// Guards the operator's file: one clear line for each fault, before anything is served; the example is good.
+// Guards the configuration file: an invalid file is rejected at the start with one line that names the fault, and the example file
+// deploy/etcd.toml is valid.
 func TestReadFile(t *testing.T) {
 	if _, err := ReadFile("../../../deploy/etcd.toml"); err != nil {
 		t.Error(err)
@@ -24,11 +25,11 @@
 		"":                          good,
 		"unknown key lease":         good + "lease = 1\n",
 		"listen: ":                  strings.Replace(good, "127.0.0.1:1", "here", 1),
-		"endpoints are missing":     strings.Replace(good, "\"http://127.0.0.1:2\"", "", 1),
+		"endpoints must name at":    strings.Replace(good, "\"http://127.0.0.1:2\"", "", 1),
 		"prefix must end":           strings.Replace(good, "/t/", "/t", 1),
 		"roster: ":                  good + "roster = \"there\"\n",
 		"retry_ms must be":          good + "retry_ms = 0\n",
-		"stale_ms must be three":    good + "stale_ms = 600\n",
+		"stale_ms must be at least": good + "stale_ms = 600\n",
 		"password_file: ":           good + "password_file = \"/nowhere\"\n",
 		"tls: certificate: ":        good + "[tls]\ncert = \"/nowhere\"\n",
 		"orphan_ms must be 1 to 36": good + "orphan_ms = nan\n",
@@ -39,7 +40,7 @@
 		}
 		_, err := ReadFile(path)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("got error %v, want one line with %q", err, want)
 		}
 	}
 }
@@ -48,8 +49,8 @@
 	return merge.Entry{Node: merge.Node{Identity: merge.Identity{ID: id, Addr: "127.0.0.1:1"}, State: s}}
 }
 
-// Guards the protocol towards ingresses: a watch misses nothing, and one that is too far behind, or from another life of
-// the agent, gets the whole list.
+// Guards the protocol to ingresses: a watch misses no change; a watch that is too far behind the history, or whose version comes from
+// another run of the agent, gets the full list.
 func TestPublisher(t *testing.T) {
 	p := newPublisher(1000)
 	p.markReady()
@@ -78,19 +79,19 @@
 	old, done := next(5)
 	defer done()
 	if l := read(old); !l.Full || len(l.Endpoints) != 2 || l.Version != 1001 {
-		t.Errorf("from another life: %+v", l)
+		t.Errorf("watch with a version of an earlier run got %+v, want the full list of two endpoints at version 1001", l)
 	}
 	p.publish([]merge.Entry{entry("a", merge.Draining)})
 	p.publish([]merge.Entry{entry("b", merge.Removed)})
 	for i, want := range []string{"a terminating", "b terminated"} {
 		if l := read(old); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].ID+" "+l.Endpoints[0].State != want || l.Version != 1002+int64(i) {
-			t.Errorf("change %d: %+v", i, l)
+			t.Errorf("change %d is %+v, want only %q at version %d", i, l, want, 1002+int64(i))
 		}
 	}
 	r, done := next(1002)
 	defer done()
 	if l := read(r); l.Full || l.Version != 1003 {
-		t.Errorf("one behind: %+v", l)
+		t.Errorf("watch one version behind got %+v, want the change of version 1003", l)
 	}
 	for range maxHistory + 1 {
 		p.publish([]merge.Entry{entry("c", merge.Up)})
@@ -98,17 +99,17 @@
 	r, done = next(1003)
 	defer done()
 	if l := read(r); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("far behind: %+v", l)
+		t.Errorf("watch beyond the history got %+v, want the full list of two endpoints", l)
 	}
 	r, done = next(1 << 60)
 	defer done()
 	if l := read(r); !l.Full {
-		t.Errorf("from the future: %+v", l)
+		t.Errorf("watch with a version later than the current one got %+v, want the full list", l)
 	}
 	if got := len(p.history); got > maxHistory {
-		t.Errorf("%d changes are kept", got)
+		t.Errorf("history has %d changes, want at most %d", got, maxHistory)
 	}
 	if resp, err := http.Post(srv.URL+"/api/targets", "", nil); err != nil || resp.StatusCode != http.StatusNotFound {
-		t.Errorf("a post: %v, %v", resp, err)
+		t.Errorf("POST: got response %v, error %v; want status 404", resp, err)
 	}
 }
--- a/internal/membership/agent/etcd_test.go
+++ b/internal/membership/agent/etcd_test.go
@@ -29,24 +29,24 @@
 const testTimeout = 60 * time.Second
 
 var (
-	etcdFor  = flag.Duration("etcd-for", 6*time.Second, "how long etcd is compacted, cut and restarted")
-	etcdSeed = flag.Uint64("etcd-seed", 1, "of what goes wrong")
+	etcdFor  = flag.Duration("etcd-for", 6*time.Second, "how long the test compacts, disconnects and restarts etcd")
+	etcdSeed = flag.Uint64("etcd-seed", 1, "seed of the changes and faults")
 )
 
-// etcd is the stand-in cluster, and a client of its own.
-type etcd struct {
+// etcdCluster is the stand-in for etcd with the test's own client.
+type etcdCluster struct {
 	t   *testing.T
 	srv *standin.Cluster
 	cli *clientv3.Client
 }
 
-func startEtcd(t *testing.T) *etcd {
+func startEtcd(t *testing.T) *etcdCluster {
 	srv, err := standin.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(srv.Stop)
-	e := &etcd{t: t, srv: srv}
+	e := &etcdCluster{t: t, srv: srv}
 	if e.cli, err = clientv3.New(clientv3.Config{Endpoints: []string{"http://" + srv.Addr()}, DialTimeout: 5 * time.Second, Logger: zap.NewNop()}); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	return e
 }
 
-func (e *etcd) start() {
+func (e *etcdCluster) start() {
 	e.t.Helper()
 	if err := e.srv.Start(); err != nil {
 		e.t.Fatal(err)
@@ -63,7 +63,7 @@
 
 const prefix = "/t/"
 
-func (e *etcd) do(f func(ctx context.Context) error) {
+func (e *etcdCluster) retry(f func(ctx context.Context) error) {
 	e.t.Helper()
 	end := time.Now().Add(testTimeout)
 	for {
@@ -79,23 +79,23 @@
 	}
 }
 
-func (e *etcd) put(key, value string) {
+func (e *etcdCluster) put(key, value string) {
 	e.t.Helper()
-	e.do(func(ctx context.Context) error { _, err := e.cli.Put(ctx, prefix+key, value); return err })
+	e.retry(func(ctx context.Context) error { _, err := e.cli.Put(ctx, prefix+key, value); return err })
 }
 
-func (e *etcd) del(key string) {
+func (e *etcdCluster) del(key string) {
 	e.t.Helper()
-	e.do(func(ctx context.Context) error { _, err := e.cli.Delete(ctx, prefix+key); return err })
+	e.retry(func(ctx context.Context) error { _, err := e.cli.Delete(ctx, prefix+key); return err })
 }
 
 func nodeValue(i int) string { return fmt.Sprintf(`{"addr":"127.0.0.1:%d","weight":1}`, 1000+i) }
 
-// truth reads etcd itself, in another way than the agent does.
-func (e *etcd) truth() (string, int64) {
+// readList reads the list directly from etcd, independently of the agent's code, in the form of describe. It also returns the revision.
+func (e *etcdCluster) readList() (string, int64) {
 	var list []string
 	var rev int64
-	e.do(func(ctx context.Context) error {
+	e.retry(func(ctx context.Context) error {
 		r, err := e.cli.Get(ctx, prefix, clientv3.WithPrefix())
 		if err != nil {
 			return err
@@ -137,25 +137,25 @@
 	return strings.Join(list, "\n")
 }
 
-func startAgent(t *testing.T, endpoint, rosterAddr string) *Agent {
+func startAgent(t *testing.T, endpoint, discoveryAddr string) *Agent {
 	t.Helper()
-	a, _ := startWith(t, config(endpoint, rosterAddr))
+	a, _ := startAgentWith(t, config(endpoint, discoveryAddr))
 	return a
 }
 
-func config(endpoint, rosterAddr string) Config {
-	cfg := Config{Listen: "127.0.0.1:0", Roster: rosterAddr,
+func config(endpoint, discoveryAddr string) Config {
+	cfg := Config{Listen: "127.0.0.1:0", Discovery: discoveryAddr,
 		Etcd: etcdsource.Config{Endpoints: []string{"http://" + endpoint}, Prefix: prefix, ProgressInterval: 150 * time.Millisecond, ReadTimeout: 2 * time.Second,
 			MaxRetryDelay: 300 * time.Millisecond},
 		Merge: merge.Config{StaleAfterS: map[string]float64{etcdName: 0.8}, OrphanAfterS: 3600, FlapWindowS: 0.001, MaxFlapDelayS: 0.001}}
-	if rosterAddr != "" {
-		cfg.Merge.StaleAfterS[rosterName] = 5
+	if discoveryAddr != "" {
+		cfg.Merge.StaleAfterS[discoveryName] = 5
 	}
 	return cfg
 }
 
-// startWith starts an agent; stop ends it, as the test's end does.
-func startWith(t *testing.T, cfg Config) (a *Agent, stop func()) {
+// startAgentWith starts an agent. It runs until stop is called or the test ends.
+func startAgentWith(t *testing.T, cfg Config) (a *Agent, stop func()) {
 	t.Helper()
 	a, err := Open(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
@@ -174,23 +174,23 @@
 	return a, stop
 }
 
-// same waits until the agent's view is etcd's, and returns how long that took.
-func (e *etcd) same(a *Agent, what string) time.Duration {
+// waitForView waits until the agent's list equals etcd's and returns how long that took.
+func (e *etcdCluster) waitForView(a *Agent, what string) time.Duration {
 	e.t.Helper()
 	began := time.Now()
-	want, rev := e.truth()
+	want, rev := e.readList()
 	for time.Since(began) < testTimeout {
 		if st := a.EtcdStatus(); st.Revision >= rev && describe(a.EndpointList()) == want {
 			return time.Since(began)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	e.t.Fatalf("%s: the view is\n%s\nand etcd's at %d is\n%s\nstatus %+v", what, describe(a.EndpointList()), rev, want, a.EtcdStatus())
+	e.t.Fatalf("%s: the agent's list is\n%s\nwant etcd's list at revision %d\n%s\nstatus %+v", what, describe(a.EndpointList()), rev, want, a.EtcdStatus())
 	return 0
 }
 
-// The whole source against an etcd that is compacted, cut off, restarted, and replaced by an empty one, while states
-// flip: after each recovery the view equals etcd's.
+// Guards recovery from etcd faults: etcd is compacted, disconnected, restarted and replaced by an empty cluster while nodes and drain marks
+// change. After each fault the agent's list must equal etcd's.
 func TestAgent_FollowsEtcd(t *testing.T) {
 	e := startEtcd(t)
 	link, err := testbed.NewLink(e.srv.Addr())
@@ -216,7 +216,7 @@
 		flip()
 	}
 	a := startAgent(t, link.Addr(), "")
-	e.same(a, "start")
+	e.waitForView(a, "start")
 	var took []time.Duration
 	compacted := 0
 	for end := time.Now().Add(*etcdFor); time.Now().Before(end); {
@@ -236,8 +236,8 @@
 			for range 10 {
 				flip()
 			}
-			_, rev := e.truth()
-			e.do(func(ctx context.Context) error {
+			_, rev := e.readList()
+			e.retry(func(ctx context.Context) error {
 				_, err := e.cli.Compact(ctx, rev)
 				if err != nil && strings.Contains(err.Error(), "compacted") {
 					return nil
@@ -246,16 +246,16 @@
 			})
 			link.Heal()
 			compacted++
-		case "storm": // a thousand changes in a few transactions
+		case "storm": // 1000 changes in 8 transactions, then 8 deletions by prefix
 			for k := range 8 {
 				var ops []clientv3.Op
 				for i := range 125 {
 					ops = append(ops, clientv3.OpPut(fmt.Sprintf("%snodes/s%d", prefix, k*125+i), nodeValue(i)))
 				}
-				e.do(func(ctx context.Context) error { _, err := e.cli.Txn(ctx).Then(ops...).Commit(); return err })
+				e.retry(func(ctx context.Context) error { _, err := e.cli.Txn(ctx).Then(ops...).Commit(); return err })
 			}
 			for k := range 8 {
-				e.do(func(ctx context.Context) error {
+				e.retry(func(ctx context.Context) error {
 					_, err := e.cli.Delete(ctx, fmt.Sprintf("%snodes/s%d", prefix, k), clientv3.WithPrefix())
 					return err
 				})
@@ -272,19 +272,20 @@
 				flip()
 			}
 		}
-		took = append(took, e.same(a, what))
+		took = append(took, e.waitForView(a, what))
 	}
 	st := a.EtcdStatus()
 	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	t.Logf("%d recoveries, %d compactions, %d of them met; equal again after %v in the median, %v at worst; %+v", len(took), compacted, st.Compacted,
+	t.Logf("%d recoveries, %d compactions, %d met by the agent; time to recovery: median %v, max %v; status %+v", len(took), compacted, st.Compacted,
 		took[len(took)/2], took[len(took)-1], st)
 	if st.Compacted == 0 || st.Replaced == 0 {
-		t.Errorf("no compaction or no replaced cluster was met: the run shows nothing")
+		t.Errorf("agent met %d compactions and %d replaced clusters, want at least one of each for the test to be valid", st.Compacted, st.Replaced)
 	}
 }
 
-// Guards the join of sources: roster and etcd, each alone, stale and against each other.
-func TestAgent_EtcdBesideRoster(t *testing.T) {
+// Guards the merge of both sources: a drain mark in etcd on a node of the discovery service, changes of the discovery
+// service while etcd is disconnected, and a drain by etcd that must stay while etcd is stopped.
+func TestAgent_MergesEtcdAndDiscovery(t *testing.T) {
 	e := startEtcd(t)
 	link, err := testbed.NewLink(e.srv.Addr())
 	if err != nil {
@@ -292,14 +293,14 @@
 	}
 	defer link.Close()
 	hist := oracle.NewHistory()
-	ros := testbed.NewDiscovery(hist)
-	defer ros.Close()
-	addr, err := ros.For("a")
+	service := testbed.NewDiscovery(hist)
+	defer service.Close()
+	addr, err := service.For("a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	set := func(id, state string) {
-		ros.Set(discovery.Endpoint{ID: id, Addr: "127.0.0.1:1" + strings.TrimPrefix(id, "n"), State: state, Weight: 1})
+		service.Set(discovery.Endpoint{ID: id, Addr: "127.0.0.1:1" + strings.TrimPrefix(id, "n"), State: state, Weight: 1})
 	}
 	set("n01", "in_service")
 	set("n02", "in_service")
@@ -317,10 +318,10 @@
 				return
 			}
 		}
-		t.Fatalf("%s does not become %q: %v", id, want, describe(a.EndpointList()))
+		t.Fatalf("node %s does not reach state %q; the list is\n%v", id, want, describe(a.EndpointList()))
 	}
 	state("n01", "in_service")
-	e.put("drain/n01", "{}") // etcd does not list the node: a mark on its id alone
+	e.put("drain/n01", "{}") // etcd does not list the node: the mark applies to the ID
 	state("n01", "terminating")
 	set("n01", "in_service")
 	set("n02", "terminating")
@@ -328,7 +329,7 @@
 	state("n01", "terminating")
 	e.del("drain/n01")
 	state("n01", "in_service")
-	link.Cut() // etcd is out of reach: the roster goes on
+	link.Cut() // etcd is unreachable: changes of the discovery service still apply
 	set("n03", "in_service")
 	state("n03", "in_service")
 	e.put("drain/n03", "{}")
@@ -336,12 +337,12 @@
 	state("n02", "in_service")
 	link.Heal()
 	state("n03", "terminating")
-	e.srv.Stop() // what etcd has said stays said
+	e.srv.Stop() // the reports of etcd stay in effect
 	set("n03", "in_service")
 	set("n04", "in_service")
 	state("n04", "in_service")
 	state("n03", "terminating")
-	// As an ingress reads it.
+	// An ingress reads the full list.
 	r, err := http.Get("http://" + a.Addr() + "/api/targets?watch=1&after=0")
 	if err != nil {
 		t.Fatal(err)
@@ -353,6 +354,6 @@
 	}
 	l, err := discovery.Parse(line)
 	if err != nil || !l.Full || len(l.Endpoints) != 4 {
-		t.Errorf("%+v, %v", l, err)
+		t.Errorf("watch got %+v, error %v; want the full list of four endpoints", l, err)
 	}
 }
--- a/internal/membership/agent/fuzz_test.go
+++ b/internal/membership/agent/fuzz_test.go
@@ -13,8 +13,8 @@
 	"eiderspread/internal/membership/merge"
 )
 
-// Whatever is asked of an agent's HTTP side, it answers in the roster's protocol or refuses, and does not panic; a watch that
-// is behind is told the way to the newest version.
+// Guards the agent's HTTP server against arbitrary requests: it must not panic, answers in the discovery protocol or with status 404, and
+// sends a watch versions that don't decrease or exceed the current one.
 func FuzzPublisher(f *testing.F) {
 	f.Add("GET", "/api/targets", "", "a", uint8(0))
 	f.Add("GET", "/api/targets", "watch=1&after=1001", "a", uint8(1))
@@ -35,7 +35,7 @@
 		p.ServeHTTP(w, r)
 		if method != http.MethodGet || path != "/api/targets" {
 			if w.Code != http.StatusNotFound {
-				t.Errorf("%s %q: %d", method, path, w.Code)
+				t.Errorf("%s %q: got status %d, want %d", method, path, w.Code, http.StatusNotFound)
 			}
 			return
 		}
@@ -46,15 +46,15 @@
 			}
 			l, err := discovery.Parse(line)
 			if err != nil && id != "" {
-				t.Fatalf("%q: %v", line, err)
+				t.Fatalf("line %q is not in the discovery protocol: %v", line, err)
 			}
 			if l.Version < last {
-				t.Errorf("version %d after %d", l.Version, last)
+				t.Errorf("got version %d after version %d, want no decrease", l.Version, last)
 			}
 			last = l.Version
 		}
 		if last > p.version {
-			t.Errorf("told up to %d of %d", last, p.version)
+			t.Errorf("last version served is %d, want at most the current version %d", last, p.version)
 		}
 	})
 }
--- a/internal/membership/agent/golden_test.go
+++ b/internal/membership/agent/golden_test.go
@@ -9,19 +9,19 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the file that an agent keeps across restarts, the operator's file and the status.
+// Guards the encoded forms of the state file, the configuration file and the status page.
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "state.json", &savedState{})
 	golden.JSON(t, "status.json", &Status{})
 	golden.TOML(t, "agent.toml", &File{})
 }
 
-// Guards what an agent serves: nothing yet, the whole list, and the lines of a watch.
+// Guards the HTTP responses of an agent: the error before it is ready, the full list, the lines of a watch and an unknown path.
 func TestGoldenList(t *testing.T) {
 	p := newPublisher(7)
 	get := func(name, path string) {
 		ctx, cancel := context.WithCancel(context.Background())
-		cancel() // a watch ends after what is there
+		cancel() // ends a watch after the changes that are available
 		w := httptest.NewRecorder()
 		p.ServeHTTP(w, httptest.NewRequestWithContext(ctx, "GET", path, nil))
 		golden.Check(t, name, w.Body.Bytes())
--- a/internal/membership/agent/moves_test.go
+++ b/internal/membership/agent/moves_test.go
@@ -20,7 +20,7 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// waitFor waits for what an agent serves to be so.
+// waitFor waits until the agent's list satisfies ok. what names the awaited list in the failure text.
 func waitFor(t *testing.T, a *Agent, what string, ok func(l discovery.List) bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -28,10 +28,10 @@
 			return
 		}
 	}
-	t.Fatalf("%s: %v, %+v", what, describe(a.EndpointList()), a.EtcdStatus())
+	t.Fatalf("%s: the expected list did not appear; the list is\n%v\nstatus %+v", what, describe(a.EndpointList()), a.EtcdStatus())
 }
 
-func state(l discovery.List, id string) string {
+func stateOf(l discovery.List, id string) string {
 	for _, s := range l.Endpoints {
 		if s.ID == id {
 			return s.State
@@ -40,8 +40,8 @@
 	return ""
 }
 
-// Guards SIGHUP's part: an agent goes on at other members with other certificates, its list and version as they were and
-// without a new read; at another cluster it takes the whole, after a change in the very moment too.
+// Guards a reload of the configuration. Other members of the same cluster with other certificates must not cause a full read or a version
+// that goes back, also if a node changes at the same moment. Endpoints of another cluster must cause a full read.
 func TestAgent_ReloadMovesEndpoints(t *testing.T) {
 	ca, err := certs.New(t.TempDir(), "lab")
 	if err != nil {
@@ -82,17 +82,17 @@
 	c.Set("/t/nodes/a", nodeValue(1))
 	c.Set("/t/nodes/b", nodeValue(2))
 	addrs := c.Addrs()
-	a, _ := startWith(t, write(addrs[0]))
+	a, _ := startAgentWith(t, write(addrs[0]))
 	waitFor(t, a, "start", func(l discovery.List) bool { return len(l.Endpoints) == 2 })
 	version := a.EndpointList().Version
 	if a.Reload(write(addrs[1], addrs[2])) {
-		t.Error("more than endpoints and certificates is said to differ")
+		t.Error("Reload reports that a restart is needed, but only endpoints and certificates differ")
 	}
-	c.Set("/t/drain/a", "{}") // in the same moment
-	c.StopMember(0)           // where it was is gone
-	waitFor(t, a, "after the move", func(l discovery.List) bool { return state(l, "a") == "terminating" && len(l.Endpoints) == 2 })
+	c.Set("/t/drain/a", "{}") // at the moment of the reload
+	c.StopMember(0)           // the member that the agent was connected to
+	waitFor(t, a, "after the move", func(l discovery.List) bool { return stateOf(l, "a") == "terminating" && len(l.Endpoints) == 2 })
 	if st := a.EtcdStatus(); a.EndpointList().Version < version || st.FullReads != 1 {
-		t.Errorf("version %d after %d, %+v", a.EndpointList().Version, version, st)
+		t.Errorf("after the move: version %d, want at least %d; status %+v, want one full read", a.EndpointList().Version, version, st)
 	}
 	other, err := standin.Open(standin.Config{TLS: tls})
 	if err != nil {
@@ -102,19 +102,20 @@
 	other.Restore(standin.Head{Cluster: 9, Revision: 5, Term: 3}, standin.KV{Key: "/t/nodes/b", Value: nodeValue(2), Revision: 4})
 	version = a.EndpointList().Version
 	a.Reload(write(addrs[1]))
-	a.Reload(write(other.Addr())) // the last word counts
-	waitFor(t, a, "at another cluster", func(l discovery.List) bool { return len(l.Endpoints) == 1 && state(l, "b") == "in_service" })
+	a.Reload(write(other.Addr())) // the last reload applies
+	waitFor(t, a, "at another cluster", func(l discovery.List) bool { return len(l.Endpoints) == 1 && stateOf(l, "b") == "in_service" })
 	if st := a.EtcdStatus(); a.EndpointList().Version <= version || st.Replaced != 1 {
-		t.Errorf("version %d after %d, %+v", a.EndpointList().Version, version, st)
+		t.Errorf("at another cluster: version %d, want above %d; status %+v, want one replaced cluster", a.EndpointList().Version, version, st)
 	}
 	next := write(other.Addr())
 	next.Merge.OrphanAfterS++
 	if !a.Reload(next) {
-		t.Error("what a restart alone takes over is not said")
+		t.Error("Reload does not report that a changed orphan_ms needs a restart")
 	}
 }
 
-// Guards against tokens that run out at the worst moments: during the read after a compaction, and before a watch.
+// Guards against authentication tokens that expire during the full read after a compaction, or before a watch starts: the agent must log in
+// again and catch up.
 func TestAgent_AuthTokenExpires(t *testing.T) {
 	c, err := standin.Open(standin.Config{Users: map[string]string{"u": "x"}})
 	if err != nil {
@@ -129,7 +130,7 @@
 	defer link.Close()
 	cfg := config(link.Addr(), "")
 	cfg.Etcd.User, cfg.Etcd.Password = "u", "x"
-	a, _ := startWith(t, cfg)
+	a, _ := startAgentWith(t, cfg)
 	waitFor(t, a, "start", func(l discovery.List) bool { return len(l.Endpoints) == 1 })
 	forgotten := 0
 	c.SetScript(standin.Script{AfterRead: func() {
@@ -143,18 +144,20 @@
 	c.CompactAll()
 	c.Forget()
 	link.Heal()
-	waitFor(t, a, "after the compaction", func(l discovery.List) bool { return state(l, "a") == "terminating" && state(l, "b") == "in_service" })
-	c.Jump(time.Hour) // and the clock says that all have run out
+	waitFor(t, a, "after the compaction", func(l discovery.List) bool {
+		return stateOf(l, "a") == "terminating" && stateOf(l, "b") == "in_service"
+	})
+	c.Jump(time.Hour) // all tokens expire
 	link.Break()
 	c.Delete("/t/drain/a")
-	waitFor(t, a, "after the hour", func(l discovery.List) bool { return state(l, "a") == "in_service" })
+	waitFor(t, a, "after the hour", func(l discovery.List) bool { return stateOf(l, "a") == "in_service" })
 	if a.EtcdStatus().Compacted == 0 || forgotten == 0 {
-		t.Errorf("%+v, forgotten %d times: the run shows nothing", a.EtcdStatus(), forgotten)
+		t.Errorf("status %+v, %d reads; want at least one compaction and one read for the test to be valid", a.EtcdStatus(), forgotten)
 	}
 }
 
-// Guards an agent that is killed and comes back during a drain, while etcd, which told the drain, is out of reach: it knows it
-// still, and its version goes on although the clock was put back.
+// Guards the state file. An agent that restarts during a drain, while etcd, which reported the drain, is unreachable, must keep the drain,
+// and its version must grow although the clock was set back by an hour.
 func TestAgent_RestartsDuringDrain(t *testing.T) {
 	for _, kept := range []bool{true, false} {
 		e := startEtcd(t)
@@ -163,54 +166,56 @@
 			t.Fatal(err)
 		}
 		defer link.Close()
-		ros := testbed.NewDiscovery(oracle.NewHistory())
-		defer ros.Close()
-		addr, err := ros.For("a")
+		service := testbed.NewDiscovery(oracle.NewHistory())
+		defer service.Close()
+		addr, err := service.For("a")
 		if err != nil {
 			t.Fatal(err)
 		}
-		ros.Set(discovery.Endpoint{ID: "n", Addr: "127.0.0.1:1", State: "in_service", Weight: 1})
-		ros.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
+		service.Set(discovery.Endpoint{ID: "n", Addr: "127.0.0.1:1", State: "in_service", Weight: 1})
+		service.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
 		cfg := config(link.Addr(), addr)
 		cfg.StartTimeoutS = 0.3
 		if kept {
 			cfg.State = filepath.Join(t.TempDir(), "state")
 		}
-		a, stop := startWith(t, cfg)
+		a, stop := startAgentWith(t, cfg)
 		e.put("drain/n", "{}")
-		waitFor(t, a, "the drain", func(l discovery.List) bool { return state(l, "n") == "terminating" && state(l, "m") == "in_service" })
+		waitFor(t, a, "drain before the restart", func(l discovery.List) bool {
+			return stateOf(l, "n") == "terminating" && stateOf(l, "m") == "in_service"
+		})
 		link.Cut()
 		stop()
 		version := a.EndpointList().Version
 		if kept {
 			m, err := loadState(cfg.State)
 			if err != nil || m.Version != version {
-				t.Fatalf("%+v, %v, want version %d", m, err, version)
+				t.Fatalf("state file holds %+v, error %v; want version %d", m, err, version)
 			}
-			m.Version += 3.6e6 // as a clock that was an hour ahead would have had it
+			m.Version += 3.6e6 // the version of a clock that was an hour ahead
 			version = m.Version
 			if err := writeState(cfg.State, m); err != nil {
 				t.Fatal(err)
 			}
 		}
-		b, _ := startWith(t, cfg)
-		ros.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "terminating", Weight: 1})
-		waitFor(t, b, "back", func(l discovery.List) bool { return state(l, "m") == "terminating" })
-		if got := state(b.EndpointList(), "n"); kept != (got == "terminating") {
-			t.Errorf("kept %v: the marked node is %q", kept, got) // without a file it can't be known
+		b, _ := startAgentWith(t, cfg)
+		service.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "terminating", Weight: 1})
+		waitFor(t, b, "after the restart", func(l discovery.List) bool { return stateOf(l, "m") == "terminating" })
+		if got := stateOf(b.EndpointList(), "n"); kept != (got == "terminating") {
+			t.Errorf("state file kept: %v: the marked node has state %q after the restart", kept, got) // without the file the drain is lost
 		}
 		if kept && b.EndpointList().Version <= version {
-			t.Errorf("version %d after %d", b.EndpointList().Version, version)
+			t.Errorf("version after the restart is %d, want above %d", b.EndpointList().Version, version)
 		}
 		link.Heal()
-		waitFor(t, b, "etcd again", func(l discovery.List) bool { return state(l, "n") == "terminating" })
+		waitFor(t, b, "etcd reachable again", func(l discovery.List) bool { return stateOf(l, "n") == "terminating" })
 		e.del("drain/n")
-		waitFor(t, b, "taken back", func(l discovery.List) bool { return state(l, "n") == "in_service" })
+		waitFor(t, b, "drain mark removed", func(l discovery.List) bool { return stateOf(l, "n") == "in_service" })
 	}
 }
 
-// Guards ingresses against an agent that has just come: it serves nothing before its sources are current, then without the one
-// that does not come in time.
+// Guards ingresses against the incomplete list of an agent that has just started: it serves nothing before all sources are current or the
+// start timeout has passed, and after the timeout the list of the current sources.
 func TestAgent_ServesNothingBeforeSync(t *testing.T) {
 	e := startEtcd(t)
 	e.put("nodes/a", nodeValue(1))
@@ -220,13 +225,13 @@
 	}
 	defer link.Close()
 	link.Cut()
-	ros := testbed.NewDiscovery(oracle.NewHistory())
-	defer ros.Close()
-	addr, err := ros.For("a")
+	service := testbed.NewDiscovery(oracle.NewHistory())
+	defer service.Close()
+	addr, err := service.For("a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ros.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
+	service.Set(discovery.Endpoint{ID: "m", Addr: "127.0.0.1:2", State: "in_service", Weight: 1})
 	get := func(a *Agent) (int, discovery.List) {
 		r, err := http.Get("http://" + a.Addr() + "/api/targets")
 		if err != nil {
@@ -241,30 +246,31 @@
 	}
 	cfg := config(link.Addr(), addr)
 	cfg.StartTimeoutS = 3600
-	a, _ := startWith(t, cfg)
-	waitFor(t, a, "the roster", func(l discovery.List) bool { return state(l, "m") == "in_service" })
+	a, _ := startAgentWith(t, cfg)
+	waitFor(t, a, "list of the discovery service", func(l discovery.List) bool { return stateOf(l, "m") == "in_service" })
 	if code, _ := get(a); code != http.StatusServiceUnavailable {
-		t.Errorf("%d while etcd has said nothing", code)
+		t.Errorf("got status %d before etcd has reported, want %d", code, http.StatusServiceUnavailable)
 	}
 	link.Heal()
 	for code, l := get(a); code != http.StatusOK || len(l.Endpoints) != 2; code, l = get(a) {
 		if code == http.StatusOK && len(l.Endpoints) < 2 {
-			t.Fatalf("served too early: %+v", l)
+			t.Fatalf("list served before both sources are current: %+v, want two endpoints", l)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	link.Cut()
 	cfg.StartTimeoutS = 0.01
-	b, _ := startWith(t, cfg)
+	b, _ := startAgentWith(t, cfg)
 	for code, l := get(b); code != http.StatusOK; code, l = get(b) {
-		if code == http.StatusOK && state(l, "m") == "" {
-			t.Fatalf("served %+v", l)
+		if code == http.StatusOK && stateOf(l, "m") == "" {
+			t.Fatalf("list served without node m: %+v", l)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Guards what a machine beside the agent can know of its age: lines without nodes tell it, and a watcher sums it up.
+// Guards the source age that an agent reports to its clients while etcd is unreachable: keep-alive lines carry it, and a Watcher exposes it
+// without taking these lines for changes.
 func TestAgent_ReportsSourceAge(t *testing.T) {
 	e := startEtcd(t)
 	e.put("nodes/a", nodeValue(1))
@@ -284,14 +290,14 @@
 	link.Cut()
 	for end := time.Now().Add(testTimeout); w.Age().ReportedAgeS < 2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%+v", w.Age())
+			t.Fatalf("watcher's age is %+v, want a reported age of at least 2 s", w.Age())
 		}
 	}
 	if !(discovery.Age{SinceUpdateS: 2, ReportedAgeS: 9}).Stale() || (discovery.Age{SinceUpdateS: 2, ReportedAgeS: 2}).Stale() {
-		t.Error("what is old is not said to be")
+		t.Error("Age.Stale must be true for 11 s and false for 4 s")
 	}
-	if len(lists) > 1 { // the watch's first line is the whole list
-		t.Errorf("%d lists: lines without nodes are taken for changes", len(lists))
+	if len(lists) > 1 { // the first line of the watch is the full list
+		t.Errorf("watcher passed on %d further lists, want at most one: lines without nodes are not changes", len(lists))
 	}
 	r, err := http.Get("http://" + a.Addr() + "/api/targets?watch=1&after=0")
 	if err != nil {
@@ -302,7 +308,7 @@
 	for range 2 {
 		line, err := in.ReadBytes('\n')
 		if l, perr := discovery.Parse(line); err != nil || perr != nil || l.SourceAgeS < 1 {
-			t.Errorf("%s, %v, %v", line, err, perr)
+			t.Errorf("line %s, read error %v, parse error %v; want a list with a source age of at least 1 s", line, err, perr)
 		}
 	}
 }
--- a/internal/membership/agent/outage_test.go
+++ b/internal/membership/agent/outage_test.go
@@ -17,23 +17,23 @@
 )
 
 var (
-	cutoffs    = flag.Int("cutoffs", 0, "measure so many drains, from the write in etcd to the last new work")
-	cutoffRate = flag.Float64("cutoff-rate", 100, "requests a second meanwhile")
-	ingressBin = flag.String("ingress", "", "the program of an ingress, for -cutoffs")
+	cutoffs    = flag.Int("cutoffs", 0, "number of drains to measure, each from its write to the node's last new work; 0: skip the measurement")
+	cutoffRate = flag.Float64("cutoff-rate", 100, "requests per second during the measurement")
+	ingressBin = flag.String("ingress", "", "path of the ingress program, for -cutoffs")
 )
 
-// TestAgent_EtcdOutage is a measurement: how long after the write of a drain in etcd, and beside it in the roster, a node gets its
-// last new work. Run it with -cutoffs N -ingress bin/eiderspread.
-func TestAgent_EtcdOutage(t *testing.T) {
+// TestAgent_DrainDelay measures how long after the write of a drain, in the discovery service or in etcd, a node still gets new work. Run it
+// with -cutoffs N -ingress bin/eiderspread.
+func TestAgent_DrainDelay(t *testing.T) {
 	if *cutoffs == 0 {
 		t.Skip("-cutoffs is 0")
 	}
-	for _, by := range []string{"roster", "etcd"} {
-		t.Run(by, func(t *testing.T) { measureOutage(t, by) })
+	for _, source := range []string{"roster", "etcd"} {
+		t.Run(source, func(t *testing.T) { measureDrainDelay(t, source) })
 	}
 }
 
-func measureOutage(t *testing.T, by string) {
+func measureDrainDelay(t *testing.T, source string) {
 	cfg := testbed.FleetConfig{Forwarders: 1, Nodes: 6, Classes: testbed.LabClasses, Plans: []policy.Plan{{Name: "wide", Rate: 1e5, Burst: 1e5, Weight: 1}},
 		Node: node.Config{Cores: 64, Queue: 500, Speed: 1, KeyedS: 4, Work: map[string]float64{"zone-check": 0.005, "slot-hold": 0.005,
 			"courier-send": 0.005}},
@@ -43,15 +43,15 @@
 			c.Env = append(os.Environ(), "EDGE_CONFIG="+file)
 			return c
 		}}
-	var e *etcd
-	if by == "etcd" {
+	var e *etcdCluster
+	if source == "etcd" {
 		e = startEtcd(t)
 		cfg.Discovery = func(f *testbed.Fleet, _ string) (string, error) {
 			for _, n := range f.Nodes() {
 				e.put("nodes/"+n.ID, `{"addr":"`+n.Addr()+`","zone":"a","weight":1}`)
 			}
 			a := startAgent(t, e.srv.Addr(), "")
-			e.same(a, "start")
+			e.waitForView(a, "start")
 			return a.Addr(), nil
 		}
 	}
@@ -85,7 +85,7 @@
 	var delays []time.Duration
 	for i := range *cutoffs {
 		n := f.Nodes()[i%len(f.Nodes())]
-		at := f.Hist.Now() // the write begins
+		at := f.Hist.Now() // start of the write
 		set(n, "terminating")
 		time.Sleep(350 * time.Millisecond)
 		unlock := f.Hist.Lock()
@@ -104,9 +104,9 @@
 	<-done
 	slices.Sort(delays)
 	tries := len(f.Hist.Requests)
-	t.Logf("%s: %d drains at %.0f requests a second (%d in all): last new work after %v in the median, %v at p99, %v at worst", by, len(delays),
+	t.Logf("%s: %d drains at %.0f requests/s (%d requests in total): delay of the last new work: median %v, p99 %v, max %v", source, len(delays),
 		*cutoffRate, tries, delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1])
-	if strings.Contains(by, "etcd") && delays[len(delays)-1] > 300*time.Millisecond {
-		t.Errorf("beyond the cutoff")
+	if strings.Contains(source, "etcd") && delays[len(delays)-1] > 300*time.Millisecond {
+		t.Errorf("a drained node got new work %v after the write, want at most 300 ms", delays[len(delays)-1])
 	}
 }
--- a/internal/membership/agent/publisher.go
+++ b/internal/membership/agent/publisher.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	maxHistory        = 4096            // changes that a watch may be behind; one further behind gets the whole list
-	keepAliveInterval = 2 * time.Second // of lines without endpoints while nothing changes
+	maxHistory        = 4096            // max. number of stored changes; a watch that is further behind gets the full list
+	keepAliveInterval = 2 * time.Second // between lines without endpoints, written to a watch while nothing changes
 )
 
-// publisher serves the merged list in the roster's protocol: the whole list, or a watch. It is safe for concurrent use.
+// publisher serves the merged list in the discovery protocol: the full list or a watch. It is safe for concurrent use.
 type publisher struct {
 	mu         sync.Mutex
-	version    int64 // begins with the time in ms, so that it grows across restarts
+	version    int64 // starts at the Unix time in ms or above, so that it grows across restarts
 	endpoints  map[string]discovery.Endpoint
-	history    []discovery.List // the last changes, of consecutive versions; maxHistory at most
-	changed    chan struct{}    // closed, and replaced, with each change
-	sourceAgeS float64          // of the source that has been silent the longest
-	ready      bool             // the list may be served
+	history    []discovery.List // the latest changes, of consecutive versions; at most maxHistory
+	changed    chan struct{}    // closed and replaced at each change
+	sourceAgeS float64          // time since the last report of the source that has been silent longest
+	ready      bool             // the list is served; before that, requests are rejected
 }
 
 func newPublisher(version int64) *publisher {
 	return &publisher{version: version, endpoints: map[string]discovery.Endpoint{}, changed: make(chan struct{})}
 }
 
-// markReady has the list served from now on.
+// markReady starts to serve the list.
 func (p *publisher) markReady() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,21 +45,21 @@
 	return p.ready
 }
 
-// currentVersion is the version of the latest change.
+// currentVersion returns the version of the latest change.
 func (p *publisher) currentVersion() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.version
 }
 
-// setSourceAge sets the age, in s, that goes with what is served.
+// setSourceAge sets the source age, in s, that is served with lists, changes and keep-alives.
 func (p *publisher) setSourceAge(ageS float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sourceAgeS = ageS
 }
 
-// publish makes changes the next version.
+// publish applies changed entries as the next version of the list and wakes all watches.
 func (p *publisher) publish(entries []merge.Entry) {
 	if len(entries) == 0 {
 		return
@@ -84,7 +84,7 @@
 	p.changed = make(chan struct{})
 }
 
-// fullList is the whole list.
+// fullList returns the full list.
 func (p *publisher) fullList() discovery.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,15 +99,15 @@
 	return list
 }
 
-// keepAlive is a line without endpoints, for a watch that has everything up to version.
+// keepAlive returns a line without endpoints, for a watch that has received all changes up to version.
 func (p *publisher) keepAlive(version int64) discovery.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return discovery.List{Version: version, Endpoints: []discovery.Endpoint{}, SourceAgeS: p.sourceAgeS}
 }
 
-// changesAfter returns the changes after a version, or the whole list where they are not in the history, and a channel that is closed with
-// the next change.
+// changesAfter returns the changes after a version and a channel that is closed at the next change. If the history does not reach back to
+// the version, or the version is later than the current one, it returns the full list instead of changes.
 func (p *publisher) changesAfter(version int64) ([]discovery.List, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +120,8 @@
 	return append([]discovery.List(nil), p.history[version+1-p.history[0].Version:]...), p.changed
 }
 
-// ServeHTTP answers GET /api/targets: with the whole list, or, with watch set, with what changes after the version in after.
+// ServeHTTP answers GET /api/targets with the full list or, if the query sets watch, with the changes after the version in the query's
+// parameter after.
 func (p *publisher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/api/targets" {
 		http.NotFound(w, r)
@@ -132,17 +133,17 @@
 	}
 	query := r.URL.Query()
 	if query.Get("watch") == "" {
-		_ = json.NewEncoder(w).Encode(p.fullList()) // fails where the client has disconnected
+		_ = json.NewEncoder(w).Encode(p.fullList()) // fails only if the client has disconnected
 		return
 	}
 	after, err := strconv.ParseInt(query.Get("after"), 10, 64)
 	if err != nil {
-		after = -1 // the whole list
+		after = -1 // older than any version: the watch starts with the full list
 	}
 	p.serveWatch(w, r, after)
 }
 
-// serveWatch writes what changes after a version, and keep-alives, until the client disconnects.
+// serveWatch writes the changes after a version, and keep-alives, until the client disconnects.
 func (p *publisher) serveWatch(w http.ResponseWriter, r *http.Request, version int64) {
 	encoder, response := json.NewEncoder(w), http.NewResponseController(w)
 	for {
--- a/internal/membership/agent/statefile.go
+++ b/internal/membership/agent/statefile.go
@@ -13,13 +13,14 @@
 	"eiderspread/internal/membership/merge"
 )
 
-// savedState is what the state file holds. It keeps what a source that is out of reach at the agent's start had reported, such as a drain.
+// savedState is the content of the state file. It preserves the reports, such as a drain, of a source that is unreachable when the agent
+// restarts.
 type savedState struct {
-	Version int64          `json:"version"` // of the list that was served
+	Version int64          `json:"version"` // version of the served list
 	Merged  merge.Snapshot `json:"known"`
 }
 
-// loadState reads a state file. One that does not exist is an empty state.
+// loadState reads a state file. If the file does not exist, the state is empty.
 func loadState(path string) (savedState, error) {
 	var state savedState
 	text, err := os.ReadFile(path)
@@ -35,14 +36,15 @@
 	return state, nil
 }
 
-// writePauseFactor is how many times as long as a write took the writer pauses after it: a long list is written less often.
+// writePauseFactor is the ratio of the pause after a write to the duration of the write, so that a long list, which takes longer to write,
+// is written less often.
 const writePauseFactor = 20
 
-// stateWriter writes a state file. Its goroutine is run's; one other goroutine calls idle, sends on next and calls replace.
+// stateWriter writes a state file. One goroutine runs run; one other goroutine calls idle and replace and sends on next.
 type stateWriter struct {
 	path     string
-	next     chan savedState // of one place: what is to be written next
-	pausing  atomic.Bool     // a write is under way, or the pause after it
+	next     chan savedState // capacity 1: the state to write next
+	pausing  atomic.Bool     // a write or the pause after it is in progress
 	logError func(err error)
 }
 
@@ -50,10 +52,10 @@
 	return &stateWriter{path: path, next: make(chan savedState, 1), logError: logError}
 }
 
-// idle reports whether a state that is sent on next now would be written at once.
+// idle reports whether a state sent on next would be written immediately.
 func (w *stateWriter) idle() bool { return !w.pausing.Load() && len(w.next) == 0 }
 
-// replace puts a state in the place of one that waits.
+// replace sends a state on next, in place of one that is still queued.
 func (w *stateWriter) replace(state savedState) {
 	select {
 	case <-w.next:
@@ -62,7 +64,7 @@
 	w.next <- state
 }
 
-// run writes states until end is closed, and then the one that waits.
+// run writes queued states until end is closed; then it writes the last queued state, if any, and returns.
 func (w *stateWriter) run(end <-chan struct{}) {
 	for {
 		select {
@@ -92,7 +94,8 @@
 	}
 }
 
-// writeState replaces a state file in one step: whenever the process is killed, the file is the old one or the new one.
+// writeState replaces a state file atomically, by renaming a synced temporary file: if the process is killed at any point, the file has
+// either the old or the new content.
 func writeState(path string, state savedState) error {
 	text, err := json.Marshal(state)
 	if err != nil {
--- a/internal/membership/agent/status.go
+++ b/internal/membership/agent/status.go
@@ -8,19 +8,20 @@
 	"eiderspread/internal/membership/merge"
 )
 
-// maxAgeS stands, in s, for the age of a source that has never reported anything: infinity has no JSON form.
+// maxAgeS is the upper bound, in s, of reported source ages. It replaces the infinite age of a source that has never reported anything,
+// which JSON can't encode.
 const maxAgeS = 1e9
 
 func finiteAge(ageS float64) float64 { return min(ageS, maxAgeS) }
 
-// Status is an agent's status page.
+// Status is the content of an agent's status page.
 type Status struct {
 	Etcd    etcdsource.Status    `json:"etcd"`
 	Sources []merge.SourceStatus `json:"sources"`
 	Nodes   []NodeStatus         `json:"nodes"`
 }
 
-// NodeStatus is one node of the merged list, and the reason for its state.
+// NodeStatus is a node of the merged list on the status page, with the reason for its state.
 type NodeStatus struct {
 	ID     string `json:"ID"`
 	Addr   string `json:"Addr"`
@@ -28,7 +29,7 @@
 	Reason string `json:"Why"`
 }
 
-// serveStatus answers with the status as JSON.
+// serveStatus responds with the Status as JSON. The loop computes it.
 func (a *Agent) serveStatus(w http.ResponseWriter, r *http.Request) {
 	statuses := make(chan Status, 1)
 	a.post(func(float64) { statuses <- a.status() })
@@ -43,7 +44,7 @@
 	}
 }
 
-// status is of the loop.
+// status returns the current status. Only the loop may call it.
 func (a *Agent) status() Status {
 	status := Status{Etcd: a.etcd.Status(), Sources: a.merger.SourceStatuses()}
 	for i := range status.Sources {
@@ -55,7 +56,8 @@
 	return status
 }
 
-// maxSourceAge is for how long the source that has been silent the longest is, in s.
+// maxSourceAge returns the time, in s, since the last report of the source that has been silent longest, at most
+// maxAgeS.
 func (a *Agent) maxSourceAge() float64 {
 	age := 0.0
 	for _, s := range a.merger.SourceStatuses() {
--- a/internal/membership/merge/bench_test.go
+++ b/internal/membership/merge/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkMerger_Update is one node that changes among 10,000 that two sources list.
+// BenchmarkMerger_Update measures the update of one node among 10,000 that two sources list.
 func BenchmarkMerger_Update(b *testing.B) {
 	m := newTestMerger()
 	var list []Node
--- a/internal/membership/merge/merge.go
+++ b/internal/membership/merge/merge.go
@@ -1,12 +1,13 @@
-// Package merge joins what several sources report of backends into one endpoint list, by rules that say how far each source can be trusted:
+// Package merge combines the reports of several sources on backends into one endpoint list. Five rules state how far a source is trusted:
 //
-//  1. The strictest report wins, a stale source's too: removed before draining before up.
-//  2. Only a current source's report brings a node into the list.
-//  3. A stale source takes back nothing: its milder reports count once it is current again.
+//  1. The strictest report wins, also if its source is stale: removed over draining over up.
+//  2. Only the report of a current source adds a node to the list.
+//  3. A stale source does not relax an earlier report: its less strict reports apply once the source is current again.
 //  4. A node that only stale sources know gets no new work after Config.OrphanAfterS, unless all sources are stale.
-//  5. A node that keeps coming back waits ever longer before it is up again.
+//  5. A flapping node waits before it is up again, with a delay that doubles at each return up to Config.MaxFlapDelayS.
 //
-// The reasons for them are in docs/membership.md. The package does no I/O. Times are Unix seconds, given with each call, that never go back.
+// docs/membership.md explains the reasons for the rules. The package does no I/O. The caller passes the current time to each call, in Unix
+// seconds; it must not go back.
 package merge
 
 import (
@@ -15,27 +16,28 @@
 	"slices"
 )
 
-// State is the state of a node, the stricter the greater. Its values are stored in agents' state files.
+// State is the state of a node. A stricter state has a greater value. The values are stored in agents' state files.
 type State int
 
 // The states.
 const (
 	Up       State = iota // may get new work
 	Draining              // gets no new work
-	Removed               // is gone
+	Removed               // no longer exists
 )
 
-// String is the state's name, for status pages and logs.
+// String returns the state's name, for status pages and logs.
 func (s State) String() string { return [...]string{"up", "draining", "gone"}[s] }
 
-// Identity tells nodes apart: a backend that was restarted, a new one at an old address, an old ID at a new address.
+// Identity distinguishes nodes that share an ID or an address: a restarted backend, a new backend at an old address, an old ID at a new
+// address.
 type Identity struct {
 	ID        string `json:"ID"`
-	Addr      string `json:"Addr"`      // of a report, empty: it is on the ID alone, whatever is behind it
-	StartedMS int64  `json:"StartedMS"` // Unix time in ms; 0: not known, which matches every start
+	Addr      string `json:"Addr"`      // empty in a report: it applies to any node with the ID
+	StartedMS int64  `json:"StartedMS"` // Unix time in ms; 0: unknown, matches any start time
 }
 
-// Node is what a source reports of a node, or what holds by all of them.
+// Node is a source's report about a node, or a node of the merged list.
 type Node struct {
 	Identity
 	State  State   `json:"State"`
@@ -44,41 +46,41 @@
 	Weight float64 `json:"Weight"`
 }
 
-// Entry is one node of the merged list, and the reason for its state.
+// Entry is a node of the merged list, with the reason for its state.
 type Entry struct {
 	Node
 	Reason string
 }
 
-// Config says how far sources are trusted. Times are in s.
+// Config holds the parameters of the merge rules. All times are in seconds.
 type Config struct {
-	StaleAfterS   map[string]float64 // by source's name: silent for so long it is stale
-	OrphanAfterS  float64            // rule 4
-	FlapWindowS   float64            // rule 5: returns within this time of each other count as flapping
-	MaxFlapDelayS float64            // rule 5: the longest wait before a return
+	StaleAfterS   map[string]float64 // by source name: a source becomes stale after this silence
+	OrphanAfterS  float64            // rule 4: time until an orphaned node drains
+	FlapWindowS   float64            // rule 5: returns within this time of each other are flapping
+	MaxFlapDelayS float64            // rule 5: upper bound of the delay before a return
 }
 
-// sweepIntervalS is how often removed nodes are looked through for those to forget.
+// sweepIntervalS is the time, in s, between two searches for removed nodes that can be deleted.
 const sweepIntervalS = 1
 
-// Merger joins sources. It belongs to one goroutine.
+// Merger merges the reports of all sources. It is not safe for concurrent use.
 type Merger struct {
 	cfg           Config
 	now           float64
 	sources       map[string]*source
-	byName        []*source         // all of them, in the order of their names
-	entries       map[string]*entry // by ID; removed ones until they are forgotten
-	nextRecheckAt float64           // when time alone may change a node's state
+	sortedSources []*source         // by name
+	entries       map[string]*entry // by ID; removed nodes stay until forgetRemoved deletes them
+	nextRecheckAt float64           // next time at which a node's state may change without a report
 	nextSweepAt   float64
 }
 
-// NewMerger returns a merger with the sources of cfg.StaleAfterS, none of which has reported. known is an earlier list; its nodes keep their
-// state while no source is current.
+// NewMerger returns a merger for the sources named in cfg.StaleAfterS, without any reports. known is a list from an earlier run; its nodes
+// keep their state while no source is current.
 func NewMerger(cfg Config, now float64, known []Node) *Merger {
 	m := &Merger{cfg: cfg, now: now, sources: map[string]*source{}, entries: map[string]*entry{}}
 	for _, name := range slices.Sorted(maps.Keys(cfg.StaleAfterS)) {
 		s := newSource(name)
-		m.sources[name], m.byName = s, append(m.byName, s)
+		m.sources[name], m.sortedSources = s, append(m.sortedSources, s)
 	}
 	for _, n := range known {
 		if n.State != Removed {
@@ -88,8 +90,8 @@
 	return m
 }
 
-// ReplaceAll takes in all that the named source lists, at one revision, after which the source is current. A node that it reported before
-// and does not list is removed. It returns the entries that changed, as the other events do.
+// ReplaceAll applies a full list of the named source, read at one revision, and marks the source current. A node that the source reported
+// before and that is not in the list is removed by this source. Like the other event methods, it returns the entries that changed.
 func (m *Merger) ReplaceAll(now float64, name string, nodes []Node) []Entry {
 	m.now = max(m.now, now)
 	s := m.sources[name]
@@ -110,8 +112,8 @@
 	return m.mergeAll()
 }
 
-// Update takes in what changed in the named source at one revision, behind all that it reported before. Of a source that isn't current,
-// reports that take something back are deferred (rule 3), and it stays as it is.
+// Update applies the changes of one revision of the named source, which follows all revisions that it reported before. If the source is not
+// current, reports that relax an earlier report are deferred (rule 3), and the source does not become current.
 func (m *Merger) Update(now float64, name string, nodes []Node) []Entry {
 	m.now = max(m.now, now)
 	s := m.sources[name]
@@ -132,7 +134,8 @@
 	return m.mergeNodes(slices.Compact(ids))
 }
 
-// MarkResumed notes that the named source has reported everything up to now, without a gap. It is current then, if it ever listed all.
+// MarkResumed records that the named source has reported all changes up to now, without a gap. The source becomes current and its deferred
+// reports are applied, unless it has never sent a full list.
 func (m *Merger) MarkResumed(now float64, name string) []Entry {
 	m.now = max(m.now, now)
 	s := m.sources[name]
@@ -146,24 +149,24 @@
 	}
 	clear(s.deferred)
 	if before == sourceCurrent {
-		return nil // Update has returned what changed
+		return nil // Update has already returned the changes
 	}
 	return m.mergeAll()
 }
 
-// MarkInterrupted makes the named source stale at once, as Tick does after a silence of more than its StaleAfterS. The agent does not call it
-// for an interrupted watch: most interruptions are shorter than that. Tests call it for a source that is stale at a given time.
+// MarkInterrupted marks the named source stale at once, as Tick does after a silence of more than its StaleAfterS. The agent does not call
+// it for an interrupted watch, because most interruptions are shorter than that. Tests call it to make a source stale at a given time.
 func (m *Merger) MarkInterrupted(now float64, name string) []Entry {
 	m.now = max(m.now, now)
 	m.markStale(m.sources[name])
 	return m.mergeAll()
 }
 
-// Tick finds sources that became stale by silence and nodes whose state changes by time; call it a few times a second.
+// Tick marks silent sources stale and applies state changes that are due by time. Call it a few times a second.
 func (m *Merger) Tick(now float64) []Entry {
 	m.now = max(m.now, now)
 	anyStale := false
-	for _, s := range m.byName {
+	for _, s := range m.sortedSources {
 		if s.state == sourceCurrent && m.now > s.lastHeardAt+m.cfg.StaleAfterS[s.name] {
 			m.markStale(s)
 			anyStale = true
@@ -180,7 +183,7 @@
 	return changed
 }
 
-// Entries is the merged list, by ID, without removed nodes.
+// Entries returns the merged list sorted by ID, without removed nodes.
 func (m *Merger) Entries() []Entry {
 	var list []Entry
 	for _, id := range slices.Sorted(maps.Keys(m.entries)) {
@@ -194,38 +197,38 @@
 // IsCurrent reports whether the named source is current.
 func (m *Merger) IsCurrent(name string) bool { return m.sources[name].state == sourceCurrent }
 
-// SourceStatus is a source's part of a status page.
+// SourceStatus is the status of one source on the status page.
 type SourceStatus struct {
 	Name    string  `json:"Name"`
 	Current bool    `json:"Current"`
-	AgeS    float64 `json:"AgeS"`  // since it last reported anything; infinite if it never did
-	Reports int     `json:"Words"` // nodes that it has reported, removed ones included
+	AgeS    float64 `json:"AgeS"`  // time in s since its last report or progress while current; +Inf if none
+	Reports int     `json:"Words"` // number of nodes that it has reported, removed ones included
 }
 
-// SourceStatuses lists the sources by name.
+// SourceStatuses returns the status of each source, sorted by name.
 func (m *Merger) SourceStatuses() []SourceStatus {
 	var list []SourceStatus
-	for _, s := range m.byName {
+	for _, s := range m.sortedSources {
 		list = append(list, SourceStatus{s.name, s.state == sourceCurrent, max(m.now-s.lastHeardAt, 0), len(s.reports)})
 	}
 	return list
 }
 
-// anyCurrent reports whether some source is current.
+// anyCurrent reports whether at least one source is current.
 func (m *Merger) anyCurrent() bool {
-	return slices.ContainsFunc(m.byName, func(s *source) bool { return s.state == sourceCurrent })
+	return slices.ContainsFunc(m.sortedSources, func(s *source) bool { return s.state == sourceCurrent })
 }
 
-// recheckAt has all nodes merged anew at the given time, or earlier.
-func (m *Merger) recheckAt(at float64) { m.nextRecheckAt = min(m.nextRecheckAt, at) }
+// scheduleRecheck makes Tick merge all nodes again at the given time, unless an earlier recheck is scheduled.
+func (m *Merger) scheduleRecheck(at float64) { m.nextRecheckAt = min(m.nextRecheckAt, at) }
 
-// mergeAll applies the rules to every node and returns what changed, removed nodes included.
+// mergeAll applies the rules to every node and returns the changed entries, including removed nodes.
 func (m *Merger) mergeAll() []Entry {
 	ids := map[string]bool{}
 	for id := range m.entries {
 		ids[id] = true
 	}
-	for _, s := range m.byName {
+	for _, s := range m.sortedSources {
 		for id, n := range s.reports {
 			if n.State != Removed {
 				ids[id] = true
@@ -236,7 +239,7 @@
 	return m.mergeNodes(slices.Sorted(maps.Keys(ids)))
 }
 
-// mergeNodes applies the rules to some nodes, in their order, and returns what changed.
+// mergeNodes applies the rules to the given nodes, in order, and returns the changed entries.
 func (m *Merger) mergeNodes(ids []string) []Entry {
 	var changed []Entry
 	anyCurrent := m.anyCurrent()
--- a/internal/membership/merge/merge_test.go
+++ b/internal/membership/merge/merge_test.go
@@ -15,7 +15,7 @@
 	return Node{Identity: Identity{id, "127.0.0.1:" + id, started}, State: state}
 }
 
-// describe words the list as "id state start", by id.
+// describe formats the merged list as "id state start", sorted by ID.
 func describe(m *Merger) string {
 	var list []string
 	for _, e := range m.Entries() {
@@ -24,16 +24,16 @@
 	return strings.Join(list, ", ")
 }
 
-// Guards the numbers of states in agents' state files.
+// Guards the state values that agents store in their state files: a changed number would misread the files of earlier versions.
 func TestState_StoredNumbers(t *testing.T) {
 	for state, name := range []string{"up", "draining", "gone"} {
 		if got := State(state).String(); got != name {
-			t.Errorf("state %d is %s, want %s", state, got, name)
+			t.Errorf("state %d is %q, want %q", state, got, name)
 		}
 	}
 }
 
-// Guards the rules one by one: each line takes a step and says what stands then.
+// Guards the merge rules one by one: each step applies one event and states the expected list.
 func TestMerger_Rules(t *testing.T) {
 	mark := func(id string, s State) Node { return Node{Identity: Identity{ID: id}, State: s} }
 	one := func(s State) []Node { return []Node{node("1", 0, s)} }
@@ -41,99 +41,99 @@
 		do   func(m *Merger)
 		want string
 	}
-	whole := func(at float64, src string, n ...Node) func(*Merger) {
+	replaceAll := func(at float64, src string, n ...Node) func(*Merger) {
 		return func(m *Merger) { m.ReplaceAll(at, src, n) }
 	}
-	change := func(at float64, src string, n ...Node) func(*Merger) { return func(m *Merger) { m.Update(at, src, n) } }
+	update := func(at float64, src string, n ...Node) func(*Merger) { return func(m *Merger) { m.Update(at, src, n) } }
 	tick := func(at float64) func(*Merger) { return func(m *Merger) { m.Tick(at) } }
 	resumed := func(at float64, src string) func(*Merger) { return func(m *Merger) { m.MarkResumed(at, src) } }
-	broken := func(at float64, src string) func(*Merger) { return func(m *Merger) { m.MarkInterrupted(at, src) } }
+	interrupted := func(at float64, src string) func(*Merger) { return func(m *Merger) { m.MarkInterrupted(at, src) } }
 	for name, steps := range map[string][]step{
-		"the stricter word wins": {
-			{whole(100, "etcd", one(Up)...), "1 up 0"},
-			{whole(100, "roster", one(Draining)...), "1 draining 0"},
-			{change(101, "etcd", one(Up)...), "1 draining 0"},
-			{change(101, "roster", one(Up)...), "1 up 0"},
-			{change(102, "etcd", Node{Identity: Identity{ID: "1"}, State: Removed}), ""},
-			{change(103, "roster", one(Up)...), ""},
+		"the stricter report wins": {
+			{replaceAll(100, "etcd", one(Up)...), "1 up 0"},
+			{replaceAll(100, "roster", one(Draining)...), "1 draining 0"},
+			{update(101, "etcd", one(Up)...), "1 draining 0"},
+			{update(101, "roster", one(Up)...), "1 up 0"},
+			{update(102, "etcd", Node{Identity: Identity{ID: "1"}, State: Removed}), ""},
+			{update(103, "roster", one(Up)...), ""},
 		},
-		"a stale source takes out, and brings nothing in or back": {
-			{whole(100, "roster", one(Up)...), "1 up 0"},
-			{whole(100, "etcd", one(Up)...), "1 up 0"},
-			{broken(100.5, "etcd"), "1 up 0"},
-			{change(101, "etcd", node("2", 0, Up)), "1 up 0"},
-			{change(101, "etcd", one(Draining)...), "1 draining 0"},
-			{change(101, "etcd", one(Up)...), "1 draining 0"},
-			{resumed(101, "etcd"), "1 up 0, 2 up 0"}, // it had no gap after all
-			{broken(101.1, "etcd"), "1 up 0, 2 up 0"},
-			{change(101.2, "etcd", one(Draining)...), "1 draining 0, 2 up 0"},
-			{whole(102, "etcd", node("1", 0, Up), node("2", 0, Up)), "1 draining 0, 2 up 0"}, // its second return waits
+		"a stale source removes and drains, but neither adds nor relaxes": {
+			{replaceAll(100, "roster", one(Up)...), "1 up 0"},
+			{replaceAll(100, "etcd", one(Up)...), "1 up 0"},
+			{interrupted(100.5, "etcd"), "1 up 0"},
+			{update(101, "etcd", node("2", 0, Up)), "1 up 0"},
+			{update(101, "etcd", one(Draining)...), "1 draining 0"},
+			{update(101, "etcd", one(Up)...), "1 draining 0"},
+			{resumed(101, "etcd"), "1 up 0, 2 up 0"}, // the watch resumed without a gap
+			{interrupted(101.1, "etcd"), "1 up 0, 2 up 0"},
+			{update(101.2, "etcd", one(Draining)...), "1 draining 0, 2 up 0"},
+			{replaceAll(102, "etcd", node("1", 0, Up), node("2", 0, Up)), "1 draining 0, 2 up 0"}, // the second return is delayed
 			{tick(102.3), "1 up 0, 2 up 0"},
 		},
-		"marks on an id alone": {
-			{whole(100, "roster", one(Up)...), "1 up 0"},
-			{whole(100, "etcd", mark("1", Draining)), "1 draining 0"},
-			{whole(100.1, "etcd"), "1 up 0"}, // taken back, which is not gone
-			{change(100.2, "etcd", one(Up)...), "1 up 0"},
-			{change(100.3, "etcd", one(Draining)...), "1 draining 0"},
-			{change(100.4, "etcd", mark("1", Removed)), ""}, // the node is deleted, the mark stands
-			{change(100.5, "etcd", mark("1", Up)), ""},      // the mark is taken back, the node is deleted still
-			{whole(100.6, "etcd", mark("1", Draining)), ""},
-			{whole(100.7, "etcd"), ""},
-			{change(100.8, "etcd", Node{Identity: Identity{"1", "127.0.0.1:1", 9}, State: Up}), "1 up 9"},
-			{change(100.9, "etcd", mark("1", Draining)), "1 draining 9"},
-			{change(101, "etcd", Node{Identity: Identity{"1", "127.0.0.1:1", 10}, State: Up}), "1 up 10"},
+		"drain marks on an ID": {
+			{replaceAll(100, "roster", one(Up)...), "1 up 0"},
+			{replaceAll(100, "etcd", mark("1", Draining)), "1 draining 0"},
+			{replaceAll(100.1, "etcd"), "1 up 0"}, // the mark is removed, the node is not
+			{update(100.2, "etcd", one(Up)...), "1 up 0"},
+			{update(100.3, "etcd", one(Draining)...), "1 draining 0"},
+			{update(100.4, "etcd", mark("1", Removed)), ""}, // the node is deleted, the mark stays
+			{update(100.5, "etcd", mark("1", Up)), ""},      // the mark is removed, the node stays deleted
+			{replaceAll(100.6, "etcd", mark("1", Draining)), ""},
+			{replaceAll(100.7, "etcd"), ""},
+			{update(100.8, "etcd", Node{Identity: Identity{"1", "127.0.0.1:1", 9}, State: Up}), "1 up 9"},
+			{update(100.9, "etcd", mark("1", Draining)), "1 draining 9"},
+			{update(101, "etcd", Node{Identity: Identity{"1", "127.0.0.1:1", 10}, State: Up}), "1 up 10"},
 		},
-		"a stale source's marks": {
-			{whole(100, "roster", node("1", 0, Up), node("2", 0, Up)), "1 up 0, 2 up 0"},
-			{whole(100, "etcd", mark("1", Draining)), "1 draining 0, 2 up 0"},
-			{broken(100.1, "etcd"), "1 draining 0, 2 up 0"},
-			{change(100.2, "etcd", mark("1", Up), mark("2", Draining)), "1 draining 0, 2 draining 0"},
+		"drain marks of a stale source": {
+			{replaceAll(100, "roster", node("1", 0, Up), node("2", 0, Up)), "1 up 0, 2 up 0"},
+			{replaceAll(100, "etcd", mark("1", Draining)), "1 draining 0, 2 up 0"},
+			{interrupted(100.1, "etcd"), "1 draining 0, 2 up 0"},
+			{update(100.2, "etcd", mark("1", Up), mark("2", Draining)), "1 draining 0, 2 draining 0"},
 			{resumed(100.3, "etcd"), "1 up 0, 2 draining 0"},
 		},
-		"silence makes stale": {
-			{whole(100, "etcd", one(Up)...), "1 up 0"},
+		"a silent source becomes stale": {
+			{replaceAll(100, "etcd", one(Up)...), "1 up 0"},
 			{tick(100.9), "1 up 0"},
 			{tick(101.1), "1 up 0"},
-			{change(101.2, "etcd", node("2", 0, Up)), "1 up 0"},
+			{update(101.2, "etcd", node("2", 0, Up)), "1 up 0"},
 			{resumed(101.3, "etcd"), "1 up 0, 2 up 0"},
-			{broken(101.35, "etcd"), "1 up 0, 2 up 0"},
-			{whole(101.4, "etcd", node("2", 0, Up)), "2 up 0"}, // what vanished in the gap goes
+			{interrupted(101.35, "etcd"), "1 up 0, 2 up 0"},
+			{replaceAll(101.4, "etcd", node("2", 0, Up)), "2 up 0"}, // node 1 was deleted during the gap
 		},
-		"progress keeps current": {
-			{whole(100, "etcd", one(Up)...), "1 up 0"},
+		"progress keeps a source current": {
+			{replaceAll(100, "etcd", one(Up)...), "1 up 0"},
 			{func(m *Merger) { m.MarkResumed(100.9, "etcd") }, "1 up 0"},
 			{tick(101.8), "1 up 0"},
-			{change(101.85, "etcd", node("2", 0, Up)), "1 up 0, 2 up 0"},
+			{update(101.85, "etcd", node("2", 0, Up)), "1 up 0, 2 up 0"},
 		},
-		"starts and addresses tell nodes apart": {
-			{whole(100, "etcd", node("1", 50, Draining)), "1 draining 50"},
-			{whole(100, "roster", node("1", 60, Up)), "1 up 60"}, // started anew: the old word is not on it
-			{change(100.1, "etcd", node("1", 50, Draining)), "1 up 60"},
-			{change(100.2, "etcd", node("1", 60, Draining)), "1 draining 60"},
-			{change(100.3, "roster", Node{Identity: Identity{"1", "127.0.0.1:9", 70}, State: Up}), "1 up 70"},
+		"start times and addresses distinguish nodes": {
+			{replaceAll(100, "etcd", node("1", 50, Draining)), "1 draining 50"},
+			{replaceAll(100, "roster", node("1", 60, Up)), "1 up 60"}, // restarted: the report on the earlier start does not apply
+			{update(100.1, "etcd", node("1", 50, Draining)), "1 up 60"},
+			{update(100.2, "etcd", node("1", 60, Draining)), "1 draining 60"},
+			{update(100.3, "roster", Node{Identity: Identity{"1", "127.0.0.1:9", 70}, State: Up}), "1 up 70"},
 		},
-		"a node that no current source knows": {
-			{whole(100, "roster", one(Up)...), "1 up 0"},
-			{tick(120), "1 up 0"}, // all are stale: what is known stays
-			{whole(120, "etcd", node("2", 0, Up)), "1 up 0, 2 up 0"},
+		"a node that only a stale source knows drains": {
+			{replaceAll(100, "roster", one(Up)...), "1 up 0"},
+			{tick(120), "1 up 0"}, // all sources are stale: the list stays
+			{replaceAll(120, "etcd", node("2", 0, Up)), "1 up 0, 2 up 0"},
 			{func(m *Merger) {
 				for at := 120.5; at < 131; at += 0.5 {
 					m.MarkResumed(at, "etcd")
 					m.Tick(at)
 				}
 			}, "1 draining 0, 2 up 0"},
-			{whole(132, "roster", one(Up)...), "1 up 0, 2 up 0"},
+			{replaceAll(132, "roster", one(Up)...), "1 up 0, 2 up 0"},
 		},
 		"flapping": {
-			{whole(100, "etcd", one(Up)...), "1 up 0"},
-			{change(100.1, "etcd", one(Draining)...), "1 draining 0"},
-			{change(100.2, "etcd", one(Up)...), "1 up 0"}, // once is none
-			{change(100.3, "etcd", one(Draining)...), "1 draining 0"},
-			{change(100.4, "etcd", one(Up)...), "1 draining 0"},
+			{replaceAll(100, "etcd", one(Up)...), "1 up 0"},
+			{update(100.1, "etcd", one(Draining)...), "1 draining 0"},
+			{update(100.2, "etcd", one(Up)...), "1 up 0"}, // a single return is not flapping
+			{update(100.3, "etcd", one(Draining)...), "1 draining 0"},
+			{update(100.4, "etcd", one(Up)...), "1 draining 0"},
 			{tick(101.2), "1 draining 0"},
 			{func(m *Merger) { m.MarkResumed(101.25, "etcd"); m.Tick(101.4) }, "1 up 0"},
-			{change(101.5, "etcd", one(Draining)...), "1 draining 0"},
+			{update(101.5, "etcd", one(Draining)...), "1 draining 0"},
 			{func(m *Merger) { m.Update(101.6, "etcd", one(Up)); m.MarkResumed(102.5, "etcd"); m.Tick(103.4) }, "1 draining 0"},
 			{func(m *Merger) { m.MarkResumed(103.45, "etcd"); m.Tick(103.6) }, "1 up 0"},
 		},
@@ -141,43 +141,44 @@
 		t.Run(name, func(t *testing.T) {
 			m := newTestMerger()
 			if strings.Contains(name, "marks") {
-				m.cfg.FlapWindowS = 0 // not what these are about
+				m.cfg.FlapWindowS = 0 // these cases do not test flapping
 			}
 			for i, s := range steps {
 				s.do(m)
 				if got := describe(m); got != s.want {
-					t.Fatalf("step %d: %q, want %q", i, got, s.want)
+					t.Fatalf("step %d: list is %q, want %q", i, got, s.want)
 				}
 			}
 		})
 	}
 	m := newTestMerger(node("k", 0, Up))
 	if m.Tick(1000); describe(m) != "k up 0" {
-		t.Errorf("what is known stays while no source is current: %q", describe(m))
+		t.Errorf("list without a current source is %q, want the known list %q", describe(m), "k up 0")
 	}
 }
 
-// Guards the invariant at each step of random sequences: no node is up against any source's strict word, and none comes
-// in or back but by a current source's word.
+// Guards the invariant at each step of random sequences: no node is up while any source reports a stricter state, and a node becomes up
+// only by the report of a current source.
 func TestMerger_NoNewWorkOnStaleOrStricterReport(t *testing.T) {
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		m := newTestMerger(node("0", 0, Up))
 		now := 100.0
-		type oracle struct {
-			current bool
-			heard   float64
-			words   map[string]Node
-			pending map[string]Node
-			read    bool
+		type modelSource struct {
+			current     bool
+			lastHeardAt float64
+			reports     map[string]Node
+			deferred    map[string]Node
+			synced      bool // has sent a full list
 		}
-		src := map[string]*oracle{"etcd": {words: map[string]Node{}, pending: map[string]Node{}}, "roster": {words: map[string]Node{}, pending: map[string]Node{}}}
-		stale := map[string]float64{"etcd": 1, "roster": 5}
-		was := map[string]Entry{"0": {Node: node("0", 0, Up)}}
+		sources := map[string]*modelSource{"etcd": {reports: map[string]Node{}, deferred: map[string]Node{}},
+			"roster": {reports: map[string]Node{}, deferred: map[string]Node{}}}
+		staleAfterS := map[string]float64{"etcd": 1, "roster": 5}
+		previous := map[string]Entry{"0": {Node: node("0", 0, Up)}}
 		for step := range 300 {
 			now += rng.ExpFloat64() * 0.3
 			name := []string{"etcd", "roster"}[rng.IntN(2)]
-			o := src[name]
+			model := sources[name]
 			draw := func() Node {
 				n := node(fmt.Sprint(rng.IntN(4)), int64(rng.IntN(3))*10, State(rng.IntN(3)))
 				if rng.IntN(8) == 0 {
@@ -195,60 +196,60 @@
 						list = append(list, n)
 					}
 				}
-				for id, report := range o.words {
+				for id, report := range model.reports {
 					if !seen[id] {
 						report.State = Removed
-						o.words[id] = report
+						model.reports[id] = report
 					}
 				}
 				for _, n := range list {
-					o.words[n.ID] = n
+					model.reports[n.ID] = n
 				}
-				o.current, o.read, o.heard = true, true, now
-				clear(o.pending)
+				model.current, model.synced, model.lastHeardAt = true, true, now
+				clear(model.deferred)
 				m.ReplaceAll(now, name, list)
 			case 1, 2, 3:
 				n := draw()
-				if report, ok := o.words[n.ID]; !ok || o.current || n.State >= report.State || !sameNode(report.Identity, n.Identity) {
-					o.words[n.ID] = n
-					delete(o.pending, n.ID)
+				if report, ok := model.reports[n.ID]; !ok || model.current || n.State >= report.State || !sameNode(report.Identity, n.Identity) {
+					model.reports[n.ID] = n
+					delete(model.deferred, n.ID)
 				} else {
-					o.pending[n.ID] = n
+					model.deferred[n.ID] = n
 				}
-				if o.current {
-					o.heard = now
+				if model.current {
+					model.lastHeardAt = now
 				}
 				m.Update(now, name, []Node{n})
 			case 4:
-				o.current = false
+				model.current = false
 				m.MarkInterrupted(now, name)
 			case 6:
-				if o.read {
-					o.current, o.heard = true, now
-					for id, n := range o.pending {
-						o.words[id] = n
+				if model.synced {
+					model.current, model.lastHeardAt = true, now
+					for id, n := range model.deferred {
+						model.reports[id] = n
 					}
-					clear(o.pending)
+					clear(model.deferred)
 				}
 				m.MarkResumed(now, name)
 			case 5:
-				for name, o := range src {
-					if o.current && now > o.heard+stale[name] {
-						o.current = false
+				for name, model := range sources {
+					if model.current && now > model.lastHeardAt+staleAfterS[name] {
+						model.current = false
 					}
 				}
 				m.Tick(now)
-				for name, o := range src { // what went everywhere is forgotten, and nothing else
-					for id, report := range o.words {
+				for name, model := range sources { // only reports on nodes that no source lists are forgotten
+					for id, report := range model.reports {
 						if _, kept := m.sources[name].reports[id]; kept {
 							continue
 						}
-						for other, p := range src {
-							if v, ok := p.words[id]; ok && v.State != Removed {
-								t.Fatalf("seed %d step %d: %s forgets %v of %s while %s lists it", seed, step, name, report, id, other)
+						for other, otherModel := range sources {
+							if v, ok := otherModel.reports[id]; ok && v.State != Removed {
+								t.Fatalf("seed %d step %d: %s forgot report %v on node %s, which %s lists", seed, step, name, report, id, other)
 							}
 						}
-						delete(o.words, id)
+						delete(model.reports, id)
 					}
 				}
 			}
@@ -259,26 +260,26 @@
 					continue
 				}
 				byCurrent := false
-				for name, o := range src {
-					report, ok := o.words[e.ID]
+				for name, model := range sources {
+					report, ok := model.reports[e.ID]
 					if !ok || !sameNode(report.Identity, e.Identity) {
 						continue
 					}
 					if report.State != Up {
-						t.Fatalf("seed %d step %d: %s is up, but %s by %s (%s)", seed, step, e.ID, report.State, name, e.Reason)
+						t.Fatalf("seed %d step %d: node %s is up, but is reported %s by %s (reason %q)", seed, step, e.ID, report.State, name, e.Reason)
 					}
-					byCurrent = byCurrent || o.current
+					byCurrent = byCurrent || model.current
 				}
-				if old, ok := was[e.ID]; (!ok || old.State != Up || old.Identity != e.Identity) && !byCurrent {
-					t.Fatalf("seed %d step %d: %s came in by no current source (%s)", seed, step, e.ID, e.Reason)
+				if old, ok := previous[e.ID]; (!ok || old.State != Up || old.Identity != e.Identity) && !byCurrent {
+					t.Fatalf("seed %d step %d: node %s became up, but no current source reports it (reason %q)", seed, step, e.ID, e.Reason)
 				}
 			}
-			was = next
+			previous = next
 		}
 	}
 }
 
-// Guards against lists that grow for ever under ids that are ever new.
+// Guards against unbounded growth: a source that lists a new ID each time must not leave entries and reports of all earlier IDs behind.
 func TestMerger_ForgetsRemovedNodes(t *testing.T) {
 	m := newTestMerger()
 	now := 100.0
@@ -288,11 +289,12 @@
 		m.Tick(now)
 	}
 	if n, w := len(m.entries), len(m.sources["etcd"].reports); n > 400 || w > 400 {
-		t.Errorf("%d nodes, %d words are kept", n, w)
+		t.Errorf("%d entries and %d reports are kept, want at most 400 each", n, w)
 	}
 }
 
-// Guards the word gone against a source that is late: it holds for a minute however short the time of flapping is.
+// Guards removals against a late report of another source: a removed node is remembered for a minute, however short FlapWindowS is, and a
+// report on it within that time does not add it again.
 func TestMerger_RemovalOutlivesLateSource(t *testing.T) {
 	m := NewMerger(Config{StaleAfterS: map[string]float64{"etcd": 100, "roster": 100}, OrphanAfterS: 100, FlapWindowS: 0.001, MaxFlapDelayS: 0.001}, 0, nil)
 	n := Node{Identity: Identity{ID: "z", Addr: "127.0.0.1:1", StartedMS: 5}}
@@ -305,13 +307,13 @@
 	}
 	n.State = Up
 	if got := m.Update(50, "roster", []Node{n}); len(got) != 0 || len(m.Entries()) != 0 {
-		t.Errorf("a late word brings it in: %+v", got)
+		t.Errorf("a late report added the removed node: changes %+v, want none", got)
 	}
 	for at := 51.0; at < 70; at++ {
 		m.Tick(at)
 	}
-	n.StartedMS = 6 // another life is another node
+	n.StartedMS = 6 // a later start is another node
 	if got := m.Update(70, "roster", []Node{n}); len(got) != 1 || got[0].State != Up {
-		t.Errorf("the next life: %+v", got)
+		t.Errorf("changes after the node's next start: %+v, want one node up", got)
 	}
 }
--- a/internal/membership/merge/rules.go
+++ b/internal/membership/merge/rules.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	firstFlapDelayS = 1.0  // wait before the second return within FlapWindowS; it doubles with each further one
-	recheckSlackS   = 1e-6 // by which a recheck comes after the moment that it waits for, so that the moment is over
+	firstFlapDelayS = 1.0  // delay of the second return within FlapWindowS; doubles at each further return
+	recheckSlackS   = 1e-6 // added to the time of a recheck, because the deadline must have passed by then
 )
 
 const (
@@ -15,31 +15,31 @@
 	reasonOrphaned    = "no current source knows it"
 )
 
-// entry is a node of the list with what the rules need of its past.
+// entry is a node of the list with the history that the rules need. Times are Unix seconds.
 type entry struct {
 	Entry
-	lastKnownAt float64 // when a current source last knew it, or all sources were stale
-	leftUpAt    float64 // when it last stopped being up, or was removed
-	returnedAt  float64 // when it was last up again
-	returnCount int     // returns within FlapWindowS of each other
-	upNotBefore float64 // it may be up again from then on
+	lastKnownAt float64 // last time that a current source reported it, or that all sources were stale
+	leftUpAt    float64 // last time that it stopped being up or was removed
+	returnedAt  float64 // last time that it returned to up
+	returnCount int     // number of returns within FlapWindowS of each other
+	upNotBefore float64 // earliest time of its next return
 }
 
-// finding is what the sources together say of a node.
-type finding struct {
-	state     State
-	reason    string
-	byCurrent bool // a current source knows the node
+// mergedReport is the strictest report of all sources on a node.
+type mergedReport struct {
+	state          State
+	reason         string
+	knownToCurrent bool // a current source has reported the node
 }
 
-// mergeNode applies the rules to one node. changed reports whether its entry is new or has another state or identity.
+// mergeNode applies the rules to one node and returns its entry. changed reports whether the entry is new or its state or identity differs.
 func (m *Merger) mergeNode(id string, anyCurrent bool) (_ Entry, changed bool) {
 	e := m.entries[id]
-	n, ok := m.identify(id, e)
+	n, ok := m.resolveNode(id, e)
 	if !ok {
 		return Entry{}, false
 	}
-	f := m.strictest(n)
+	f := m.strictestReport(n)
 	if e == nil {
 		if f.state == Removed {
 			return Entry{}, false
@@ -47,7 +47,7 @@
 		e = &entry{lastKnownAt: m.now}
 		m.entries[id] = e
 	} else {
-		f = m.withdrawOrphan(e, f, anyCurrent)
+		f = m.drainOrphan(e, f, anyCurrent)
 		if m.mayNotReturn(e, n.Identity, f) {
 			return Entry{}, false
 		}
@@ -62,8 +62,9 @@
 	return e.Entry, true
 }
 
-// identify finds which node an ID stands for now: by rule 2 the latest start that a current source lists, else the one in the list.
-func (m *Merger) identify(id string, e *entry) (n Node, ok bool) {
+// resolveNode returns the node that an ID refers to now: the one with the latest start that a current source lists (rule 2), otherwise the
+// node of the merged list. ok is false if there is neither.
+func (m *Merger) resolveNode(id string, e *entry) (n Node, ok bool) {
 	n, listed := m.latestReport(id)
 	switch {
 	case !listed && e == nil:
@@ -72,17 +73,17 @@
 		return e.Node, true
 	case e == nil:
 		return n, true
-	case !sameNode(n.Identity, e.Identity) && n.StartedMS < e.StartedMS: // of an earlier start
+	case !sameNode(n.Identity, e.Identity) && n.StartedMS < e.StartedMS: // the report is about an earlier start
 		return e.Node, true
-	case n.StartedMS == 0 && sameNode(n.Identity, e.Identity): // a report without a start is on the same node
+	case n.StartedMS == 0 && sameNode(n.Identity, e.Identity): // a report without a start time is about the same node
 		n.Identity = e.Identity
 	}
 	return n, true
 }
 
-// latestReport is the report of the latest start among those of current sources that have an address and aren't Removed.
+// latestReport returns the report with the latest start time among those of current sources that have an address and are not Removed.
 func (m *Merger) latestReport(id string) (n Node, ok bool) {
-	for _, s := range m.byName {
+	for _, s := range m.sortedSources {
 		report, has := s.reports[id]
 		if has && s.state == sourceCurrent && report.State != Removed && report.Addr != "" && (!ok || report.StartedMS > n.StartedMS) {
 			n, ok = report, true
@@ -91,16 +92,17 @@
 	return n, ok
 }
 
-// strictest is rule 1: the strictest report on a node over all sources, the first by name among equals.
-func (m *Merger) strictest(n Node) finding {
-	f := finding{state: Up}
-	for _, s := range m.byName {
+// strictestReport implements rule 1: it returns the strictest report on a node over all sources. Among equally strict reports, the one of
+// the first source by name wins. A node without any report keeps the state of n.
+func (m *Merger) strictestReport(n Node) mergedReport {
+	f := mergedReport{state: Up}
+	for _, s := range m.sortedSources {
 		report, ok := s.reportOn(n.Identity)
 		if !ok {
 			continue
 		}
 		current := s.state == sourceCurrent
-		f.byCurrent = f.byCurrent || current
+		f.knownToCurrent = f.knownToCurrent || current
 		if report.State > f.state || f.reason == "" {
 			f.state, f.reason = report.State, fmt.Sprintf("%s by %s", report.State, s.name)
 			if !current {
@@ -114,9 +116,10 @@
 	return f
 }
 
-// withdrawOrphan is rule 4.
-func (m *Merger) withdrawOrphan(e *entry, f finding, anyCurrent bool) finding {
-	if f.byCurrent || !anyCurrent {
+// drainOrphan implements rule 4: it turns up into draining for a node that no current source has reported for OrphanAfterS, while some
+// source is current.
+func (m *Merger) drainOrphan(e *entry, f mergedReport, anyCurrent bool) mergedReport {
+	if f.knownToCurrent || !anyCurrent {
 		e.lastKnownAt = m.now
 		return f
 	}
@@ -127,24 +130,25 @@
 	if m.now > orphanedAt {
 		f.state, f.reason = Draining, reasonOrphaned
 	} else {
-		m.recheckAt(orphanedAt + recheckSlackS)
+		m.scheduleRecheck(orphanedAt + recheckSlackS)
 	}
 	return f
 }
 
-// mayNotReturn reports whether a node that isn't up must stay so though it is reported up: by rule 3 for want of a current source, or by
-// rule 5 as its wait isn't over.
-func (m *Merger) mayNotReturn(e *entry, identity Identity, f finding) bool {
+// mayNotReturn reports whether a node that is not up must stay so although it is reported up: because no current source reports it (rule 3)
+// or because its flap delay has not passed (rule 5).
+func (m *Merger) mayNotReturn(e *entry, identity Identity, f mergedReport) bool {
 	if e.State == Up || f.state != Up || !sameNode(identity, e.Identity) {
 		return false
 	}
-	if f.byCurrent && m.now < e.upNotBefore {
-		m.recheckAt(e.upNotBefore)
+	if f.knownToCurrent && m.now < e.upNotBefore {
+		m.scheduleRecheck(e.upNotBefore)
 	}
-	return !f.byCurrent || m.now < e.upNotBefore
+	return !f.knownToCurrent || m.now < e.upNotBefore
 }
 
-// trackFlapping updates the times and counts of rule 5 for a node whose state is about to change.
+// trackFlapping updates the times and counts of rule 5 for a node whose state or identity is about to change. A new identity is another
+// node, so it does not count as a return.
 func (m *Merger) trackFlapping(e *entry, identity Identity, state State) {
 	if state == Removed {
 		e.leftUpAt = m.now
--- a/internal/membership/merge/source.go
+++ b/internal/membership/merge/source.go
@@ -2,38 +2,40 @@
 
 import "math"
 
-// removedRetentionS is for how long, in s, a node that no source lists any more stays known as removed: another source may be so late.
+// removedRetentionS is the minimum time, in s, for which a removed node that no source lists is remembered as removed: a report of another
+// source may arrive that late and must not bring the node back.
 const removedRetentionS = 60
 
-// sourceState says how far a source's reports are up to date.
+// sourceState states whether a source's reports are up to date.
 type sourceState int
 
 const (
-	sourceUnsynced sourceState = iota // never listed all in this process
-	sourceCurrent                     // listed all, and has reported every change since
-	sourceStale                       // was current; changes may be missing
+	sourceUnsynced sourceState = iota // has not sent a full list to this process
+	sourceCurrent                     // has sent a full list and every change since
+	sourceStale                       // was current; changes may be missing since
 )
 
-// source is what one source has reported.
+// source holds the reports of one source.
 type source struct {
 	name        string
 	state       sourceState
-	lastHeardAt float64         // while current
-	reports     map[string]Node // by ID, the last of each; a deletion is Removed
-	idReports   map[string]Node // by ID: reports without an address, on whatever is behind the ID; never Up
-	deferred    map[string]Node // by ID: reports that take something back and came while it wasn't current
+	lastHeardAt float64         // last time that it reported anything while current; -Inf: never
+	reports     map[string]Node // by ID: the last report on each node; a deletion is Removed
+	idReports   map[string]Node // by ID: reports without an address, on any node with the ID; never Up
+	deferred    map[string]Node // by ID: reports that relax an earlier one, received while the source was not current
 }
 
 func newSource(name string) *source {
 	return &source{name: name, lastHeardAt: math.Inf(-1), reports: map[string]Node{}, idReports: map[string]Node{}, deferred: map[string]Node{}}
 }
 
-// apply takes in one report. One without an address removes the node that the source listed, or is kept for the ID.
+// apply stores one report. A report without an address applies to the ID: Removed marks the node that the source listed as removed, Up
+// deletes the stored report on the ID, and any other state is stored for the ID.
 func (s *source) apply(n Node) {
 	switch {
 	case n.Addr != "":
 		s.reports[n.ID] = n
-		delete(s.idReports, n.ID) // the report holds it as well
+		delete(s.idReports, n.ID) // n already includes a drain mark on the ID
 	case n.State == Removed:
 		if report, ok := s.reports[n.ID]; ok {
 			report.State = Removed
@@ -46,14 +48,14 @@
 	}
 }
 
-// relaxes reports whether n takes back something that the source has reported.
+// relaxes reports whether n is less strict than an earlier report of the source on the same node or ID.
 func (s *source) relaxes(n Node) bool {
 	report, ok := s.reports[n.ID]
 	idReport, onID := s.idReports[n.ID]
 	return ok && n.Addr != "" && sameNode(report.Identity, n.Identity) && n.State < report.State || onID && n.State < idReport.State
 }
 
-// reportOn is the strictest report of the source that applies to a node.
+// reportOn returns the strictest report of the source that applies to a node.
 func (s *source) reportOn(n Identity) (report Node, ok bool) {
 	report, ok = s.reports[n.ID]
 	ok = ok && sameNode(report.Identity, n)
@@ -63,19 +65,19 @@
 	return report, ok
 }
 
-// lists reports whether the source has the ID, or will have it once it is current.
+// lists reports whether the source lists the ID as not removed, or has a deferred report on it other than Removed.
 func (s *source) lists(id string) bool {
 	report, ok := s.reports[id]
 	waiting, deferred := s.deferred[id]
 	return ok && report.State != Removed || deferred && waiting.State != Removed
 }
 
-// sameNode reports whether a report on a applies to b.
+// sameNode reports whether a report on a applies to b. An unknown start time matches any.
 func sameNode(a, b Identity) bool {
 	return a.ID == b.ID && (a.StartedMS == 0 || b.StartedMS == 0 || a.StartedMS == b.StartedMS) && a.Addr == b.Addr
 }
 
-// markStale marks a current source stale. What only it knows begins to age (rule 4).
+// markStale marks a current source stale. The orphan timeout (rule 4) of nodes that no other current source reports starts now.
 func (m *Merger) markStale(s *source) {
 	if s.state != sourceCurrent {
 		return
@@ -88,10 +90,11 @@
 	s.state = sourceStale
 }
 
-// forgetRemoved drops nodes that were removed long ago, and then the reports on them, unless some source lists them.
+// forgetRemoved deletes nodes that were removed more than max(FlapWindowS, removedRetentionS) ago, and then the Removed reports on nodes
+// that are not in the list, unless some source lists the ID.
 func (m *Merger) forgetRemoved() {
 	listed := func(id string) bool {
-		for _, s := range m.byName {
+		for _, s := range m.sortedSources {
 			if s.lists(id) {
 				return true
 			}
@@ -103,7 +106,7 @@
 			delete(m.entries, id)
 		}
 	}
-	for _, s := range m.byName {
+	for _, s := range m.sortedSources {
 		for id, report := range s.reports {
 			if report.State == Removed && m.entries[id] == nil && !listed(id) {
 				delete(s.reports, id)
