--- a/internal/membership/cordontable/doc.go
+++ b/internal/membership/cordontable/doc.go
@@ -1,4 +1,4 @@
-// Package cordontable keeps the backends that operators of an ingress without planners have cordoned. A Table applies the cordons to the
-// lists of discovery and returns what changes by them for the decision module; it does no I/O and has no clock. A Store keeps the cordons in
-// a file that outlives a process.
+// Package cordontable records which backends operators have cordoned at an ingress that runs without planners. A Table applies the cordons
+// to the endpoint lists of discovery and returns the changed lists for the decision module; it does no I/O and has no clock. A Store keeps
+// the cordons in a file that outlives a process.
 package cordontable
--- a/internal/membership/cordontable/store.go
+++ b/internal/membership/cordontable/store.go
@@ -16,37 +16,38 @@
 
 const (
 	fileVersion = 1
-	// lockTimeout is how long another process's lock on the file is waited for.
+	// lockTimeout bounds the wait for another process that has locked the file.
 	lockTimeout       = 400 * time.Millisecond
 	lockRetryInterval = 2 * time.Millisecond
 	maxFileBytes      = 1 << 20
-	// fileMode keeps what operators did from other users.
+	// fileMode is the mode of the lock file. The cordon file has the same mode by os.CreateTemp: other users can't see operators' actions.
 	fileMode = 0o600
 )
 
-// ErrUnusableFile is wrapped by the errors of a file that is there and that no Store has written, or not completely.
-var ErrUnusableFile = errors.New("the file can't be used")
+// ErrUnusableFile is wrapped by the errors for an existing file that no Store has written or that is incomplete.
+var ErrUnusableFile = errors.New("unusable cordon file")
 
-// fileContent is the form on disk.
+// fileContent is the JSON form of the file.
 type fileContent struct {
 	Version int             `json:"version"`
 	Sum     string          `json:"sum"` // SHA-256 of the bytes of holds, in hexadecimal
 	Cordons json.RawMessage `json:"holds"`
 }
 
-// Store keeps cordons in a file that several processes of one ingress share. The file is written beside its place and renamed, so that it is
+// Store keeps cordons in a file that several processes of one ingress share. It writes a temporary file and renames it, so the file is
 // complete whenever a process ends. The methods are safe for concurrent use, and block.
 type Store struct {
 	path     string
-	sem      chan struct{} // of one slot, held over a whole update or read: no file is taken for newer than it is
-	lastSeen os.FileInfo   // of the file that was last read or written; guarded by sem
+	sem      chan struct{} // one slot, taken for a whole update or read, so that lastSeen is never newer than the content read
+	lastSeen os.FileInfo   // file last read or written; guarded by sem
 }
 
-// NewStore returns the store at path; nothing is read yet.
+// NewStore returns a store for the file at path. It does not access the file yet.
 func NewStore(path string) *Store { return &Store{path: path, sem: make(chan struct{}, 1)} }
 
-// Update reads the cordons in the file, has apply return what they shall be, and writes that, unless apply returns an error. To apply, an
-// unusable file holds none. Update waits for other updates of this process until ctx ends, and for other processes for lockTimeout.
+// Update passes the cordons in the file to apply, and writes the cordons that apply returns, unless apply returns an error. If the file does
+// not exist or can't be used, apply gets nil. Update waits until ctx ends for other calls in this process, and up to lockTimeout for other
+// processes.
 func (s *Store) Update(ctx context.Context, apply func(Cordons) (Cordons, error)) error {
 	select {
 	case s.sem <- struct{}{}:
@@ -69,8 +70,8 @@
 	return s.write(cordons)
 }
 
-// ReadIfChanged calls apply with the cordons in the file if it has changed since this store last read or wrote it. An error is about a file
-// that can't be read or used; it is returned once for each state of the file.
+// ReadIfChanged calls apply with the cordons in the file if the file has changed since this store last read or wrote it. A missing file is
+// no change. If the content can't be read or used, ReadIfChanged returns the error once for each version of the file.
 func (s *Store) ReadIfChanged(apply func(Cordons)) error {
 	s.sem <- struct{}{}
 	defer func() { <-s.sem }()
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// lock takes the lock that the processes share.
+// lock acquires the file lock between the processes.
 func (s *Store) lock(ctx context.Context) (unlock func(), err error) {
 	f, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -117,24 +118,24 @@
 	return parseFile(text)
 }
 
-// parseFile reads the form on disk. An error wraps ErrUnusableFile or is ErrTooMany.
+// parseFile decodes and validates the content of the file. Its error wraps ErrUnusableFile or is ErrTooMany.
 func parseFile(text []byte) (Cordons, error) {
 	if len(text) > maxFileBytes {
-		return nil, fmt.Errorf("held: %w: %d bytes", ErrUnusableFile, len(text))
+		return nil, fmt.Errorf("%w: %d bytes, want at most %d", ErrUnusableFile, len(text), maxFileBytes)
 	}
 	var content fileContent
 	if err := json.Unmarshal(text, &content); err != nil {
-		return nil, fmt.Errorf("held: %w: %w", ErrUnusableFile, err)
+		return nil, fmt.Errorf("%w: %w", ErrUnusableFile, err)
 	}
 	if content.Version != fileVersion {
-		return nil, fmt.Errorf("held: %w: version %d is not known", ErrUnusableFile, content.Version)
+		return nil, fmt.Errorf("%w: version %d, want %d", ErrUnusableFile, content.Version, fileVersion)
 	}
 	if content.Sum != checksum(content.Cordons) {
-		return nil, fmt.Errorf("held: %w: the checksum differs", ErrUnusableFile)
+		return nil, fmt.Errorf("%w: content does not match checksum %q", ErrUnusableFile, content.Sum)
 	}
 	cordons := Cordons{}
 	if err := json.Unmarshal(content.Cordons, &cordons); err != nil {
-		return nil, fmt.Errorf("held: %w: %w", ErrUnusableFile, err)
+		return nil, fmt.Errorf("%w: cordons: %w", ErrUnusableFile, err)
 	}
 	if len(cordons) > MaxCordons {
 		return nil, ErrTooMany
@@ -163,7 +164,7 @@
 	return err
 }
 
-// replaceFile writes a file beside path, and renames it once it is on disk.
+// replaceFile writes and syncs a temporary file in the same directory, then renames it to path.
 func replaceFile(path string, text []byte) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
--- a/internal/membership/cordontable/table.go
+++ b/internal/membership/cordontable/table.go
@@ -8,7 +8,7 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-// MaxCordons bounds the ids of a Table.
+// MaxCordons is the maximum number of cordons in a Table, lifted ones included.
 const MaxCordons = 4096
 
 // Errors of Table.Cordon and Table.Uncordon.
@@ -17,28 +17,28 @@
 	ErrTooMany        = errors.New("too many backends are held")
 )
 
-// Cordon is what operators last did to one backend. Times are Unix times in milliseconds.
+// Cordon is the last cordon of one backend by an operator. Times are Unix times in milliseconds.
 type Cordon struct {
 	SinceMS      int64 `json:"since_ms"`          // when it was cordoned
-	UncordonedMS int64 `json:"back_ms,omitempty"` // when that was lifted; 0: it is cordoned
+	UncordonedMS int64 `json:"back_ms,omitempty"` // when the cordon was lifted; 0: it is active
 }
 
 func (c Cordon) active() bool { return c.UncordonedMS == 0 }
 
-// Cordons are all cordons by backend id.
+// Cordons maps backend IDs to their cordons.
 type Cordons map[string]Cordon
 
-// Table joins discovery's list with the cordons. It is not safe for concurrent use.
+// Table combines discovery's endpoint list with the cordons. It is not safe for concurrent use.
 type Table struct {
-	listed  map[string]discovery.Endpoint // as discovery reported them last, without those that are terminated
-	cordons Cordons                       // MaxCordons at most
-	version int64                         // of discovery's list
+	listed  map[string]discovery.Endpoint // by ID, as last reported by discovery, without terminated ones
+	cordons Cordons                       // at most MaxCordons
+	version int64                         // of discovery's last list
 }
 
-// New returns a table in which nothing is listed or cordoned.
+// New returns a table without endpoints and cordons.
 func New() *Table { return &Table{listed: map[string]discovery.Endpoint{}, cordons: Cordons{}} }
 
-// ApplyList merges discovery's list, full or only what has changed, and returns it with the cordons applied.
+// ApplyList merges a full list or a change from discovery into the table, and returns it with the cordons applied.
 func (t *Table) ApplyList(list discovery.List) discovery.List {
 	t.version = list.Version
 	if list.Full {
@@ -54,20 +54,21 @@
 		}
 		applied.Endpoints = append(applied.Endpoints, t.withCordon(endpoint))
 	}
-	t.forgetLifted()
+	t.pruneLifted()
 	return applied
 }
 
-// forgetLifted forgets lifted cordons of backends that are not listed any more, or whose start after the cordon has been reported.
-func (t *Table) forgetLifted() {
+// pruneLifted deletes the lifted cordons of backends that are no longer listed or that were reported as started after the cordon.
+func (t *Table) pruneLifted() {
 	maps.DeleteFunc(t.cordons, func(id string, cordon Cordon) bool {
 		endpoint, listed := t.listed[id]
 		return !cordon.active() && (!listed || endpoint.StartedMS > cordon.SinceMS)
 	})
 }
 
-// withCordon returns an endpoint with its cordon applied. One whose cordon was lifted may have been restarted meanwhile: it counts as
-// started at that moment until discovery reports a start after the cordon. Planners have the same rule for the backends of their modules.
+// withCordon returns an endpoint with its cordon applied. A backend whose cordon was lifted may have been restarted while it was cordoned.
+// So it counts as started when the cordon was lifted, until discovery reports a start after the cordon began. Planners apply the same rule
+// to the backends of their decision modules.
 func (t *Table) withCordon(endpoint discovery.Endpoint) discovery.Endpoint {
 	cordon, exists := t.cordons[endpoint.ID]
 	switch {
@@ -82,7 +83,7 @@
 	return endpoint
 }
 
-// Cordon cordons a backend and returns the list's change by it; that is empty if the backend is cordoned already.
+// Cordon cordons a backend and returns the resulting change of the list, which is empty if the backend is already cordoned.
 func (t *Table) Cordon(nowMS int64, id string) (discovery.List, error) {
 	cordon, exists := t.cordons[id]
 	_, listed := t.listed[id]
@@ -98,7 +99,7 @@
 	return t.changedEntries([]string{id}), nil
 }
 
-// Uncordon lifts a backend's cordon and returns the list's change by it; that is empty if the backend is not cordoned.
+// Uncordon lifts a backend's cordon and returns the resulting change of the list, which is empty if the backend is not cordoned.
 func (t *Table) Uncordon(nowMS int64, id string) (discovery.List, error) {
 	cordon, exists := t.cordons[id]
 	endpoint, listed := t.listed[id]
@@ -106,7 +107,7 @@
 	case exists && cordon.active() && listed && endpoint.StartedMS <= cordon.SinceMS:
 		t.cordons[id] = Cordon{SinceMS: cordon.SinceMS, UncordonedMS: nowMS}
 	case exists && cordon.active():
-		delete(t.cordons, id) // its start has been reported, or will be when it is listed again
+		delete(t.cordons, id) // discovery has reported its start, or will report it when it lists the backend again
 	case !listed:
 		return discovery.List{}, ErrUnknownBackend
 	default:
@@ -115,7 +116,7 @@
 	return t.changedEntries([]string{id}), nil
 }
 
-// Replace replaces all cordons by those that another process has left, and returns the list's change by it.
+// Replace replaces all cordons, by those of another process for example, and returns the resulting change of the list.
 func (t *Table) Replace(cordons Cordons) discovery.List {
 	changed := map[string]bool{}
 	for id, cordon := range t.cordons {
@@ -135,10 +136,10 @@
 	return t.changedEntries(slices.Sorted(maps.Keys(changed)))
 }
 
-// Cordons returns a copy of all cordons, lifted ones that still matter included.
+// Cordons returns a copy of all cordons, including the lifted ones that withCordon still applies.
 func (t *Table) Cordons() Cordons { return maps.Clone(t.cordons) }
 
-// Listed returns discovery's full list without the cordons.
+// Listed returns discovery's full list without the cordons applied.
 func (t *Table) Listed() discovery.List {
 	list := discovery.List{Version: t.version, Full: true}
 	for _, endpoint := range t.listed {
@@ -147,7 +148,7 @@
 	return list
 }
 
-// Count returns the number of cordoned backends.
+// Count returns the number of active cordons.
 func (t *Table) Count() (count int) {
 	for _, cordon := range t.cordons {
 		if cordon.active() {
@@ -157,7 +158,7 @@
 	return count
 }
 
-// changedEntries returns the entries of the listed backends among ids, as a change of the list.
+// changedEntries returns a change of the list with those endpoints among ids that are listed, with their cordons applied.
 func (t *Table) changedEntries(ids []string) discovery.List {
 	list := discovery.List{Version: t.version}
 	for _, id := range ids {
--- a/internal/membership/discovery/age.go
+++ b/internal/membership/discovery/age.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// staleAfterS is the age, in s, from which on a list is not trusted to be of now: about five times what a service that works is silent for.
+// staleAfterS is the age, in s, above which a list is stale: about five times the longest silence of a working service.
 const staleAfterS = 10
 
-// Age is how old a watcher's list may be, in s.
+// Age is an upper bound on the age of a watcher's list: the sum of its fields, in s.
 type Age struct {
-	SinceUpdateS float64 `json:"heard_s"` // since the service last wrote anything
-	ReportedAgeS float64 `json:"told_s"`  // how old the list was then by the service's own account
+	SinceUpdateS float64 `json:"heard_s"` // time since the service last wrote anything
+	ReportedAgeS float64 `json:"told_s"`  // age of the list at that time, as reported by the service
 }
 
-// Stale reports whether the list is too old to be trusted to be of now.
+// Stale reports whether the list may be too old to describe the present state.
 func (a Age) Stale() bool { return a.SinceUpdateS+a.ReportedAgeS > staleAfterS }
 
-// ageTracker holds an Age. It is safe for concurrent use.
+// ageTracker measures an Age. It is safe for concurrent use.
 type ageTracker struct {
 	mu           sync.Mutex
 	updatedAt    time.Time
 	reportedAgeS float64
 }
 
-// record notes that the service has just written, and the age that it reported.
+// record restarts the measurement: the service has just written and reported the age reportedAgeS for its list.
 func (a *ageTracker) record(reportedAgeS float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/discovery/fetch.go
+++ b/internal/membership/discovery/fetch.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// StatusError is an answer of the service with another status than 200.
+// StatusError is the error for a response whose status is not 200.
 type StatusError struct {
-	Status string // code and text
+	Status string // status code and text
 }
 
 // Error implements error.
 func (e *StatusError) Error() string { return "discovery answered " + e.Status }
 
-// request is a GET request that is out, and what came of it.
+// request is a GET request that was sent, and its response or error.
 type request struct {
 	cancel   context.CancelFunc
 	response *http.Response
 	err      error
 }
 
-// discard ends the request and what remains of its answer.
+// discard cancels the request and closes its response body.
 func (r *request) discard() {
 	r.cancel()
 	if r.err == nil {
@@ -31,7 +31,8 @@
 	}
 }
 
-// body returns the answer's body, which ends with the request's context, or what is wrong with the answer.
+// body returns the response body, which can be read until the request's context ends. The error says why the request failed, or is a
+// *StatusError.
 func (r *request) body() (io.ReadCloser, error) {
 	if r.err == nil && r.response.StatusCode != http.StatusOK {
 		r.response.Body.Close()
@@ -44,8 +45,8 @@
 	return r.response.Body, nil
 }
 
-// start begins a request. It comes back on done, unless abandoned is closed before that.
-func (w *Watcher) start(ctx context.Context, url string, done chan<- *request, abandoned <-chan struct{}) *request {
+// startRequest sends a request in a goroutine. The finished request is sent to done, or discarded once abandoned is closed.
+func (w *Watcher) startRequest(ctx context.Context, url string, done chan<- *request, abandoned <-chan struct{}) *request {
 	ctx, cancel := context.WithCancel(ctx)
 	r := &request{cancel: cancel}
 	go func() {
@@ -62,13 +63,14 @@
 	return r
 }
 
-// fetch returns the body of the service's answer; the caller closes it, and it ends with ctx. While no answer begins, the request is
-// repeated every answerTimeout. The first one and the latest stay open: a service that was silent may answer either when it is back.
+// fetch returns the body of the service's response; the caller closes it, and it can be read until ctx ends. Until a response arrives, fetch
+// repeats the request every answerTimeout. The first and the latest request stay open, because a service that becomes responsive again may
+// answer either of them.
 func (w *Watcher) fetch(ctx context.Context, query string) (io.ReadCloser, error) {
 	url := fmt.Sprintf("http://%s/api/targets%s", w.addr, query)
 	done, abandoned := make(chan *request), make(chan struct{})
 	defer close(abandoned)
-	first := w.start(ctx, url, done, abandoned)
+	first := w.startRequest(ctx, url, done, abandoned)
 	var latest *request
 	repeat := time.NewTicker(w.answerTimeout)
 	defer repeat.Stop()
@@ -78,9 +80,9 @@
 			if latest != nil {
 				latest.cancel()
 			}
-			latest = w.start(ctx, url, done, abandoned)
+			latest = w.startRequest(ctx, url, done, abandoned)
 		case r := <-done:
-			if r != first && r != latest { // was cancelled above
+			if r != first && r != latest { // an earlier repeat, cancelled above
 				r.discard()
 				continue
 			}
--- a/internal/membership/discovery/splitter.go
+++ b/internal/membership/discovery/splitter.go
@@ -2,11 +2,11 @@
 
 import "bytes"
 
-// objectSplitter cuts a watch into JSON objects, each over as many lines as it takes, and into the empty lines between them, which come as
-// empty tokens. What begins with anything else than { is one token up to its line's end.
+// objectSplitter splits a watch into tokens: JSON objects, which may span several lines, and the empty lines between them, each an empty
+// token. Text that does not begin with { is one token up to the end of its line.
 type objectSplitter struct {
-	scanned  int // bytes at the start of the data that were scanned; the state below is as of there
-	depth    int // of open braces and brackets
+	scanned  int // scanned bytes at the start of the data; the fields below describe the state after them
+	depth    int // number of open braces and brackets
 	inString bool
 	escaped  bool // the last byte was a backslash in a string
 }
@@ -34,19 +34,19 @@
 			continue
 		}
 		end := s.scanned + 1
-		if end < len(data) && data[end] == '\n' { // the object's own line end is no empty line
+		if end < len(data) && data[end] == '\n' { // the line end of the object is not an empty line
 			end++
 		}
 		*s = objectSplitter{}
 		return end, bytes.TrimSuffix(data[:end], []byte{'\n'}), nil
 	}
-	if atEOF && len(data) > 0 { // an object that was cut off: its reader finds out
+	if atEOF && len(data) > 0 { // a truncated object; the caller fails to decode it
 		return len(data), data, nil
 	}
 	return 0, nil, nil
 }
 
-// closes takes in the next byte of an object and reports whether it is its last one.
+// closes advances the state by the next byte of an object and reports whether this byte ends the object.
 func (s *objectSplitter) closes(c byte) bool {
 	switch {
 	case s.escaped:
--- a/internal/membership/discovery/watcher.go
+++ b/internal/membership/discovery/watcher.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	// watchTimeout ends a watch that is silent. The service writes every 2 s: two lines are missing by then.
+	// watchTimeout is the silence after which a watch is closed. The service writes at least every 2 s, so two lines are missing by then.
 	watchTimeout = 4500 * time.Millisecond
-	// answerTimeout is after how long an unanswered call is repeated beside the first. Together with maxBackoff it stays under the shortest
-	// grace of a drain, 250 ms: what a service that was silent has to report counts as reported from the moment that it is back.
+	// answerTimeout is the time after which an unanswered request is repeated, with the first one still open. Together with maxBackoff it is
+	// below the shortest grace period of a drain, 250 ms, because the changes that a silent service has to report count as reported from
+	// the moment that it responds again.
 	answerTimeout = 150 * time.Millisecond
 	minBackoff    = 50 * time.Millisecond
 	maxBackoff    = 100 * time.Millisecond
 	dialTimeout   = time.Second
-	maxListBytes  = 4 << 20 // of the whole list, or of one object of a watch
+	maxListBytes  = 4 << 20 // of the full list, or of one object of a watch
 )
 
-// Watcher follows a discovery service. One goroutine owns it, but for Age.
+// Watcher follows a discovery service. It belongs to the goroutine of Run, except for Age.
 type Watcher struct {
-	// OnAlive, if set before Run, is called for everything that a watch says, empty lines too.
+	// OnAlive, if set before Run, is called for each object and each empty line of a watch.
 	OnAlive func()
 
-	onUpdate func(List)                          // gets each list and change, in order
-	logFault func(message string, fields ...any) // gets faults, worded for slog
+	onUpdate func(List)                          // receives each full list and change, in order
+	logFault func(message string, fields ...any) // receives faults as a message and slog attributes
 	client   *http.Client
 	addr     string
-	version  int64 // of the last list or change that was passed on
-	needFull bool  // changes may be missing: the next watch begins behind the whole list
-	alive    bool  // the present watch, or the last one, has said something
+	version  int64 // of the last list or change that was received
+	needFull bool  // changes may be missing: fetch the full list before the next watch
+	alive    bool  // the current or last watch has delivered an object or an empty line
 	age      ageTracker
 
 	answerTimeout, watchTimeout time.Duration
 	backoffTimer                func(time.Duration) <-chan time.Time
 }
 
-// NewWatcher returns a watcher of the service at addr. It goes on behind version; below 0 it begins with the whole list. onUpdate and
-// logFault are called by the goroutine of Run.
+// NewWatcher returns a watcher of the service at addr. It requests the changes after version or, if version is negative, first the full
+// list. onUpdate and logFault are called by the goroutine of Run.
 func NewWatcher(addr string, version int64, onUpdate func(List), logFault func(message string, fields ...any)) *Watcher {
 	return &Watcher{onUpdate: onUpdate, logFault: logFault, addr: addr, version: version, needFull: version < 0, age: ageTracker{updatedAt: time.Now()},
 		answerTimeout: answerTimeout, watchTimeout: watchTimeout, backoffTimer: time.After,
@@ -52,17 +53,18 @@
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
 
-// Age is how old the list may be. It is safe for concurrent use.
+// Age returns the age that the list may have. It is safe for concurrent use.
 func (w *Watcher) Age() Age { return w.age.age() }
 
-// Run keeps a watch open until ctx ends. An address that comes on moves, which may be nil, is taken at once; as the service there may
-// count versions in its own way, the whole list is fetched from it. Until that has come, what was passed on last holds.
+// Run keeps a watch open until ctx ends. It switches to an address received on moves, which may be nil, at once. The service at the new
+// address may number versions differently, so Run fetches the full list from it. Until that list arrives, the lists passed on before stay
+// valid.
 func (w *Watcher) Run(ctx context.Context, moves <-chan string) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		watchCtx, cancel := context.WithCancel(ctx)
 		ended := make(chan struct{})
-		var err error // of the watch; to be read once it has ended
+		var err error // of the watch; set once ended is closed
 		go func() {
 			defer close(ended)
 			err = w.watchOnce(watchCtx)
@@ -94,7 +96,7 @@
 	}
 }
 
-// watchOnce reads one watch to its end, and before it the whole list if changes may be missing.
+// watchOnce reads one watch to its end. If changes may be missing, it fetches the full list first.
 func (w *Watcher) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -103,7 +105,7 @@
 	defer silence.Stop()
 	if w.needFull {
 		if err := w.fetchFull(ctx); err != nil {
-			return fmt.Errorf("whole list: %w", err)
+			return fmt.Errorf("fetch full list: %w", err)
 		}
 		silence.Reset(w.watchTimeout)
 	}
@@ -116,7 +118,7 @@
 	return w.readWatch(body, func() { silence.Reset(w.watchTimeout) })
 }
 
-// readWatch passes on what a watch says until it ends; alive is called for each object and empty line.
+// readWatch passes on the lists of a watch until the watch ends. It calls alive for each object and each empty line.
 func (w *Watcher) readWatch(body io.Reader, alive func()) error {
 	objects := bufio.NewScanner(body)
 	objects.Buffer(nil, maxListBytes)
@@ -143,22 +145,22 @@
 	return objects.Err()
 }
 
-// applyUpdate passes on one object of a watch. Where endpoints of it are invalid, the others are passed on, and the error is an
-// *EndpointError.
+// applyUpdate decodes one object of a watch and passes it on. If some of its endpoints are invalid, applyUpdate passes on the others and
+// returns an *EndpointError.
 func (w *Watcher) applyUpdate(text []byte) error {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
 		return err
 	}
 	if !list.Full && list.Version < w.version {
-		return fmt.Errorf("version %d comes after %d", list.Version, w.version)
+		return fmt.Errorf("received version %d, want at least %d", list.Version, w.version)
 	}
 	w.version = list.Version
 	w.age.record(list.SourceAgeS)
 	err := list.Validate()
 	if err != nil {
 		list.Endpoints = w.dropInvalid(list.Endpoints)
-		list.Full = false // an invalid endpoint may be one of those that it would remove
+		list.Full = false // a full list would remove the endpoints that were dropped as invalid
 	}
 	if list.Full || len(list.Endpoints) > 0 {
 		w.onUpdate(list)
@@ -166,7 +168,7 @@
 	return err
 }
 
-// fetchFull passes on the whole list.
+// fetchFull fetches the full list and passes it on.
 func (w *Watcher) fetchFull(ctx context.Context) error {
 	body, err := w.fetch(ctx, "")
 	if err != nil {
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// dropInvalid removes the endpoints that can't be used, so that the others don't wait for them.
+// dropInvalid removes the endpoints that can't be used and logs them, so that one invalid endpoint does not hold back the others.
 func (w *Watcher) dropInvalid(list []Endpoint) []Endpoint {
 	return slices.DeleteFunc(list, func(e Endpoint) bool {
 		err := e.validate()
--- a/internal/membership/etcdsource/follower.go
+++ b/internal/membership/etcdsource/follower.go
@@ -10,62 +10,62 @@
 )
 
 const (
-	// confirmReads in a row must answer with a revision or a term below the view's before it is replaced by what they read: one member may
-	// lag, while a cluster that was restored from a backup answers so every time.
+	// confirmReads is how many full reads in a row must return a revision or a term below the view's before the last of them replaces the
+	// view. One member may lag, but a cluster that was restored from a backup returns an older state on every read.
 	confirmReads = 3
-	// confirmMembers different ones must have answered so, where more endpoints than one are configured: a member that lies does so every
-	// time that it is read from.
+	// confirmMembers is how many different members must have answered these reads if more than one endpoint is configured: a faulty member
+	// returns an older state every time that it is read from.
 	confirmMembers = 2
 )
 
-// errStaleState is the error of an answer that is of another cluster or of an older state than the view.
-var errStaleState = errors.New("etcd answers from an older state")
+// errStaleState is the error for a response from another cluster or with an older state than the view.
+var errStaleState = errors.New("etcd returned a state that is older or of another cluster")
 
-// Header is what etcd states with an answer.
+// Header is the cluster state that etcd sends with each response.
 type Header struct {
 	Cluster  uint64 `json:"Cluster"`
 	Revision int64  `json:"Revision"`
 	Term     uint64 `json:"Term"`
-	Member   uint64 `json:"Member"` // that answered
+	Member   uint64 `json:"Member"` // ID of the member that responded
 }
 
-// olderThan reports whether a state of h is of another cluster than one of view, or of an earlier time.
+// olderThan reports whether h is from another cluster than view or has a lower revision or term.
 func (h Header) olderThan(view Header) bool {
 	return h.Cluster != view.Cluster || h.Revision < view.Revision || h.Term < view.Term
 }
 
-// keyValue is one key, without the configured prefix, as it stands or as it changed.
+// keyValue is one key, without the configured prefix, from a full read or from an event.
 type keyValue struct {
 	Key      string
 	Value    []byte
-	Revision int64 // of its last change
-	Deleted  bool  // of a change
+	Revision int64 // at which it last changed
+	Deleted  bool  // the event deletes the key; false in a full read
 }
 
-// readResult says what became of a full read.
+// readResult is the outcome of a full read.
 type readResult int
 
 const (
-	readAccepted readResult = iota // the view is what was read
-	readReplaced                   // so it is, of another cluster or of a state that was restored
-	readRejected                   // it is of an older state: read again
+	readAccepted readResult = iota // the view is now the state that was read
+	readReplaced                   // the same, but the state is another cluster's or was restored from an older one
+	readRejected                   // the state that was read is older than the view, which is unchanged: read again
 )
 
-// String is the result's name.
+// String returns the result's name.
 func (r readResult) String() string { return [...]string{"accepted", "replaced", "rejected"}[r] }
 
-// follower is the view of the keys at one revision. It does no I/O and belongs to one goroutine.
+// follower keeps the view: the state of the keys at one revision. It does no I/O and belongs to one goroutine.
 type follower struct {
-	synced           bool // a full read was accepted
-	header           Header
-	nodes            map[string]nodeValue // by ID, the last valid value of each
-	drains           map[string]bool      // by ID
-	invalid          map[string]string    // by key: why its value can't be read
-	regressions      int                  // full reads in a row of an older state
-	regressedMembers map[uint64]bool      // that answered these
-	requiredMembers  int                  // so many must, before an older state is accepted
-	fullReads        int                  // accepted
-	duplicateEvents  int
+	synced           bool                 // a full read has been accepted
+	header           Header               // of the view
+	nodes            map[string]nodeValue // by ID: the last valid value
+	drains           map[string]bool      // by ID: the nodes with a drain mark
+	invalid          map[string]string    // by key: why the key or its value is invalid
+	regressions      int                  // full reads in a row that returned an older state
+	regressedMembers map[uint64]bool      // members that answered these reads
+	requiredMembers  int                  // size of regressedMembers from which on an older state is accepted
+	fullReads        int                  // full reads that were accepted
+	duplicateEvents  int                  // events at or below the view's revision, which were ignored
 }
 
 func newFollower(requiredMembers int) *follower {
@@ -73,7 +73,7 @@
 		requiredMembers: requiredMembers}
 }
 
-// applyFull takes in all keys at a revision.
+// applyFull replaces the view with all keys at one revision, unless that state is older than the view and not yet confirmed.
 func (f *follower) applyFull(h Header, kvs []keyValue) readResult {
 	result := readAccepted
 	switch {
@@ -98,13 +98,13 @@
 	return result
 }
 
-// applyKey takes in one key. A node whose value is invalid keeps the one that it has in lastValid. It returns the node whose report may have
-// changed; ok is false if there is none.
+// applyKey applies one key to the view. A node whose value is invalid keeps its value in lastValid, if any. applyKey returns the ID of the
+// node whose report may have changed; ok is false if there is none.
 func (f *follower) applyKey(kv keyValue, lastValid map[string]nodeValue) (id string, ok bool) {
 	dir, id, ok := parseKey(kv.Key)
 	if !ok {
 		if dir != "" {
-			f.invalid[kv.Key] = "not a node's id"
+			f.invalid[kv.Key] = "key does not end in a valid node ID"
 		}
 		return "", false
 	}
@@ -129,7 +129,7 @@
 	return id, true
 }
 
-// node is the view's report on a node. One on a drain mark whose node etcd does not list is on the ID alone.
+// node returns the view's report on a node. For a drain mark without a listed node, the report has only the ID and the state.
 func (f *follower) node(id string) merge.Node {
 	n := merge.Node{Identity: merge.Identity{ID: id}}
 	if v, listed := f.nodes[id]; listed {
@@ -141,7 +141,7 @@
 	return n
 }
 
-// allNodes are the view's reports, by ID.
+// allNodes returns the view's reports on all nodes, sorted by ID.
 func (f *follower) allNodes() []merge.Node {
 	ids := map[string]bool{}
 	for id := range f.nodes {
@@ -157,12 +157,12 @@
 	return list
 }
 
-// applyEvents takes in what one answer of a watch changed, and returns the reports on the nodes that changed. On a node that changed in
-// several of the answer's revisions there is one report, the last: a drain mark that was taken back and set again while the watch was down
-// is no moment in which the node was up.
+// applyEvents applies the events of one watch response and returns the reports on the nodes that changed. A node that changed in several
+// revisions of the response gets one report, the last: if a drain mark was deleted and set again while the watch was down, the node must
+// not be reported as up in between.
 //
-// An answer of another cluster or an older term is errStaleState. The header's revision is the store's when the answer was made; as more
-// events up to it may follow, only events and progress move the view on.
+// A response from another cluster or with an older term is errStaleState. The header's revision is the store's at the time of the response,
+// and more events up to it may follow, so only events and progress notifications advance the view's revision.
 func (f *follower) applyEvents(h Header, kvs []keyValue) ([]merge.Node, error) {
 	if h.Cluster != f.header.Cluster || h.Term < f.header.Term {
 		return nil, errStaleState
@@ -170,8 +170,8 @@
 	f.header.Term = h.Term
 	var reports []merge.Node
 	before := f.header.Revision
-	index := map[string]int{}    // by ID: the place in reports
-	removed := map[string]bool{} // by ID: it was listed, and isn't any more
+	index := map[string]int{}    // by ID: the index in reports
+	removed := map[string]bool{} // by ID: the node was listed and its key is deleted
 	for _, kv := range kvs {
 		if kv.Revision <= before {
 			f.duplicateEvents++
@@ -201,7 +201,7 @@
 	return reports, nil
 }
 
-// applyProgress takes in that nothing has changed up to a revision; an older one is errStaleState.
+// applyProgress applies a progress notification: there are no other events up to its revision. An older state is errStaleState.
 func (f *follower) applyProgress(h Header) error {
 	if h.olderThan(f.header) {
 		return errStaleState
--- a/internal/membership/etcdsource/session.go
+++ b/internal/membership/etcdsource/session.go
@@ -12,7 +12,7 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 )
 
-// runSession is the life of one client: a full read, if one is needed, then a watch to its end. Its error is never nil.
+// runSession connects a client, reads all keys if that is needed, and watches until the watch ends. Its error is never nil.
 func (s *Source) runSession(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -23,14 +23,14 @@
 	defer client.Close()
 	var target int64
 	if s.resyncReason == "" {
-		// Of a cluster that was replaced the watch might wait for a revision that is far off.
+		// If the cluster was replaced, a watch might wait for a revision that the new cluster reaches only much later.
 		h, err := s.fetchHeader(ctx, client)
 		if err != nil {
 			return err
 		}
 		if view := s.follower.header; h.olderThan(view) {
-			s.resyncReason = fmt.Sprintf("cluster %x at revision %d, term %d, in place of %x at %d, term %d", h.Cluster, h.Revision, h.Term,
-				view.Cluster, view.Revision, view.Term)
+			s.resyncReason = fmt.Sprintf("cluster %x at revision %d, term %d; the view is of cluster %x at revision %d, term %d",
+				h.Cluster, h.Revision, h.Term, view.Cluster, view.Revision, view.Term)
 		}
 		target = h.Revision
 	}
@@ -40,7 +40,7 @@
 		}
 		s.resyncReason = ""
 	}
-	err = s.watch(ctx, client, target)
+	err = s.runWatch(ctx, client, target)
 	switch {
 	case errors.Is(err, rpctypes.ErrCompacted):
 		s.updateStatus(func(status *Status) { status.Compacted++ })
@@ -51,7 +51,7 @@
 	return err
 }
 
-// syncFull reads all keys and reports them.
+// syncFull reads all keys, applies them to the view and reports the view to the sink.
 func (s *Source) syncFull(ctx context.Context, client *clientv3.Client) error {
 	h, kvs, err := s.fetchAll(ctx, client)
 	if err != nil {
@@ -61,10 +61,11 @@
 	switch s.follower.applyFull(h, kvs) {
 	case readRejected:
 		s.updateStatus(func(status *Status) { status.Rejected++ })
-		return fmt.Errorf("%w: revision %d in place of %d", errStaleState, h.Revision, s.follower.header.Revision)
+		return fmt.Errorf("%w: got revision %d, term %d; the view is at revision %d, term %d", errStaleState, h.Revision, h.Term,
+			s.follower.header.Revision, s.follower.header.Term)
 	case readReplaced:
 		s.updateStatus(func(status *Status) { status.Replaced++ })
-		reason = "another cluster, or an older state, was put in its place: " + reason
+		reason = "cluster replaced or restored to an older state: " + reason
 	case readAccepted:
 		s.updateStatus(nil)
 	}
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// fetchHeader reads the cluster's present revision. Like all reads it is linearizable: a member that is cut off from the others doesn't
-// answer.
+// fetchHeader reads the cluster's current revision. Like all reads here, it is linearizable: a member without a connection to the others
+// does not answer it.
 func (s *Source) fetchHeader(ctx context.Context, client *clientv3.Client) (Header, error) {
 	r, err := s.get(ctx, client, clientv3.WithCountOnly())
 	if err != nil {
@@ -83,7 +84,7 @@
 	return toHeader(r.Header), nil
 }
 
-// fetchAll reads all keys.
+// fetchAll reads all keys under the prefix.
 func (s *Source) fetchAll(ctx context.Context, client *clientv3.Client) (Header, []keyValue, error) {
 	r, err := s.get(ctx, client)
 	if err != nil {
--- a/internal/membership/etcdsource/source.go
+++ b/internal/membership/etcdsource/source.go
@@ -1,5 +1,6 @@
-// Package etcdsource follows backends and their drain marks in etcd. A follower decides, without I/O, what to believe of etcd's answers; a
-// Source is the client around it, which reports to a Sink. docs/etcd-schema.md states keys and values, docs/membership.md the rules.
+// Package etcdsource follows backends and their drain marks in etcd. A follower decides, without I/O, which of etcd's responses to accept.
+// A Source runs the etcd client for a follower and reports to a Sink. docs/etcd-schema.md describes the keys and values, and
+// docs/membership.md the rules.
 package etcdsource
 
 import (
@@ -16,70 +17,70 @@
 	"eiderspread/internal/membership/merge"
 )
 
-// firstDelayFraction is the part of Config.MaxRetryDelay that the delays after breaks begin with.
-const firstDelayFraction = 16
+// firstDelayDivisor divides Config.MaxRetryDelay: the quotient is the first delay after a failed session.
+const firstDelayDivisor = 16
 
-// errMoved is reported when a source goes on with other endpoints.
-var errMoved = errors.New("moved to other endpoints")
+// errReconfigured is reported to the sink when a source switches to a configuration given to Reconfigure.
+var errReconfigured = errors.New("etcd endpoints or credentials were reconfigured")
 
-// Config says where etcd is and how it is followed.
+// Config says how to connect to etcd and how to follow it.
 type Config struct {
 	Endpoints        []string
 	Prefix           string // of all keys; ends with /
-	User             string // empty: no log-in
+	User             string // empty: no authentication
 	Password         string
-	TLS              *tls.Config   // nil: none
-	ProgressInterval time.Duration // of requests for a watch's progress; after three without an answer the watch is given up
+	TLS              *tls.Config   // nil: no TLS
+	ProgressInterval time.Duration // between two requests for a watch's progress; a watch that is silent for three of them is closed
 	ReadTimeout      time.Duration
-	MaxRetryDelay    time.Duration // between two sessions; delays grow up to it, each drawn from its upper half
+	MaxRetryDelay    time.Duration // upper bound of the delay between two sessions; a delay doubles up to it, with jitter over its upper half
 }
 
-// Sink gets what a source learns, in order, from one goroutine.
+// Sink receives the reports of a source, in order, from one goroutine.
 type Sink interface {
-	// ReplaceAll gets all nodes, at one revision, and why they were read anew.
+	// ReplaceAll receives all nodes at one revision, and the reason for the full read.
 	ReplaceAll(nodes []merge.Node, reason string)
-	// Update gets the nodes that changed in one or several revisions, with the last report on each.
+	// Update receives the last report on each node that changed in one or several revisions.
 	Update(nodes []merge.Node)
-	// Resumed says that everything up to now was reported.
+	// Resumed says that the reports are complete up to now.
 	Resumed()
-	// Interrupted says that changes may be missing until the next call of ReplaceAll or Resumed.
+	// Interrupted says that changes may be missing from now until the next call of ReplaceAll or Resumed, and why.
 	Interrupted(err error)
-	// InvalidValue names a key whose value can't be read; its node keeps the last valid one.
+	// InvalidValue names a key that is invalid or has an invalid value, and why; its node keeps the last valid value.
 	InvalidValue(key, reason string)
 }
 
-// Status is the state of a source. Reads and breaks are counted since its start.
+// Status is the state of a source. Its counts, except InvalidValues, start at zero with the source.
 type Status struct {
 	Header              // of the view
 	FullReads       int `json:"Reads"`
 	DuplicateEvents int `json:"Repeats"`
-	Compacted       int `json:"Compacted"` // watches that ended as their next revision was compacted away
-	Replaced        int `json:"Replaced"`  // full reads by which another cluster or a restored state replaced the view
-	Rejected        int `json:"Refused"`   // full reads of an older state
-	Breaks          int `json:"Breaks"`    // sessions that ended by an error
-	InvalidValues   int `json:"Bad"`       // keys whose value can't be read now
+	Compacted       int `json:"Compacted"` // watches that ended because their next revision was compacted away
+	Replaced        int `json:"Replaced"`  // full reads that replaced the view with another cluster's state or a restored one
+	Rejected        int `json:"Refused"`   // full reads that were rejected because their state was older than the view
+	SessionErrors   int `json:"Breaks"`    // sessions that ended with an error
+	InvalidValues   int `json:"Bad"`       // keys that are invalid or have an invalid value at present
 }
 
-// Source follows etcd. Run's goroutine owns it; Reconfigure and Status are safe for concurrent use.
+// Source follows etcd. It belongs to the goroutine of Run, except for Reconfigure and Status, which are safe for concurrent use.
 type Source struct {
 	cfg             Config
 	sink            Sink
 	follower        *follower
-	reportedInvalid map[string]string // by key: the reason that the sink was given
-	resyncReason    string            // why the next session begins with a full read; empty: it goes on behind the view
-	configs         chan Config       // of one place: the newest that Reconfigure was given
+	reportedInvalid map[string]string // by key: the reason that was last passed to the sink
+	resyncReason    string            // why the next session begins with a full read; empty: it watches from the view's revision on
+	configs         chan Config       // one slot, for the latest configuration given to Reconfigure
 
 	mu     sync.Mutex
 	status Status
 }
 
-// NewSource makes a source; Run starts it.
+// NewSource returns a source that does nothing until Run.
 func NewSource(cfg Config, sink Sink) *Source {
 	return &Source{cfg: cfg, sink: sink, follower: newFollower(requiredMembers(cfg)), reportedInvalid: map[string]string{}, resyncReason: "start",
 		configs: make(chan Config, 1)}
 }
 
-// requiredMembers is how many members must confirm an older state.
+// requiredMembers returns how many members must confirm an older state.
 func requiredMembers(cfg Config) int { return min(len(cfg.Endpoints), confirmMembers) }
 
 // NewClient connects to etcd; the caller closes the client.
@@ -89,8 +90,8 @@
 		Logger: zap.NewNop()})
 }
 
-// Reconfigure has the source go on with the endpoints, user, password and certificates of cfg. The view stays; it is read anew only if the
-// new endpoints are of another cluster, or lack the revisions behind it.
+// Reconfigure makes the source switch to the endpoints, user, password and certificates of cfg. The source keeps its view, and reads all
+// keys again only if the new endpoints belong to another cluster or lack the revisions after the view's.
 func (s *Source) Reconfigure(cfg Config) {
 	for {
 		select {
@@ -98,27 +99,27 @@
 			return
 		default:
 		}
-		select { // an older one that wasn't taken yet
+		select { // discard an older configuration that was not received yet
 		case <-s.configs:
 		default:
 		}
 	}
 }
 
-// applyConfig takes over what Reconfigure may change.
+// applyConfig applies the settings that Reconfigure may change.
 func (s *Source) applyConfig(cfg Config) {
 	s.cfg.Endpoints, s.cfg.User, s.cfg.Password, s.cfg.TLS = cfg.Endpoints, cfg.User, cfg.Password, cfg.TLS
 	s.follower.requiredMembers = requiredMembers(cfg)
 }
 
-// Status is the state of the source.
+// Status returns the state of the source.
 func (s *Source) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.status
 }
 
-// updateStatus brings the status up to the view, and changes it by f, which may be nil.
+// updateStatus calls f, which may be nil, on the status and copies the view's state into it.
 func (s *Source) updateStatus(f func(*Status)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,10 +130,10 @@
 	s.status.FullReads, s.status.DuplicateEvents = s.follower.fullReads, s.follower.duplicateEvents
 }
 
-// Run follows etcd until ctx ends. After a session that ended by an error it waits, with a backoff that is drawn at random, so that the
-// agents of a fleet don't come back all at once.
+// Run follows etcd until ctx ends. After a session that ended with an error, it waits with exponential backoff and jitter, so that the
+// agents of a fleet don't all reconnect at the same time.
 func (s *Source) Run(ctx context.Context) {
-	delay := s.cfg.MaxRetryDelay / firstDelayFraction
+	delay := s.cfg.MaxRetryDelay / firstDelayDivisor
 	for ctx.Err() == nil {
 		start := time.Now()
 		newConfig, err := s.runUntilReconfigured(ctx)
@@ -141,14 +142,14 @@
 		}
 		if newConfig != nil {
 			s.applyConfig(*newConfig)
-			delay = s.cfg.MaxRetryDelay / firstDelayFraction
-			s.sink.Interrupted(errMoved)
+			delay = s.cfg.MaxRetryDelay / firstDelayDivisor
+			s.sink.Interrupted(errReconfigured)
 			continue
 		}
-		s.updateStatus(func(status *Status) { status.Breaks++ })
+		s.updateStatus(func(status *Status) { status.SessionErrors++ })
 		s.sink.Interrupted(err)
 		if time.Since(start) > s.cfg.MaxRetryDelay {
-			delay = s.cfg.MaxRetryDelay / firstDelayFraction
+			delay = s.cfg.MaxRetryDelay / firstDelayDivisor
 		}
 		select {
 		case <-time.After(delay/2 + rand.N(delay/2+1)):
@@ -160,7 +161,7 @@
 	}
 }
 
-// runUntilReconfigured runs one session to its end, or until there is another configuration, which it returns.
+// runUntilReconfigured runs one session until it ends or Reconfigure is called. In the second case it returns the new configuration.
 func (s *Source) runUntilReconfigured(ctx context.Context) (*Config, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -179,7 +180,7 @@
 	return <-received, err
 }
 
-// reportInvalid names keys whose value can't be read to the sink, each once a reason.
+// reportInvalid reports the view's invalid keys to the sink, each again only if its reason changes.
 func (s *Source) reportInvalid() {
 	for key, reason := range s.follower.invalid {
 		if s.reportedInvalid[key] != reason {
--- a/internal/membership/etcdsource/value.go
+++ b/internal/membership/etcdsource/value.go
@@ -9,24 +9,24 @@
 	"strings"
 )
 
-// The keys of a node, under the configured prefix; docs/etcd-schema.md states them.
+// The keys of a node, without the configured prefix; docs/etcd-schema.md describes them.
 const (
-	nodesPrefix = "nodes/" // behind it the node's ID; the value is a nodeValue
-	drainPrefix = "drain/" // behind it the ID of a node that is to drain; the value is for people
+	nodesPrefix = "nodes/" // followed by the node's ID; the value is a nodeValue
+	drainPrefix = "drain/" // followed by the ID of a node to drain; the value is not read, it is for operators
 	maxIDBytes  = 128
 	maxWeight   = 1e6
 )
 
-// nodeValue is the JSON value of a node's key. Unknown fields are an error.
+// nodeValue is the JSON value of a node's key. Unknown fields are rejected.
 type nodeValue struct {
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
 	Cell      int     `json:"cell"`
 	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"started_ms"` // Unix time in ms; 0: long ago
+	StartedMS int64   `json:"started_ms"` // Unix time in ms; 0 means long ago
 }
 
-// parseValue reads and validates a node's value.
+// parseValue decodes and validates a node's value.
 func parseValue(text []byte) (nodeValue, error) {
 	var v nodeValue
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -35,19 +35,19 @@
 		return v, err
 	}
 	if d.More() {
-		return v, errors.New("more than one value")
+		return v, errors.New("unexpected data after the JSON object")
 	}
 	if _, err := netip.ParseAddrPort(v.Addr); err != nil {
 		return v, fmt.Errorf("addr: %w", err)
 	}
 	if v.StartedMS < 0 || v.Cell < 0 || !(v.Weight >= 0 && v.Weight <= maxWeight) {
-		return v, errors.New("a number is out of range")
+		return v, fmt.Errorf("number out of range: cell and started_ms must not be negative, weight must be from 0 to %.0f", maxWeight)
 	}
 	return v, nil
 }
 
-// parseKey splits a key, without the configured prefix, into nodesPrefix or drainPrefix and the node's ID. dir is empty for other keys; ok
-// is false for them and for what is no ID.
+// parseKey splits a key, without the configured prefix, into nodesPrefix or drainPrefix and the node's ID. dir is empty for other keys. ok
+// is false for other keys and for an invalid ID.
 func parseKey(key string) (dir, id string, ok bool) {
 	for _, dir := range []string{nodesPrefix, drainPrefix} {
 		if id, found := strings.CutPrefix(key, dir); found {
--- a/internal/membership/etcdsource/watch.go
+++ b/internal/membership/etcdsource/watch.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	// maxMissedProgress is how many progress intervals a watch may be silent, or behind the cluster, before it is given up.
+	// maxMissedProgress is how many progress intervals a watch may be silent, or behind the cluster, before it is closed.
 	maxMissedProgress = 3
-	// agreementEveryTicks is how many progress intervals lie between two reads of the revision that the cluster agrees on.
-	agreementEveryTicks = 4
-	// maxAgreementFailures is how many of these reads in a row may fail.
-	maxAgreementFailures = 3
+	// quorumReadTicks is the number of progress intervals between two quorum reads of the cluster's revision.
+	quorumReadTicks = 4
+	// maxQuorumReadFailures is the number of failed quorum reads in a row that closes the watch.
+	maxQuorumReadFailures = 3
 )
 
-// The reasons for which a watch is given up, beside errStaleState and those of the client.
+// The reasons for closing a watch, besides errStaleState and the errors of the client.
 var (
-	errWatchEnded  = errors.New("the watch has ended")
-	errWatchSilent = errors.New("the watch is silent")
+	errWatchEnded  = errors.New("the etcd client closed the watch")
+	errWatchSilent = errors.New("no response from the watch")
 	errWatchBehind = errors.New("the watch is behind the cluster")
-	errNoAgreement = errors.New("the cluster does not agree on a revision")
+	errQuorumReads = errors.New("quorum reads of the revision failed")
 )
 
-// watch is one watch of a source. A member that lags reports progress too, as far as it is; so the cluster is read from now and then for
-// the revision that it agrees on, and a watch that doesn't get there is given up.
+// watch is one watch of a source. A lagging member reports progress too, up to its own revision. So the watch regularly reads the cluster's
+// revision with a quorum read, and is closed if it does not reach that revision in time.
 type watch struct {
-	source     *Source
-	client     *clientv3.Client
-	target     int64     // the revision from which on the view is up to date
-	targetAt   time.Time // since when the view has been behind target
-	heardAt    time.Time // the last answer
-	ticks      int
-	agreements chan agreement // one read at a time
-	reading    bool           // such a read is under way
-	failures   int            // of these reads, in a row
+	source         *Source
+	client         *clientv3.Client
+	target         int64     // revision from which on the view is up to date
+	targetAt       time.Time // time since which the view has been behind target
+	lastResponseAt time.Time // time of the last response
+	ticks          int
+	quorumReads    chan quorumRead // outcomes; at most one read at a time
+	readPending    bool            // a quorum read is in progress
+	failures       int             // failed quorum reads in a row
 }
 
-// agreement is the outcome of a read of the cluster's revision.
-type agreement struct {
+// quorumRead is the outcome of a quorum read of the cluster's revision.
+type quorumRead struct {
 	header Header
 	err    error
 }
 
-// watch reports changes behind the view's revision until something ends the watch; its error is never nil. From revision target on the view
-// is up to date.
-func (s *Source) watch(ctx context.Context, client *clientv3.Client, target int64) error {
+// runWatch reports the changes after the view's revision until the watch ends; its error is never nil. The view counts as up to date from
+// revision target on.
+func (s *Source) runWatch(ctx context.Context, client *clientv3.Client, target int64) error {
 	ctx, cancel := context.WithCancel(clientv3.WithRequireLeader(ctx))
 	defer cancel()
 	responses := client.Watch(ctx, s.cfg.Prefix, clientv3.WithPrefix(), clientv3.WithRev(s.follower.header.Revision+1),
@@ -58,12 +58,12 @@
 	ticker := time.NewTicker(s.cfg.ProgressInterval)
 	defer ticker.Stop()
 	now := time.Now()
-	w := &watch{source: s, client: client, target: target, targetAt: now, heardAt: now, agreements: make(chan agreement, 1)}
+	w := &watch{source: s, client: client, target: target, targetAt: now, lastResponseAt: now, quorumReads: make(chan quorumRead, 1)}
 	for {
 		var err error
 		select {
-		case a := <-w.agreements:
-			err = w.applyAgreement(a)
+		case read := <-w.quorumReads:
+			err = w.applyQuorumRead(read)
 		case r, ok := <-responses:
 			if !ok {
 				return errWatchEnded
@@ -80,7 +80,7 @@
 	}
 }
 
-// applyResponse takes in one answer of the watch.
+// applyResponse applies one response of the watch.
 func (w *watch) applyResponse(r clientv3.WatchResponse) error {
 	if r.CompactRevision > 0 {
 		return rpctypes.ErrCompacted
@@ -88,7 +88,7 @@
 	if err := r.Err(); err != nil {
 		return err
 	}
-	w.heardAt = time.Now()
+	w.lastResponseAt = time.Now()
 	if r.IsProgressNotify() {
 		if err := w.source.follower.applyProgress(toHeader(r.Header)); err != nil {
 			return err
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// applyEvents reports the events of an answer.
+// applyEvents applies the events of a response to the view and reports the nodes that changed.
 func (w *watch) applyEvents(r clientv3.WatchResponse) error {
 	kvs := make([]keyValue, 0, len(r.Events))
 	for _, e := range r.Events {
@@ -118,44 +118,45 @@
 	return err
 }
 
-// applyAgreement takes in the revision that the cluster agrees on.
-func (w *watch) applyAgreement(a agreement) error {
-	w.reading = false
-	if a.err != nil { // the member that was read from may be the one that lags; the next read goes to the next one
-		if w.failures++; w.failures == maxAgreementFailures {
-			return fmt.Errorf("%w: %w", errNoAgreement, a.err)
+// applyQuorumRead raises target to the revision of a quorum read. Its error closes the watch.
+func (w *watch) applyQuorumRead(read quorumRead) error {
+	w.readPending = false
+	if read.err != nil { // this member may be the lagging one; the next read goes to another
+		if w.failures++; w.failures == maxQuorumReadFailures {
+			return fmt.Errorf("%w: %w", errQuorumReads, read.err)
 		}
 		return nil
 	}
 	w.failures = 0
-	if a.header.olderThan(w.source.follower.header) { // the next session finds out why, if this watch ends
+	if read.header.olderThan(w.source.follower.header) { // if this watch ends, the next session finds out why
 		return nil
 	}
 	if w.source.follower.header.Revision >= w.target {
 		w.targetAt = time.Now()
 	}
-	w.target = max(w.target, a.header.Revision)
+	w.target = max(w.target, read.header.Revision)
 	return nil
 }
 
-// tick gives the watch up if it is silent or behind, and requests progress.
+// tick returns an error if the watch is silent or behind. Else it requests progress and, every quorumReadTicks, starts a quorum read.
 func (w *watch) tick(ctx context.Context) error {
 	limit := maxMissedProgress * w.source.cfg.ProgressInterval
-	if silent := time.Since(w.heardAt); silent > limit {
+	if silent := time.Since(w.lastResponseAt); silent > limit {
 		return fmt.Errorf("%w for %v", errWatchSilent, silent.Round(time.Millisecond))
 	}
 	if behind := time.Since(w.targetAt); w.source.follower.header.Revision < w.target && behind > limit {
-		return fmt.Errorf("%w: at revision %d, agreed on %d %v ago", errWatchBehind, w.source.follower.header.Revision, w.target, behind.Round(time.Millisecond))
+		return fmt.Errorf("%w: view at revision %d, want %d, behind for %v", errWatchBehind, w.source.follower.header.Revision, w.target,
+			behind.Round(time.Millisecond))
 	}
-	if w.ticks++; w.ticks%agreementEveryTicks == 0 && !w.reading {
-		w.reading = true
+	if w.ticks++; w.ticks%quorumReadTicks == 0 && !w.readPending {
+		w.readPending = true
 		go func() {
 			h, err := w.source.fetchHeader(ctx, w.client)
-			w.agreements <- agreement{h, err}
+			w.quorumReads <- quorumRead{h, err}
 		}()
 	}
-	go func() { // it may block until the watch ends
-		_ = w.client.RequestProgress(ctx) // the answer comes as a response of the watch; without one the watch is silent
+	go func() { // RequestProgress may block until the watch ends
+		_ = w.client.RequestProgress(ctx) // the result is a response of the watch; if none comes, the watch counts as silent
 	}()
 	return nil
 }
