--- a/internal/membership/cordontable/golden_test.go
+++ b/internal/membership/cordontable/golden_test.go
@@ -9,7 +9,7 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the file of what operators hold.
+// Guards the format of the cordon file.
 func TestGoldenFile(t *testing.T) {
 	want := Cordons{"backend-1": {SinceMS: 1234}, "backend-2": {SinceMS: 5678, UncordonedMS: 91011}}
 	path := filepath.Join(t.TempDir(), "f")
--- a/internal/membership/cordontable/store_test.go
+++ b/internal/membership/cordontable/store_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// TestMain is also the process that TestStore_KilledWhileWriting kills.
+// TestMain also runs the writing process that TestStore_KilledWhileWriting kills.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("HELD_TEST_WRITER"); path != "" {
 		s := NewStore(path)
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// After a process is killed in the middle of a write, the file is the one before or the one after.
+// Guards against a partly written file after a process is killed during a write: the file must be the one before or after that write.
 func TestStore_KilledWhileWriting(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	for round := range 12 {
@@ -51,13 +51,13 @@
 		lines := bufio.NewScanner(out)
 		for range 3 + 5*round {
 			if !lines.Scan() {
-				t.Fatal("the writer ended:", lines.Err())
+				t.Fatal("the writing process ended by itself:", lines.Err())
 			}
 		}
 		if err := cmd.Process.Kill(); err != nil {
 			t.Fatal(err)
 		}
-		_ = cmd.Wait() // it was killed
+		_ = cmd.Wait() // the error only says that the process was killed
 		var got Cordons
 		if err := NewStore(path).ReadIfChanged(func(cordons Cordons) { got = cordons }); err != nil {
 			t.Fatal(err)
@@ -65,16 +65,16 @@
 		first := got["s-0"].SinceMS
 		for id, cordon := range got {
 			if cordon.SinceMS != first {
-				t.Fatalf("a mixture: %s of %d among those of %d", id, cordon.SinceMS, first)
+				t.Fatalf("the file mixes two writes: cordon of %s is from write %d, want write %d", id, cordon.SinceMS, first)
 			}
 		}
 		if len(got) != 300 || first < 1 {
-			t.Fatalf("%d holds of write %d", len(got), first)
+			t.Fatalf("got %d cordons of write %d, want 300 of write 1 or later", len(got), first)
 		}
 	}
 }
 
-// Two processes do not undo each other's updates.
+// Guards against lost updates when two stores, like those of two processes, write the file at the same time.
 func TestStore_TwoWritersLoseNothing(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	var wg sync.WaitGroup
@@ -98,37 +98,38 @@
 	wg.Wait()
 	var got Cordons
 	if err := NewStore(path).ReadIfChanged(func(cordons Cordons) { got = cordons }); err != nil || len(got) != 100 {
-		t.Fatal(len(got), err)
+		t.Fatalf("got %d cordons and error %v, want 100 and no error", len(got), err)
 	}
 }
 
-// An update does not wait for others beyond the end of its own context.
-func TestStore_UpdateDoesNotQueue(t *testing.T) {
+// Guards against an update that waits for another update of the same process after its own context has ended.
+func TestStore_UpdateStopsWaitingWithContext(t *testing.T) {
 	s := NewStore(filepath.Join(t.TempDir(), "held"))
-	begun, free, done := make(chan struct{}), make(chan struct{}), make(chan error)
+	started, proceed, done := make(chan struct{}), make(chan struct{}), make(chan error)
 	go func() {
 		done <- s.Update(context.Background(), func(Cordons) (Cordons, error) {
-			close(begun)
-			<-free
+			close(started)
+			<-proceed
 			return Cordons{}, nil
 		})
 	}()
-	<-begun
-	over, cancel := context.WithCancel(context.Background())
+	<-started
+	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := s.Update(over, func(Cordons) (Cordons, error) { t.Error("two at once"); return nil, nil }); !errors.Is(err, context.Canceled) {
-		t.Error(err)
+	if err := s.Update(ended, func(Cordons) (Cordons, error) { t.Error("two updates run at the same time"); return nil, nil }); !errors.Is(err, context.Canceled) {
+		t.Errorf("got error %v, want %v", err, context.Canceled)
 	}
-	close(free)
+	close(proceed)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
+// Guards against cordons from an unusable file, against an unusable file that blocks updates, and against writes by updates that failed.
 func TestStore_UnusableFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	s := NewStore(path)
-	if err := s.ReadIfChanged(func(Cordons) { t.Error("nothing is there") }); err != nil {
+	if err := s.ReadIfChanged(func(Cordons) { t.Error("apply was called without a file") }); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Update(context.Background(), func(Cordons) (Cordons, error) { return Cordons{"a": {SinceMS: 1}}, nil }); err != nil {
@@ -140,11 +141,11 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := NewStore(path).ReadIfChanged(func(Cordons) { t.Error(name, "was taken") }); err == nil {
-			t.Error(name, "is no error")
+		if err := NewStore(path).ReadIfChanged(func(Cordons) { t.Error(name, "file: apply was called, want an error") }); err == nil {
+			t.Error(name, "file: got no error")
 		}
 	}
-	// An update goes through all the same.
+	// An update replaces the unusable file.
 	if err := s.Update(context.Background(), func(cordons Cordons) (Cordons, error) { return Cordons{"b": {SinceMS: 2}}, nil }); err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +155,7 @@
 	}
 	if err := NewStore(path).ReadIfChanged(func(cordons Cordons) {
 		if len(cordons) != 1 || cordons["b"].SinceMS != 2 {
-			t.Error("a refused change was written:", cordons)
+			t.Errorf("got cordons %v, want only b: an update whose apply failed was written, or an earlier one was not", cordons)
 		}
 	}); err != nil {
 		t.Fatal(err)
@@ -165,7 +166,7 @@
 	f.Add([]byte(`{"version":1,"sum":"44136fa355b3678a1146ad16f7e8649e94fb4fc21fe77e8310c060f61caaff8a","holds":{}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if cordons, err := parseFile(text); err == nil && (cordons == nil || len(cordons) > MaxCordons) {
-			t.Fatal("taken:", cordons)
+			t.Fatalf("accepted a file with %d cordons, want a map with at most %d", len(cordons), MaxCordons)
 		}
 	})
 }
--- a/internal/membership/cordontable/table_test.go
+++ b/internal/membership/cordontable/table_test.go
@@ -9,7 +9,7 @@
 	"eiderspread/internal/membership/discovery"
 )
 
-func target(id, state string, startedMS int64) discovery.Endpoint {
+func newEndpoint(id, state string, startedMS int64) discovery.Endpoint {
 	return discovery.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state, StartedMS: startedMS}
 }
 
@@ -27,112 +27,114 @@
 	return list.Endpoints[0]
 }
 
-// A cordoned backend stays out of use whatever discovery reports.
+// Guards against a report of discovery that puts a cordoned backend back into service.
 func TestTable_CordonOutlastsDiscovery(t *testing.T) {
 	tab := New()
-	tab.ApplyList(fullList(target("a", discovery.InService, 0), target("b", discovery.InService, 0)))
+	tab.ApplyList(fullList(newEndpoint("a", discovery.InService, 0), newEndpoint("b", discovery.InService, 0)))
 	list, err := tab.Cordon(1000, "a")
 	if entry := onlyEntry(t, list); err != nil || entry.ID != "a" || entry.State != discovery.Terminating {
-		t.Fatal(entry, err)
+		t.Fatalf("cordon: got entry %+v, error %v; want a terminating", entry, err)
 	}
 	for _, step := range []struct {
-		told discovery.List
+		list discovery.List
 		want string
 	}{
-		{partialList(target("a", discovery.InService, 0)), discovery.Terminating},
-		{fullList(target("a", discovery.InService, 0)), discovery.Terminating},
-		{partialList(target("a", discovery.Terminating, 0)), discovery.Terminating},
-		{partialList(target("a", discovery.Terminated, 0)), discovery.Terminated},
-		{partialList(target("a", discovery.InService, 2000)), discovery.Terminating}, // restarted under its id
+		{partialList(newEndpoint("a", discovery.InService, 0)), discovery.Terminating},
+		{fullList(newEndpoint("a", discovery.InService, 0)), discovery.Terminating},
+		{partialList(newEndpoint("a", discovery.Terminating, 0)), discovery.Terminating},
+		{partialList(newEndpoint("a", discovery.Terminated, 0)), discovery.Terminated},
+		{partialList(newEndpoint("a", discovery.InService, 2000)), discovery.Terminating}, // restarted with the same ID
 	} {
-		if entry := onlyEntry(t, tab.ApplyList(step.told)); entry.State != step.want {
-			t.Fatalf("after %+v: %s, want %s", step.told, entry.State, step.want)
+		if entry := onlyEntry(t, tab.ApplyList(step.list)); entry.State != step.want {
+			t.Fatalf("after %+v: state is %s, want %s", step.list, entry.State, step.want)
 		}
 	}
 	if list, err := tab.Cordon(1500, "a"); err != nil || len(list.Endpoints) != 0 {
-		t.Fatal("a second hold changes something", list, err)
+		t.Fatalf("second cordon: got change %+v, error %v; want neither", list, err)
 	}
-	if list, err = tab.Uncordon(3000, "a"); err != nil || onlyEntry(t, list) != target("a", discovery.InService, 2000) {
-		t.Fatal(list, err)
+	if list, err = tab.Uncordon(3000, "a"); err != nil || onlyEntry(t, list) != newEndpoint("a", discovery.InService, 2000) {
+		t.Fatalf("uncordon: got change %+v, error %v; want a in service, as discovery reported it", list, err)
 	}
 	if tab.Count() != 0 {
-		t.Fatal("two holds need two releases")
+		t.Fatalf("%d backends are cordoned after two cordons and one uncordon of a, want 0", tab.Count())
 	}
 }
 
-// Operators may restart a cordoned backend faster than discovery reports it.
+// Guards against a backend that counts as warm after a restart that discovery has not reported yet: operators may restart a cordoned backend
+// and uncordon it before discovery reports the new start.
 func TestTable_UncordonedCountsAsJustStarted(t *testing.T) {
 	tab := New()
-	tab.ApplyList(fullList(target("a", discovery.InService, 500)))
+	tab.ApplyList(fullList(newEndpoint("a", discovery.InService, 500)))
 	if _, err := tab.Cordon(1000, "a"); err != nil {
 		t.Fatal(err)
 	}
 	list, _ := tab.Uncordon(4000, "a")
 	if entry := onlyEntry(t, list); entry.State != discovery.InService || entry.StartedMS != 4000 {
-		t.Fatal("taken for warm", entry)
+		t.Fatalf("after uncordon: got %+v, want in service and started at the uncordon, 4000", entry)
 	}
-	if entry := onlyEntry(t, tab.ApplyList(partialList(target("a", discovery.InService, 500)))); entry.StartedMS != 4000 {
-		t.Fatal("an old word made it warm", entry)
+	if entry := onlyEntry(t, tab.ApplyList(partialList(newEndpoint("a", discovery.InService, 500)))); entry.StartedMS != 4000 {
+		t.Fatalf("after a report of the start before the cordon: got %+v, want started at the uncordon, 4000", entry)
 	}
-	if entry := onlyEntry(t, tab.ApplyList(partialList(target("a", discovery.InService, 1800)))); entry.StartedMS != 1800 {
-		t.Fatal("the start that was told does not count", entry)
+	if entry := onlyEntry(t, tab.ApplyList(partialList(newEndpoint("a", discovery.InService, 1800)))); entry.StartedMS != 1800 {
+		t.Fatalf("after a report of a start during the cordon: got %+v, want that start, 1800", entry)
 	}
 	if len(tab.Cordons()) != 0 {
-		t.Fatal("kept for nothing", tab.Cordons())
+		t.Fatalf("got cordons %v after the new start was reported, want none", tab.Cordons())
 	}
 }
 
 func TestTable_UnknownIDs(t *testing.T) {
 	tab := New()
-	tab.ApplyList(fullList(target("a", discovery.InService, 0)))
+	tab.ApplyList(fullList(newEndpoint("a", discovery.InService, 0)))
 	if _, err := tab.Cordon(1, "x"); !errors.Is(err, ErrUnknownBackend) {
-		t.Fatal(err)
+		t.Fatalf("cordon of an unknown backend: got error %v, want %v", err, ErrUnknownBackend)
 	}
 	if _, err := tab.Uncordon(1, "x"); !errors.Is(err, ErrUnknownBackend) {
-		t.Fatal(err)
+		t.Fatalf("uncordon of an unknown backend: got error %v, want %v", err, ErrUnknownBackend)
 	}
 	if list, err := tab.Uncordon(1, "a"); err != nil || len(list.Endpoints) != 0 {
-		t.Fatal("a node in use can be called back", list, err)
+		t.Fatalf("uncordon of a backend in service: got change %+v, error %v; want neither", list, err)
 	}
 	if _, err := tab.Cordon(1, "a"); err != nil {
 		t.Fatal(err)
 	}
-	tab.ApplyList(partialList(target("a", discovery.Terminated, 0)))
+	tab.ApplyList(partialList(newEndpoint("a", discovery.Terminated, 0)))
 	if _, err := tab.Uncordon(2, "a"); err != nil {
-		t.Fatal("held, though not listed now:", err)
+		t.Fatal("uncordon of a cordoned backend that is no longer listed:", err)
 	}
 }
 
-// The number of cordons is bounded.
+// Guards against an unbounded number of cordons.
 func TestTable_Bound(t *testing.T) {
 	tab := New()
 	for i := range MaxCordons + 1 {
 		id := fmt.Sprint("s", i)
-		tab.ApplyList(partialList(target(id, discovery.InService, 0)))
+		tab.ApplyList(partialList(newEndpoint(id, discovery.InService, 0)))
 		if _, err := tab.Cordon(1, id); (err != nil) != (i == MaxCordons) {
-			t.Fatal(i, err)
+			t.Fatalf("cordon %d: got error %v, want one only after %d cordons", i, err, MaxCordons)
 		}
 	}
 	if _, err := tab.Cordon(1, fmt.Sprint("s", MaxCordons)); !errors.Is(err, ErrTooMany) {
-		t.Fatal(err)
+		t.Fatalf("got error %v, want %v", err, ErrTooMany)
 	}
 }
 
-// After calls and lists in any order, no cordoned backend is in service, and all others are as discovery reports.
+// Guards against orders of calls and lists after which a cordoned backend is in service, or another backend's state is not the one that
+// discovery reported.
 func TestTable_AnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	ids, states := []string{"a", "b", "c"}, []string{discovery.InService, discovery.Terminating, discovery.Terminated}
-	occasions := 0
+	cordonedChecks := 0
 	for range 200 {
 		tab, other := New(), New()
 		cordoned, discovered := map[string]bool{}, map[string]string{}
-		shown := map[string]string{}
-		see := func(list discovery.List) {
+		applied := map[string]string{}
+		apply := func(list discovery.List) {
 			if list.Full {
-				clear(shown)
+				clear(applied)
 			}
 			for _, entry := range list.Endpoints {
-				shown[entry.ID] = entry.State
+				applied[entry.ID] = entry.State
 			}
 		}
 		for now := int64(1); now < 60; now++ {
@@ -141,40 +143,40 @@
 			case 0, 1:
 				state := states[rng.IntN(3)]
 				discovered[id] = state
-				see(tab.ApplyList(partialList(target(id, state, rng.Int64N(now)))))
+				apply(tab.ApplyList(partialList(newEndpoint(id, state, rng.Int64N(now)))))
 			case 2:
 				list, err := tab.Cordon(now, id)
 				if known := discovered[id] == discovery.InService || discovered[id] == discovery.Terminating || cordoned[id]; known != (err == nil) {
-					t.Fatal("hold", id, discovered[id], err)
+					t.Fatalf("cordon of %s, which discovery reports as %q: got error %v, want an error only for an unknown backend", id, discovered[id], err)
 				} else if known {
 					cordoned[id] = true
 				}
-				see(list)
+				apply(list)
 			case 3:
 				list, err := tab.Uncordon(now, id)
 				if err == nil {
 					cordoned[id] = false
 				}
-				see(list)
-			case 4: // another process takes the cordons over, and this one goes on with them
+				apply(list)
+			case 4: // another process takes over the cordons, and hands them back
 				other.Replace(tab.Cordons())
-				see(tab.Replace(other.Cordons()))
+				apply(tab.Replace(other.Cordons()))
 			}
 			for _, id := range ids {
 				if cordoned[id] && discovered[id] == discovery.InService {
-					occasions++
+					cordonedChecks++
 				}
 				want := discovered[id]
 				if want == discovery.InService && cordoned[id] {
 					want = discovery.Terminating
 				}
-				if shown[id] != want {
-					t.Fatalf("%s is shown %q, want %q", id, shown[id], want)
+				if applied[id] != want {
+					t.Fatalf("state of %s is %q, want %q", id, applied[id], want)
 				}
 			}
 		}
 	}
-	if occasions < 1000 {
-		t.Fatal("too few occasions:", occasions)
+	if cordonedChecks < 1000 {
+		t.Fatalf("only %d checks met a cordoned backend in service at discovery, want at least 1000", cordonedChecks)
 	}
 }
--- a/internal/membership/discovery/golden_test.go
+++ b/internal/membership/discovery/golden_test.go
@@ -6,7 +6,7 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards the list of backends as discovery, configurations and agents word it, and how old it is as statuses do.
+// Guards the JSON form of the endpoint list, which discovery services, configurations and agents use, and that of its age in statuses.
 func TestGoldenForms(t *testing.T) {
 	golden.JSON(t, "list.json", &List{})
 	golden.JSON(t, "age.json", &Age{})
--- a/internal/membership/discovery/splitter_test.go
+++ b/internal/membership/discovery/splitter_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// What a watch says is told apart the same way however it comes in pieces, and whatever stands in its texts.
+// The splitter finds the same tokens whatever the sizes of the reads and whatever characters JSON strings contain.
 func TestObjectSplitter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text strings.Builder
@@ -32,27 +32,27 @@
 			}
 		}
 		size := rapid.IntRange(1, 40).Draw(t, "size")
-		lines := bufio.NewScanner(&pieces{strings.NewReader(text.String()), size})
+		lines := bufio.NewScanner(&chunkReader{strings.NewReader(text.String()), size})
 		lines.Buffer(nil, 1<<16)
 		lines.Split(new(objectSplitter).split)
 		var got []string
 		for lines.Scan() {
 			got = append(got, lines.Text())
 		}
-		// A line's end is an empty token where it comes apart from its object; how many of those there are tells nothing.
-		spoken := func(list []string) []string {
+		// The line end after an object is an empty token if it arrives in a later read than the object, so empty tokens are not compared.
+		nonEmpty := func(list []string) []string {
 			return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == "" })
 		}
-		if lines.Err() != nil || !slices.Equal(spoken(got), spoken(want)) {
-			t.Fatalf("%q came as %q, want %q (%v)", text.String(), got, want, lines.Err())
+		if lines.Err() != nil || !slices.Equal(nonEmpty(got), nonEmpty(want)) {
+			t.Fatalf("input %q: got tokens %q, want %q; error %v", text.String(), got, want, lines.Err())
 		}
 	})
 }
 
-// pieces reads so many bytes at a time.
-type pieces struct {
+// chunkReader reads at most n bytes at a time.
+type chunkReader struct {
 	r io.Reader
 	n int
 }
 
-func (p *pieces) Read(b []byte) (int, error) { return p.r.Read(b[:min(len(b), p.n)]) }
+func (c *chunkReader) Read(b []byte) (int, error) { return c.r.Read(b[:min(len(b), c.n)]) }
--- a/internal/membership/etcdsource/cluster_test.go
+++ b/internal/membership/etcdsource/cluster_test.go
@@ -14,143 +14,144 @@
 	"eiderspread/internal/testbed/etcdstandin"
 )
 
-// Guards a message in parts against a leader that changes in its middle, when the stream breaks too: the source sees the whole
-// transaction once, and nothing of it twice or by halves.
+// Guards against a transaction that is applied twice or in part: its fragmented watch response is cut when the leader changes and the
+// stream breaks.
 func TestSource_LeaderChangesWithinFragments(t *testing.T) {
 	s, err := etcdstandin.Open(etcdstandin.Config{Members: 3, FragmentBytes: 300, Election: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	s.Set("/p/nodes/a", a1)
-	var parts, breaks atomic.Int32
+	s.Set("/p/nodes/a", nodeJSON)
+	var fragments, brokenStreams atomic.Int32
 	s.SetScript(etcdstandin.Script{OnSend: func(r *etcdserverpb.WatchResponse) error {
-		if r.Fragment && parts.Add(1) == 3 {
-			breaks.Add(1)
+		if r.Fragment && fragments.Add(1) == 3 {
+			brokenStreams.Add(1)
 			s.ChangeLeader()
 			return status.Error(codes.Unavailable, "the connection broke")
 		}
 		return nil
 	}})
-	src, r := followOf(t, s.Addrs())
-	get(t, r.whole)
-	get(t, r.alive)
+	src, r := startSourceAt(t, s.Addrs())
+	receive(t, r.full)
+	receive(t, r.resumed)
 	all := map[string]string{}
 	for i := range 40 {
-		all[fmt.Sprintf("/p/nodes/n%02d", i)] = a1
+		all[fmt.Sprintf("/p/nodes/n%02d", i)] = nodeJSON
 	}
 	s.Do(all)
-	if got := get(t, r.change); strings.Count(got, "up") != 40 {
-		t.Errorf("%q", got)
+	if got := receive(t, r.updates); strings.Count(got, "up") != 40 {
+		t.Errorf("got %d nodes up in %q, want 40", strings.Count(got, "up"), got)
 	}
 	for src.Status().Revision < s.Head().Revision {
 		time.Sleep(time.Millisecond)
 	}
-	if len(r.change) != 0 || breaks.Load() != 1 || src.Status().DuplicateEvents != 0 {
-		t.Errorf("%d changes more, %d breaks, %+v", len(r.change), breaks.Load(), src.Status())
+	if len(r.updates) != 0 || brokenStreams.Load() != 1 || src.Status().DuplicateEvents != 0 {
+		t.Errorf("got %d further updates and %d broken streams, want 0 and 1; want no duplicate events in status %+v",
+			len(r.updates), brokenStreams.Load(), src.Status())
 	}
 }
 
-// Guards against a member in a minority: it goes on saying that all is well, and answers serializable reads. The source ends
-// its watch there for want of a leader, says so, and is up to date again by the others.
+// Guards against a source that trusts a member in a minority: that member still reports that it is healthy and answers serializable reads.
+// The source must close its watch because there is no leader, report that, and catch up from the other members.
 func TestSource_MemberInMinority(t *testing.T) {
 	s, err := etcdstandin.Open(etcdstandin.Config{Members: 3, Election: 50 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	s.Set("/p/nodes/a", a1)
-	src, r := followOf(t, s.Addrs()[:1]) // it knows this one alone
-	get(t, r.whole)
-	get(t, r.alive)
+	s.Set("/p/nodes/a", nodeJSON)
+	src, r := startSourceAt(t, s.Addrs()[:1]) // the source knows only this member
+	receive(t, r.full)
+	receive(t, r.resumed)
 	s.Cut(0, true)
 	s.Set("/p/drain/a", "{}")
-	if got := get(t, r.broken); !strings.Contains(got, "no leader") {
-		t.Errorf("ended by %q", got)
+	if got := receive(t, r.interruptions); !strings.Contains(got, "no leader") {
+		t.Errorf("the watch ended with %q, want a \"no leader\" error", got)
 	}
-	for len(r.alive) > 0 {
-		<-r.alive
+	for len(r.resumed) > 0 {
+		<-r.resumed
 	}
-	get(t, r.broken) // and again: the member answers nothing that needs agreement
+	receive(t, r.interruptions) // the next session fails too: the member answers no request that needs a quorum
 	select {
-	case <-r.alive:
-		t.Error("the source says that it is up to date")
+	case <-r.resumed:
+		t.Error("the source reported that it is up to date, want it to stay interrupted")
 	default:
 	}
-	if len(r.change) != 0 || len(r.whole) != 0 {
-		t.Error("something was told")
+	if len(r.updates) != 0 || len(r.full) != 0 {
+		t.Errorf("got %d updates and %d full reads from the member in a minority, want none", len(r.updates), len(r.full))
 	}
 	src.Reconfigure(Config{Endpoints: urls(s.Addrs()[1:])})
-	if got := get(t, r.change); got != "a 127.0.0.1:1 draining" {
-		t.Errorf("by the others: %q", got)
+	if got := receive(t, r.updates); got != "a 127.0.0.1:1 draining" {
+		t.Errorf("update from the other members is %q, want node a draining", got)
 	}
-	get(t, r.alive)
+	receive(t, r.resumed)
 }
 
-// Guards a thousand nodes that are flipped in one transaction, after a compaction and with the watch down as well.
+// Guards against nodes that are missed when one transaction changes a thousand of them, also after a compaction while the watch is down.
 func TestSource_ThousandChangesAtOnce(t *testing.T) {
 	s := startStandIn(t, etcdstandin.Head{Cluster: 1, Revision: 10, Term: 1})
-	nodes, marks, none := map[string]string{}, map[string]string{}, map[string]string{}
+	nodes, drainMarks, deletions := map[string]string{}, map[string]string{}, map[string]string{}
 	for i := range 1000 {
-		nodes[fmt.Sprintf("/p/nodes/n%d", i)] = a1
-		marks[fmt.Sprintf("/p/drain/n%d", i)] = "{}"
-		none[fmt.Sprintf("/p/drain/n%d", i)] = ""
+		nodes[fmt.Sprintf("/p/nodes/n%d", i)] = nodeJSON
+		drainMarks[fmt.Sprintf("/p/drain/n%d", i)] = "{}"
+		deletions[fmt.Sprintf("/p/drain/n%d", i)] = ""
 	}
 	s.Do(nodes)
-	_, r := follow(t, s)
-	if got := get(t, r.whole); strings.Count(got, " up") != 1000 {
-		t.Errorf("%d up", strings.Count(got, " up"))
+	_, r := startSource(t, s)
+	if got := receive(t, r.full); strings.Count(got, " up") != 1000 {
+		t.Errorf("got %d nodes up at first, want 1000", strings.Count(got, " up"))
 	}
-	s.Do(marks)
-	if got := get(t, r.change); strings.Count(got, "draining") != 1000 {
-		t.Errorf("%d drain", strings.Count(got, "draining"))
+	s.Do(drainMarks)
+	if got := receive(t, r.updates); strings.Count(got, "draining") != 1000 {
+		t.Errorf("got %d nodes draining, want 1000", strings.Count(got, "draining"))
 	}
 	s.Stop()
-	s.Do(none)
-	s.Do(marks)
-	s.Do(none)
+	s.Do(deletions)
+	s.Do(drainMarks)
+	s.Do(deletions)
 	s.CompactAll()
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
 	}
 	for {
 		select {
-		case got := <-r.whole:
+		case got := <-r.full:
 			if strings.Count(got, " up") != 1000 {
-				t.Errorf("%d up after the compaction", strings.Count(got, " up"))
+				t.Errorf("got %d nodes up after the compaction, want 1000", strings.Count(got, " up"))
 			}
 			return
-		case got := <-r.change: // the compaction left what this answer needed
+		case got := <-r.updates: // the compaction kept the revisions that this update needs
 			if strings.Count(got, " up") == 1000 {
 				return
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("nothing came")
+			t.Fatalf("no update with 1000 nodes up within %v", testTimeout)
 		}
 	}
 }
 
-// Guards against a member that lags: it goes on telling progress, as far as it is. The cluster's own word shows that it is behind,
-// and the source goes to another.
+// Guards against a source that stays with a lagging member, which still reports progress up to its own revision. A quorum read shows
+// that the member is behind, and the source must switch to another one.
 func TestSource_LaggingMember(t *testing.T) {
 	s, err := etcdstandin.Open(etcdstandin.Config{Members: 3, Election: 20 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	s.Set("/p/nodes/a", a1)
-	src, r := followOf(t, s.Addrs())
-	get(t, r.whole)
-	get(t, r.alive)
-	get(t, r.alive)
-	for i := range 2 { // whichever two lag, the third has it
+	s.Set("/p/nodes/a", nodeJSON)
+	src, r := startSourceAt(t, s.Addrs())
+	receive(t, r.full)
+	receive(t, r.resumed)
+	receive(t, r.resumed)
+	for i := range 2 { // two members lag, among them the one with the watch; the third is up to date
 		s.Lag((int(src.Status().Member)-1+i)%3, true)
 	}
 	s.Set("/p/drain/a", "{}")
-	if got := get(t, r.change); got != "a 127.0.0.1:1 draining" {
-		t.Errorf("by the third: %q", got)
+	if got := receive(t, r.updates); got != "a 127.0.0.1:1 draining" {
+		t.Errorf("update from the third member is %q, want node a draining", got)
 	}
-	if len(r.broken) == 0 {
-		t.Error("the watch at the member that lags was not ended: the run shows nothing")
+	if len(r.interruptions) == 0 {
+		t.Error("no watch was interrupted, so the watch was not at a lagging member and the test proves nothing")
 	}
 }
