--- a/cmd/fleet/upgrader.go
+++ b/cmd/fleet/upgrader.go
@@ -81,7 +81,7 @@
 			if ready != "" {
 				state.current = ready
 			}
-			u.rollout.HandleAnswer(now, i, answered, ready != "", busy)
+			u.rollout.HandleReadiness(now, i, answered, ready != "", busy)
 		}
 	}()
 }
@@ -121,7 +121,7 @@
 		if err == nil && status/100 != 2 {
 			err = fmt.Errorf("drain call returned HTTP status %d, want 2xx", status)
 		}
-		u.events <- func(now float64) { u.rollout.Drained(now, i, err) }
+		u.events <- func(now float64) { u.rollout.HandleDrained(now, i, err) }
 	}()
 }
 
@@ -139,7 +139,7 @@
 	}
 	go func() {
 		err := runCommand(command, env)
-		u.events <- func(now float64) { u.rollout.Restarted(now, i, err) }
+		u.events <- func(now float64) { u.rollout.HandleRestarted(now, i, err) }
 	}()
 }
 
--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -11,7 +11,7 @@
 func (a actions) begin(message string) *simprotocol.Writer { return a.out.Begin(message, a.gateway) }
 
 func (a actions) Send(id, backend string, timeoutS float64) {
-	line := a.begin(simprotocol.MessageSend).ID(simprotocol.FieldID, id).ID(simprotocol.FieldBackend, backend)
+	line := a.begin(simprotocol.MessageSend).Raw(simprotocol.FieldID, id).Raw(simprotocol.FieldBackend, backend)
 	if timeoutS != 0 {
 		line.Num(simprotocol.FieldTimeout, timeoutS)
 	}
@@ -19,7 +19,7 @@
 }
 
 func (a actions) Reject(id string, retryAfterS float64) {
-	line := a.begin(simprotocol.MessageReject).ID(simprotocol.FieldID, id)
+	line := a.begin(simprotocol.MessageReject).Raw(simprotocol.FieldID, id)
 	if retryAfterS > 0 {
 		line.Num(simprotocol.FieldRetryAfter, retryAfterS)
 	}
@@ -27,11 +27,11 @@
 }
 
 func (a actions) Fail(id string) {
-	a.begin(simprotocol.MessageFail).ID(simprotocol.FieldID, id).End()
+	a.begin(simprotocol.MessageFail).Raw(simprotocol.FieldID, id).End()
 }
 
 func (a actions) Cancel(id string, attempt int) {
-	a.begin(simprotocol.MessageCancel).ID(simprotocol.FieldID, id).Int(simprotocol.FieldAttempt, int64(attempt)).End()
+	a.begin(simprotocol.MessageCancel).Raw(simprotocol.FieldID, id).Int(simprotocol.FieldAttempt, int64(attempt)).End()
 }
 
 func (a actions) SetTimer(token uint64, delayS float64) {
@@ -39,7 +39,7 @@
 }
 
 func (a actions) Probe(backend string) {
-	a.begin(simprotocol.MessageProbe).ID(simprotocol.FieldBackend, backend).End()
+	a.begin(simprotocol.MessageProbe).Raw(simprotocol.FieldBackend, backend).End()
 }
 
 func (a actions) SendPeerMessage(gateway int, data []byte) {
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -69,7 +69,7 @@
 	}
 	defer func() {
 		if fault := recover(); fault != nil {
-			h.out.Begin(simprotocol.MessageGatewayDied, number).Str(simprotocol.FieldText, fmt.Sprint(fault)).End()
+			h.out.Begin(simprotocol.MessageGatewayPanic, number).Str(simprotocol.FieldText, fmt.Sprint(fault)).End()
 		}
 	}()
 	deliver, err := read(h, number)
--- a/internal/base/simprotocol/names.go
+++ b/internal/base/simprotocol/names.go
@@ -23,16 +23,16 @@
 
 // Messages to the simulator.
 const (
-	MessageBatchDone   = "NEXT"         // ends the reply to a batch
-	MessageSend        = "FORWARD"      // starts an attempt
-	MessageReject      = "BOUNCE"       // final answer: the request did not run
-	MessageFail        = "ERROR"        // final answer: the request may have run
-	MessageCancel      = "STOP_ATTEMPT" // cancels an attempt
-	MessageSetTimer    = "WAKE_AT"      // sets a timer
-	MessageProbe       = "HEALTH_CHECK" // requests a health check
-	MessageSendPeer    = "BROADCAST_TO" // sends a message to another gateway
-	MessageLog         = "EMIT"         // writes a log line
-	MessageGatewayDied = "FAULT"        // a gateway panicked
+	MessageBatchDone    = "NEXT"         // ends the reply to a batch
+	MessageSend         = "FORWARD"      // starts an attempt
+	MessageReject       = "BOUNCE"       // final answer: the request did not run
+	MessageFail         = "ERROR"        // final answer: the request may have run
+	MessageCancel       = "STOP_ATTEMPT" // cancels an attempt
+	MessageSetTimer     = "WAKE_AT"      // sets a timer
+	MessageProbe        = "HEALTH_CHECK" // requests a health check
+	MessageSendPeer     = "BROADCAST_TO" // sends a message to another gateway
+	MessageLog          = "EMIT"         // writes a log line
+	MessageGatewayPanic = "FAULT"        // a gateway panicked
 )
 
 // Fields.
--- a/internal/base/simprotocol/writer.go
+++ b/internal/base/simprotocol/writer.go
@@ -38,8 +38,8 @@
 	return w
 }
 
-// ID adds a text field unchanged: v comes from a message of the simulator.
-func (w *Writer) ID(name, v string) *Writer { w.key(name); w.line = append(w.line, v...); return w }
+// Raw adds a text field unchanged: v comes from a message of the simulator.
+func (w *Writer) Raw(name, v string) *Writer { w.key(name); w.line = append(w.line, v...); return w }
 
 // Int adds an integer field.
 func (w *Writer) Int(name string, v int64) *Writer {
--- a/internal/controlplane/forwarder/core.go
+++ b/internal/controlplane/forwarder/core.go
@@ -122,7 +122,7 @@
 	}
 	c.planners[planner] = plannerLink{linked: true, incarnation: incarnation}
 	c.out.SendToPlanner(planner, transport.NewForwarderCordonCapable())
-	c.sendViews(planner)
+	c.sendPromiseReports(planner)
 }
 
 // LinkDown handles the end of a link. It does not end promises, as a promise is given to a planner's process and not to its link.
@@ -150,7 +150,7 @@
 	switch msg.KindFromPlanner() {
 	case transport.KindClaim:
 		c.handleClaim(planner, msg)
-	case transport.KindLead:
+	case transport.KindLeaderAnnouncement:
 		c.handleLead(planner, msg)
 	case transport.KindCordonRead, transport.KindCordonWrite:
 		c.handleCordon(planner, msg)
@@ -210,7 +210,7 @@
 		return
 	}
 	for i := range c.cells {
-		if cell := &c.cells[i]; cell.hasLeader && cell.expired(now) && topology.Fenced {
+		if cell := &c.cells[i]; cell.hasLeader && cell.expired(now) && topology.FencingEnabled {
 			c.becomeLeaderless(i)
 		}
 		c.expireWaiting(&c.cells[i])
@@ -219,6 +219,6 @@
 	c.usage.sweep(now)
 	if now >= c.nextHeartbeatAt {
 		c.nextHeartbeatAt = now + c.cfg.HeartbeatS
-		c.broadcastViews(c.allViews())
+		c.broadcastPromiseReports(c.allPromiseReports())
 	}
 }
--- a/internal/controlplane/forwarder/core_test.go
+++ b/internal/controlplane/forwarder/core_test.go
@@ -45,7 +45,7 @@
 
 func (f *fixture) SendToPlanner(planner int, msgs ...transport.Message) {
 	for _, msg := range msgs {
-		if msg.Kind == transport.KindView || msg.Handle == transport.CordonCapableHandle {
+		if msg.Kind == transport.KindPromiseReport || msg.Handle == transport.CordonCapableHandle {
 			continue // sent too often to be recorded
 		}
 		names := map[transport.Kind]string{transport.KindGrant: "grant", transport.KindUsageReport: "usage", transport.KindUsageReportEnd: "usage-end", transport.KindRequest: "request",
@@ -95,7 +95,7 @@
 		f.core.LinkUp(f.now, planner, uint64(planner)+7)
 	}
 	f.receive(planner, transport.Message{Kind: transport.KindClaim, Cell: f.cellID(), Epoch: epoch, Round: 1})
-	f.receive(planner, transport.Message{Kind: transport.KindLead, Cell: f.cellID(), Epoch: epoch})
+	f.receive(planner, transport.Message{Kind: transport.KindLeaderAnnouncement, Cell: f.cellID(), Epoch: epoch})
 	if cell := f.core.cells[f.cellID()]; !cell.hasLeader || cell.holder != planner || cell.epoch != epoch {
 		f.t.Fatalf("planner %d does not lead the cell under epoch %d: %+v", planner, epoch, cell)
 	}
@@ -140,11 +140,11 @@
 	claim(0, 5)
 	claim(0, 7)
 	f.expect()
-	f.receive(0, transport.Message{Kind: transport.KindLead, Cell: f.cellID(), Epoch: 5})
+	f.receive(0, transport.Message{Kind: transport.KindLeaderAnnouncement, Cell: f.cellID(), Epoch: 5})
 	if f.core.cells[f.cellID()].hasLeader {
 		t.Error("a former leader is followed after it announced that it leads")
 	}
-	f.receive(1, transport.Message{Kind: transport.KindLead, Cell: f.cellID(), Epoch: 6})
+	f.receive(1, transport.Message{Kind: transport.KindLeaderAnnouncement, Cell: f.cellID(), Epoch: 6})
 	f.receive(0, transport.Message{Kind: transport.KindRelease, Cell: f.cellID(), Epoch: 6}) // another planner's promise
 	claim(0, 7)
 	f.expect()
@@ -313,7 +313,7 @@
 	f.expect("reject late")
 	f.endAttempt("out", 0, policy.Reset)
 	f.expect("fail out")
-	if _, failsafe := f.core.CountLed(); failsafe != 2 {
+	if _, failsafe := f.core.CellCounts(); failsafe != 2 {
 		t.Errorf("got %d cells in fail-safe, want 2", failsafe)
 	}
 	f.now += 0.5
--- a/internal/controlplane/forwarder/migrate.go
+++ b/internal/controlplane/forwarder/migrate.go
@@ -21,7 +21,7 @@
 		c.becomeLeaderless(i)
 	}
 	c.migrated = true
-	state := snapshot.ForwarderState{LastHandle: c.lastHandle, LossyAt: c.usage.incompleteAt, Cordons: map[string]snapshot.Cordon{}}
+	state := snapshot.ForwarderState{LastHandle: c.lastHandle, IncompleteAt: c.usage.incompleteAt, Cordons: map[string]snapshot.Cordon{}}
 	for i := range c.cells {
 		cell := &c.cells[i]
 		cell.waiting = nil
@@ -66,7 +66,7 @@
 			cell.until = now + c.cfg.LeaseS
 		}
 	}
-	c.usage.incompleteAt = state.LossyAt
+	c.usage.incompleteAt = state.IncompleteAt
 	if !sameCells {
 		c.usage.incompleteAt = now
 	}
--- a/internal/controlplane/forwarder/migrate_test.go
+++ b/internal/controlplane/forwarder/migrate_test.go
@@ -48,7 +48,7 @@
 // Guards against two leaders of one cell when a forwarder is replaced: a promise expires in the new process at the time at which it would
 // have expired in the old one, and the old process grants none.
 func TestMigrate_Promises(t *testing.T) {
-	if !topology.Fenced {
+	if !topology.FencingEnabled {
 		t.Skip("promises do not bind in a build without fencing")
 	}
 	predecessor := newFixture(t)
@@ -67,7 +67,7 @@
 	successor.core.LinkUp(successor.now, 1, 8)
 	claim(1, 6)
 	successor.expect()
-	successor.receive(0, transport.Message{Kind: transport.KindLead, Cell: successor.cellID(), Epoch: 5}) // no claim is needed, as the promise was handed over
+	successor.receive(0, transport.Message{Kind: transport.KindLeaderAnnouncement, Cell: successor.cellID(), Epoch: 5}) // no claim is needed, as the promise was handed over
 	if !successor.core.cells[successor.cellID()].hasLeader {
 		t.Error("the new process does not follow the leader that the old process followed")
 	}
@@ -157,14 +157,14 @@
 	predecessor.core.LinkUp(predecessor.now, 0, 7)
 	predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 9}) // not renewed: another planner may hold a newer promise
 	predecessor.expect()
-	if topology.Fenced {
+	if topology.FencingEnabled {
 		predecessor.now += predecessor.core.cfg.LeaseS + 0.01
 		predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 10})
 		if predecessor.lastMessage.Kind != transport.KindUsageReportEnd || predecessor.lastMessage.Flag {
 			t.Errorf("last message is %+v, want the end of an incomplete usage report", predecessor.lastMessage)
 		}
 		predecessor.calls = nil
-		predecessor.receive(0, transport.Message{Kind: transport.KindLead, Cell: predecessor.cellID(), Epoch: 5})
+		predecessor.receive(0, transport.Message{Kind: transport.KindLeaderAnnouncement, Cell: predecessor.cellID(), Epoch: 5})
 		predecessor.expect("p0 orphans", "p0 request", "p0 request") // requests late and waits
 	}
 	predecessor.endAttempt("sent", 0, policy.Timeout)
--- a/internal/controlplane/forwarder/promises.go
+++ b/internal/controlplane/forwarder/promises.go
@@ -8,7 +8,7 @@
 	"eiderspread/internal/controlplane/transport"
 )
 
-// handbackRequestTTLS is how long views report a planner's request for a cell, in seconds.
+// handbackRequestTTLS is how long promise reports include a planner's request for a cell, in seconds.
 const handbackRequestTTLS = 0.5
 
 // noPlanner is used instead of a planner's number where there is no planner.
@@ -54,11 +54,11 @@
 		return false
 	}
 	cell := &c.cells[cellID]
-	return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.Fenced)
+	return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.FencingEnabled)
 }
 
 // handleClaim handles a planner's claim. It renews the planner's current promise, or grants a new one if no other planner holds an unexpired
-// promise. A planner whose claim is refused gets a view of the cell.
+// promise. A planner whose claim is refused gets a promise report for the cell.
 func (c *Core) handleClaim(planner int, msg *transport.Message) {
 	cellID := int(msg.Cell)
 	if cellID >= len(c.cells) {
@@ -69,7 +69,7 @@
 	ownClaim := cell.givenTo(planner, incarnation) // a planner claims under a new epoch only when its former claim has ended
 	switch {
 	case ownClaim && cell.epoch == msg.Epoch:
-		if cell.expired(c.now) && topology.Fenced {
+		if cell.expired(c.now) && topology.FencingEnabled {
 			c.becomeLeaderless(cellID) // until the planner announces again that it leads
 		}
 		cell.until = c.now + c.cfg.LeaseS
@@ -79,9 +79,9 @@
 		cell.promise = promise{epoch: msg.Epoch, holder: planner, incarnation: incarnation, until: c.now + c.cfg.LeaseS}
 		c.sendGrant(planner, msg)
 		c.reportUsage(cellID)
-		c.broadcastViews([]transport.Message{c.view(cellID)})
+		c.broadcastPromiseReports([]transport.Message{c.promiseReport(cellID)})
 	case c.planners[planner].linked:
-		c.out.SendToPlanner(planner, c.view(cellID))
+		c.out.SendToPlanner(planner, c.promiseReport(cellID))
 	}
 }
 
@@ -96,7 +96,7 @@
 		return
 	}
 	cell := &c.cells[msg.Cell]
-	if cell.hasLeader || cell.holder != planner || cell.epoch != msg.Epoch || cell.expired(c.now) && topology.Fenced {
+	if cell.hasLeader || cell.holder != planner || cell.epoch != msg.Epoch || cell.expired(c.now) && topology.FencingEnabled {
 		return
 	}
 	cell.hasLeader = true
@@ -142,11 +142,12 @@
 	if cell.holder == planner && cell.epoch == msg.Epoch {
 		cell.until = c.now
 		c.becomeLeaderless(cellID)
-		c.broadcastViews([]transport.Message{c.view(cellID)})
+		c.broadcastPromiseReports([]transport.Message{c.promiseReport(cellID)})
 	}
 }
 
-// handleHandbackRequest records that a planner asks for a cell. The views report the request to all planners, the cell's leader among them.
+// handleHandbackRequest records that a planner asks for a cell. The promise reports carry the request to all planners, the cell's
+// leader among them.
 func (c *Core) handleHandbackRequest(planner int, msg *transport.Message) {
 	if int(msg.Cell) < len(c.cells) {
 		cell := &c.cells[msg.Cell]
@@ -154,10 +155,10 @@
 	}
 }
 
-// view returns the message that reports this forwarder's promise for a cell, and the planner that asks for the cell, if any.
-func (c *Core) view(cellID int) transport.Message {
+// promiseReport returns the message that reports this forwarder's promise for a cell, and the planner that asks for the cell, if any.
+func (c *Core) promiseReport(cellID int) transport.Message {
 	cell := &c.cells[cellID]
-	msg := transport.Message{Kind: transport.KindView, Cell: uint16(cellID), Epoch: cell.epoch, Number: uint32(cell.holder + 1),
+	msg := transport.Message{Kind: transport.KindPromiseReport, Cell: uint16(cellID), Epoch: cell.epoch, Number: uint32(cell.holder + 1),
 		DurationS: max(cell.until-c.now, 0)}
 	if cell.requester != noPlanner && c.now < cell.requestedAt+handbackRequestTTLS {
 		msg.Requester = uint16(cell.requester + 1)
@@ -165,21 +166,23 @@
 	return msg
 }
 
-func (c *Core) allViews() []transport.Message {
+func (c *Core) allPromiseReports() []transport.Message {
 	msgs := make([]transport.Message, len(c.cells))
 	for i := range c.cells {
-		msgs[i] = c.view(i)
+		msgs[i] = c.promiseReport(i)
 	}
 	return msgs
 }
 
-// sendViews sends the views of all cells to a newly linked planner.
-func (c *Core) sendViews(planner int) { c.out.SendToPlanner(planner, c.allViews()...) }
+// sendPromiseReports sends the promise reports for all cells to a newly linked planner.
+func (c *Core) sendPromiseReports(planner int) {
+	c.out.SendToPlanner(planner, c.allPromiseReports()...)
+}
 
-func (c *Core) broadcastViews(views []transport.Message) {
+func (c *Core) broadcastPromiseReports(reports []transport.Message) {
 	for planner := range c.planners {
 		if c.planners[planner].linked {
-			c.out.SendToPlanner(planner, views...)
+			c.out.SendToPlanner(planner, reports...)
 		}
 	}
 }
--- a/internal/controlplane/forwarder/status.go
+++ b/internal/controlplane/forwarder/status.go
@@ -46,9 +46,9 @@
 	Failsafe     bool    `json:"failsafe"`       // new requests are rejected at once
 }
 
-// CountLed returns the number of cells with a leader, and the number of cells in fail-safe: those that reject new requests at once because
-// they have no leader.
-func (c *Core) CountLed() (led, failsafe int) {
+// CellCounts returns the number of cells with a leader, and the number of cells in fail-safe: those that reject new requests at once
+// because they have no leader.
+func (c *Core) CellCounts() (led, failsafe int) {
 	for i := range c.cells {
 		if cell := &c.cells[i]; cell.hasLeader {
 			led++
--- a/internal/controlplane/planner/core.go
+++ b/internal/controlplane/planner/core.go
@@ -207,8 +207,8 @@
 func (c *Core) HandleMessage(now float64, forwarder int, msg *transport.Message) {
 	c.advanceTo(now)
 	switch msg.KindFromForwarder() {
-	case transport.KindView:
-		c.leases.handleView(now, forwarder, msg)
+	case transport.KindPromiseReport:
+		c.leases.handlePromiseReport(now, forwarder, msg)
 	case transport.KindGrant:
 		c.leases.handleGrant(now, forwarder, msg)
 	case transport.KindUsageReport, transport.KindUsageReportEnd, transport.KindOrphans:
--- a/internal/controlplane/planner/core_test.go
+++ b/internal/controlplane/planner/core_test.go
@@ -57,7 +57,7 @@
 	for forwarder := range p.Forwarders {
 		core.LinkUp(now, forwarder, 1)
 		for cellID := range p.Cells {
-			core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindView, Cell: uint16(cellID)})
+			core.HandleMessage(now, forwarder, &transport.Message{Kind: transport.KindPromiseReport, Cell: uint16(cellID)})
 		}
 	}
 	core.Tick(now)
--- a/internal/controlplane/planner/leases.go
+++ b/internal/controlplane/planner/leases.go
@@ -38,8 +38,8 @@
 // String returns the role's name.
 func (r leaseRole) String() string { return [...]string{"follower", "candidate", "leader"}[r] }
 
-// forwarderView is a forwarder's latest report of its promise for a cell.
-type forwarderView struct {
+// promiseReport is a forwarder's latest report of its promise for a cell.
+type promiseReport struct {
 	known     bool // false before the first report over the current link, and when a changed report is expected
 	epoch     uint64
 	holder    int     // the planner to which the cell is promised; -1: none
@@ -57,7 +57,7 @@
 	expiresAt     float64               // end of the lease by the grants so far; -Inf before any grant
 	roleSince     float64               // start of the candidacy or leadership
 
-	views               []forwarderView // by forwarder
+	promiseReports      []promiseReport // by forwarder
 	freeSince           float64         // since when a majority has reported the cell as free; +Inf: no majority does
 	nextClaimAt         float64         // earliest time of the next claim
 	handbackRequestedAt float64
@@ -89,19 +89,19 @@
 	}
 	for i := range m.cells {
 		m.cells[i].grantedSentAt = make([]float64, params.Forwarders)
-		m.cells[i].views = make([]forwarderView, params.Forwarders)
+		m.cells[i].promiseReports = make([]promiseReport, params.Forwarders)
 		m.cells[i].freeSince = math.Inf(1)
 	}
 	return m
 }
 
 // leaseEnd returns when the lease expires by the grants so far. It takes the send time of the latest round that each forwarder has
-// granted, selects the majority with the latest times, and adds topology.LeadFraction of the lease time to the earliest of these. This is
-// the only fencing rule on the planner's side.
+// granted, selects the majority with the latest times, and adds topology.LeaderLeaseFraction of the lease time to the earliest of these. This
+// is the only fencing rule on the planner's side.
 func (m *leaseManager) leaseEnd(lease *cellLease) float64 {
 	sentTimes := slices.Clone(lease.grantedSentAt)
 	slices.SortFunc(sentTimes, func(a, b float64) int { return cmp.Compare(b, a) })
-	return sentTimes[m.params.Majority()-1] + m.params.LeaseS*topology.LeadFraction
+	return sentTimes[m.params.Majority()-1] + m.params.LeaseS*topology.LeaderLeaseFraction
 }
 
 // isLeader reports whether this planner leads the cell under the given epoch at the time now, and so may make decisions for it.
@@ -110,7 +110,7 @@
 		return false
 	}
 	lease := &m.cells[cellID]
-	return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)
+	return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.FencingEnabled)
 }
 
 // linkUp handles a new link to a forwarder, and announces to it the cells that this planner leads. A forwarder that promised such a cell
@@ -120,7 +120,7 @@
 	m.linked[forwarder] = true
 	for i := range m.cells {
 		if lease := &m.cells[i]; m.isLeader(now, i, lease.epoch) {
-			m.send(forwarder, transport.Message{Kind: transport.KindLead, Cell: uint16(i), Epoch: lease.epoch})
+			m.send(forwarder, transport.Message{Kind: transport.KindLeaderAnnouncement, Cell: uint16(i), Epoch: lease.epoch})
 		}
 	}
 }
@@ -128,7 +128,7 @@
 func (m *leaseManager) linkDown(forwarder int) {
 	m.linked[forwarder] = false
 	for i := range m.cells {
-		m.cells[i].views[forwarder].known = false
+		m.cells[i].promiseReports[forwarder].known = false
 	}
 }
 
@@ -141,13 +141,13 @@
 	}
 }
 
-// handleView handles a forwarder's report of its promise for a cell.
-func (m *leaseManager) handleView(now float64, forwarder int, msg *transport.Message) {
+// handlePromiseReport handles a forwarder's report of its promise for a cell.
+func (m *leaseManager) handlePromiseReport(now float64, forwarder int, msg *transport.Message) {
 	if int(msg.Cell) >= len(m.cells) {
 		return
 	}
 	lease := &m.cells[msg.Cell]
-	lease.views[forwarder] = forwarderView{known: true, epoch: msg.Epoch, holder: int(msg.Number) - 1, freeAt: now + msg.DurationS,
+	lease.promiseReports[forwarder] = promiseReport{known: true, epoch: msg.Epoch, holder: int(msg.Number) - 1, freeAt: now + msg.DurationS,
 		requester: int(msg.Requester) - 1}
 	if lease.role == leader && msg.Epoch > lease.epoch && msg.DurationS == 0 && now >= lease.roleSince+m.params.LeaseS {
 		// The forwarder has promised a higher epoch to a claim that failed, and follows no lower epoch. It follows this planner again only
@@ -180,7 +180,7 @@
 	lease.sentAt[lease.round%roundHistory] = now
 	msgs := []transport.Message{{Kind: transport.KindClaim, Cell: uint16(cellID), Epoch: lease.epoch, Round: lease.round}}
 	if lease.role == leader {
-		msgs = append(msgs, transport.Message{Kind: transport.KindLead, Cell: uint16(cellID), Epoch: lease.epoch})
+		msgs = append(msgs, transport.Message{Kind: transport.KindLeaderAnnouncement, Cell: uint16(cellID), Epoch: lease.epoch})
 	}
 	m.broadcast(msgs...)
 }
@@ -219,7 +219,7 @@
 // would otherwise continue to submit requests, which this planner ignores.
 func (m *leaseManager) expireLeases(now float64) {
 	for i := range m.cells {
-		if lease := &m.cells[i]; lease.role == leader && now >= lease.expiresAt && topology.Fenced {
+		if lease := &m.cells[i]; lease.role == leader && now >= lease.expiresAt && topology.FencingEnabled {
 			epoch := lease.epoch
 			m.becomeFollower(now, i)
 			m.sendRelease(i, epoch)
@@ -234,7 +234,7 @@
 	m.becomeFollower(now, cellID)
 	lease.nextClaimAt = now + m.params.LeaseS
 	for forwarder := range m.linked {
-		lease.views[forwarder].known = false // the release changes it
+		lease.promiseReports[forwarder].known = false // the release changes it
 	}
 	m.sendRelease(cellID, epoch)
 }
@@ -284,9 +284,9 @@
 // handbackRequested reports whether a majority of the forwarders reports a request for the cell from a higher-ranked planner.
 func (m *leaseManager) handbackRequested(cellID int) bool {
 	requests := 0
-	for forwarder, view := range m.cells[cellID].views {
-		if m.linked[forwarder] && view.known && m.validPlanner(view.requester) &&
-			m.params.Rank(cellID, view.requester) < m.params.Rank(cellID, m.planner) {
+	for forwarder, report := range m.cells[cellID].promiseReports {
+		if m.linked[forwarder] && report.known && m.validPlanner(report.requester) &&
+			m.params.Rank(cellID, report.requester) < m.params.Rank(cellID, m.planner) {
 			requests++
 		}
 	}
@@ -302,10 +302,10 @@
 // nevertheless, one claim fails, with no other effect.
 func (m *leaseManager) plannersAhead(lease *cellLease, cellID, rank int) int {
 	promisesByHolder := make([]int, m.params.Planners)
-	for forwarder, view := range lease.views {
-		if m.linked[forwarder] && view.known && m.validPlanner(view.holder) {
-			promisesByHolder[view.holder]++
-			if promisesByHolder[view.holder] >= m.params.Majority() && m.params.Rank(cellID, view.holder) < rank {
+	for forwarder, report := range lease.promiseReports {
+		if m.linked[forwarder] && report.known && m.validPlanner(report.holder) {
+			promisesByHolder[report.holder]++
+			if promisesByHolder[report.holder] >= m.params.Majority() && m.params.Rank(cellID, report.holder) < rank {
 				return rank - 1
 			}
 		}
@@ -319,15 +319,15 @@
 	lease := &m.cells[cellID]
 	rank := m.params.Rank(cellID, m.planner)
 	free, heldByLowerRank, highestEpoch := 0, 0, uint64(0)
-	for forwarder, view := range lease.views {
-		if !m.linked[forwarder] || !view.known {
+	for forwarder, report := range lease.promiseReports {
+		if !m.linked[forwarder] || !report.known {
 			continue
 		}
-		highestEpoch = max(highestEpoch, view.epoch)
+		highestEpoch = max(highestEpoch, report.epoch)
 		switch {
-		case now >= view.freeAt, view.holder == m.planner: // a promise to this planner's own failed claim does not block a new claim
+		case now >= report.freeAt, report.holder == m.planner: // a promise to this planner's own failed claim does not block a new claim
 			free++
-		case m.validPlanner(view.holder) && m.params.Rank(cellID, view.holder) > rank:
+		case m.validPlanner(report.holder) && m.params.Rank(cellID, report.holder) > rank:
 			heldByLowerRank++
 		}
 	}
--- a/internal/controlplane/planner/leases_test.go
+++ b/internal/controlplane/planner/leases_test.go
@@ -21,7 +21,7 @@
 // Guards against two leaders at once: a leadership must expire by the earliest send time among a majority's latest granted rounds. Grants
 // of another claim, of an unsent round or of a minority must not extend it.
 func TestLease_ExpiryFollowsMajorityGrants(t *testing.T) {
-	if !topology.Fenced {
+	if !topology.FencingEnabled {
 		t.Skip("this build has no fencing")
 	}
 	var sent []transport.Message
@@ -36,7 +36,7 @@
 	for forwarder := range 5 {
 		manager.linkUp(10, forwarder)
 		for cellID := range 2 {
-			manager.handleView(10, forwarder, &transport.Message{Cell: uint16(cellID), Epoch: uint64(forwarder) * epochStep})
+			manager.handlePromiseReport(10, forwarder, &transport.Message{Cell: uint16(cellID), Epoch: uint64(forwarder) * epochStep})
 		}
 	}
 	manager.tick(10) // planner 0 has rank 0 in cell 0; planner 1 has it in cell 1
@@ -60,7 +60,7 @@
 	if strings.Join(transitions, ",") != fmt.Sprint("gained 0 ", e) || !manager.isLeader(10.02, 0, e) || manager.isLeader(10.02, 0, 4) {
 		t.Fatalf("got transitions %v, want leadership of cell 0 under epoch %d", transitions, e)
 	}
-	leaseS := manager.params.LeaseS * topology.LeadFraction
+	leaseS := manager.params.LeaseS * topology.LeaderLeaseFraction
 	if math.Abs(lease.expiresAt-(10+leaseS)) > 1e-9 {
 		t.Errorf("lease expires at %v, want %v", lease.expiresAt, 10+leaseS)
 	}
@@ -95,7 +95,7 @@
 		manager.send, manager.onClaim = func(int, ...transport.Message) {}, func(int, uint64) {}
 		for forwarder := range 3 {
 			manager.linkUp(10, forwarder)
-			manager.handleView(10, forwarder, &transport.Message{Cell: 0, Epoch: 7 * epochStep})
+			manager.handlePromiseReport(10, forwarder, &transport.Message{Cell: 0, Epoch: 7 * epochStep})
 		}
 		manager.tick(10)
 		if e := manager.cells[0].epoch; seen[e] || e/epochStep != 8 {
@@ -114,7 +114,7 @@
 	manager.onClaim, manager.onLead, manager.onLoss = func(int, uint64) {}, func(float64, int, uint64) {}, func(int) {}
 	for forwarder := range 3 {
 		manager.linkUp(10, forwarder)
-		manager.handleView(10, forwarder, &transport.Message{Cell: 0})
+		manager.handlePromiseReport(10, forwarder, &transport.Message{Cell: 0})
 	}
 	manager.tick(10)
 	if manager.cells[0].epoch != 0 {
@@ -141,14 +141,14 @@
 		manager.tick(now)
 		for forwarder := range 3 {
 			manager.handleGrant(now, forwarder, &transport.Message{Epoch: e, Round: manager.cells[0].round})
-			manager.handleView(now, forwarder, &transport.Message{Cell: 0, Epoch: e, Number: 2, DurationS: 0.4, Requester: 3}) // planner 2 ranks below planner 1
+			manager.handlePromiseReport(now, forwarder, &transport.Message{Cell: 0, Epoch: e, Number: 2, DurationS: 0.4, Requester: 3}) // planner 2 ranks below planner 1
 		}
 	}
 	if manager.cells[0].role != leader || releases() != 0 {
 		t.Fatal("the planner released the cell at the request of a lower-ranked planner")
 	}
 	for forwarder := range 2 {
-		manager.handleView(now, forwarder, &transport.Message{Cell: 0, Epoch: e, Number: 2, DurationS: 0.4, Requester: 1})
+		manager.handlePromiseReport(now, forwarder, &transport.Message{Cell: 0, Epoch: e, Number: 2, DurationS: 0.4, Requester: 1})
 	}
 	manager.tick(now)
 	if manager.cells[0].epoch != 0 || releases() != 3 {
@@ -159,7 +159,7 @@
 	lease := &manager.cells[0]
 	lease.nextClaimAt = 0
 	for forwarder := range 3 {
-		manager.handleView(now, forwarder, &transport.Message{Cell: 0, Epoch: e})
+		manager.handlePromiseReport(now, forwarder, &transport.Message{Cell: 0, Epoch: e})
 	}
 	manager.tick(now)
 	manager.tick(now + 2*topology.ClaimStaggerS)
@@ -173,19 +173,19 @@
 	if !manager.isLeader(now+0.1, 0, secondEpoch) {
 		t.Fatalf("planner does not lead after grants of a majority: %+v", lease)
 	}
-	manager.handleView(now+0.2, 2, &transport.Message{Cell: 0, Epoch: secondEpoch + 1, Number: 3})
+	manager.handlePromiseReport(now+0.2, 2, &transport.Message{Cell: 0, Epoch: secondEpoch + 1, Number: 3})
 	if lease.role != leader {
 		t.Error("leader released the cell within a lease time of gaining it")
 	}
 	manager.handleGrant(now+0.2, 0, &transport.Message{Epoch: secondEpoch, Round: 1})
 	lease.expiresAt = now + 9
-	manager.handleView(now+0.6, 2, &transport.Message{Cell: 0, Epoch: secondEpoch + 1, Number: 3})
+	manager.handlePromiseReport(now+0.6, 2, &transport.Message{Cell: 0, Epoch: secondEpoch + 1, Number: 3})
 	if lease.role == leader {
 		t.Error("leader kept the cell although a forwarder has promised a higher epoch")
 	}
 	manager.drain(now)
 	for forwarder := range 3 {
-		manager.handleView(now, forwarder, &transport.Message{Cell: 0})
+		manager.handlePromiseReport(now, forwarder, &transport.Message{Cell: 0})
 	}
 	manager.tick(now + 5)
 	if manager.cells[0].epoch != 0 {
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -57,9 +57,9 @@
 
 // Output carries out the actions of a Rollout. The argument of its methods is an index into Rollout.Programs. Each call returns at once.
 type Output interface {
-	CheckReadiness(i int) // the answer is passed to HandleAnswer
-	Drain(i int)          // the result is passed to Drained
-	Restart(i int)        // the result is passed to Restarted; with a hot restart, Restart starts the new process
+	CheckReadiness(i int) // the answer is passed to HandleReadiness
+	Drain(i int)          // the result is passed to HandleDrained
+	Restart(i int)        // the result is passed to HandleRestarted; with a hot restart, Restart starts the new process
 }
 
 // AbortError reports why a rollout was aborted.
@@ -161,20 +161,20 @@
 	r.err = &AbortError{Program: r.programs[r.current], Phase: r.phase, Problem: err.Error(), Done: r.current, Total: len(r.programs), Err: err}
 }
 
-// HandleAnswer handles the result of CheckReadiness; answered is false if the program did not answer.
-func (r *Rollout) HandleAnswer(now float64, i int, answered, ready, busy bool) {
+// HandleReadiness handles the result of CheckReadiness; answered is false if the program did not answer.
+func (r *Rollout) HandleReadiness(now float64, i int, answered, ready, busy bool) {
 	r.answers[i] = answer{receivedAt: now, ready: answered && ready, busy: answered && busy}
 }
 
-// Drained handles the result of Drain. An error aborts the rollout: a program that can't be drained is not restarted.
-func (r *Rollout) Drained(_ float64, i int, err error) {
+// HandleDrained handles the result of Drain. An error aborts the rollout: a program that can't be drained is not restarted.
+func (r *Rollout) HandleDrained(_ float64, i int, err error) {
 	if r.err == nil && i == r.current && r.phase == Draining && err != nil {
 		r.abortWith(err)
 	}
 }
 
-// Restarted handles the result of Restart. An error aborts the rollout.
-func (r *Rollout) Restarted(now float64, i int, err error) {
+// HandleRestarted handles the result of Restart. An error aborts the rollout.
+func (r *Rollout) HandleRestarted(now float64, i int, err error) {
 	switch {
 	case r.err != nil || i != r.current || r.phase != Restarting:
 	case err != nil:
@@ -216,7 +216,7 @@
 		r.tickWaiting(now)
 	case Draining:
 		r.tickDraining(now)
-	case Restarting: // Restarted ends this phase; it has no timeout
+	case Restarting: // HandleRestarted ends this phase; it has no timeout
 	case Starting:
 		r.tickStarting(now)
 	case Stabilizing:
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -38,24 +38,24 @@
 
 func (fleet *testFleet) CheckReadiness(i int) {
 	ready, busy := fleet.ready[i], fleet.busy[i]
-	fleet.after(0.01, func() { fleet.rollout.HandleAnswer(fleet.now, i, ready || busy, ready, busy) })
+	fleet.after(0.01, func() { fleet.rollout.HandleReadiness(fleet.now, i, ready || busy, ready, busy) })
 }
 func (fleet *testFleet) Drain(i int) {
 	name := fleet.rollout.programs[i].Name
 	if err := fleet.drainErr[name]; err != nil {
-		fleet.after(0.01, func() { fleet.rollout.Drained(fleet.now, i, err) })
+		fleet.after(0.01, func() { fleet.rollout.HandleDrained(fleet.now, i, err) })
 		return
 	}
 	fleet.ready[i], fleet.busy[i] = false, true
 	fleet.after(0.5, func() { fleet.busy[i] = false })
-	fleet.after(0.01, func() { fleet.rollout.Drained(fleet.now, i, nil) })
+	fleet.after(0.01, func() { fleet.rollout.HandleDrained(fleet.now, i, nil) })
 }
 func (fleet *testFleet) Restart(i int) {
 	name := fleet.rollout.programs[i].Name
 	fleet.restarts[i]++
 	fleet.ready[i] = false // with a hot restart, the old process is no longer ready and the new one not yet
 	fleet.order = append(fleet.order, name)
-	fleet.after(0.2, func() { fleet.rollout.Restarted(fleet.now, i, nil) })
+	fleet.after(0.2, func() { fleet.rollout.HandleRestarted(fleet.now, i, nil) })
 	if !fleet.failsToStart[name] {
 		fleet.after(0.4, func() { fleet.ready[i] = true })
 	}
--- a/internal/controlplane/topology/cells.go
+++ b/internal/controlplane/topology/cells.go
@@ -7,7 +7,7 @@
 
 // Majority returns the number of forwarders in a quorum, so that any two quorums have a forwarder in common. It is 1 without fencing.
 func (p Params) Majority() int {
-	if !Fenced {
+	if !FencingEnabled {
 		return 1
 	}
 	return p.Forwarders/2 + 1
--- a/internal/controlplane/topology/params.go
+++ b/internal/controlplane/topology/params.go
@@ -45,9 +45,9 @@
 )
 
 const (
-	// LeadFraction is the fraction of a lease for which a planner leads, so that its leadership ends before the promises that it is based on.
-	// The remaining 5% allow for clocks whose speeds differ by 5%.
-	LeadFraction = 0.95
+	// LeaderLeaseFraction is the fraction of a lease for which a planner leads, so that its leadership ends before the promises that
+	// it is based on. The remaining 5% allow for clocks whose speeds differ by 5%.
+	LeaderLeaseFraction = 0.95
 	// ClaimStaggerS is the delay, in seconds, between the claims of two successive planners in a cell's order.
 	ClaimStaggerS = 0.04
 )
--- a/internal/controlplane/topology/params_test.go
+++ b/internal/controlplane/topology/params_test.go
@@ -92,8 +92,8 @@
 
 // Guards against two leaders of one cell: a planner's leadership ends before the promises that it is based on, even if its clock runs 5%
 // slower than the forwarders' clocks.
-func TestLeadFraction(t *testing.T) {
-	if slowness := 1.05; LeadFraction*slowness > 1 {
-		t.Errorf("leadership for %v of a lease may outlast a promise, want at most 1/%v", LeadFraction, slowness)
+func TestLeaderLeaseFraction(t *testing.T) {
+	if slowness := 1.05; LeaderLeaseFraction*slowness > 1 {
+		t.Errorf("leadership for %v of a lease may outlast a promise, want at most 1/%v", LeaderLeaseFraction, slowness)
 	}
 }
--- a/internal/controlplane/topology/unfenced.go
+++ b/internal/controlplane/topology/unfenced.go
@@ -2,5 +2,5 @@
 
 package topology
 
-// Fenced is false in this test build: a planner leads with the promise of a single forwarder, and its leadership does not expire.
-const Fenced = false
+// FencingEnabled is false in this test build: a planner leads with the promise of a single forwarder, and its leadership does not expire.
+const FencingEnabled = false
--- a/internal/controlplane/transport/message.go
+++ b/internal/controlplane/transport/message.go
@@ -20,7 +20,7 @@
 	KindHello Kind = 1 + iota
 	// F: reports the latest promise for a cell. Cell, Epoch, Number (the holder's number plus one; 0: none), DurationS (time left),
 	// Requester.
-	KindView
+	KindPromiseReport
 	// F: grants a claim, or renews its promise. Cell, Epoch, Round.
 	KindGrant
 	// F: reports the latest admission of an account. Cell, Epoch, Name (account), Plan, Handle (epoch of the KindSend that admitted),
@@ -40,7 +40,7 @@
 	// P: asks for a promise, or for its renewal. Cell, Epoch, Round.
 	KindClaim
 	// P: announces that a majority has granted the claim. Cell, Epoch.
-	KindLead
+	KindLeaderAnnouncement
 	// P: ends the promise that was granted to a claim. Cell, Epoch. See also KindFromPlanner.
 	KindRelease
 	// P: asks for a cell that another planner leads. Cell.
@@ -61,7 +61,7 @@
 	KindOrphans
 	// P: starts a health check. Cell, Epoch, Name (backend).
 	KindProbe
-	// P: keeps an idle link open; forwarders send KindView for that. No fields.
+	// P: keeps an idle link open; forwarders send KindPromiseReport for that. No fields.
 	KindHeartbeat
 	// P: reads a cordon register. Handle (operation), Name (backend).
 	KindCordonRead
--- a/internal/controlplane/transport/message_test.go
+++ b/internal/controlplane/transport/message_test.go
@@ -19,7 +19,7 @@
 		{"disconnect", Message{Kind: KindDisconnected, Handle: 1}, KindDisconnected, KindDisconnected},
 		{"disconnect, upper bit", Message{Kind: KindDisconnected, Handle: 1 << 63}, KindDisconnected, KindDisconnected},
 		{"release", Message{Kind: KindRelease, Cell: 3, Epoch: level.Epoch}, KindRelease, KindRelease},
-		{"view of the reserved cell", Message{Kind: KindView, Cell: CordonCapableCell, Handle: CordonCapableHandle}, KindView, KindView},
+		{"promise report of the reserved cell", Message{Kind: KindPromiseReport, Cell: CordonCapableCell, Handle: CordonCapableHandle}, KindPromiseReport, KindPromiseReport},
 	} {
 		if got := tc.msg.KindFromForwarder(); got != tc.fromForwarder {
 			t.Errorf("%s: kind from a forwarder is %d, want %d", tc.name, got, tc.fromForwarder)
--- a/internal/decision/loadshed/admission.go
+++ b/internal/decision/loadshed/admission.go
@@ -48,10 +48,10 @@
 	return 1
 }
 
-// FirstAttemptFactor returns a factor on the fraction of requests that must have a similar client timeout for a
+// CommonTimeoutFactor returns a factor on the fraction of requests that must have a similar client timeout for a
 // request to be classified as a first attempt. It is below 1 while load is shed, since most requests are client
 // retries then.
-func (s *Shedder) FirstAttemptFactor() float64 {
+func (s *Shedder) CommonTimeoutFactor() float64 {
 	if s.Level() > 0 {
 		return 0.5
 	}
--- a/internal/decision/loadshed/loadshed.go
+++ b/internal/decision/loadshed/loadshed.go
@@ -103,13 +103,13 @@
 // wait for a backend; meanUtil returns the mean utilisation of the backends' cores, and whether it is known. Tick
 // returns the number of the gateway that is due for an unsolicited message with AppendGossip, or -1. While load
 // is shed, such messages exchange the levels even if the gateways have nothing else to send.
-func Tick[R interface{ Waited(now float64) float64 }](s *Shedder, now float64, queue []R, meanUtil func() (mean float64, known bool)) (peer int) {
+func Tick[R interface{ WaitFraction(now float64) float64 }](s *Shedder, now float64, queue []R, meanUtil func() (mean float64, known bool)) (peer int) {
 	if s == nil {
 		return -1
 	}
 	fractions := 0.0
 	for _, r := range queue {
-		fractions += r.Waited(now)
+		fractions += r.WaitFraction(now)
 	}
 	mean, known := meanUtil()
 	s.updateLevel(now, len(queue), fractions, known && mean < idleUtil)
--- a/internal/decision/loadshed/wait.go
+++ b/internal/decision/loadshed/wait.go
@@ -14,8 +14,8 @@
 	MaxS  float64 // maximum wait, seconds
 }
 
-// Waited returns the time waited as a fraction of the maximum wait, at most 1.
-func (w QueueWait) Waited(now float64) float64 {
+// WaitFraction returns the time waited as a fraction of the maximum wait, at most 1.
+func (w QueueWait) WaitFraction(now float64) float64 {
 	return min((now-w.Since)/max(w.MaxS, minQueueWaitS), 1)
 }
 
--- a/internal/decision/snapshot/forwarder.go
+++ b/internal/decision/snapshot/forwarder.go
@@ -2,12 +2,12 @@
 
 import "eiderspread/internal/decision/config"
 
-// ForwarderState is a forwarder's state, or one of the parts that Split makes of it; each part has Incarnation, LastHandle and LossyAt.
-// The process that takes the state over converts its times to its own clock with Shift.
+// ForwarderState is a forwarder's state, or one of the parts that Split makes of it; each part has Incarnation, LastHandle
+// and IncompleteAt. The process that takes the state over converts its times to its own clock with Shift.
 type ForwarderState struct {
 	Incarnation  uint64            `json:"Life"`            // the forwarder's, as planners know it
 	LastHandle   uint64            `json:"Handles"`         // the last handle under which a request was submitted to a planner
-	LossyAt      float64           `json:"Lossy"`           // when a usage report was last left out, because of a restart or a full table
+	IncompleteAt float64           `json:"Lossy"`           // when a usage report was last left out, because of a restart or a full table
 	Cells        []CellPromise     `json:"Cells,omitempty"` // by cell
 	Cordons      map[string]Cordon `json:"Words,omitempty"` // by backend's ID
 	UsageReports []UsageReport     `json:"Tales,omitempty"`
@@ -60,7 +60,7 @@
 // Split divides the state into parts that each fit a message of the link.
 func (s ForwarderState) Split() []Part {
 	var parts []Part
-	head := ForwarderState{Incarnation: s.Incarnation, LastHandle: s.LastHandle, LossyAt: s.LossyAt}
+	head := ForwarderState{Incarnation: s.Incarnation, LastHandle: s.LastHandle, IncompleteAt: s.IncompleteAt}
 	current, size := head, 0
 	reserve := func(bytes int) {
 		if size += bytes; size > targetPartBytes {
@@ -100,7 +100,7 @@
 		if f == nil {
 			return ForwarderState{}, false
 		}
-		s.Incarnation, s.LastHandle, s.LossyAt = f.Incarnation, f.LastHandle, f.LossyAt
+		s.Incarnation, s.LastHandle, s.IncompleteAt = f.Incarnation, f.LastHandle, f.IncompleteAt
 		s.Cells = append(s.Cells, f.Cells...)
 		s.UsageReports = append(s.UsageReports, f.UsageReports...)
 		s.Requests = append(s.Requests, f.Requests...)
@@ -113,7 +113,7 @@
 
 // Shift adds by, the difference between two clocks in seconds, to all times.
 func (s *ForwarderState) Shift(by float64) {
-	s.LossyAt += by
+	s.IncompleteAt += by
 	for i := range s.Cells {
 		s.Cells[i].PromisedUntil += by
 	}
--- a/internal/decision/snapshot/snapshot.go
+++ b/internal/decision/snapshot/snapshot.go
@@ -14,8 +14,8 @@
 	// SequenceMargin is how many sequence numbers after the predecessor's last one a successor starts its messages to peers: up to this
 	// many messages of the predecessor may still be under way.
 	SequenceMargin = 64
-	// NoCapacity is the level, in units, of a hard limit's bucket that was handed over: its former owner sends nothing under that limit.
-	NoCapacity = -1e9
+	// HandedOverLevel is the level, in units, of a hard limit's bucket that was handed over: its former owner sends nothing under that limit.
+	HandedOverLevel = -1e9
 	// MaxAccountsPerPart is the largest number of accounts in a Part, so that the part fits a message of the link.
 	MaxAccountsPerPart = 16
 )
--- a/internal/decision/snapshot/snapshot_test.go
+++ b/internal/decision/snapshot/snapshot_test.go
@@ -14,7 +14,7 @@
 const maxMessageBytes = 128 << 10 // hotrestart.MaxBodyBytes, which this package must not import
 
 func TestForwarderState_SplitAndJoin(t *testing.T) {
-	want := ForwarderState{Incarnation: 1, LastHandle: 2, LossyAt: 3, Cordons: map[string]Cordon{}}
+	want := ForwarderState{Incarnation: 1, LastHandle: 2, IncompleteAt: 3, Cordons: map[string]Cordon{}}
 	for i := range 600 {
 		id := fmt.Sprintf("%0128d", i)
 		want.Cells = append(want.Cells, CellPromise{Epoch: uint64(i)})
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -130,7 +130,7 @@
 // Operators at work on a fleet of two levels, the short form: nodes held by one planner's yes, while that planner is sent away, killed or
 // cut off, and called back at another.
 func TestOperatorsOfTwoLevels(t *testing.T) {
-	if !topology.Fenced {
+	if !topology.FencingEnabled {
 		t.Skip("a build without fencing")
 	}
 	cfg := testFleet(t, 3)
@@ -154,7 +154,7 @@
 
 // The whole fleet as processes, with planners killed, paused, ended and cut off: the short form of the long run.
 func TestFleetOfProcesses(t *testing.T) {
-	if !topology.Fenced {
+	if !topology.FencingEnabled {
 		t.Skip("a build without fencing")
 	}
 	sc := Scenario{FleetConfig: testFleet(t, 5), Accounts: Accounts(6, 4, 2, 5, 3, 1), Length: 14 * time.Second}
@@ -205,7 +205,7 @@
 // Guards the operator's promises: a planner that ends hands over, nothing is refused for it; without planners a
 // request is refused with a hint; and a forwarder that is no member is turned away.
 func TestFleetOperations(t *testing.T) {
-	if !topology.Fenced {
+	if !topology.FencingEnabled {
 		t.Skip("a build without fencing")
 	}
 	cfg := testFleet(t, 3)
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -56,7 +56,7 @@
 		Edits: edit(shedOrder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
 		Reason: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
-		Edits: edit(rules+"request.go", "commonTimeoutFraction * g.shedder.FirstAttemptFactor()\n", "commonTimeoutFraction * 1\n"), Runs: []string{simShed + "overload", simShed + "overload-high"},
+		Edits: edit(rules+"request.go", "commonTimeoutFraction * g.shedder.CommonTimeoutFactor()\n", "commonTimeoutFraction * 1\n"), Runs: []string{simShed + "overload", simShed + "overload-high"},
 		Reason: "work in vain rises from 6 to 13% at 5 times, in the mean of six runs of 25 s; single runs lie too far apart for a bound between"},
 	// ---- The module: further attempts and refusals ----
 	{Name: "unsafe runs once", Rule: "no effect twice", Unit: "./policy",
@@ -117,7 +117,7 @@
 	{Name: "one gateway pays out the shared part", Rule: "ceilings kept",
 		Edits: edit(ceilings, "return p.OwnsShared && p.Rate > 0 &&", "return p.Rate > 0 &&"), Runs: []string{simOne + "ceilings"}},
 	{Name: "what owes the ceiling waits until it is paid", Rule: "ceilings kept",
-		Edits: edit(rules+"selection.go", `	if req.hardLimitUnpaid && !g.hardLimitPays(req) {
+		Edits: edit(rules+"selection.go", `	if req.hardLimitUnpaid && !g.hardLimitCovers(req) {
 `, `	if false {
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
 	// ---- The module: the shared count of one level ----
@@ -290,7 +290,7 @@
 		Runs:   []string{labOne + "keys"}},
 	// ---- Forwarders ----
 	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // by epoch and promise, and by the handle of the telling
-		Edits: []Edit{{"internal/controlplane/forwarder/promises.go", "return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.Fenced)", "return cell != nil"},
+		Edits: []Edit{{"internal/controlplane/forwarder/promises.go", "return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.FencingEnabled)", "return cell != nil"},
 			{"internal/controlplane/forwarder/requests.go", "\tdelete(c.submitted, request.handle)\n\tif request.handle != 0", "\tif request.handle != 0"},
 			{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"}},
 		Runs: []string{simTwo + "storm", simTwo + "programs"}},
@@ -327,10 +327,10 @@
 		Runs:  []string{"sim -shrink=false -schedules 200 -for 20s -planners 3 -scenario blinks"}},
 	// ---- Planners ----
 	{Name: "a lead ends before the promises that it rests on", Rule: "one leader",
-		Edits: edit("internal/controlplane/topology/params.go", "LeadFraction = 0.95", "LeadFraction = 1.6"), Runs: []string{simTwo + "programs"}},
+		Edits: edit("internal/controlplane/topology/params.go", "LeaderLeaseFraction = 0.95", "LeaderLeaseFraction = 1.6"), Runs: []string{simTwo + "programs"}},
 	{Name: "a lead runs out", Rule: "one leader", Unit: "./internal/controlplane/planner",
-		Edits: []Edit{{leases, "return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.Fenced)", "return lease.role == leader && lease.epoch == epoch"},
-			{leases, "lease.role == leader && now >= lease.expiresAt && topology.Fenced {", "lease.role == leader && now >= lease.expiresAt+1e9 && topology.Fenced {"}},
+		Edits: []Edit{{leases, "return lease.role == leader && lease.epoch == epoch && (now < lease.expiresAt || !topology.FencingEnabled)", "return lease.role == leader && lease.epoch == epoch"},
+			{leases, "lease.role == leader && now >= lease.expiresAt && topology.FencingEnabled {", "lease.role == leader && now >= lease.expiresAt+1e9 && topology.FencingEnabled {"}},
 		Runs: []string{simTwo + "programs"}},
 	{Name: "a majority has to promise", Rule: "one leader", Unit: "./internal/controlplane/planner",
 		Edits: edit("internal/controlplane/topology/cells.go", "return p.Forwarders/2 + 1", "return p.Forwarders / 2"), Runs: []string{simTwo + "programs", "sim -shrink=false -schedules 200 -for 30s -planners 3 -scenario programs"}},
--- a/internal/testbed/simulation/handover_test.go
+++ b/internal/testbed/simulation/handover_test.go
@@ -23,7 +23,7 @@
 	const at = 5.0
 	led := func() bool {
 		for _, forwarder := range s.fwds {
-			if n, _ := forwarder.core.CountLed(); n != s.params.Cells {
+			if n, _ := forwarder.core.CellCounts(); n != s.params.Cells {
 				return false
 			}
 		}
@@ -60,7 +60,7 @@
 // A planner that leaves by a word hands its cells on within a few round trips; one that is killed costs what its lease does. 20 forwarders and
 // 3 planners. The bound is virtual time and the same on every machine.
 func TestCellsOfAPlannerThatLeaves(t *testing.T) {
-	if !topology.Fenced {
+	if !topology.FencingEnabled {
 		t.Skip("a build without fencing")
 	}
 	var left, killed []float64
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -109,7 +109,7 @@
 	}
 	if s.cfg.Planners > 0 {
 		for _, forwarder := range s.fwds { // long after the last fault
-			if led, _ := forwarder.core.CountLed(); led != s.params.Cells {
+			if led, _ := forwarder.core.CellCounts(); led != s.params.Cells {
 				s.breaks("everybody is led", "forwarder %d follows a leader in %d cells", forwarder.number, led)
 			}
 		}
--- a/internal/testbed/simulation/sim_test.go
+++ b/internal/testbed/simulation/sim_test.go
@@ -33,7 +33,7 @@
 // Guards the decision parts of both shapes under all faults at once, many seeds: fencing, hand-over, recovery, further
 // attempts, quotas, ceilings, drains and cold nodes. Over the seeds of a scenario each rule must have had its occasions.
 func TestSchedules(t *testing.T) {
-	if !topology.Fenced {
+	if !topology.FencingEnabled {
 		t.Skip("a build without fencing")
 	}
 	for _, tc := range []struct {
@@ -102,7 +102,7 @@
 
 // The same schedules must find breaches where planners are not fenced, or they show nothing.
 func TestUnfencedFleetIsFoundOut(t *testing.T) {
-	if topology.Fenced {
+	if topology.FencingEnabled {
 		t.Skip("for builds with the tag unfenced")
 	}
 	leaders, windows := 0, 0
--- a/internal/testbed/upgrade.go
+++ b/internal/testbed/upgrade.go
@@ -83,7 +83,7 @@
 		status, err := u.procs[i].Call(context.Background(), http.MethodGet, "/v1/readyz")
 		u.post(func(now float64) {
 			u.probing[i] = false
-			u.rollout.HandleAnswer(now, i, err == nil, status == http.StatusOK, false)
+			u.rollout.HandleReadiness(now, i, err == nil, status == http.StatusOK, false)
 		})
 	}()
 }
@@ -95,7 +95,7 @@
 		if err == nil && status != http.StatusOK {
 			err = fmt.Errorf("drain is answered with %d", status)
 		}
-		u.post(func(now float64) { u.rollout.Drained(now, i, err) })
+		u.post(func(now float64) { u.rollout.HandleDrained(now, i, err) })
 	}()
 }
 
@@ -116,7 +116,7 @@
 			p.Term()
 			err = p.Start()
 		}
-		u.post(func(now float64) { u.rollout.Restarted(now, i, err) })
+		u.post(func(now float64) { u.rollout.HandleRestarted(now, i, err) })
 	}
 	go func() { // once no fault has the program
 		for !u.fleet.claim(target, restart) {
--- a/policy/account_test.go
+++ b/policy/account_test.go
@@ -19,13 +19,13 @@
 // Guards against a memory leak: backends that were removed and accounts that were used once must be evicted. An
 // account with an attempt in flight must stay.
 func TestState_IdleEntriesAreEvicted(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	for i := range 500 {
 		now := 200 + float64(i)*0.1
 		g.UpdateBackends(now, []Backend{{ID: fmt.Sprint("new", i), Zone: "a"}}, true)
 		id := fmt.Sprint("q", i)
 		g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "capped", Account: id, DeadlineAt: now + 2, GatewayCount: 1, Units: 4})
-		for _, a := range r.of("send", id) {
+		for _, a := range r.actionsOf("send", id) {
 			g.HandleOutcome(now, Outcome{ID: id, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.1})
 		}
 		g.HandleTimer(now, 1)
@@ -37,7 +37,7 @@
 	}
 	g.HandleRequest(250, Request{ID: "held", Class: "pay", Plan: "capped", Account: "held", DeadlineAt: 254, GatewayCount: 1, Units: 4})
 	g.HandleTimer(290, 1)
-	if retained := g.accountByKey(uint32(peerprotocol.HashPoint("held") >> 32)); len(r.of("send", "held")) != 1 || retained == nil {
+	if retained := g.accountByKey(uint32(peerprotocol.HashPoint("held") >> 32)); len(r.actionsOf("send", "held")) != 1 || retained == nil {
 		t.Error("the request was not sent, or its account was evicted with the attempt in flight")
 	}
 }
@@ -68,7 +68,7 @@
 			q.ID, q.DeadlineAt = fmt.Sprint("q", n), now+4
 			g[1].HandleRequest(now, q)
 			run(now + 0.2)
-			sent := r[1].of("send", q.ID)
+			sent := r[1].actionsOf("send", q.ID)
 			for _, a := range sent {
 				g[1].HandleOutcome(now, Outcome{ID: q.ID, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.1})
 			}
@@ -106,25 +106,25 @@
 // Guards against applying the limits of the wrong plan: an account that changes its plan, or has the same hash
 // as an account of another plan, must have a state of its own, also after a snapshot.
 func TestAccount_PlanChangeIsNewAccount(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	submit(g, 100, "old", "read", "wide", 4)
 	for i := range 12 { // the same account, with a plan of burst 8
 		g.HandleRequest(100, Request{ID: fmt.Sprint("q", i), Class: "pay", Plan: "basic", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
 	}
-	if n := len(r.of("send", "")); n != 9 {
+	if n := len(r.actionsOf("send", "")); n != 9 {
 		t.Errorf("sent %d requests, want 9: one of plan wide, and the burst of 8 of plan basic", n)
 	}
-	for _, n := range r.of("send", "") {
+	for _, n := range r.actionsOf("send", "") {
 		g.HandleOutcome(100.1, Outcome{ID: n.id, Backend: n.backend, Status: OK, Completed: true})
 	}
 	parts := g.Snapshot(100.2)
-	next, nextRecorder := newTestGateway(t, alone)
+	next, nextRecorder := newTestGateway(t, singleGateway)
 	for _, p := range parts {
 		next.Restore(100.3, p)
 	}
 	next.HandleRequest(100.3, Request{ID: "more", Class: "pay", Plan: "basic", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
 	next.HandleRequest(100.3, Request{ID: "still", Class: "pay", Plan: "wide", Account: "c-wide", DeadlineAt: 104, GatewayCount: 1, Units: 1})
-	if len(nextRecorder.of("reject", "more")) != 1 || len(nextRecorder.of("send", "still")) != 1 {
+	if len(nextRecorder.actionsOf("reject", "more")) != 1 || len(nextRecorder.actionsOf("send", "still")) != 1 {
 		t.Errorf("actions after the snapshot = %+v, want \"more\" rejected and \"still\" sent", nextRecorder.actions)
 	}
 }
--- a/policy/adaptive_limit_test.go
+++ b/policy/adaptive_limit_test.go
@@ -8,7 +8,7 @@
 // The adaptive limit is for all backends together, so that it must scale with their number and stay above 0
 // when an empty endpoint list is followed by a full one.
 func TestAdaptiveLimit_ScalesWithBackends(t *testing.T) {
-	g, _ := newTestGateway(t, alone)
+	g, _ := newTestGateway(t, singleGateway)
 	before := g.adaptiveLimit
 	var more []Backend
 	for i := range 27 {
--- a/policy/client_retry_test.go
+++ b/policy/client_retry_test.go
@@ -8,14 +8,14 @@
 // Guards against rejecting first attempts as client retries: when clients change their timeout, the new one must be
 // recognized as a timeout of first attempts after 128 requests.
 func TestClientRetry_NewTimeoutIsLearned(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	now := 100.0
 	sent := func(n int, d float64) (sent int) {
 		for range n {
 			now += 0.02
 			id := fmt.Sprint("q", now)
 			g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "wide", Account: "c", DeadlineAt: now + d, GatewayCount: 1, Units: 1})
-			for _, a := range r.of("send", id) {
+			for _, a := range r.actionsOf("send", id) {
 				sent++
 				g.HandleOutcome(now, Outcome{ID: id, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.1})
 			}
@@ -35,15 +35,15 @@
 // A client retry must be rejected once the latency objective of its first attempt is missed. First attempts with a
 // short timeout must not be taken for retries.
 func TestClientRetry_IsRecognized(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	for i := range 40 {
 		id := fmt.Sprint("q", i)
 		submit(g, 100+float64(i), id, "read", "basic", 1)
-		g.HandleOutcome(100+float64(i), Outcome{ID: id, Backend: r.of("send", id)[0].backend, Status: OK, Completed: true, LatencyS: 0.1})
+		g.HandleOutcome(100+float64(i), Outcome{ID: id, Backend: r.actionsOf("send", id)[0].backend, Status: OK, Completed: true, LatencyS: 0.1})
 	}
 	sendOne := func(id, account string, remainingS float64) (sent, rejected int) {
 		g.HandleRequest(150, Request{ID: id, Class: "read", Plan: "basic", Account: account, DeadlineAt: 150 + remainingS, GatewayCount: 1, Units: 1})
-		return len(r.of("send", id)), len(r.of("reject", id))
+		return len(r.actionsOf("send", id)), len(r.actionsOf("reject", id))
 	}
 	if sent, _ := sendOne("first", "x", 0.8); sent != 1 {
 		t.Fatal("a first attempt with 0.8 s left, of an account without rejections, was not sent")
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -25,7 +25,7 @@
 func (f *ownerFixture) report(now float64, from int, report record) (reply record, answered bool) {
 	f.t.Helper()
 	f.sequences[from]++
-	before := len(f.recorder.of("message", ""))
+	before := len(f.recorder.actionsOf("message", ""))
 	report.AccountKey = 77
 	message := peerprotocol.AppendRecord(peerprotocol.AppendHeader(nil, 1, f.sequences[from]), report)
 	message[peerprotocol.RecordCountOffset] = 1
@@ -36,7 +36,7 @@
 // lastReply returns the last reply to a gateway, without the first since messages; found tells whether there was
 // one.
 func (f *ownerFixture) lastReply(since, to int) (reply record, found bool) {
-	for _, m := range f.recorder.of("message", "")[since:] {
+	for _, m := range f.recorder.actionsOf("message", "")[since:] {
 		if _, _, records, _, ok := peerprotocol.Parse(m.data, f.g.now); ok && m.to == to && len(records) > 0 && records[0].AccountKey == 77 {
 			reply, found = records[0], true
 		}
@@ -69,7 +69,7 @@
 	if reply.Requested > emptyGrantUnits || reply.Slots != 0 || reply.LeaseS == 0 || reply.BackoffS <= 0 {
 		t.Fatalf("reply to a third member with both slots leased = %+v, want no slot and a place in the wait queue", reply)
 	}
-	before := len(f.recorder.of("message", ""))
+	before := len(f.recorder.actionsOf("message", ""))
 	class := f.g.classByPriority(0.8)
 	leaseS := slotlease.LeaseS(class.meanLatency, class.meanDeviation)
 	f.run(101.02, 101+leaseS)
@@ -90,7 +90,7 @@
 	f.report(101, 2, slotRequest(0))
 	f.report(101.01, 3, slotRequest(0))
 	f.report(101.01, 4, slotRequest(0))
-	before := len(f.recorder.of("message", ""))
+	before := len(f.recorder.actionsOf("message", ""))
 	if reply, answered := f.report(101.2, 1, record{Plan: 2, Leases: true, Total: 1, LeaseS: slotlease.ReportLeaseS}); answered {
 		t.Errorf("reply to a report of slots alone = %+v, want none", reply)
 	}
@@ -135,7 +135,7 @@
 	if reply, _ := f.report(100.1, 1, slotRequest(0)); reply.Slots != 0 || reply.Requested > emptyGrantUnits {
 		t.Fatalf("reply just after the start = %+v, want no slot", reply)
 	}
-	before := len(f.recorder.of("message", ""))
+	before := len(f.recorder.actionsOf("message", ""))
 	f.run(100.12, 100.1+slotlease.ReportLeaseS)
 	if reply, found := f.lastReply(before, 1); !found || reply.Slots != 1 {
 		t.Errorf("reply after the predecessor's leases expired = %+v, want 1 slot", reply)
@@ -170,14 +170,14 @@
 			reply.Leases, reply.Requested, reply.BackoffS, reply.LeaseS = true, emptyGrantUnits, tc.waitS, slotlease.ReportLeaseS
 		})
 		g.HandlePeerMessage(100.03, from, message)
-		if n := len(r.of("reject", "")); n != tc.rejected || len(account.pending) != 3-tc.rejected {
+		if n := len(r.actionsOf("reject", "")); n != tc.rejected || len(account.pending) != 3-tc.rejected {
 			t.Fatalf("expected wait of %v s: %d of 3 rejected at once, %d pending; want all pending at 0.3 s, all rejected at 1.5 s", tc.waitS, n, len(account.pending))
 		}
-		before := len(r.of("message", ""))
+		before := len(r.actionsOf("message", ""))
 		for now := 100.05; now < 100.03+tc.waitS && tc.rejected == 0; now += tickIntervalS {
 			g.HandleTimer(now, 1)
 		}
-		if n := len(r.of("message", "")) - before; tc.rejected == 0 && n > 0 {
+		if n := len(r.actionsOf("message", "")) - before; tc.rejected == 0 && n > 0 {
 			t.Errorf("%d messages while requests wait for a slot, want 0", n)
 		}
 	}
@@ -192,23 +192,23 @@
 		reply.Leases, reply.Total, reply.Requested, reply.Slots, reply.LeaseS, reply.InFlight = true, 1, 1, 1, 0.3, 1
 	})
 	g.HandlePeerMessage(100.03, from, message)
-	if len(r.of("send", "")) != 1 {
+	if len(r.actionsOf("send", "")) != 1 {
 		t.Fatal("the request was not sent after a slot was leased")
 	}
-	before := len(r.of("message", ""))
+	before := len(r.actionsOf("message", ""))
 	now := 100.05
 	for ; now < 101.2; now += tickIntervalS {
 		if g.HandleTimer(now, 1); account.leasedSlots.Count(now) < 1 {
 			t.Fatalf("the lease expired at %.2f s with the attempt in flight", now)
 		}
 	}
-	if n := len(r.of("message", "")) - before; n < 2 || n > 4 {
+	if n := len(r.actionsOf("message", "")) - before; n < 2 || n > 4 {
 		t.Errorf("%d messages in 1.2 s, want 2 to 4 renewals", n)
 	}
-	before = len(r.of("message", ""))
-	g.HandleOutcome(now, Outcome{ID: "q0", Backend: r.of("send", "")[0].backend, Status: OK, LatencyS: 1.2})
+	before = len(r.actionsOf("message", ""))
+	g.HandleOutcome(now, Outcome{ID: "q0", Backend: r.actionsOf("send", "")[0].backend, Status: OK, LatencyS: 1.2})
 	g.HandleTimer(now+tickIntervalS, 1)
-	messages := r.of("message", "")[before:]
+	messages := r.actionsOf("message", "")[before:]
 	if len(messages) != 1 {
 		t.Fatalf("%d messages after the attempt's end, want 1", len(messages))
 	}
@@ -224,35 +224,35 @@
 		reply.Leases, reply.Total, reply.Requested, reply.Slots, reply.LeaseS = true, 1, 1, 2, 0.5
 	})
 	g.HandlePeerMessage(100.03, from, message)
-	before := len(r.of("message", ""))
-	if submit(100.05, "next"); len(r.of("send", "next")) != 1 || len(r.of("message", "")) != before {
+	before := len(r.actionsOf("message", ""))
+	if submit(100.05, "next"); len(r.actionsOf("send", "next")) != 1 || len(r.actionsOf("message", "")) != before {
 		t.Error("a request with a free slot was not sent, or caused a quota request")
 	}
-	if submit(100.06, "third"); len(r.of("send", "third")) != 0 {
+	if submit(100.06, "third"); len(r.actionsOf("send", "third")) != 0 {
 		t.Error("a third attempt was sent with two leased slots")
 	}
 }
 
 func TestConcurrencyLimit_Enforced(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	for i := range 3 {
 		submit(g, 100, fmt.Sprint("q", i), "read", "open", 1)
 	}
-	if n := len(r.of("send", "")); n != 2 {
+	if n := len(r.actionsOf("send", "")); n != 2 {
 		t.Fatalf("%d attempts in flight, want 2", n)
 	}
-	if len(r.of("reject", "")) != 0 {
+	if len(r.actionsOf("reject", "")) != 0 {
 		t.Fatal("a request was rejected although a slot is expected to become free in time")
 	}
 	g.HandleOutcome(100.1, Outcome{ID: "q0", Backend: "s1", Status: OK, Completed: true, LatencyS: 0.1})
-	if len(r.of("send", "q2")) != 1 {
+	if len(r.actionsOf("send", "q2")) != 1 {
 		t.Fatal("the queued request was not sent when an attempt ended")
 	}
 	for i := range 40 {
 		submit(g, 100.1, fmt.Sprint("r", i), "read", "open", 1)
 	}
-	if waiting := 40 - len(r.of("reject", "")); waiting == 0 || waiting > 18 || len(r.of("send", "")) != 3 {
-		t.Fatalf("%d of 40 requests wait for two slots at 0.15 s per attempt and an objective of 1 s, want 1 to 18; %d sent, want 3", waiting, len(r.of("send", "")))
+	if waiting := 40 - len(r.actionsOf("reject", "")); waiting == 0 || waiting > 18 || len(r.actionsOf("send", "")) != 3 {
+		t.Fatalf("%d of 40 requests wait for two slots at 0.15 s per attempt and an objective of 1 s, want 1 to 18; %d sent, want 3", waiting, len(r.actionsOf("send", "")))
 	}
 }
 
@@ -270,21 +270,21 @@
 		g.HandleRequest(100, Request{ID: fmt.Sprint("q", i), Class: "read", Plan: "open", Account: name, DeadlineAt: 102, GatewayCount: 2, Units: 1})
 	}
 	from, message := ownerReply(t, r, 1, func(reply *record) { reply.Requested, reply.InFlight = 0.25, 2 })
-	g.HandlePeerMessage(100.02, from, message)                      // the report had the first request alone: it is requested again, and so may be one of the others
-	if len(r.of("reject", "")) != 0 || len(r.of("send", "")) != 1 { // the first request of a new account is admitted
-		t.Fatalf("%d of 4 rejected, %d sent, want 0 and 1", len(r.of("reject", "")), len(r.of("send", "")))
+	g.HandlePeerMessage(100.02, from, message)                                    // the report had the first request alone: it is requested again, and so may be one of the others
+	if len(r.actionsOf("reject", "")) != 0 || len(r.actionsOf("send", "")) != 1 { // the first request of a new account is admitted
+		t.Fatalf("%d of 4 rejected, %d sent, want 0 and 1", len(r.actionsOf("reject", "")), len(r.actionsOf("send", "")))
 	}
-	before := len(r.of("message", ""))
+	before := len(r.actionsOf("message", ""))
 	now := 100.04
-	for ; len(r.of("message", "")) == before; now += 0.02 {
+	for ; len(r.actionsOf("message", "")) == before; now += 0.02 {
 		if g.HandleTimer(now, 1); now > 101 {
 			t.Fatal("no further quota request by 101 s")
 		}
 	}
 	from, message = ownerReply(t, r, 2, func(reply *record) { reply.Total++; reply.Requested, reply.InFlight = 1, 1 })
 	g.HandlePeerMessage(now, from, message)
-	if len(r.of("send", "")) != 2 {
-		t.Fatalf("%d sent after a grant, want 2", len(r.of("send", "")))
+	if len(r.actionsOf("send", "")) != 2 {
+		t.Fatalf("%d sent after a grant, want 2", len(r.actionsOf("send", "")))
 	}
 	if account := g.accountByKey(uint32(peerprotocol.HashPoint(name) >> 32)); len(account.pending) > 2 {
 		t.Fatalf("%d requests are pending, want at most 2, the concurrency limit", len(account.pending))
@@ -294,20 +294,20 @@
 // Guards against attempts above the concurrency limit: requests that were admitted with no attempt in flight and
 // then waited for a backend must not all be sent when backends are listed.
 func TestConcurrencyLimit_AppliesToQueue(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	g.UpdateBackends(100, nil, true)
 	for i := range 5 {
 		submit(g, 100, fmt.Sprint("r", i), "pay", "open", 1)
 	}
-	if n := len(r.of("send", "")); n != 0 {
+	if n := len(r.actionsOf("send", "")); n != 0 {
 		t.Fatalf("%d sent without a backend, want 0", n)
 	}
 	g.UpdateBackends(100.1, []Backend{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a"}}, true)
-	if n := len(r.of("send", "")); n != 2 {
+	if n := len(r.actionsOf("send", "")); n != 2 {
 		t.Fatalf("%d sent at once, want 2, the concurrency limit", n)
 	}
-	g.HandleOutcome(100.2, Outcome{ID: r.of("send", "")[0].id, Backend: r.of("send", "")[0].backend, Status: OK, LatencyS: 0.1})
-	if n := len(r.of("send", "")); n != 3 {
+	g.HandleOutcome(100.2, Outcome{ID: r.actionsOf("send", "")[0].id, Backend: r.actionsOf("send", "")[0].backend, Status: OK, LatencyS: 0.1})
+	if n := len(r.actionsOf("send", "")); n != 3 {
 		t.Errorf("%d sent after one attempt ended, want 3", n)
 	}
 }
--- a/policy/decision_trace_test.go
+++ b/policy/decision_trace_test.go
@@ -9,7 +9,7 @@
 
 // Each decision that admits or rejects a request must be traced with its reason, and none without a tracer.
 func TestTrace_DecisionsCarryReasons(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	var list []reason.Decision
 	submit(g, 100, "untraced", "pay", "basic", 1)
 	g.SetTracer(func(decision reason.Decision) { list = append(list, decision) })
@@ -27,7 +27,7 @@
 	if reasons[reason.StepArrived][reason.OwnerCount] != 7+1 || reasons[reason.StepRejected][reason.WindowExhausted] != 5 || reasons[reason.StepRejected][reason.ObjectiveMissed] != 1 {
 		t.Errorf("decisions by step and reason = %v, want 8 arrived by OwnerCount, 5 rejected by WindowExhausted, 1 by ObjectiveMissed", reasons)
 	}
-	if rejected := len(r.of("reject", "")); rejected != 6 {
+	if rejected := len(r.actionsOf("reject", "")); rejected != 6 {
 		t.Errorf("%d rejected, want 6", rejected)
 	}
 	for _, decision := range list {
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -46,8 +46,8 @@
 
 func (r *recorder) Log(string) {}
 
-// of returns the recorded actions of a kind, for one request ID, or for all if id is "".
-func (r *recorder) of(kind, id string) (list []action) {
+// actionsOf returns the recorded actions of a kind, for one request ID, or for all if id is "".
+func (r *recorder) actionsOf(kind, id string) (list []action) {
 	for _, a := range r.actions {
 		if a.kind == kind && (id == "" || a.id == id) {
 			list = append(list, a)
@@ -91,7 +91,7 @@
 	return g, r
 }
 
-func alone(settings *Settings) { settings.Gateways = 1 }
+func singleGateway(settings *Settings) { settings.Gateways = 1 }
 
 func submit(g *Gateway, now float64, id, class, plan string, units float64) {
 	deadlineS := 2.0
@@ -105,7 +105,7 @@
 // UpdateClasses must not change the idempotency of requests in progress: a request that may have run could run
 // twice. New requests get the new classes, and the new attempt limit applies to all requests.
 func TestUpdateClasses_ActiveRequestsKeepTheirClass(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	submit(g, 100, "old-read", "read", "wide", 1)
 	submit(g, 100, "old-pay", "pay", "wide", 1)
 	submit(g, 100, "old-any", "any", "wide", 1)
@@ -120,17 +120,17 @@
 	submit(g, 100.1, "new", "new", "wide", 1)
 	submit(g, 100.1, "gone", "any", "wide", 1)
 	actionAfterError := func(id string) string {
-		first := r.of("send", id)[0]
+		first := r.actionsOf("send", id)[0]
 		r.actions = nil
 		g.HandleOutcome(100.2, Outcome{ID: id, Backend: first.backend, Status: Error, LatencyS: 0.1})
 		for _, kind := range []string{"send", "fail", "reject"} {
-			if len(r.of(kind, id)) > 0 {
+			if len(r.actionsOf(kind, id)) > 0 {
 				return kind
 			}
 		}
 		return "nothing"
 	}
-	if len(r.of("send", "gone")) > 0 {
+	if len(r.actionsOf("send", "gone")) > 0 {
 		t.Error("a request of a removed class was sent")
 	}
 	sent := slices.Clone(r.actions)
@@ -143,7 +143,7 @@
 	// The new limit is two attempts, and the second one has ended.
 	r.actions = nil
 	g.HandleOutcome(100.3, Outcome{ID: "old-read", Backend: "s1", Attempt: 1, Status: Rejected, LatencyS: 0.01})
-	if len(r.of("send", "old-read")) > 0 || len(r.of("reject", "old-read")) != 1 {
+	if len(r.actionsOf("send", "old-read")) > 0 || len(r.actionsOf("reject", "old-read")) != 1 {
 		t.Error("request old-read was not rejected after its last allowed attempt")
 	}
 }
@@ -151,7 +151,7 @@
 // Measured statistics belong to a class name: an update that reorders classes must not assign them to another
 // class. Statistics of removed classes are kept, so that the number of class names must be bounded.
 func TestUpdateClasses_StateFollowsName(t *testing.T) {
-	g, _ := newTestGateway(t, alone)
+	g, _ := newTestGateway(t, singleGateway)
 	g.recordFailure(g.backends.ByID["s2"], g.classes["pay"], 1)
 	g.classes["pay"].meanLatency = 0.7
 	all := slices.Clone(g.settings.Classes)
@@ -261,7 +261,7 @@
 			id := fmt.Sprint("q", i)
 			g.HandleRequest(now, Request{ID: id, Class: "read", Plan: "wide", Account: fmt.Sprint("c", i%37), DeadlineAt: now + 2,
 				GatewayCount: 2, Units: 1})
-			for n, a := range r.of("send", id) {
+			for n, a := range r.actionsOf("send", id) {
 				g.HandleOutcome(now, Outcome{ID: id, Backend: a.backend, Attempt: n, Status: Status(i % 4), LatencyS: 0.05})
 			}
 			g.HandleTimer(now, 1)
--- a/policy/hard_limit.go
+++ b/policy/hard_limit.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// hardLimitPays reports whether one of this gateway's buckets holds the request's units.
-func (g *Gateway) hardLimitPays(req *request) bool {
+// hardLimitCovers reports whether one of this gateway's buckets holds the request's units.
+func (g *Gateway) hardLimitCovers(req *request) bool {
 	limit, buckets := g.hardLimitConfig(req.account), &req.account.hardLimit
 	return buckets.LocalCovers(limit, g.now, req.Units) || buckets.SharedCovers(limit, g.now, req.Units)
 }
--- a/policy/hard_limit_test.go
+++ b/policy/hard_limit_test.go
@@ -12,12 +12,12 @@
 // Under a hard limit with the whole quota available, a request must wait until a bucket pays for it, or be rejected
 // at once if no bucket can pay in time.
 func TestHardLimit_RequestsWaitForRefill(t *testing.T) {
-	g, r := newTestGateway(t, alone) // the buckets together refill at 20 units per second, from 0
+	g, r := newTestGateway(t, singleGateway) // the buckets together refill at 20 units per second, from 0
 	for i := range 40 {
 		submit(g, 100, fmt.Sprint("q", i), "read", "capped", 1)
 	}
-	rejected := len(r.of("reject", ""))
-	if len(r.of("send", "")) != 0 {
+	rejected := len(r.actionsOf("reject", ""))
+	if len(r.actionsOf("send", "")) != 0 {
 		t.Fatal("requests were sent while the hard limit's buckets were empty")
 	}
 	// A request must be sent by its latest start (0.9 s) and by its objective less its latency (0.85 s). The buckets
@@ -27,14 +27,14 @@
 	}
 	for now := 100.0; now < 101; now += 0.02 {
 		g.HandleTimer(now, 1)
-		if sent, allowed := len(r.of("send", "")), 20*(now-100)+1e-6; float64(sent) > allowed {
+		if sent, allowed := len(r.actionsOf("send", "")), 20*(now-100)+1e-6; float64(sent) > allowed {
 			t.Fatalf("sent %d units in %.2f s, the hard limit allows %.2f", sent, now-100, allowed)
 		}
-		for _, a := range r.of("send", "") {
+		for _, a := range r.actionsOf("send", "") {
 			g.HandleOutcome(now, Outcome{ID: a.id, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.02})
 		}
 	}
-	if sent, late := len(r.of("send", "")), len(r.of("reject", ""))-rejected; sent != 40-rejected || late != 0 {
+	if sent, late := len(r.actionsOf("send", "")), len(r.actionsOf("reject", ""))-rejected; sent != 40-rejected || late != 0 {
 		t.Errorf("%d of %d waiting requests were sent and %d rejected, want all sent", sent, 40-rejected, late)
 	}
 	if account := g.accountByKey(uint32(peerprotocol.HashPoint("c-capped") >> 32)); account.hardLimit.Unpaid != 0 {
@@ -45,7 +45,7 @@
 // Guards against units that stay unpaid: a request that is rejected or whose client disconnects must take its units
 // off the unpaid ones.
 func TestHardLimit_EndedRequestsOweNothing(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	for i := range 10 {
 		submit(g, 100, fmt.Sprint("q", i), "read", "capped", 1)
 	}
@@ -58,10 +58,10 @@
 		t.Fatalf("%v units unpaid after a disconnect, want 9", account.hardLimit.Unpaid)
 	}
 	// After a snapshot no bucket pays any more: requests that wait for one are rejected at once.
-	if parts := g.Snapshot(100.02); len(parts) == 0 || len(r.of("reject", "")) != 9 || account.hardLimit.Unpaid != 0 {
-		t.Errorf("%d rejected at the snapshot, %v units unpaid, want 9 and 0", len(r.of("reject", "")), account.hardLimit.Unpaid)
+	if parts := g.Snapshot(100.02); len(parts) == 0 || len(r.actionsOf("reject", "")) != 9 || account.hardLimit.Unpaid != 0 {
+		t.Errorf("%d rejected at the snapshot, %v units unpaid, want 9 and 0", len(r.actionsOf("reject", "")), account.hardLimit.Unpaid)
 	}
-	if account.hardLimit.Local.Level != snapshot.NoCapacity {
+	if account.hardLimit.Local.Level != snapshot.HandedOverLevel {
 		t.Error("the local bucket still has capacity after the snapshot")
 	}
 }
@@ -80,7 +80,7 @@
 	message := peerprotocol.AppendRecord(peerprotocol.AppendHeader(nil, 1, sequence), record{AccountKey: key, Plan: 1, SharedBucket: true, Requested: units, FirstRequested: firstUnits})
 	message[peerprotocol.RecordCountOffset] = 1
 	g.HandlePeerMessage(now, 1, message)
-	messages := r.of("message", "")
+	messages := r.actionsOf("message", "")
 	_, _, records, _, ok := peerprotocol.Parse(messages[len(messages)-1].data, now)
 	if !ok || len(records) != 1 {
 		t.Fatal("the last message is not a reply with one record")
@@ -124,7 +124,7 @@
 // have spent them just before a restart.
 func TestHardLimit_BucketStartsEmpty(t *testing.T) {
 	g, r := newTestGateway(t, nil)
-	sent := func() (n int) { return len(r.of("send", "")) }
+	sent := func() (n int) { return len(r.actionsOf("send", "")) }
 	submit(g, 100, "first", "read", "capped", 4)
 	if sent() != 0 {
 		t.Fatal("a request was sent while the buckets were empty")
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -25,7 +25,7 @@
 		n, answered := 0, 0
 		now, nextArrival := 100.0, 100.0
 		run := func(durationS float64, intervalS float64) (rejected int) {
-			before := len(r.of("reject", ""))
+			before := len(r.actionsOf("reject", ""))
 			for end := now + durationS; now < end; now += 0.02 {
 				for ; nextArrival < now+0.02; nextArrival += intervalS {
 					n++
@@ -45,12 +45,12 @@
 						}
 					}
 				}
-				for sends := r.of("send", ""); answered < len(sends) && answered < int((now-100)*30); answered++ { // 30 answers per second
+				for sends := r.actionsOf("send", ""); answered < len(sends) && answered < int((now-100)*30); answered++ { // 30 answers per second
 					g.HandleOutcome(now, Outcome{ID: sends[answered].id, Backend: sends[answered].backend, Status: OK, LatencyS: 0.1})
 				}
 				g.HandleTimer(now, 1)
 			}
-			return len(r.of("reject", "")) - before
+			return len(r.actionsOf("reject", "")) - before
 		}
 		run(4, 0.005)
 		if !enabled {
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -10,14 +10,14 @@
 // connection must not eject a backend; the second in a row must.
 func TestOutlier_RejectingOrBrokenBackendsAreEjected(t *testing.T) {
 	for status, halfLimit := range map[Status]int{Rejected: 12, Reset: 12, ConnectFailed: 12} {
-		g, r := newTestGateway(t, alone)
+		g, r := newTestGateway(t, singleGateway)
 		attempts := map[string]int{}
 		for i := range 400 {
 			now := 100 + float64(i)*0.02
 			id := fmt.Sprint("q", i)
 			submit(g, now, id, "read", "wide", 1)
 			for n := 0; ; n++ {
-				list := r.of("send", id)
+				list := r.actionsOf("send", id)
 				if len(list) == n {
 					break
 				}
@@ -36,15 +36,15 @@
 				status, attempts, 2*halfLimit)
 		}
 	}
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	g.UpdateBackends(100, []Backend{{ID: "s1", Zone: "a"}}, true)
 	submit(g, 100, "a", "pay", "wide", 1)
 	g.HandleOutcome(100.1, Outcome{ID: "a", Backend: "s1", Status: Reset})
-	if submit(g, 100.2, "b", "pay", "wide", 1); len(r.of("send", "b")) != 1 {
+	if submit(g, 100.2, "b", "pay", "wide", 1); len(r.actionsOf("send", "b")) != 1 {
 		t.Error("the backend was ejected after one broken connection")
 	}
 	g.HandleOutcome(100.3, Outcome{ID: "b", Backend: "s1", Status: Reset})
-	if submit(g, 100.4, "c", "pay", "wide", 1); len(r.of("send", "c")) != 0 {
+	if submit(g, 100.4, "c", "pay", "wide", 1); len(r.actionsOf("send", "c")) != 0 {
 		t.Error("the backend was not ejected after two broken connections in a row")
 	}
 }
@@ -52,7 +52,7 @@
 // A backend that leaves the requests of one class unanswered must get no more of them, but must still get those
 // of the other classes.
 func TestOutlier_ScoredPerClass(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	for _, state := range g.classList {
 		state.meanLatency, state.samples = 0.05, 100
 	}
@@ -66,7 +66,7 @@
 	if failing.ErrorScore(g.classes["read"].index, g.now) < 0.9 || failing.ErrorScore(g.classes["pay"].index, g.now) > 0 {
 		t.Fatal("error scores of s1, which leaves class read unanswered: want above 0.9 for read and 0 for pay")
 	}
-	if a := r.of("send", "q"); len(a) != 1 || a[0].backend == "s1" {
+	if a := r.actionsOf("send", "q"); len(a) != 1 || a[0].backend == "s1" {
 		t.Fatalf("hedged attempts of the unanswered request: %v, want one at another backend than s1", a)
 	}
 	paySentToS1 := 0
@@ -74,7 +74,7 @@
 		for _, class := range []string{"read", "pay"} {
 			id := fmt.Sprint(class, i)
 			submit(g, 100.5, id, class, "wide", 1)
-			sentTo := r.of("send", id)[0].backend
+			sentTo := r.actionsOf("send", id)[0].backend
 			if g.HandleOutcome(100.5, Outcome{ID: id, Status: OK, Completed: true, LatencyS: 0.05}); sentTo == "s1" && class == "read" {
 				t.Fatal("s1 got a request of class read, which it leaves unanswered")
 			} else if sentTo == "s1" {
--- a/policy/peer_messages_test.go
+++ b/policy/peer_messages_test.go
@@ -11,14 +11,14 @@
 func TestFailureDetector_OwnStallIsNotPeerSilence(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	submit(100, "q", 2)
-	first := r.of("message", "")[0].to
+	first := r.actionsOf("message", "")[0].to
 	g.HandleTimer(100.5, 1)
-	if !g.peerAlive(first) || len(r.of("message", "")) != 1 {
+	if !g.peerAlive(first) || len(r.actionsOf("message", "")) != 1 {
 		t.Fatal("after a stall of its own the gateway suspects the owner, or has sent the report again")
 	}
 	from, message := ownerReply(t, r, 1, func(reply *record) { reply.Total += 2 })
 	g.HandlePeerMessage(100.5, from, message)
-	if len(r.of("send", "q")) != 1 {
+	if len(r.actionsOf("send", "q")) != 1 {
 		t.Fatal("the request was not sent after the owner's reply")
 	}
 }
@@ -30,14 +30,14 @@
 	a.recordFailure(a.backends.ByID["s2"], a.classes["pay"], 1)
 	a.applyLoadReport(a.backends.ByID["s1"], &Load{Utilization: 0.6})
 	submit(100, "q", 2)
-	b.HandlePeerMessage(100.01, 0, ra.of("message", "")[0].data)
+	b.HandlePeerMessage(100.01, 0, ra.actionsOf("message", "")[0].data)
 	if b.backends.ByID["s2"].ErrorScore(b.classes["pay"].index, b.now) < 0.9 || b.backends.ByID["s2"].ErrorScore(b.classes["read"].index, b.now) > 0 {
 		t.Fatal("the error score did not reach the other gateway for its class alone")
 	}
 	if u := b.backends.ByID["s1"].utilization; u < 0.59 || u > 0.61 {
 		t.Fatalf("received utilization = %v, want 0.6", u)
 	}
-	_, _, _, entries, _ := peerprotocol.Parse(rb.of("message", "")[0].data, 100)
+	_, _, _, entries, _ := peerprotocol.Parse(rb.actionsOf("message", "")[0].data, 100)
 	if len(entries) != 2 {
 		t.Fatalf("forwarded %d entries, want 2", len(entries))
 	}
@@ -53,11 +53,11 @@
 	for now := 100.0; now < 102; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if n := len(r.of("message", "")); n != 0 {
+	if n := len(r.actionsOf("message", "")); n != 0 {
 		t.Fatalf("%d messages without a request, want 0", n)
 	}
 	submit(102, "q", 2)
-	if n := len(r.of("message", "")); n != 1 {
+	if n := len(r.actionsOf("message", "")); n != 1 {
 		t.Fatalf("%d messages for a request, want 1", n)
 	}
 }
--- a/policy/quota_member_test.go
+++ b/policy/quota_member_test.go
@@ -16,15 +16,15 @@
 	}
 	from, message := ownerReply(t, r, 1, func(reply *record) { reply.Total += 2; reply.Available, reply.Requested = 4, 2 }) // the report had the first request alone
 	g.HandlePeerMessage(100.03, from, message)
-	if len(r.of("send", "")) != 1 || len(r.of("reject", "")) != 0 {
-		t.Fatalf("after a grant for the first of three requests: %d sent, %d rejected, want 1 and 0", len(r.of("send", "")), len(r.of("reject", "")))
+	if len(r.actionsOf("send", "")) != 1 || len(r.actionsOf("reject", "")) != 0 {
+		t.Fatalf("after a grant for the first of three requests: %d sent, %d rejected, want 1 and 0", len(r.actionsOf("send", "")), len(r.actionsOf("reject", "")))
 	}
 	now := 100.04
-	g.HandleOutcome(now, Outcome{ID: "q0", Backend: r.of("send", "")[0].backend, Status: OK, Completed: true, LatencyS: 0.01}) // with 100 gateways the adaptive limit allows few attempts
+	g.HandleOutcome(now, Outcome{ID: "q0", Backend: r.actionsOf("send", "")[0].backend, Status: OK, Completed: true, LatencyS: 0.01}) // with 100 gateways the adaptive limit allows few attempts
 	awaitRequest := func() {
 		t.Helper()
-		before := len(r.of("message", ""))
-		for ; len(r.of("message", "")) == before; now += 0.02 {
+		before := len(r.actionsOf("message", ""))
+		for ; len(r.actionsOf("message", "")) == before; now += 0.02 {
 			if g.HandleTimer(now, 1); now > 101 {
 				t.Fatal("no further quota request by 101 s")
 			}
@@ -33,14 +33,14 @@
 	awaitRequest()
 	from, message = ownerReply(t, r, 2, func(reply *record) { reply.Total += 2; reply.Available, reply.Requested = 2, 2 }) // for one of the two other requests
 	g.HandlePeerMessage(now, from, message)
-	if len(r.of("send", "")) != 2 || len(r.of("reject", "")) != 0 {
-		t.Fatalf("after a grant for one of two requests: %d sent, %d rejected, want 2 and 0", len(r.of("send", "")), len(r.of("reject", "")))
+	if len(r.actionsOf("send", "")) != 2 || len(r.actionsOf("reject", "")) != 0 {
+		t.Fatalf("after a grant for one of two requests: %d sent, %d rejected, want 2 and 0", len(r.actionsOf("send", "")), len(r.actionsOf("reject", "")))
 	}
 	awaitRequest()
 	from, message = ownerReply(t, r, 3, func(reply *record) { reply.Available, reply.Requested = 0, emptyGrantUnits })
 	g.HandlePeerMessage(now, from, message)
-	if len(r.of("send", "")) != 2 || len(r.of("reject", "")) != 1 {
-		t.Fatalf("after a denial of the last request: %d sent, %d rejected, want 2 and 1", len(r.of("send", "")), len(r.of("reject", "")))
+	if len(r.actionsOf("send", "")) != 2 || len(r.actionsOf("reject", "")) != 1 {
+		t.Fatalf("after a denial of the last request: %d sent, %d rejected, want 2 and 1", len(r.actionsOf("send", "")), len(r.actionsOf("reject", "")))
 	}
 }
 
@@ -54,19 +54,19 @@
 		reply.Leases, reply.Total, reply.Requested, reply.LeaseS = true, 3, 1, hardlimit.PrefetchS
 	})
 	g.HandlePeerMessage(100.03, from, message)
-	before := len(r.of("message", ""))
+	before := len(r.actionsOf("message", ""))
 	submit(100.1, "a", 1)
-	if len(r.of("send", "a")) != 1 || len(r.of("message", "")) != before {
+	if len(r.actionsOf("send", "a")) != 1 || len(r.actionsOf("message", "")) != before {
 		t.Fatal("a request that prefetched units cover was not sent, or caused a quota request")
 	}
-	if submit(100.2, "b", 2); len(r.of("send", "b")) != 0 {
+	if submit(100.2, "b", 2); len(r.actionsOf("send", "b")) != 0 {
 		t.Fatal("a request of 2 units was sent with 1 prefetched unit left")
 	}
 	g.HandleDisconnect(100.2, "b")
 	for now := 100.22; now < 100.1+hardlimit.PrefetchS+0.5; now += tickIntervalS {
 		g.HandleTimer(now, 1)
 	}
-	messages := r.of("message", "")
+	messages := r.actionsOf("message", "")
 	if len(messages) == before || account.prefetched != 0 {
 		t.Fatalf("after expiry: %v prefetched units and %d messages, want 0 and at least 1", account.prefetched, len(messages)-before)
 	}
@@ -110,13 +110,13 @@
 	}
 	tickWithUrgentReports(100.12)
 	g.HandlePeerMessage(100.13, from, message)
-	if len(r.of("send", "a")) != 1 || len(account.pending) != 1 {
-		t.Fatalf("after a grant for one of two requests: %d sent, %d pending, want 1 and 1", len(r.of("send", "a")), len(account.pending))
+	if len(r.actionsOf("send", "a")) != 1 || len(account.pending) != 1 {
+		t.Fatalf("after a grant for one of two requests: %d sent, %d pending, want 1 and 1", len(r.actionsOf("send", "a")), len(account.pending))
 	}
-	before := len(r.of("message", ""))
+	before := len(r.actionsOf("message", ""))
 	for now := 100.14; now < 100.4; now += tickIntervalS {
 		tickWithUrgentReports(now)
-		for _, m := range r.of("message", "")[before:] {
+		for _, m := range r.actionsOf("message", "")[before:] {
 			if m.to == from {
 				return
 			}
@@ -132,7 +132,7 @@
 	for i := range 40 {
 		now := 100 + float64(i)*0.3
 		submit(now, fmt.Sprint("q", i), 1)
-		if len(r.of("message", "")) > 0 {
+		if len(r.actionsOf("message", "")) > 0 {
 			from, message := ownerReply(t, r, uint16(i+1), func(reply *record) {
 				reply.Leases, reply.Requested, reply.LeaseS = true, 1, hardlimit.PrefetchS
 				reply.Total += 2
@@ -169,7 +169,7 @@
 // fills in the reply.
 func ownerReply(t *testing.T, r *recorder, sequence uint16, change func(*record)) (from int, data []byte) {
 	t.Helper()
-	messages := r.of("message", "")
+	messages := r.actionsOf("message", "")
 	if len(messages) == 0 {
 		t.Fatal("no message was sent")
 	}
@@ -191,12 +191,12 @@
 	for _, grant := range []float64{0, 2} {
 		g, r, submit := newQuotaMember(t, withGateways(100))
 		submit(100, "q", 2)
-		if len(r.of("send", ""))+len(r.of("reject", "")) != 0 {
+		if len(r.actionsOf("send", ""))+len(r.actionsOf("reject", "")) != 0 {
 			t.Fatal("the request was sent or rejected without the owner's reply")
 		}
 		from, message := ownerReply(t, r, 1, func(reply *record) { reply.Total += grant; reply.Available = 1 })
 		g.HandlePeerMessage(100.03, from, message)
-		if sent := len(r.of("send", "q")); sent != int(grant/2) || sent+len(r.of("reject", "q")) != 1 {
+		if sent := len(r.actionsOf("send", "q")); sent != int(grant/2) || sent+len(r.actionsOf("reject", "q")) != 1 {
 			t.Fatalf("after a grant of %v of 2 units, actions = %v, want \"q\" sent if granted and else rejected", grant, r.actions)
 		}
 	}
@@ -207,15 +207,15 @@
 func TestQuotaRequest_FallsBackToLocalWindow(t *testing.T) {
 	g, r, submit := newQuotaMember(t, withGateways(100))
 	submit(100, "q", 2)
-	first := r.of("message", "")[0].to
+	first := r.actionsOf("message", "")[0].to
 	now := 100.0
-	for ; len(r.of("send", ""))+len(r.of("reject", "")) == 0 && now < 101; now += 0.02 {
+	for ; len(r.actionsOf("send", ""))+len(r.actionsOf("reject", "")) == 0 && now < 101; now += 0.02 {
 		g.HandleTimer(now, 1)
 	}
-	if len(r.of("send", "q")) != 1 || now > 100+float64(g.failureDetector.Threshold()+2)*(quotaReplyTimeoutS+tickIntervalS) {
+	if len(r.actionsOf("send", "q")) != 1 || now > 100+float64(g.failureDetector.Threshold()+2)*(quotaReplyTimeoutS+tickIntervalS) {
 		t.Fatalf("the local window did not admit the request in time, now = %v", now)
 	}
-	if messages := r.of("message", ""); len(messages) <= g.failureDetector.Threshold() || messages[len(messages)-1].to == first {
+	if messages := r.actionsOf("message", ""); len(messages) <= g.failureDetector.Threshold() || messages[len(messages)-1].to == first {
 		t.Fatalf("messages = %v, want the last one to another gateway than the silent owner", messages)
 	}
 	if g.peerAlive(first) {
@@ -236,7 +236,7 @@
 		answerAll(g, r, &seen, now)
 	}
 	// 50 s at 2 units per second and a burst of 8 are 108 units; a fourth of the rate and the burst are 33 units.
-	if n := len(r.of("send", "")); n < 20 || n > 50 {
+	if n := len(r.actionsOf("send", "")); n < 20 || n > 50 {
 		t.Fatalf("sent %d units without peers, want 20 to 50 of a quota of 108", n)
 	}
 }
--- a/policy/quota_owner_test.go
+++ b/policy/quota_owner_test.go
@@ -8,27 +8,27 @@
 )
 
 func TestQuota_EnforcedAndRefilled(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	for i := range 12 {
 		submit(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
-	if n := len(r.of("send", "")); n != 8 {
+	if n := len(r.actionsOf("send", "")); n != 8 {
 		t.Fatalf("sent %d requests of 1 unit, want the burst of 8", n)
 	}
 	submit(g, 101, "later", "pay", "basic", 2)
-	if len(r.of("send", "later")) != 1 {
+	if len(r.actionsOf("send", "later")) != 1 {
 		t.Fatal("request of 2 units was not sent after 1 s at 2 units per second: the window was not refilled")
 	}
 }
 
 // Guards against admitting units twice: requests in the queue keep the units that they were charged.
 func TestQuota_QueuedRequestsReserveUnits(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	g.UpdateBackends(100, []Backend{{ID: "s1", Zone: "a", State: Draining}}, true)
 	for i := range 12 {
 		submit(g, 100, fmt.Sprint("q", i), "pay", "basic", 1)
 	}
-	if n := len(r.of("reject", "")); n != 4 {
+	if n := len(r.actionsOf("reject", "")); n != 4 {
 		t.Fatalf("rejected %d of 12 requests of 1 unit with a burst of 8, want 4", n)
 	}
 }
@@ -93,7 +93,7 @@
 		message := peerprotocol.AppendRecord(peerprotocol.AppendHeader(nil, 1, 1), record{AccountKey: 77, Plan: 0, Requested: 1, FirstRequested: 1})
 		message[peerprotocol.RecordCountOffset] = 1
 		g.HandlePeerMessage(100, 1+i, message)
-		messages := r.of("message", "")
+		messages := r.actionsOf("message", "")
 		_, _, records, _, _ := peerprotocol.Parse(messages[len(messages)-1].data, 100)
 		if granted += records[0].Total; i == 29 && records[0].BackoffS == 0 {
 			t.Fatal("the reply to the last of thirty quota requests at once has no backoff")
@@ -125,15 +125,15 @@
 
 // An account whose demand exceeds its rate must not spend its whole quota on requests of low priority.
 func TestQuota_LowPriorityLeavesReserve(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	for i := range 12 {
 		submit(g, 100, fmt.Sprint("low", i), "read", "basic", 1)
 	}
-	if n := len(r.of("send", "")); n == 0 || n >= 8 {
+	if n := len(r.actionsOf("send", "")); n == 0 || n >= 8 {
 		t.Fatalf("sent %d requests of low priority with a burst of 8, want 1 to 7", n)
 	}
 	submit(g, 100, "high", "pay", "basic", 2)
-	if len(r.of("send", "high")) != 1 {
+	if len(r.actionsOf("send", "high")) != 1 {
 		t.Fatal("the request of high priority was not sent from the priority reserve")
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -103,7 +103,7 @@
 func (g *Gateway) newRequest(incoming Request, class *classState) *request {
 	req := &request{Request: incoming, class: class, plan: g.plansByName[incoming.Plan]}
 	req.latestStart = g.now + latestStartFraction*(incoming.DeadlineAt-g.now)
-	commonFraction := commonTimeoutFraction * g.shedder.FirstAttemptFactor()
+	commonFraction := commonTimeoutFraction * g.shedder.CommonTimeoutFactor()
 	req.clientRetry = class.looksLikeRetry(incoming.DeadlineAt-g.now, commonFraction)
 	weight := 1.0
 	if req.plan != nil {
@@ -195,7 +195,7 @@
 	switch {
 	case req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account):
 		return reason.ConcurrencyLimit
-	case req.hardLimitUnpaid && !g.hardLimitPays(req):
+	case req.hardLimitUnpaid && !g.hardLimitCovers(req):
 		return reason.HardLimitLocal
 	case g.atAdaptiveLimit(req):
 		return reason.AdaptiveLimit
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -81,7 +81,7 @@
 	backend.meanInFlight = backend.meanInFlight*math.Exp((backend.lastSentAt-g.now)/meanInFlightTauS) +
 		min(backend.relativeLatency*req.class.meanLatency/meanInFlightTauS, 1)
 	if len(req.attempts) == 0 {
-		g.shedder.ObserveWait(g.now, req.Waited(g.now))
+		g.shedder.ObserveWait(g.now, req.WaitFraction(g.now))
 	}
 	g.startAttempt(req, backend)
 	g.recordSlowStartWork(backend, req.class.meanLatency)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -25,7 +25,7 @@
 // pickBackend returns the backend for the request's next attempt; nil if no backend can take the attempt, or
 // if the request still waits for a bucket of the hard limit.
 func (g *Gateway) pickBackend(req *request) *backendState {
-	if req.hardLimitUnpaid && !g.hardLimitPays(req) {
+	if req.hardLimitUnpaid && !g.hardLimitCovers(req) {
 		return nil
 	}
 	return g.selectBackend(req)
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -10,7 +10,7 @@
 // A backend that fails fast always has capacity and would attract requests. While most backends are healthy,
 // requests must wait for a healthy one.
 func TestSelection_WaitsForHealthyBackend(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	g.adaptiveLimit = 4.5 // room for two attempts at each backend
 	failAtS1 := func(id string, class string) {
 		submit(g, 100, id, class, "wide", 1)
@@ -29,7 +29,7 @@
 	for i := range 6 {
 		submit(g, 100, fmt.Sprint("q", i), "read", "wide", 1)
 	}
-	for _, a := range r.of("send", "") {
+	for _, a := range r.actionsOf("send", "") {
 		if strings.HasPrefix(a.id, "q") && a.backend == "s1" {
 			t.Errorf("request %s was sent to s1, which is unhealthy", a.id)
 		}
@@ -40,11 +40,11 @@
 	waiting := g.queue[0].ID
 	r.actions = nil
 	g.HandleOutcome(100.01, Outcome{ID: "q0", Status: OK, Completed: true, LatencyS: 0.01})
-	if a := r.of("send", waiting); len(a) != 1 || a[0].backend == "s1" {
+	if a := r.actionsOf("send", waiting); len(a) != 1 || a[0].backend == "s1" {
 		t.Errorf("attempts of the queued request: %v, want one at another backend than s1", a)
 	}
 	submit(g, 100.01, "unsafe", "pay", "wide", 1)
-	if a := r.of("send", "unsafe"); len(a) > 0 && a[0].backend == "s1" {
+	if a := r.actionsOf("send", "unsafe"); len(a) > 0 && a[0].backend == "s1" {
 		t.Error("a request that is not idempotent was sent to s1, which fails another class")
 	}
 	for _, id := range []string{"s2", "s3"} { // now most backends are unhealthy, and any with capacity may be used
@@ -52,7 +52,7 @@
 	}
 	r.actions = nil
 	g.HandleTimer(100.02, 1)
-	if len(r.of("send", "")) == 0 {
+	if len(r.actionsOf("send", "")) == 0 {
 		t.Error("no request was sent while most backends are unhealthy")
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -8,8 +8,8 @@
 // A backend in slow start can serve less than a warm one, and collapses under too much work. It must not get more
 // attempts than a warm backend gets in the mean.
 func TestSlowStart_BudgetOverAnyWindow(t *testing.T) {
-	g, r := newTestGateway(t, alone)
-	lastBackend := func(id string) string { sends := r.of("send", id); return sends[len(sends)-1].backend }
+	g, r := newTestGateway(t, singleGateway)
+	lastBackend := func(id string) string { sends := r.actionsOf("send", id); return sends[len(sends)-1].backend }
 	step := func(i int, now float64) string {
 		id := fmt.Sprint("q", i)
 		submit(g, now, id, "read", "wide", 1)
@@ -38,7 +38,7 @@
 // If all backends were replaced and are in slow start, there is no warm one to compare with. Their budgets must
 // still let nearly all requests through.
 func TestSlowStart_AllBackendsNew(t *testing.T) {
-	g, r := newTestGateway(t, alone)
+	g, r := newTestGateway(t, singleGateway)
 	replaceBackends := func(now float64, name string) {
 		var all []Backend
 		for i := range 8 {
@@ -56,7 +56,7 @@
 				g.HandleOutcome(now, Outcome{ID: a.id, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.1})
 			}
 			g.HandleTimer(now, 1)
-			for all := r.of("send", ""); seen < len(all); seen++ {
+			for all := r.actionsOf("send", ""); seen < len(all); seen++ {
 				n++
 				answersDue[i+5] = append(answersDue[i+5], all[seen])
 			}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -57,7 +57,8 @@
 	parts := []snapshot.Part{part}
 	for _, account := range g.accounts {
 		parts = snapshot.AppendAccount(parts, account.snapshot())
-		account.hardLimit.Local.Level, account.hardLimit.Shared.Level = snapshot.NoCapacity, snapshot.NoCapacity
+		account.hardLimit.Local.Level, account.hardLimit.Shared.Level =
+			snapshot.HandedOverLevel, snapshot.HandedOverLevel
 		account.prefetched = 0
 	}
 	return parts
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -15,10 +15,10 @@
 func TestSnapshot_SuccessorContinuesCounts(t *testing.T) {
 	for _, plan := range []string{"basic", "capped", "wide"} {
 		countSent := func(replace, restore bool) (n int, late int) {
-			g, r := newTestGateway(t, alone)
+			g, r := newTestGateway(t, singleGateway)
 			old := g
 			answer := func(now float64) {
-				for _, a := range r.of("send", "") {
+				for _, a := range r.actionsOf("send", "") {
 					n++
 					g.HandleOutcome(now, Outcome{ID: a.id, Backend: a.backend, Status: OK, Completed: true, LatencyS: 0.01})
 				}
@@ -30,7 +30,7 @@
 					parts := g.Snapshot(now)
 					r = &recorder{}
 					settings := testSettings()
-					alone(&settings)
+					singleGateway(&settings)
 					next, err := New(settings, 8, now, r)
 					if err != nil {
 						t.Fatal(err)
@@ -56,7 +56,7 @@
 				oldRecorder := old.actions.(*recorder)
 				oldRecorder.actions = nil
 				submit(old, 110, "late", "read", "capped", 1)
-				late = len(oldRecorder.of("send", "late"))
+				late = len(oldRecorder.actionsOf("send", "late"))
 			}
 			return n, late
 		}
