--- a/internal/testbed/oracle/check.go
+++ b/internal/testbed/oracle/check.go
@@ -10,20 +10,20 @@
 	"eiderspread/policy"
 )
 
-// deliveryGrace is for what was on its way when a notice or a cordon arrived.
+// deliveryGrace allows for attempts that were on their way to a backend when a notice or a cordon arrived.
 const deliveryGrace = 50 * time.Millisecond
 
-// epsilon keeps quotients finite where the divisor may be 0.
+// epsilon is the smallest divisor, for quotients whose divisor may be 0.
 const epsilon = 1e-9
 
 func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// Check holds the rules against a history, which it locks.
+// Check checks a history against the rules, with the bounds of cfg. It locks the history.
 func Check(h *History, cfg Config) *Report {
 	defer h.Lock()()
 	r := newReport(cfg.MinOccasions)
 	if cfg.MaxLateness > 0 && h.MaxLateness > cfg.MaxLateness {
-		r.Void = fmt.Sprintf("the laboratory was %v late, %v at most", h.MaxLateness.Round(time.Millisecond), cfg.MaxLateness)
+		r.Void = fmt.Sprintf("the testbed was late by %v, at most %v is allowed", h.MaxLateness.Round(time.Millisecond), cfg.MaxLateness)
 	}
 	classes, plans := map[string]policy.Class{}, map[string]policy.Plan{}
 	for _, class := range cfg.Classes {
@@ -35,7 +35,7 @@
 		}
 		plans[plan.Name] = plan
 	}
-	attempts := map[string][]*Attempt{} // by request
+	attempts := map[string][]*Attempt{} // by Request.key
 	for _, attempt := range h.Attempts {
 		attempts[attempt.key()] = append(attempts[attempt.key()], attempt)
 	}
@@ -46,7 +46,7 @@
 	r.Requests, r.Attempts = len(h.Requests), len(h.Attempts)
 	for key, list := range attempts {
 		if requests[key] == nil {
-			r.Void = fmt.Sprintf("%s came to %s, which no client here has sent", list[0].ID, list[0].Node)
+			r.Void = fmt.Sprintf("%s reached %s, but no client of the testbed sent it", list[0].ID, list[0].Node)
 		}
 	}
 	r.checkAnswers(h, cfg, classes, attempts)
--- a/internal/testbed/oracle/concurrency.go
+++ b/internal/testbed/oracle/concurrency.go
@@ -15,8 +15,8 @@
 	by int
 }
 
-// checkMaxConcurrency holds the open attempts of each account against its plan's concurrency limit: by the error bound for
-// accounts in cfg.Homes, and by cfg.ConcurrencyFactor.
+// checkMaxConcurrency checks the open attempts of each account against its plan's concurrency limit: within the error bound if
+// cfg.Homes is set, and within cfg.ConcurrencyFactor if that is set.
 func (r *Report) checkMaxConcurrency(h *History, cfg Config, plans map[string]policy.Plan) {
 	changes, limits := map[string][]concurrencyChange{}, map[string]int{} // by account
 	for _, attempt := range h.Attempts {
@@ -53,8 +53,8 @@
 	}
 }
 
-// checkAccountConcurrency replays the changes of one account's concurrency. The function allowed returns the attempts that may
-// be open beyond the limit at a time, and the faults that allow them; nil: no error bound applies.
+// checkAccountConcurrency replays the changes of one account's concurrency. The function allowed returns how many attempts may
+// be open beyond the limit at a time, and the faults that permit them; nil: no error bound applies.
 func (r *Report) checkAccountConcurrency(cfg Config, account string, limit int, changes []concurrencyChange, allowed func(time.Duration) (float64, []errorbound.Fault)) {
 	open, most, mostAt, violated := 0, 0, time.Duration(0), false
 	before := time.Duration(0)
@@ -69,17 +69,17 @@
 			continue
 		}
 		slots, faults := allowed(change.at)
-		r.utilization("budget of places", float64(open-limit)/max(slots, 1))
+		r.utilization("bound of open slots", float64(open-limit)/max(slots, 1))
 		if float64(open-limit) > max(slots, 1) && !violated {
 			violated = true
-			r.violation(RuleMaxConcurrency, change.at, "%s had %d attempts out, its cap is %d and %.1f beyond are allowed (%v)", account, open, limit, slots, faults)
+			r.violation(RuleMaxConcurrency, change.at, "%s had %d open attempts, its concurrency limit is %d and %.1f beyond it are allowed (%v)", account, open, limit, slots, faults)
 		}
 	}
-	r.utilization("cap on open attempts", float64(most)/float64(limit))
+	r.utilization("concurrency limit", float64(most)/float64(limit))
 	if most >= limit {
-		r.occasion(RuleMaxConcurrency, "accounts at their cap")
+		r.occasion(RuleMaxConcurrency, "accounts at their concurrency limit")
 	}
 	if cfg.ConcurrencyFactor > 0 && float64(most) > cfg.ConcurrencyFactor*float64(limit) {
-		r.violation(RuleMaxConcurrency, mostAt, "%s had %d attempts out, its cap is %d", account, most, limit)
+		r.violation(RuleMaxConcurrency, mostAt, "%s had %d open attempts, its concurrency limit is %d", account, most, limit)
 	}
 }
--- a/internal/testbed/oracle/counts.go
+++ b/internal/testbed/oracle/counts.go
@@ -13,22 +13,22 @@
 	"eiderspread/internal/decision/reason"
 )
 
-// quotaWindowsS are the lengths of time over which admissions are checked, in seconds.
+// quotaWindowsS are the windows over which admissions are checked, in seconds.
 var quotaWindowsS = []float64{1, 10, 60}
 
 const (
-	// hardLimitMargin is how many times rate and burst a hard limit must have so that it does not hold back what the quota admits.
+	// hardLimitMargin is the multiple of rate and burst from which a hard limit does not reject what the quota admits.
 	hardLimitMargin = 1.5
 	// peakWindowS is the window of peakRate, in seconds.
 	peakWindowS = 1.0
-	// sendDelayS is how many seconds an admitted request may take to its backend, beyond its time in the queue.
+	// sendDelayS is how long, in seconds, an admitted request may take to reach its backend, in addition to its time in the queue.
 	sendDelayS = 0.1
 )
 
-// sample is an amount of units at a time in seconds.
+// sample is a number of units at a time in seconds.
 type sample struct{ at, units float64 }
 
-// accountCount is what was requested and admitted of one account.
+// accountCount is what was requested and admitted for one account.
 type accountCount struct {
 	plan      string
 	requests  []*Request
@@ -63,9 +63,9 @@
 	return counts
 }
 
-// checkSharedCounts holds the admissions of accounts against the error bound of the shared count: what was sent to backends over
-// each of quotaWindowsS against what rate, burst and the faults in effect allow; and what was rejected although the quota held
-// it.
+// checkSharedCounts checks the admissions of accounts against the error bound of the shared count. Over each of quotaWindowsS,
+// the units sent to backends are checked against what rate, burst and the faults in effect allow. The units rejected although
+// the quota held them are checked too, if the testbed knows the reasons of rejections.
 func (r *Report) checkSharedCounts(h *History, cfg Config) {
 	if len(cfg.Homes) == 0 {
 		return
@@ -79,7 +79,7 @@
 	counts := countsOf(h)
 	ring := hashring.New(cfg.Gateways, hashring.PointsPerGateway(cfg.Gateways))
 	for _, plan := range cfg.Plans {
-		if plan.Rate <= 0 || plan.MaxConcurrency > 0 { // a concurrency limit may hold back what the quota admits
+		if plan.Rate <= 0 || plan.MaxConcurrency > 0 { // a concurrency limit may delay or reject what the quota admits
 			continue
 		}
 		limited := plan.HardLimitRate > 0 && (plan.HardLimitRate < hardLimitMargin*plan.Rate || plan.HardLimitBurst < hardLimitMargin*plan.Burst)
@@ -99,7 +99,7 @@
 	}
 }
 
-// peakRate returns the most units per second over any peakWindowS.
+// peakRate returns the highest rate over any peakWindowS, in units per second.
 func peakRate(list []sample) (rate float64) {
 	sum, from := 0.0, 0
 	for _, s := range list {
@@ -111,8 +111,8 @@
 	return rate
 }
 
-// faultsOf returns the faults that affected an account's count: ends of its gateways, by their position on the ring for the
-// account, and lost messages between ingresses.
+// faultsOf returns the faults that affected an account's count: outages and restarts of its gateways, which depend on their
+// position on the ring for the account, and lost messages between ingresses.
 func faultsOf(h *History, cfg Config, ring hashring.Ring, account string) (faults []errorbound.Fault) {
 	home := cfg.Homes[account]
 	order := ring.Successors(peerprotocol.HashPoint(account), func(gateway int) bool {
@@ -127,7 +127,7 @@
 			continue
 		}
 		from, to := o.From.Seconds(), o.To.Seconds()
-		// The gateway owned the count if all before it were down at the begin and at the end.
+		// The gateway owned the count if all gateways before it were down both at the start and at the end of its outage.
 		owner := !slices.ContainsFunc(order[:i], func(gateway int) bool { return !down(gateway, o.From) || !down(gateway, o.To) })
 		if owner {
 			faults = append(faults, errorbound.Fault{Kind: errorbound.OwnerLost, From: from, To: to}, errorbound.Fault{Kind: errorbound.OwnerRestarted, From: to, To: to})
@@ -149,8 +149,9 @@
 	return faults
 }
 
-// checkExcess holds what was sent to backends of one account against the error bound. An admitted request may be queued for
-// cfg.QuotaSlackS. It reports the first violation of each window.
+// checkExcess checks the units of one account that were sent to backends beyond rate and burst against the error bound. The
+// bound grows by the rate over cfg.QuotaSlackS, as an admitted request may be queued for that long. It reports the first
+// violation for each of quotaWindowsS.
 func (r *Report) checkExcess(cfg Config, name string, account errorbound.Account, admitted []sample, faults []errorbound.Fault) {
 	for _, window := range quotaWindowsS {
 		sum, from, violated := 0.0, 0, false
@@ -168,10 +169,10 @@
 				r.QuotaExcess[int(window)] = Margin{excess, allowed}
 			}
 			r.utilization(excessBoundName(effective), excess/allowed)
-			r.occasion(RuleQuota, fmt.Sprintf("sent on beyond rate and burst within %.0f s", window))
+			r.occasion(RuleQuota, fmt.Sprintf("more sent than rate and burst allow within %.0f s", window))
 			if excess > allowed && !violated {
 				violated = true
-				r.violation(RuleQuota, duration(s.at), "%s was let in %.1f units beyond rate and burst within %.0f s, %.1f allowed (%v)", name, excess, window, allowed, effective)
+				r.violation(RuleQuota, duration(s.at), "%s was admitted %.1f units beyond rate and burst within %.0f s, %.1f are allowed (%v)", name, excess, window, allowed, effective)
 			}
 		}
 	}
@@ -181,23 +182,24 @@
 func excessBoundName(effective []errorbound.Fault) string {
 	switch len(effective) {
 	case 0:
-		return "budget of a count in calm"
+		return "bound of excess units without faults"
 	case 1:
-		return fmt.Sprintf("budget of a count, %v", effective[0].Kind)
+		return fmt.Sprintf("bound of excess units, %v", effective[0].Kind)
 	}
-	return "budget of a count, several failures"
+	return "bound of excess units, several faults"
 }
 
-// quotaReasons are the reasons of rejections that the count, not a backend or a hard limit, led to.
+// quotaReasons are the reasons of rejections that follow from a quota's count, not from a backend or a hard limit.
 var quotaReasons = map[reason.Reason]bool{
 	reason.WindowExhausted: true, reason.PriorityReserve: true, reason.OwnerBackoff: true, reason.ReplyExhausted: true,
 	reason.Denied: true, reason.LocalWindowExhausted: true, reason.OwnerSilent: true,
 }
 
-// idealAdmissions replays requests, in the order of their sending, against an exact count: each is admitted once, with the first
-// of its client's attempts that finds enough units. Those that were rejected for reasons other than the count are left out.
+// idealAdmissions replays requests, in order of sending, against an exact count, and returns what it admits. An original request
+// and its client's retries are admitted once: the first of them that finds enough units. Requests that were rejected for reasons
+// other than the count are left out.
 func idealAdmissions(account errorbound.Account, clockRate float64, requests []*Request) (ideal []sample) {
-	rate := account.Rate / math.Pow(max(clockRate, 1), 2) // by the slowest clock
+	rate := account.Rate / math.Pow(max(clockRate, 1), 2) // by the slowest clock; account.Rate is by the fastest one
 	available, last := account.Burst, 0.0
 	admitted := map[string]bool{}
 	for _, request := range requests {
@@ -215,10 +217,10 @@
 	return ideal
 }
 
-// checkShortfall compares what was admitted of one account with what an exact count would have admitted, over all but the
-// shortest of quotaWindowsS. It reports the first violation of each window.
+// checkShortfall checks how much less was admitted for one account than an exact count would have admitted, over all but the
+// shortest of quotaWindowsS. It reports the first violation for each of them.
 func (r *Report) checkShortfall(cfg Config, name string, account errorbound.Account, count *accountCount, faults []errorbound.Fault) {
-	var returned []sample // admitted, and given back as no backend was found in time
+	var returned []sample // admitted, then rejected and returned to the quota as no backend was available in time
 	for _, request := range count.requests {
 		if request.Queued && request.Result == Rejected {
 			returned = append(returned, sample{request.SentAt.Seconds(), request.Units})
@@ -233,8 +235,8 @@
 		violated := false
 		for _, s := range list {
 			from := s.at - window
-			// What was admitted beyond the exact count before the window is no shortfall within it, and a request may be
-			// queued after its admission.
+			// A shortfall before the window does not count within it. Units admitted beyond the exact count before the window
+			// offset a shortfall within it. A request may be queued after its admission, so later attempts count too.
 			before := max(ideal.through(from)-actual.through(from), 0)
 			shortfall := ideal.through(s.at) - actual.through(s.at+cfg.QuotaSlackS+sendDelayS) - before
 			inside := ideal.through(s.at) - ideal.through(from)
@@ -245,17 +247,17 @@
 			if shortfall > r.QuotaShortfall[int(window)].Units {
 				r.QuotaShortfall[int(window)] = Margin{shortfall, allowed}
 			}
-			r.utilization("budget of what a count withholds", shortfall/allowed)
-			r.occasion(RuleQuotaUsable, fmt.Sprintf("less let in than the quota holds within %.0f s", window))
+			r.utilization("bound of withheld units", shortfall/allowed)
+			r.occasion(RuleQuotaUsable, fmt.Sprintf("less admitted than the quota holds within %.0f s", window))
 			if shortfall > allowed && !violated {
 				violated = true
-				r.violation(RuleQuotaUsable, duration(s.at), "%s was let in %.1f units less than a count without fault lets in within %.0f s, %.1f allowed", name, shortfall, window, allowed)
+				r.violation(RuleQuotaUsable, duration(s.at), "%s was admitted %.1f units less than an exact count admits within %.0f s, %.1f are allowed", name, shortfall, window, allowed)
 			}
 		}
 	}
 }
 
-// prefixSums are the running sums of samples in order of time.
+// prefixSums are the running sums of samples, in order of time.
 type prefixSums struct{ at, sum []float64 }
 
 func newPrefixSums(list []sample) (p prefixSums) {
--- a/internal/testbed/oracle/drains.go
+++ b/internal/testbed/oracle/drains.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// replacementGrace is how long after the begin of a hot restart a notice need not bind both processes, as one of them may
-	// have been notified alone.
-	replacementGrace = 2 * time.Second
-	// recentWork is how long before a drain or cordon a send makes it an occasion.
-	recentWork = time.Second
+	// hotRestartGrace is how long after the start of a hot restart a notice need not take effect, as only one of the two
+	// processes may have received it.
+	hotRestartGrace = 2 * time.Second
+	// recentAttemptWindow is the time before a drain or cordon in which an attempt must have reached the node for it to count as an
+	// occasion.
+	recentAttemptWindow = time.Second
 )
 
-// link is a pair of an ingress and a node.
+// link identifies a node as one ingress sees it.
 type link struct{ ingress, node string }
 
 // linkOf returns the link on which an attempt of a request was sent.
@@ -21,10 +22,10 @@
 	return link{IngressName(request.Forwarder), attempt.Node}
 }
 
-// checkDrains looks for sends to a node too long after the forwarder was notified that it drains or is gone.
+// checkDrains reports attempts that reached a node too long after the forwarder was notified that the node drains or is gone.
 func (r *Report) checkDrains(h *History, cfg Config, requests map[string]*Request) {
 	notices := map[link][]Notice{}
-	restarts := map[string][]time.Duration{} // when an ingress came back and knew only its last list
+	restarts := map[string][]time.Duration{} // when an ingress was back with only its last list: earlier notices bind it no longer
 	for _, o := range append(slices.Clone(h.Outages), h.Restarts...) {
 		ingress := IngressName(o.Forwarder)
 		restarts[ingress] = append(restarts[ingress], o.To)
@@ -50,33 +51,33 @@
 			}
 		}
 		if last.State != stateInService && attempt.At > h.bindingFrom(request.Forwarder, last.At)+grace {
-			r.violation(RuleDrain, attempt.At, "%s came to %s %v after forwarder %d was told %q", attempt.ID, attempt.Node, attempt.At-last.At, request.Forwarder, last.State)
+			r.violation(RuleDrain, attempt.At, "%s reached %s %v after forwarder %d was notified of state %q", attempt.ID, attempt.Node, attempt.At-last.At, request.Forwarder, last.State)
 		}
 	}
 	for _, notice := range h.Notices {
 		if notice.State == stateInService {
 			continue
 		}
-		recent := func(at time.Duration) bool { return at < notice.At && at > notice.At-recentWork }
+		recent := func(at time.Duration) bool { return at < notice.At && at > notice.At-recentAttemptWindow }
 		if slices.ContainsFunc(sends[link{notice.Observer, notice.Node}], recent) {
-			r.occasion(RuleDrain, "told "+notice.State+" with work in the second before")
+			r.occasion(RuleDrain, "notified of "+notice.State+" within a second after an attempt")
 		}
 	}
 }
 
-// bindingFrom returns from when on a forwarder has to comply with a notice.
+// bindingFrom returns the time from which a forwarder has to comply with a notice that arrived at notified.
 func (h *History) bindingFrom(forwarder int, notified time.Duration) time.Duration {
 	from := notified
 	for _, o := range h.Replacements {
-		if o.Forwarder == forwarder && notified >= o.From && notified < o.From+replacementGrace {
-			from = max(from, o.From+replacementGrace)
+		if o.Forwarder == forwarder && notified >= o.From && notified < o.From+hotRestartGrace {
+			from = max(from, o.From+hotRestartGrace)
 		}
 	}
 	return from
 }
 
-// checkCordons looks for sends to cordoned nodes, which neither discovery nor a new process of the ingress may allow. It also
-// counts the requests in flight during hot restarts.
+// checkCordons reports attempts that reached a cordoned node. Neither discovery nor a new process of the ingress may lift a
+// cordon. It also counts the requests in flight during hot restarts, as occasions of RuleReplacement.
 func (r *Report) checkCordons(h *History, cfg Config, requests map[string]*Request) {
 	sent := map[link][]*Attempt{}
 	for _, attempt := range h.Attempts {
@@ -89,38 +90,38 @@
 	for _, cordon := range h.Cordons {
 		recent := false
 		for _, attempt := range sent[link{cordon.Ingress, cordon.Node}] {
-			recent = recent || attempt.At < cordon.From && attempt.At > cordon.From-recentWork
+			recent = recent || attempt.At < cordon.From && attempt.At > cordon.From-recentAttemptWindow
 			if attempt.At > cordon.From+grace && (cordon.To == 0 || attempt.At < cordon.To) {
-				r.violation(RuleCordon, attempt.At, "%s came to %s %v after operators took it out at %s", attempt.ID, attempt.Node, attempt.At-cordon.From, cordon.Ingress)
+				r.violation(RuleCordon, attempt.At, "%s reached %s %v after operators cordoned it at %s", attempt.ID, attempt.Node, attempt.At-cordon.From, cordon.Ingress)
 			}
 		}
 		if recent {
-			r.occasion(RuleCordon, "held with work in the second before")
+			r.occasion(RuleCordon, "cordoned within a second after an attempt")
 		}
 	}
 	for _, o := range h.Replacements {
 		for _, request := range h.Requests {
 			if request.Forwarder == o.Forwarder && request.SentAt < o.To && request.AnsweredAt > o.From {
-				r.occasion(RuleReplacement, "tries under way while their program was replaced")
+				r.occasion(RuleReplacement, "requests in flight during a hot restart")
 			}
 		}
 	}
 }
 
-// checkDrainEnds looks for clients' connections that a drained ingress still held at the end of the allowed time.
+// checkDrainEnds reports clients' connections that a drained ingress still held at the end of the allowed time.
 func (r *Report) checkDrainEnds(h *History) {
 	for _, d := range h.DrainResults {
-		r.occasion(RuleDrainEnd, "drains that came to the end of their time")
+		r.occasion(RuleDrainEnd, "drains at the end of their allowed time")
 		for _, state := range d.OpenConnections {
-			r.violation(RuleDrainEnd, d.At, "%s still holds a client's connection, %s", IngressName(d.Forwarder), state)
+			r.violation(RuleDrainEnd, d.At, "%s still holds a client's connection after its drain: %s", IngressName(d.Forwarder), state)
 		}
 	}
 }
 
-// checkSelfReports reports the broken rules that ingresses counted themselves.
+// checkSelfReports reports the rule violations that ingresses detected themselves.
 func (r *Report) checkSelfReports(h *History) {
 	for _, v := range h.IngressViolations {
-		r.occasion(RuleIngressSelfCheck, "logs of ingresses")
+		r.occasion(RuleIngressSelfCheck, "ingress logs checked")
 		for _, line := range v.Lines {
 			r.violation(RuleIngressSelfCheck, h.Now(), "%s: %s", v.Ingress, line)
 		}
--- a/internal/testbed/oracle/history.go
+++ b/internal/testbed/oracle/history.go
@@ -1,6 +1,6 @@
-// Package oracle is the testbed's invariant checker: a History records what backends, clients and discovery observed, and Check
-// holds the rules against it. It knows nothing of the internals of forwarders, planners and ingresses, nor whether time was
-// real or virtual.
+// Package oracle is the testbed's invariant checker. A History records what backends, clients and discovery observe in a run,
+// and Check checks it against the rules. The package knows nothing of the internals of forwarders, planners and ingresses, nor
+// whether time was real or virtual.
 package oracle
 
 import (
@@ -19,23 +19,23 @@
 	Attempts          []*Attempt     // in order of arrival
 	Requests          []*Request     `json:"Tries"`
 	Notices           []Notice       `json:"Told"`
-	SourceStates      []Notice       `json:"True"` // what sources of membership hold; Observer is the source
+	SourceStates      []Notice       `json:"True"` // states that sources of membership hold; Observer is the source
 	ViewChecks        []ViewCheck    `json:"Views"`
 	SourceOutages     []SourceOutage `json:"Blind"`
 	Outages           []Outage
-	Restarts          []Outage    // orderly ends of forwarders, until they were back
+	Restarts          []Outage    // orderly restarts of forwarders, from the shutdown until they were back
 	PeerFaults        []PeerFault `json:"Peers"`
 	Replacements      []Outage    `json:"Replaced"` // hot restarts: nothing may be lost
 	Cordons           []Cordon    `json:"HeldNodes"`
 	Faults            []Fault
 	Incarnations      []Incarnation              `json:"Lives"`
-	ConnectionEnds    map[string][]time.Duration `json:"ConnEnds"` // when the sender ended a connection, which the backend may not notice; by its address, in order
+	ConnectionEnds    map[string][]time.Duration `json:"ConnEnds"` // by a connection's address: when its sender ended it, in order; the backend may not notice
 	Ended             time.Duration              // end of the recording; 0: it goes on
 	LoadLevels        []LoadLevels               `json:"Levels"`
 	Slowdowns         []Slowdown                 `json:"Slows"`
 	DrainResults      []DrainResult              `json:"Emptied"`
 	IngressViolations []IngressViolations        `json:"Counted"`
-	MaxLateness       time.Duration              `json:"Late"` // of the testbed itself
+	MaxLateness       time.Duration              `json:"Late"` // longest delay of the testbed itself
 }
 
 // NewHistory returns an empty history that starts now, by the machine's clock.
@@ -44,18 +44,18 @@
 	return NewHistoryWithClock(func() time.Duration { return time.Since(start) })
 }
 
-// NewHistoryWithClock returns an empty history with another clock, which counts from 0.
+// NewHistoryWithClock returns an empty history with the given clock, which counts from 0.
 func NewHistoryWithClock(clock func() time.Duration) *History {
 	return &History{clock: clock, ConnectionEnds: map[string][]time.Duration{}}
 }
 
-// ResetClock starts the machine's clock at 0 again. Nothing but incarnations may have been recorded.
+// ResetClock sets the history's time to 0 and has it follow the machine's clock. Only incarnations may have been recorded before.
 func (h *History) ResetClock() {
 	start := time.Now()
 	h.locked(func() { h.clock = func() time.Duration { return time.Since(start) } })
 }
 
-// Now returns the time since the history's start; of a history that was read, the time of its end.
+// Now returns the time since the history's start. For a history from ReadHistory, it returns the end of the recording.
 func (h *History) Now() time.Duration {
 	if h.clock == nil {
 		return h.Ended
@@ -63,7 +63,7 @@
 	return h.clock()
 }
 
-// Lock stops the recording until the function that it returns is called.
+// Lock blocks recording until the returned function is called.
 func (h *History) Lock() (unlock func()) {
 	h.mu.Lock()
 	return h.mu.Unlock
@@ -97,17 +97,18 @@
 	})
 }
 
-// AttemptStarted records that the backend began an attempt's work, in core seconds.
+// AttemptStarted records that the backend began an attempt with the given work, in core seconds, and whether the attempt's
+// idempotency key was already known.
 func (h *History) AttemptStarted(attempt *Attempt, work float64, knownKey bool) {
 	h.locked(func() { attempt.Started, attempt.KnownKey, attempt.Work = true, knownKey, work })
 }
 
-// SetAttemptWork records the work that an attempt stands for, in core seconds.
+// SetAttemptWork records the work of an attempt, in core seconds.
 func (h *History) SetAttemptWork(attempt *Attempt, work float64) {
 	h.locked(func() { attempt.Work = work })
 }
 
-// AttemptAnswered records that the backend has written its answer.
+// AttemptAnswered records that the backend has written the answer to an attempt.
 func (h *History) AttemptAnswered(attempt *Attempt) {
 	h.locked(func() { attempt.AnsweredAt = h.Now() })
 }
@@ -122,13 +123,13 @@
 	h.locked(func() { h.ConnectionEnds[conn] = append(h.ConnectionEnds[conn], h.Now()) })
 }
 
-// RequestSent records a request.
+// RequestSent records a request that a client sends.
 func (h *History) RequestSent(request *Request) {
 	h.locked(func() { h.Requests = append(h.Requests, request) })
 }
 
 // RequestAnswered records a complete answer; with ConnectionLost the end of the connection, with Disconnected that the client
-// closed it. The first result counts.
+// closed it. It counts each answer, but keeps the first result only.
 func (h *History) RequestAnswered(request *Request, result Result) {
 	h.locked(func() {
 		if result != ConnectionLost && result != Disconnected {
@@ -144,7 +145,7 @@
 	})
 }
 
-// HasResult reports whether a request has that result by now.
+// HasResult reports whether a request has the given result by now.
 func (h *History) HasResult(request *Request, result Result) (has bool) {
 	h.locked(func() { has = request.Result == result })
 	return has
@@ -161,8 +162,8 @@
 	h.locked(func() { h.Notices = append(h.Notices, Notice{observer, node, state, h.Now(), startMS}) })
 }
 
-// KnownNodes returns the nodes that an observer was notified of and that are not terminated as far as it knows, with the start
-// of each in Unix milliseconds.
+// KnownNodes returns the nodes that an observer was notified of, except those whose last state is terminated, with the start of
+// each in Unix milliseconds.
 func (h *History) KnownNodes(observer string) map[string]int64 {
 	last := map[string]int64{}
 	h.locked(func() {
@@ -214,7 +215,7 @@
 	}
 }
 
-// AddViewCheck records a comparison of views.
+// AddViewCheck records a comparison of the observers' views with the sources.
 func (h *History) AddViewCheck(v ViewCheck) {
 	h.locked(func() { h.ViewChecks = append(h.ViewChecks, v) })
 }
@@ -239,8 +240,8 @@
 	h.locked(func() { h.Replacements = append(h.Replacements, Outage{forwarder, from, to}) })
 }
 
-// AddRestart records an orderly end and start of a forwarder: it has to answer what it had accepted, and is notified of all
-// nodes anew.
+// AddRestart records an orderly restart of a forwarder. The forwarder has to answer all requests that it had accepted, and is
+// notified of all nodes again.
 func (h *History) AddRestart(forwarder int, from, to time.Duration) {
 	h.locked(func() { h.Restarts = append(h.Restarts, Outage{forwarder, from, to}) })
 }
@@ -288,12 +289,12 @@
 	})
 }
 
-// AddIngressViolations records the broken rules that an ingress counted itself.
+// AddIngressViolations records the rule violations that an ingress detected itself.
 func (h *History) AddIngressViolations(v IngressViolations) {
 	h.locked(func() { h.IngressViolations = append(h.IngressViolations, v) })
 }
 
-// ObserveLateness records how late the testbed itself was.
+// ObserveLateness records a delay of the testbed itself. The longest one counts.
 func (h *History) ObserveLateness(d time.Duration) {
 	h.locked(func() { h.MaxLateness = max(h.MaxLateness, d) })
 }
@@ -315,7 +316,7 @@
 func ReadHistory(r io.Reader) (*History, Config, error) {
 	rec := record{History: &History{}}
 	if err := json.NewDecoder(r).Decode(&rec); err != nil {
-		return nil, Config{}, fmt.Errorf("history: %w", err)
+		return nil, Config{}, fmt.Errorf("decode recorded history: %w", err)
 	}
 	return rec.History, rec.Rules, nil
 }
--- a/internal/testbed/oracle/levels.go
+++ b/internal/testbed/oracle/levels.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	settlingS    = 3.0 // seconds after the begin of a peak until levels are expected to agree
-	reversalStep = 0.1 // change of the median level that counts in LevelSpread.ReversalsPerMinute
+	settlingS    = 3.0 // seconds after the start of a peak until levels are expected to agree
+	reversalStep = 0.1 // change of the median level beyond which it counts in LevelSpread.ReversalsPerMinute
 )
 
-// LevelSpread is how well the load-shedding levels of a fleet agree, from settlingS after the begin of a peak to its end.
+// LevelSpread is how well the load-shedding levels of a fleet agree, from settlingS after the start of a peak to its end.
 type LevelSpread struct {
-	DetectionS         float64 `json:"Known"` // seconds from the begin of the peak until 9 of 10 have at least half of Median; below 0: never
+	DetectionS         float64 `json:"Known"` // seconds from the start of the peak until 9 of 10 levels are at least half of Median; below 0: never
 	Median             float64 `json:"Level"` // mean over time
 	Spread             float64 // between the 10th and the 90th percentile, mean over time
 	Swing              float64 // between the lowest and the highest median
-	ReversalsPerMinute float64 `json:"Turns"` // changes of direction of the median, by more than reversalStep
+	ReversalsPerMinute float64 `json:"Turns"` // reversals of the median's direction, by more than reversalStep
 }
 
 // quantile returns a quantile, 0 to 1, of a sorted list that is not empty.
@@ -24,7 +24,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// levelQuantiles are the 10th, 50th and 90th percentiles of the known levels, at a time in seconds after the begin of the peak.
+// levelQuantiles are the 10th, 50th and 90th percentiles of the known levels, at a time in seconds after the start of the peak.
 type levelQuantiles struct{ at, low, median, high float64 }
 
 // quantilesOf returns the quantiles of the levels that were recorded in the peak.
@@ -42,11 +42,11 @@
 
 // measureSpread returns how well levels agree in the peak; nil if none were recorded in it after settlingS.
 func measureSpread(levels []LoadLevels, peak Peak) *LevelSpread {
-	list := quantilesOf(levels, peak)
+	quantiles := quantilesOf(levels, peak)
 	s := LevelSpread{DetectionS: -1}
 	n, lowest, highest := 0.0, math.Inf(1), math.Inf(-1)
 	last, lastChange, reversals := math.NaN(), 0.0, 0.0
-	for _, q := range list {
+	for _, q := range quantiles {
 		if q.at < settlingS {
 			continue
 		}
@@ -68,7 +68,7 @@
 	}
 	s.Median, s.Spread, s.Swing = s.Median/n, s.Spread/n, highest-lowest
 	s.ReversalsPerMinute = reversals * 60 / max((peak.To-peak.From).Seconds()-settlingS, 1)
-	for _, q := range list {
+	for _, q := range quantiles {
 		if q.low >= s.Median/2 {
 			s.DetectionS = q.at
 			break
--- a/internal/testbed/oracle/load.go
+++ b/internal/testbed/oracle/load.go
@@ -10,8 +10,8 @@
 	"eiderspread/policy"
 )
 
-// The goal of docs/overload.md weighs three fractions of the weight requested inside quotas: of the whole run, of its worst
-// interval and of its worst plan.
+// The goal of docs/overload.md is the weighted sum of three fractions served of the weight requested inside quotas: that of the
+// whole run, of its worst interval and of its worst plan.
 const (
 	overallWeight  = 0.55
 	intervalWeight = 0.20
@@ -20,31 +20,31 @@
 )
 
 const (
-	recoveredFraction = 0.95 // of a second's weight that is served once service has recovered
-	frequentFrom      = 8    // requests of an account that counts in Load.FrequentAccounts
-	slowDivisor       = 2    // of the latency objective, after which an answer counts as slow
-	capacityTailS     = 20   // seconds after the last request for which capacity is known
+	recoveredFraction = 0.95 // fraction of a second's weight that is served once service has recovered
+	frequentFrom      = 8    // fewest requests of an account that counts in Load.FrequentAccounts
+	slowDivisor       = 2    // an answer is slow if it takes longer than the latency objective over this
+	capacityTailS     = 20   // seconds after the last request until which capacity is computed
 )
 
-// Load is the result of a run under overload. Its fractions are of the weight of original requests inside quotas; what a
-// client received within the latency objective of its original request counts as served.
+// Load is the result of a run under overload. Its fractions served are of the weight of original requests inside quotas. An
+// original request counts as served if its client received an answer within the latency objective of its sending.
 type Load struct {
 	Goal                float64 // weighted sum of Overall, WorstInterval and WorstPlan
 	Overall             float64 `json:"Whole"`     // fraction served
 	WorstInterval       float64 `json:"WorstSpan"` // fraction served in the worst interval of intervalS
 	WorstPlan           float64
-	UpperBound          float64            `json:"Bound"` // of Goal, that no fleet can exceed: see upperBound
-	Demand              float64            `json:"Asked"` // work requested over the backends' capacity, in the peak; of the whole run without one
+	UpperBound          float64            `json:"Bound"` // of Goal, for any fleet; see upperBound
+	Demand              float64            `json:"Asked"` // work requested over the backends' capacity, in the peak; without a peak, in the whole run
 	Plans, Classes      map[string]float64 // fraction served
-	Utilization         float64            `json:"Used"`    // work sent to backends over their capacity, in the peak
+	Utilization         float64            `json:"Used"`    // work sent to backends over their capacity, in the same time as Demand
 	WorstDecile         float64            `json:"Floor"`   // mean fraction served of the worst tenth of the frequent accounts
 	FrequentAccounts    int                `json:"Often"`   // accounts with at least frequentFrom requests
-	StarvedAccounts     int                `json:"Starved"` // of these, with nothing served
-	SlowFraction        float64            `json:"Late"`    // of the served requests, that took more than half of the objective
-	WastedFraction      float64            `json:"Gone"`    // of the work sent to backends, whose answer was not in time
-	RequestsPerOriginal float64            `json:"Again"`   // client attempts per original request
-	RecoveryS           float64            `json:"Back"`    // seconds from the end of the peak until two good seconds; below 0: never
-	ServedPerS          float64            // weight served per second, in the peak
+	StarvedAccounts     int                `json:"Starved"` // frequent accounts with nothing served
+	SlowFraction        float64            `json:"Late"`    // fraction of the served requests that took more than half of the latency objective
+	WastedFraction      float64            `json:"Gone"`    // fraction of the work sent to backends whose answer was not in time
+	RequestsPerOriginal float64            `json:"Again"`   // requests of clients, with their retries, per original request
+	RecoveryS           float64            `json:"Back"`    // seconds from the end of the peak until two consecutive seconds with recoveredFraction served; below 0: never
+	ServedPerS          float64            // weight served per second, in the same time as Demand
 	Seconds             []LoadSecond       `json:"Second"` // by second of sending
 	LevelSpread         *LevelSpread       `json:"Spread"` // nil: no load-shedding levels were recorded
 	LoadLevels          []LoadLevels       `json:"Levels"`
@@ -60,23 +60,23 @@
 // job is an original request inside its quota.
 type job struct {
 	start, deadline  float64 // seconds: sent, and latest answer in time
-	work             float64 // core seconds, the mean of its class: nobody knows a single request's work beforehand
+	work             float64 // core seconds, the mean of its class: a single request's work is not known beforehand
 	weight           float64
 	plan, interval   int // indexes
 	class            string
 	account          string
 	admitted, inTime bool
-	value, price     float64 // value in the goal under the weights tried, and value per work
+	value, price     float64 // value in the goal under the weights that upperBound tries, and value per core second
 }
 
-// loadResults is what became of original requests, by their IDs, and of the work for them.
+// loadResults has the results of original requests, by their IDs, and of the work for them.
 type loadResults struct {
 	originals map[string]*Request
 	inTime    map[string]bool
 	admitted  map[string]bool
 	meanWork  map[string]float64 // core seconds by class
-	slow      float64            // fraction of the served requests
-	wasted    float64            // fraction of the work
+	slow      float64            // fraction of the served requests, as Load.SlowFraction
+	wasted    float64            // fraction of the work, as Load.WastedFraction
 }
 
 func newLoadResults(h *History, classes map[string]policy.Class) *loadResults {
@@ -121,8 +121,8 @@
 	return results
 }
 
-// jobs returns the original requests inside their quotas, in the order of their sending, and how many requests their clients
-// sent for them. The plans are by index in planNames.
+// jobs returns the original requests inside their quotas, in order of sending, and how many requests clients sent for them, with
+// retries. A job's plan is an index in planNames.
 func (results *loadResults) jobs(h *History, classes map[string]policy.Class, plans map[string]policy.Plan, planNames []string) (jobs []*job, requests int) {
 	quotas, inside := map[string]*bucket{}, map[string]bool{}
 	originals := slices.SortedFunc(maps.Values(results.originals), func(a, b *Request) int {
@@ -155,7 +155,7 @@
 	return jobs, requests
 }
 
-// measureLoad sets the report's Load, and holds it against cfg.LoadShedding.
+// measureLoad sets the report's Load and checks it against the bounds of cfg.LoadShedding.
 func (r *Report) measureLoad(h *History, cfg Config, classes map[string]policy.Class, plans map[string]policy.Plan) {
 	planNames := slices.Sorted(maps.Keys(plans))
 	results := newLoadResults(h, classes)
@@ -207,7 +207,7 @@
 // measureGoal sets Goal, its parts and Plans, and the intervals of jobs. It returns the weights requested by plan and by
 // interval.
 func (l *Load) measureGoal(jobs []*job, planNames []string, end float64) (planDemand, intervalDemand []float64) {
-	intervals := max(int(end/intervalS), 1) // the last one takes what remains
+	intervals := max(int(end/intervalS), 1) // the last one includes the remainder
 	planDemand, intervalDemand = make([]float64, len(planNames)), make([]float64, intervals)
 	planServed, intervalServed := make([]float64, len(planNames)), make([]float64, intervals)
 	for _, j := range jobs {
@@ -280,7 +280,7 @@
 	}
 }
 
-// measurePeak sets Demand, Utilization and ServedPerS, of the time between from and to in seconds. The capacity is by slots.
+// measurePeak sets Demand, Utilization and ServedPerS, for the time between from and to in seconds. slots has the capacity of each slot.
 func (l *Load) measurePeak(h *History, jobs []*job, slots []float64, from, to float64) {
 	requested, served, available := 0.0, 0.0, 0.0
 	for _, attempt := range h.Attempts {
@@ -304,7 +304,7 @@
 	l.Demand, l.ServedPerS = requested/max(available, epsilon), served/(to-from)
 }
 
-// recovery returns the seconds from the end of the peak until two consecutive seconds are served well; -1: never.
+// recovery returns the seconds from the end of the peak until recoveredFraction is served in two consecutive seconds; -1: never.
 func (l *Load) recovery(peakEnd float64) float64 {
 	good := func(s LoadSecond) bool { return s.Served >= recoveredFraction*s.Demand }
 	for i := int(peakEnd); i+1 < len(l.Seconds); i++ {
@@ -315,7 +315,7 @@
 	return -1
 }
 
-// checkLoadShedding holds a run against its bounds.
+// checkLoadShedding checks the figures of a run under overload against their bounds.
 func (r *Report) checkLoadShedding(l *Load, bounds *LoadSheddingBounds, peak Peak) {
 	for range int((peak.To - peak.From).Seconds()) {
 		r.occasion(RuleLoadShedding, "seconds of overload")
@@ -326,26 +326,26 @@
 		}
 	}
 	fraction := l.Goal / max(l.UpperBound, epsilon)
-	require(fraction >= bounds.MinBoundFraction, "the goal came to %.3f of its bound, %.2f is stated", fraction, bounds.MinBoundFraction)
-	require(l.Fairness() >= bounds.MinFairness, "the worst plan had %.2f of the best one's share, %.2f is stated", l.Fairness(), bounds.MinFairness)
-	require(l.RecoveryS >= 0 && l.RecoveryS <= bounds.MaxRecoveryS, "service was full again %.0f s after the peak, %.0f is stated", l.RecoveryS, bounds.MaxRecoveryS)
+	require(fraction >= bounds.MinBoundFraction, "the goal reached a fraction of %.3f of its upper bound, at least %.2f is required", fraction, bounds.MinBoundFraction)
+	require(l.Fairness() >= bounds.MinFairness, "the fraction served of the worst plan was %.2f of that of the best one, at least %.2f is required", l.Fairness(), bounds.MinFairness)
+	require(l.RecoveryS >= 0 && l.RecoveryS <= bounds.MaxRecoveryS, "service recovered %.0f s after the peak (negative: never), at most %.0f s is allowed", l.RecoveryS, bounds.MaxRecoveryS)
 	require(float64(l.StarvedAccounts) <= bounds.MaxStarved*float64(l.FrequentAccounts),
-		"%d of %d accounts that asked often were served nothing, a share of %.2f is stated", l.StarvedAccounts, l.FrequentAccounts, bounds.MaxStarved)
-	require(l.WastedFraction <= bounds.MaxWasted, "%.3f of nodes' work was in vain, %.2f is stated", l.WastedFraction, bounds.MaxWasted)
+		"%d of %d frequent accounts were served nothing, at most a fraction of %.2f is allowed", l.StarvedAccounts, l.FrequentAccounts, bounds.MaxStarved)
+	require(l.WastedFraction <= bounds.MaxWasted, "a fraction of %.3f of the backends' work was wasted, at most %.2f is allowed", l.WastedFraction, bounds.MaxWasted)
 	if s := l.LevelSpread; s != nil {
-		require(s.Spread <= bounds.MaxSpread, "levels lay %.2f apart, %.2f is stated", s.Spread, bounds.MaxSpread)
-		require(s.Swing <= bounds.MaxSwing, "the level swung by %.2f, %.2f is stated", s.Swing, bounds.MaxSwing)
+		require(s.Spread <= bounds.MaxSpread, "the load-shedding levels had a spread of %.2f, at most %.2f is allowed", s.Spread, bounds.MaxSpread)
+		require(s.Swing <= bounds.MaxSwing, "the median load-shedding level varied by %.2f, at most %.2f is allowed", s.Swing, bounds.MaxSwing)
 	}
 }
 
 // Print writes the figures of a run under overload, two lines, and a third one if load-shedding levels were recorded.
 func (l *Load) Print(w io.Writer) {
-	fmt.Fprintf(w, "overload: asked %.2f of what nodes can do; goal %.3f (whole %.3f, worst span %.3f, worst plan %.3f of best %.3f), bound %.3f, share of it %.3f; %s\n",
+	fmt.Fprintf(w, "overload: demand %.2f of capacity; goal %.3f (overall %.3f, worst interval %.3f, worst plan %.3f, best plan %.3f), upper bound %.3f, fraction of it %.3f; %s\n",
 		l.Demand, l.Goal, l.Overall, l.WorstInterval, l.WorstPlan, l.bestPlan(), l.UpperBound, l.Goal/max(l.UpperBound, epsilon), formatMap(l.Plans, "%s %.3f")+"; "+formatMap(l.Classes, "%s %.3f"))
-	fmt.Fprintf(w, "  work sent to nodes %.2f of what they can do; worst tenth of accounts %.3f, %d starved; served past half of the aim %.3f; work in vain %.3f; tries a request %.2f; worth a second %.0f; full service after %.0f s\n",
+	fmt.Fprintf(w, "  work sent to backends %.2f of capacity; worst tenth of accounts %.3f, %d starved; served slower than half of the latency objective %.3f; wasted work %.3f; requests per original request %.2f; weight served per second %.0f; recovered after %.0f s\n",
 		l.Utilization, l.WorstDecile, l.StarvedAccounts, l.SlowFraction, l.WastedFraction, l.RequestsPerOriginal, l.ServedPerS, l.RecoveryS)
 	if s := l.LevelSpread; s != nil {
-		fmt.Fprintf(w, "  level of overload %.2f, known after %.1f s, spread over the fleet %.2f, swing %.2f, %.1f turns a minute\n", s.Median, s.DetectionS, s.Spread, s.Swing, s.ReversalsPerMinute)
+		fmt.Fprintf(w, "  load-shedding level %.2f, detected after %.1f s, spread over the fleet %.2f, swing %.2f, %.1f reversals a minute\n", s.Median, s.DetectionS, s.Spread, s.Swing, s.ReversalsPerMinute)
 	}
 }
 
--- a/internal/testbed/oracle/membership.go
+++ b/internal/testbed/oracle/membership.go
@@ -12,24 +12,24 @@
 
 const discoveryPrefix = "roster "
 
-// DiscoverySource names discovery as one observer receives it. Discovery notifies each observer at its own time, so that each
-// has a source of its own.
+// DiscoverySource names discovery as the source of membership of one observer. Each observer has a discovery source of its own,
+// as discovery notifies observers at different times.
 func DiscoverySource(observer string) string { return discoveryPrefix + observer }
 
-// The states of nodes that the checker tells apart. An empty state means that a source has none.
+// The states of nodes that the checker distinguishes. An empty state means that a source holds no state of the node.
 const (
 	stateInService  = "in_service"
 	stateTerminated = "terminated"
 )
 
-// propagationSlack is for the way of a change from its source to an observer, and for its late record by the testbed.
+// propagationSlack allows for the delay of a change between its source and an observer, and for its late recording by the testbed.
 const propagationSlack = 100 * time.Millisecond
 
 // sourceStates are the states of nodes that the sources of membership held over time.
 type sourceStates struct {
 	states  map[string]map[string][]Notice // by source and node, in order of time
 	outages map[[2]string][]SourceOutage   // by observer and source, in order of time
-	ttl     time.Duration                  // for which a state counts as fresh
+	ttl     time.Duration                  // how long a state counts as fresh
 }
 
 func newSourceStates(h *History, ttl time.Duration) *sourceStates {
@@ -57,8 +57,8 @@
 	s.states[notice.Observer][notice.Node] = append(s.states[notice.Observer][notice.Node], notice)
 }
 
-// between returns the states that a source held of one incarnation of a node between two times, with the one before the first.
-// The state of another incarnation counts as none.
+// between returns the states that a source held of one incarnation of a node between two times, with the one that it already
+// held at the first. A state of another incarnation counts as empty.
 func between(notices []Notice, startMS int64, from, to time.Duration) (states []string) {
 	stateOf := func(notice Notice) string {
 		if notice.StartMS != 0 && startMS != 0 && notice.StartMS != startMS {
@@ -79,7 +79,7 @@
 }
 
 // possible returns the states of a node that an observer may hold from a source at the time of a notice: those of the last ttl,
-// and those before an outage of the source for as long as it lasts.
+// and while the source is out of reach, those up to the start of the outage.
 func (s *sourceStates) possible(source string, notice Notice) (states []string) {
 	list, at, startMS := s.states[source][notice.Node], notice.At, notice.StartMS
 	from, to := at-s.ttl, at+propagationSlack
@@ -87,7 +87,7 @@
 		if o.From > at || o.To != 0 && o.To < from {
 			continue
 		}
-		// The state at the begin of the outage stays the observer's last one until the source is back.
+		// The observer keeps the state at the start of the outage until it reaches the source again.
 		states = append(states, between(list, startMS, o.From-propagationSlack, o.From+propagationSlack)...)
 		if o.To == 0 || o.To > at {
 			return append(states, between(list, startMS, min(from, o.From), o.From)...)
@@ -97,13 +97,13 @@
 	return append(states, between(list, startMS, from, to)...)
 }
 
-// checkMembership looks for views that did not converge, and for nodes that an observer was notified of as in service although
-// its sources can't have led to that.
+// checkMembership reports views that did not converge, and nodes that an observer was notified of as in service although no
+// states that its sources held can explain that.
 func (r *Report) checkMembership(h *History, cfg Config) {
 	for _, v := range h.ViewChecks {
 		r.occasion(RuleViewsAgree, "views compared")
 		if v.Mismatch != "" {
-			r.violation(RuleViewsAgree, v.At, "after %s: %s", v.Fault, v.Mismatch)
+			r.violation(RuleViewsAgree, v.At, "views differ after %s: %s", v.Fault, v.Mismatch)
 		}
 	}
 	if cfg.MembershipTTLS <= 0 {
@@ -120,16 +120,16 @@
 			continue
 		}
 		if known {
-			r.occasion(RuleFreshMembership, "a node came back")
+			r.occasion(RuleFreshMembership, "known node back in service")
 		} else {
-			r.occasion(RuleFreshMembership, "a node came in")
+			r.occasion(RuleFreshMembership, "new node in service")
 		}
 		byEtcd, byDiscovery := sources.possible(EtcdSource, notice), sources.possible(discovery, notice)
 		explained := slices.ContainsFunc(byEtcd, func(a string) bool {
 			return slices.ContainsFunc(byDiscovery, func(b string) bool { return mergedInService(a, b) })
 		})
 		if !explained {
-			r.violation(RuleFreshMembership, notice.At, "%s was told that %s is up; etcd held %q, its roster %q", notice.Observer, notice.Node, byEtcd, byDiscovery)
+			r.violation(RuleFreshMembership, notice.At, "%s was notified that %s is in service; etcd held %q, discovery %q", notice.Observer, notice.Node, byEtcd, byDiscovery)
 		}
 	}
 }
--- a/internal/testbed/oracle/overload.go
+++ b/internal/testbed/oracle/overload.go
@@ -12,7 +12,7 @@
 	slotS = 0.1
 	// emptySlot is the work, in core seconds, below which a slot counts as used up.
 	emptySlot = 1e-12
-	// weightRounds is how many weights of plans and intervals upperBound tries, and weightStep the first step between them.
+	// weightRounds is how many sets of weights upperBound tries, and weightStep the first step between two sets.
 	weightRounds = 24
 	weightStep   = 4
 	// priceSteps is how many steps minimizeBound takes, and priceStep the first one, as a fraction of the highest price.
@@ -51,11 +51,11 @@
 	return slots
 }
 
-// upperBound returns a bound of Load.Goal that holds for every fleet, even for one that knows all requests beforehand, but not
-// the work of a single one. It is an upper bound of the optimum of a relaxed problem, in which work may be divided, spread over
-// cores and delayed up to its deadline. By weak duality, for any non-negative prices of the slots and any weights of plans and
-// of intervals that sum to 1, the value of all slots plus what each job earns beyond its cheapest slot is such a bound. A poor
-// search for prices and weights makes the bound looser, never wrong.
+// upperBound returns an upper bound of Load.Goal for any fleet, even for one that knows all requests beforehand, but not the work
+// of a single one. It bounds the optimum of a relaxed problem, in which work may be divided, spread over cores and delayed up to
+// its deadline. By weak duality, any non-negative prices of the slots and any weights of plans and of intervals that sum to 1
+// give such a bound: the price of all slots plus, for each job, its value beyond its price in its cheapest slot. A poor search
+// for prices and weights makes the bound looser, never wrong.
 func upperBound(jobs []*job, slots, planDemand, intervalDemand []float64) float64 {
 	demand := 0.0
 	for _, weight := range planDemand {
@@ -80,8 +80,8 @@
 	return min(best, 1)
 }
 
-// schedule assigns jobs to slots in their given order, each as late as possible, and adds the weights that it serves. It returns
-// a price for each slot: that of the job that used it up, 0 for the others.
+// schedule assigns jobs to slots in the given order, each as late as possible, and adds the weights served to planServed and
+// intervalServed. It returns a price for each slot: that of the job that used it up, or 0 if none did.
 func schedule(jobs []*job, slots, planServed, intervalServed []float64) (prices []float64) {
 	remaining := slices.Clone(slots)
 	prices = make([]float64, len(slots))
@@ -131,7 +131,7 @@
 	}
 }
 
-// minimizeBound returns the lowest bound that it finds by subgradient descent on the prices of the slots, which it changes.
+// minimizeBound returns the lowest bound that subgradient descent on the prices of the slots finds. It changes prices.
 func minimizeBound(jobs []*job, slots, prices []float64) float64 {
 	best, scale := math.Inf(1), 0.0
 	for _, price := range prices {
--- a/internal/testbed/oracle/overquota.go
+++ b/internal/testbed/oracle/overquota.go
@@ -7,11 +7,11 @@
 	"eiderspread/policy"
 )
 
-// What is admitted beyond quotas has a cost. It is compared with that of a reference policy in which each ingress sees the
-// exact count as it was delayedViewS ago, and its own admissions since: what messages between ingresses can achieve.
+// Admissions beyond quotas have a cost. It is compared with the cost under a reference policy, in which each ingress knows the
+// exact count of delayedViewS ago and its own admissions since then. Messages between ingresses can achieve that.
 const (
 	delayedViewS = 0.3 // seconds
-	maxCostGap   = 0.1 // OverQuotaCost.Actual beyond OverQuotaCost.Delayed in a run without faults
+	maxCostGap   = 0.1 // most that OverQuotaCost.Actual may exceed OverQuotaCost.Delayed by in a run without faults
 )
 
 // OverQuotaCost is the cost of what was admitted beyond quotas, as a fraction of the weight requested inside quotas.
@@ -31,7 +31,7 @@
 	ingress int
 }
 
-// admit reports whether an ingress admits a request, which it then records.
+// admit reports whether an ingress admits a request under the reference policy, and records the admission.
 func (v *delayedView) admit(at time.Duration, ingress int, units float64) bool {
 	for len(v.admissions) > 0 && v.admissions[0].at+delayedViewS <= at.Seconds() {
 		v.window.take(duration(v.admissions[0].at+delayedViewS), v.admissions[0].units)
@@ -70,18 +70,19 @@
 	return c[account]
 }
 
-// checkOverQuotaCost measures the cost of what was sent to backends beyond rate and burst, and that of the reference policy for
-// the same requests. Accounts with a concurrency limit are left out: what they exceed depends on the backends' speed.
+// checkOverQuotaCost measures the cost of units that were sent to backends beyond rate and burst, and the cost under the
+// reference policy for the same requests. In a run without faults it checks the difference. Accounts with a concurrency limit
+// are left out, as their excess depends on the backends' speed.
 func (r *Report) checkOverQuotaCost(h *History, classes map[string]policy.Class, plans map[string]policy.Plan) {
 	replays := costReplays{}
-	counts := func(plan policy.Plan) bool { return plan.Rate > 0 && plan.MaxConcurrency == 0 }
+	included := func(plan policy.Plan) bool { return plan.Rate > 0 && plan.MaxConcurrency == 0 }
 	weight := func(class string, plan policy.Plan, units float64) float64 {
 		return classes[class].PriorityWeight * plan.Weight * units
 	}
 	inside, sent := 0.0, map[string]bool{}
 	for _, attempt := range h.Attempts { // in the order of their arrival
 		plan := plans[attempt.Plan]
-		if key := attempt.key(); counts(plan) && !sent[key] {
+		if key := attempt.key(); included(plan) && !sent[key] {
 			sent[key] = true
 			if !replays.of(attempt.Account, plan).actual.take(attempt.At, attempt.Units) {
 				r.OverQuotaCost.Actual += weight(attempt.Class, plan, attempt.Units) * plan.OverQuotaCostFraction
@@ -91,7 +92,7 @@
 	requests := slices.SortedStableFunc(slices.Values(h.Requests), func(a, b *Request) int { return int(a.SentAt - b.SentAt) })
 	for _, request := range requests {
 		plan := plans[request.Plan]
-		if !counts(plan) {
+		if !included(plan) {
 			continue
 		}
 		replay := replays.of(request.Account, plan)
@@ -108,10 +109,10 @@
 		return // the bound is for runs without faults
 	}
 	if r.OverQuotaCost.Actual > 0 || r.OverQuotaCost.Delayed > 0 {
-		r.occasion(RuleQuota, "quiet runs on which something went beyond")
+		r.occasion(RuleQuota, "fault-free runs with admissions beyond quotas")
 	}
 	if r.OverQuotaCost.Actual > r.OverQuotaCost.Delayed+maxCostGap {
-		r.violation(RuleQuota, h.Now(), "what went beyond quotas on a quiet day costs %.3f of the worth asked for inside, %.3f under a policy that sees all late",
+		r.violation(RuleQuota, h.Now(), "without faults, admissions beyond quotas cost %.3f of the weight requested inside quotas, %.3f under the reference policy",
 			r.OverQuotaCost.Actual, r.OverQuotaCost.Delayed)
 	}
 }
--- a/internal/testbed/oracle/print.go
+++ b/internal/testbed/oracle/print.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// The most entries that Print lists.
+// Limits on the entries that Print lists.
 const (
 	maxPrintedOvershoots = 3
 	maxPrintedViolations = 12
@@ -26,7 +26,7 @@
 
 // Print writes the report as text: figures, rules, occasions, violations, verdict.
 func (r *Report) Print(w io.Writer) {
-	fmt.Fprintf(w, "tries %d: served %d, refused %d, failed %d, broken %d, left by their clients %d, open %d; attempts %d\n", r.Requests, r.Results[Served],
+	fmt.Fprintf(w, "requests %d: served %d, rejected %d, failed %d, connection lost %d, disconnected by client %d, pending %d; attempts %d\n", r.Requests, r.Results[Served],
 		r.Results[Rejected], r.Results[Failed], r.Results[ConnectionLost], r.Results[Disconnected], r.Results[Pending], r.Attempts)
 	fmt.Fprintf(w, "service %.3f (%s; %s)\n", r.Service, formatMap(r.ServiceByPlan, "%s %.3f"), formatMap(r.ServiceByClass, "%s %.3f"))
 	lost, worst := 0.0, 1.0
@@ -40,12 +40,12 @@
 	if r.Load != nil {
 		r.Load.Print(w)
 	}
-	fmt.Fprintf(w, "further attempts: %s\n", formatMap(r.Retries, "%s %d"))
+	fmt.Fprintf(w, "retries by class and outcome before: %s\n", formatMap(r.Retries, "%s %d"))
 	for _, o := range r.Overshoots[:min(len(r.Overshoots), maxPrintedOvershoots)] {
 		fmt.Fprintf(w, "overshoot %s %s: %.1f units, %.1f%% of the burst, at %.1f s\n", o.Account, o.Plan, o.Units, o.Percent, o.At.Seconds())
 	}
-	fmt.Fprintf(w, "beyond quotas: costs %.3f of the worth asked for inside, %.3f under a policy that sees all %.1f s late\n", r.OverQuotaCost.Actual, r.OverQuotaCost.Delayed, delayedViewS)
-	fmt.Fprintf(w, "nearest to what is allowed (1: at it): %s\n", formatMap(r.Utilization, "%s %.2f"))
+	fmt.Fprintf(w, "admissions beyond quotas: cost %.3f of the weight requested inside quotas, %.3f under the reference policy with a view %.1f s old\n", r.OverQuotaCost.Actual, r.OverQuotaCost.Delayed, delayedViewS)
+	fmt.Fprintf(w, "highest utilization of bounds (1: at the bound): %s\n", formatMap(r.Utilization, "%s %.2f"))
 	r.printRules(w)
 	for _, v := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
 		fmt.Fprintf(w, "  %8.3f %s: %s\n", v.At.Seconds(), v.Rule, v.Detail)
@@ -59,7 +59,7 @@
 
 // printRules writes the counts of each rule, then the occasions in detail.
 func (r *Report) printRules(w io.Writer) {
-	fmt.Fprintf(w, "%-18s %9s %9s %9s\n", "rule", "breaches", "occasions", "floor")
+	fmt.Fprintf(w, "%-18s %9s %9s %9s\n", "rule", "breaches", "occasions", "required")
 	for _, rule := range RuleNames {
 		occasions := fmt.Sprint(r.Occasions[rule])
 		if r.Occasions[rule] == 0 {
--- a/internal/testbed/oracle/quotas.go
+++ b/internal/testbed/oracle/quotas.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// hardLimitSlack is the part of a hard limit's burst that is allowed beyond it.
+	// hardLimitSlack is the fraction of a hard limit's burst that is allowed beyond it.
 	hardLimitSlack = 0.1
-	// unitRounding is the excess, in units, that rounding explains.
+	// unitRounding is the excess, in units, that may be due to rounding.
 	unitRounding = 1e-6
 )
 
 // quotaReplay replays what was sent for one account against its buckets.
 type quotaReplay struct {
 	plan              policy.Plan
-	quota             *bucket // overdrawn by what is beyond the quota
-	hardLimit         *bucket // overdrawn likewise
-	inside            *bucket // takes only what is inside the quota
-	excess            float64 // units, the most beyond the quota
+	quota             *bucket // overdrawn by units beyond the quota
+	hardLimit         *bucket // overdrawn by units beyond the hard limit
+	inside            *bucket // takes only units inside the quota
+	excess            float64 // most units beyond the quota so far
 	excessAt          time.Duration
 	quotaViolated     bool
 	hardLimitViolated bool
 }
 
-// checkQuotas replays the first attempt of each request, in the order of their arrival, against each account's quota and hard
-// limit. It returns the keys of the requests that were inside their quotas when they were sent to a backend.
+// checkQuotas replays the first attempts of all requests, in order of arrival, against each account's quota and hard limit.
+// It returns the keys of the requests that were inside their quotas when they were sent to a backend.
 func (r *Report) checkQuotas(h *History, cfg Config, plans map[string]policy.Plan) (inside map[string]bool) {
 	inside = map[string]bool{}
 	accounts := map[string]*quotaReplay{}
@@ -84,14 +84,14 @@
 	plan := replay.plan
 	replay.hardLimit.overdraw(attempt.At, attempt.Units)
 	slack := max(plan.HardLimitSlack, hardLimitSlack*plan.HardLimitBurst, cfg.LargestRequest) + cfg.HardLimitSlackS*plan.HardLimitRate
-	r.utilization("ceiling and slack", (plan.HardLimitBurst-replay.hardLimit.available)/(plan.HardLimitBurst+slack))
+	r.utilization("hard limit and slack", (plan.HardLimitBurst-replay.hardLimit.available)/(plan.HardLimitBurst+slack))
 	if replay.hardLimit.available < -slack && !replay.hardLimitViolated {
 		replay.hardLimitViolated = true
-		r.violation(RuleHardLimit, attempt.At, "%s is %.1f units over its ceiling, slack %.1f", attempt.Account, -replay.hardLimit.available, slack)
+		r.violation(RuleHardLimit, attempt.At, "%s is %.1f units over its hard limit, slack %.1f", attempt.Account, -replay.hardLimit.available, slack)
 	}
 }
 
-// countDemand counts the requests beyond quotas and hard limits: the occasions to exceed them.
+// countDemand counts the requests beyond quotas and hard limits as occasions to exceed them.
 func (r *Report) countDemand(h *History, plans map[string]policy.Plan) {
 	type limits struct{ quota, hardLimit *bucket }
 	accounts := map[string]*limits{}
@@ -103,10 +103,10 @@
 			accounts[request.Account] = account
 		}
 		if account.quota.rate > 0 && !account.quota.take(request.SentAt, request.Units) {
-			r.occasion(RuleQuota, "tries asked beyond")
+			r.occasion(RuleQuota, "requests beyond the quota")
 		}
 		if account.hardLimit.rate > 0 && !account.hardLimit.take(request.SentAt, request.Units) {
-			r.occasion(RuleHardLimit, "tries asked beyond")
+			r.occasion(RuleHardLimit, "requests beyond the hard limit")
 		}
 	}
 }
--- a/internal/testbed/oracle/records.go
+++ b/internal/testbed/oracle/records.go
@@ -13,14 +13,14 @@
 	At, End                        time.Duration // received and ended; End 0: still open
 	Started                        bool          `json:"Began"`  // the backend began the work
 	KnownKey                       bool          `json:"Repeat"` // its idempotency key was known, so that it had no further effect
-	Outcome                        string        `json:"How"`    // a node.Fate, such as outcomeServed, or how the attempt ended without one
+	Outcome                        string        `json:"How"`    // a node.Fate, such as outcomeServed, or another end, such as that of the connection
 	Work                           float64       // core seconds
 	Incarnation                    int           `json:"Life"` // of the backend: index in History.Incarnations
 	Conn                           string        // address of its connection, the key in History.ConnectionEnds
 	AnsweredAt                     time.Duration `json:"Answered"` // the backend wrote its answer; 0: none
 }
 
-// The outcomes of attempts that the checker tells apart.
+// The outcomes of attempts that the checker distinguishes.
 const (
 	outcomeServed   = "served"
 	outcomeRejected = "full" // the backend rejected it, with the promise of no effect
@@ -28,7 +28,7 @@
 	outcomeCopy     = "copy" // the backend answered twice
 )
 
-// MayHaveRun reports whether the sender must assume an effect, whatever the backend knows.
+// MayHaveRun reports whether the sender must assume that the attempt had an effect, even if the backend knows that it had none.
 func (a *Attempt) MayHaveRun() bool { return a.Outcome != outcomeRejected }
 
 // served reports whether the backend served the attempt.
@@ -42,7 +42,7 @@
 type Request struct {
 	ID, Account, Class, Plan string
 	Forwarder                int
-	OriginalID               string        `json:"First"` // ID of the client's first attempt, its own ID for the first
+	OriginalID               string        `json:"First"` // ID of the original request; its own ID if it is no retry
 	Units                    float64       // quota units
 	SentAt                   time.Duration `json:"Sent"`
 	Deadline                 time.Duration
@@ -53,12 +53,12 @@
 	BatchIndex               int           `json:"Batch"`   // position among pipelined requests of one connection, from 1; 0: alone
 	NotAccepted              bool          `json:"Untaken"` // no forwarder accepted the connection
 	Queued                   bool          // admitted, then queued for a backend, where the testbed knows it
-	Reason                   int           `json:"Why"` // the reason.Reason of a rejection, where the testbed knows it
+	Reason                   int           `json:"Why"` // reason.Reason of a rejection, where the testbed knows it
 }
 
 func (r *Request) key() string { return r.ID + "/" + r.Account }
 
-// original reports whether the request is its client's first attempt.
+// original reports whether the request is not a client's retry.
 func (r *Request) original() bool { return r.ID == r.OriginalID }
 
 // Result is how a request ended for its client.
@@ -67,11 +67,11 @@
 // The results of a request.
 const (
 	Pending        Result = iota
-	Served                // its own value
+	Served                // the answer is the request's own value
 	Rejected              // -BUSY
 	Failed                // any other error
 	ConnectionLost        // the connection ended without an answer
-	ForeignReply          // the value of another request
+	ForeignReply          // the answer is the value of another request
 	Disconnected          // the client closed the connection first
 )
 
@@ -83,7 +83,8 @@
 	StartMS     int64 `json:"Start"` // start of the node's incarnation, Unix milliseconds; 0: not stated, or any
 }
 
-// Outage is a time in which a forwarder was killed or paused: clients have to send again what it held.
+// Outage is a time in which a forwarder was killed or paused, so that clients have to retry its open requests. Also used for
+// History.Restarts and History.Replacements, in which no request may be lost.
 type Outage struct {
 	Forwarder int
 	From, To  time.Duration
@@ -103,7 +104,7 @@
 	Capacity   float64       // core seconds per second when warm
 	WarmUpFrom float64       `json:"ColdFrom"` // fraction of Capacity at the start
 	WarmUpS    float64       `json:"ColdS"`    // seconds until Capacity is reached; 0: no warm-up
-	CrashedAt  time.Duration `json:"FellAt"`   // 0: it did not
+	CrashedAt  time.Duration `json:"FellAt"`   // 0: it did not crash
 }
 
 // warmUpFraction returns the fraction of its capacity that an incarnation of a certain age has.
@@ -145,7 +146,7 @@
 	Values []float64 `json:"Of"`
 }
 
-// Slowdown is a time in which every backend worked slower by a factor.
+// Slowdown is a time in which every backend was slower by a factor.
 type Slowdown struct {
 	From, To time.Duration // To 0: it goes on
 	Factor   float64       `json:"X"`
@@ -155,10 +156,10 @@
 type DrainResult struct {
 	Forwarder       int
 	At              time.Duration // end of the allowed time
-	OpenConnections []string      `json:"Held"` // clients' connections that break the rule, each with its state
+	OpenConnections []string      `json:"Held"` // clients' connections that are still open against the rule, each with its state
 }
 
-// IngressViolations are the broken rules that an ingress counted itself and wrote to its log.
+// IngressViolations are the rule violations that an ingress detected itself and wrote to its log.
 type IngressViolations struct {
 	Ingress string   `json:"Party"`
 	Lines   []string `json:"Broken"` // of the log
--- a/internal/testbed/oracle/report.go
+++ b/internal/testbed/oracle/report.go
@@ -19,14 +19,14 @@
 	At            time.Duration
 }
 
-// Margin is a measured figure beside the bound that applied at that moment, both in units.
+// Margin is a measured figure and the bound that applied at that moment, both in units.
 type Margin struct{ Units, Allowed float64 }
 
 // Report is the result of Check.
 type Report struct {
 	Violations                        []Violation        // the first maxViolations, by time
 	ViolationCounts                   map[string]int     // by rule
-	Occasions                         map[string]int     // by rule: how often it could have been broken
+	Occasions                         map[string]int     // by rule: how often the run could have violated it
 	OccasionDetails                   map[string]int     // by rule and kind of occasion
 	Utilization                       map[string]float64 // by bound: the highest fraction of it that was reached
 	Void                              string             // why the run can't be checked; "": it can
@@ -40,7 +40,7 @@
 	ServiceByPlan                     map[string]float64 // -1: no request
 	ServiceByClass                    map[string]float64 // in units, of accounts that stay inside their quotas; -1: no request
 	Retries                           map[string]int     // by class and outcome of the attempt before
-	IdealUnits                        float64            // that exact counting would have admitted, of accounts in Config.Homes
+	IdealUnits                        float64            // that an exact count would have admitted, of accounts in Config.Homes
 	QuotaExcess                       map[int]Margin     // by window in seconds: the most that an account was admitted beyond rate and burst
 	QuotaShortfall                    map[int]Margin     // by window in seconds: the most that an account was denied of its quota
 	WithheldUnits                     float64            // of IdealUnits, not admitted
@@ -61,17 +61,17 @@
 	}
 }
 
-// Verdict returns nil for a run that shows that the rules hold: it is not void, has no violation and enough occasions.
+// Verdict returns nil if the run shows that the rules hold: it is not void, has no violation and has enough occasions.
 func (r *Report) Verdict() error {
 	if r.Void != "" {
 		return fmt.Errorf("void: %s", r.Void)
 	}
 	if len(r.Violations) > 0 {
-		return fmt.Errorf("%d breaches, first of %q: %s", r.violationTotal(), r.Violations[0].Rule, r.Violations[0].Detail)
+		return fmt.Errorf("%d breaches, the first of rule %q: %s", r.violationTotal(), r.Violations[0].Rule, r.Violations[0].Detail)
 	}
 	for _, rule := range RuleNames {
 		if r.Occasions[rule] < r.minOccasions[rule] {
-			return fmt.Errorf("%q was not seen: %d occasions, %d wanted", rule, r.Occasions[rule], r.minOccasions[rule])
+			return fmt.Errorf("rule %q was not seen often enough: %d occasions, %d required", rule, r.Occasions[rule], r.minOccasions[rule])
 		}
 	}
 	return nil
@@ -84,13 +84,13 @@
 	return n
 }
 
-// occasion counts an occasion to break a rule.
+// occasion counts an event in which a rule could have been violated.
 func (r *Report) occasion(rule, kind string) {
 	r.Occasions[rule]++
 	r.OccasionDetails[rule+": "+kind]++
 }
 
-// utilization records the fraction of a bound that was reached.
+// utilization records a fraction of a bound that was reached; the highest one counts.
 func (r *Report) utilization(bound string, fraction float64) {
 	r.Utilization[bound] = max(r.Utilization[bound], fraction)
 }
--- a/internal/testbed/oracle/service.go
+++ b/internal/testbed/oracle/service.go
@@ -28,8 +28,8 @@
 	return m[key]
 }
 
-// answeredInTime returns the IDs of the original requests that were answered within the latency objective, by them or by a
-// client's retry, while inside their quotas.
+// answeredInTime returns the IDs of the original requests that were served within the latency objective, by their own attempts
+// or those of a client's retry. The parameter inside has the keys of the requests inside their quotas; only these count.
 func answeredInTime(h *History, classes map[string]policy.Class, inside map[string]bool) map[string]bool {
 	inTime := map[string]bool{}
 	sent := map[string]time.Duration{}
@@ -47,16 +47,16 @@
 	return inTime
 }
 
-// serviceReplay sums the service of each account against what one gateway that sees all original requests would admit.
+// serviceReplay sums the service of each account and what a single gateway that sees all original requests would admit.
 type serviceReplay struct {
 	buckets   map[string]*bucket // by account
 	accounts  map[string]*serviceSum
 	plans     map[string]string // by account
-	overQuota map[string]bool   // accounts that exceed their quotas: serving more of them hides what is lost
+	overQuota map[string]bool   // accounts that exceed their quotas: answers beyond the quota would hide lost service
 	seconds   map[int]map[string]*serviceSum
 }
 
-// add adds one original request, in the order of their sending.
+// add adds an original request. Requests are added in order of sending.
 func (s *serviceReplay) add(request *Request, plan policy.Plan, weight float64, inTime bool) {
 	quota := s.buckets[request.Account]
 	if quota == nil {
@@ -115,7 +115,7 @@
 	}
 	var all serviceSum
 	byPlan := map[string]*serviceSum{}
-	for _, name := range slices.Sorted(maps.Keys(replay.accounts)) { // in one order, as sums of fractions depend on it
+	for _, name := range slices.Sorted(maps.Keys(replay.accounts)) { // in a fixed order, as the rounding of the sums depends on it
 		account := replay.accounts[name]
 		for _, sum := range []*serviceSum{&all, entry(byPlan, replay.plans[name])} {
 			sum.requested += account.requested
--- a/internal/testbed/oracle/slowstart.go
+++ b/internal/testbed/oracle/slowstart.go
@@ -8,18 +8,18 @@
 // fewRequests is the number of requests below which withChanceSlack allows more.
 const fewRequests = 30
 
-// withChanceSlack returns a budget of work with the operators' slack for chance, for requests of mean work: 2*sqrt(N)+2 more
-// than N requests, below fewRequests 3*sqrt(N)+3 more.
+// withChanceSlack returns a work budget plus the slack that operators allow for random variation. If N requests of mean work fit
+// the budget, the slack is the work of 2*sqrt(N)+2 requests, or of 3*sqrt(N)+3 if N is below fewRequests.
 func withChanceSlack(budget, mean float64) float64 {
 	n := budget / max(mean, epsilon)
-	more := 2*math.Sqrt(n) + 2
+	slack := 2*math.Sqrt(n) + 2
 	if n < fewRequests {
-		more = 3*math.Sqrt(n) + 3
+		slack = 3*math.Sqrt(n) + 3
 	}
-	return (n + more) * mean
+	return (n + slack) * mean
 }
 
-// checkSlowStart holds the work that all ingresses together sent to each starting backend against its budget.
+// checkSlowStart checks the work that all ingresses together sent to each starting backend against its budget.
 func (r *Report) checkSlowStart(h *History, cfg Config) {
 	if cfg.SlowStartFactor <= 0 {
 		return
@@ -28,7 +28,7 @@
 	for _, attempt := range h.Attempts {
 		if n := h.Incarnations[attempt.Incarnation]; (attempt.At - n.StartedAt).Seconds() < n.WarmUpS {
 			warmUps[attempt.Incarnation] = append(warmUps[attempt.Incarnation], attempt)
-			r.occasion(RuleSlowStart, "sends to cold nodes")
+			r.occasion(RuleSlowStart, "attempts at backends in slow start")
 		}
 	}
 	for i, attempts := range warmUps {
@@ -36,7 +36,7 @@
 	}
 }
 
-// checkWarmUp holds the attempts that one incarnation received during its warm-up against its budget. It stops at the first
+// checkWarmUp checks the attempts that one incarnation received during its warm-up against its budget. It stops at the first
 // violation.
 func (r *Report) checkWarmUp(cfg Config, incarnation Incarnation, attempts []*Attempt) {
 	window := duration(cfg.SlowStartWindowS)
@@ -56,9 +56,9 @@
 		if cfg.SlowStartChance {
 			allowed = withChanceSlack(budget, mean)
 		}
-		r.utilization("budget of a cold node", sum/budget)
+		r.utilization("backend's slow-start budget", sum/budget)
 		if sum > allowed {
-			r.violation(RuleSlowStart, attempt.At, "%s, %v old, was sent %.2f s of work within %v, %.2f at most", incarnation.Node, age.Round(time.Millisecond), sum, window, budget)
+			r.violation(RuleSlowStart, attempt.At, "%s, %v after its start, was sent %.2f core seconds of work within %v, its budget is %.2f", incarnation.Node, age.Round(time.Millisecond), sum, window, budget)
 			break
 		}
 	}
