--- a/internal/testbed/oracle/check_test.go
+++ b/internal/testbed/oracle/check_test.go
@@ -30,7 +30,7 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// cleanHistory is a history of n served requests, a second apart, that breaks nothing.
+// cleanHistory returns a history of n served requests, one a second, that violates no rule.
 func cleanHistory(n int) *History {
 	h := NewHistoryWithClock(func() time.Duration { return time.Hour })
 	h.Incarnations = []Incarnation{{Node: "z1", StartedAt: -time.Hour, Capacity: 4, WarmUpFrom: 0.25, WarmUpS: 8}, {Node: "z2", Capacity: 4, WarmUpFrom: 0.25, WarmUpS: 8}}
@@ -45,28 +45,29 @@
 	return h
 }
 
-// Guards that each planted violation is found, by its rule, and nothing in a clean history.
+// Guards against a checker that misses a violation or reports it under another rule: each case changes a clean history so that it
+// violates one rule. The clean history has no violation.
 func TestCheck_Violations(t *testing.T) {
 	if rep := Check(cleanHistory(30), testConfig()); len(rep.Violations) != 0 || rep.Service != 1 || len(rep.Overshoots) != 0 {
-		t.Fatalf("a clean history: %+v", rep)
+		t.Fatalf("report of a clean history: got %+v, want no violation, no overshoot and service 1", rep)
 	}
-	bill := func(h *History) (*Request, *Attempt) { return h.Requests[2], h.Attempts[2] } // a courier-send
+	courierSend := func(h *History) (*Request, *Attempt) { return h.Requests[2], h.Attempts[2] } // of the non-idempotent class
 	for name, tc := range map[string]struct {
-		rule  string
-		plant func(h *History)
+		rule   string
+		modify func(h *History)
 	}{
-		"no answer":       {"no request lost", func(h *History) { h.Requests[4].Result, h.Requests[4].Answers = Pending, 0 }},
-		"broken off":      {"no request lost", func(h *History) { h.Requests[4].Result, h.Requests[4].Answers = ConnectionLost, 0 }},
-		"late answer":     {"no request lost", func(h *History) { h.Requests[4].AnsweredAt = h.Requests[4].Deadline + ms(300) }},
-		"two answers":     {"one answer", func(h *History) { h.Requests[4].Answers = 2 }},
-		"another's value": {"one answer", func(h *History) { h.Requests[4].Result = ForeignReply }},
-		"made-up value":   {"one answer", func(h *History) { h.Attempts[4].AnsweredAt = 0 }},
-		"sent for who left": {RuleDisconnectedClient, func(h *History) {
+		"no answer":                  {"no request lost", func(h *History) { h.Requests[4].Result, h.Requests[4].Answers = Pending, 0 }},
+		"connection lost":            {"no request lost", func(h *History) { h.Requests[4].Result, h.Requests[4].Answers = ConnectionLost, 0 }},
+		"late answer":                {"no request lost", func(h *History) { h.Requests[4].AnsweredAt = h.Requests[4].Deadline + ms(300) }},
+		"two answers":                {"one answer", func(h *History) { h.Requests[4].Answers = 2 }},
+		"value of another request":   {"one answer", func(h *History) { h.Requests[4].Result = ForeignReply }},
+		"value that no backend sent": {"one answer", func(h *History) { h.Attempts[4].AnsweredAt = 0 }},
+		"sent after the client disconnected": {RuleDisconnectedClient, func(h *History) {
 			h.Requests[4].Result, h.Requests[4].Answers, h.Requests[4].DisconnectedAt = Disconnected, 0, h.Requests[4].SentAt+ms(10)
 			h.Attempts[4].At = h.Requests[4].DisconnectedAt + ms(450)
 		}},
-		"beyond quotas on a quiet day": {RuleQuota, func(h *History) {
-			for i := range 60 { // of an account with 9 units, by hand: a policy that sees late lets in more than that, for 0.3 s
+		"beyond quotas without faults": {RuleQuota, func(h *History) {
+			for i := range 60 { // of an account with a burst of 9 units; the reference policy exceeds it too, for 0.3 s
 				id := fmt.Sprint("x", i)
 				h.Requests = append(h.Requests, &Request{ID: id, OriginalID: id, Account: "b", Class: "zone-check", Plan: "comptoir", Units: 1, SentAt: ms(100 * i),
 					Deadline: ms(100*i + 2000), AnsweredAt: ms(100*i + 20), Answers: 1, Result: Served})
@@ -74,69 +75,69 @@
 					End: ms(100*i + 9), AnsweredAt: ms(100*i + 9), Started: true, Outcome: "served", Node: "z1"})
 			}
 		}},
-		"out of order": {RuleAnswerOrder, func(h *History) { h.Requests[4].Result, h.Requests[4].BatchIndex = ForeignReply, 2 }},
+		"answers out of order": {RuleAnswerOrder, func(h *History) { h.Requests[4].Result, h.Requests[4].BatchIndex = ForeignReply, 2 }},
 		"sent after its answer": {RuleOneAnswer, func(h *History) {
 			b := *h.Attempts[0]
 			b.At, b.End = ms(300), ms(400)
 			h.Attempts = append(h.Attempts, &b)
 		}},
-		"sent again after a reset": {RuleNoDuplicateEffect, func(h *History) { // though it did not run
-			_, attempt := bill(h)
+		"retried after a reset": {RuleNoDuplicateEffect, func(h *History) { // the attempt did not run, but its sender can't know that
+			_, attempt := courierSend(h)
 			b := *attempt
 			attempt.Outcome, attempt.Started, attempt.AnsweredAt, attempt.End = "reset unrun", false, 0, attempt.At+ms(1)
 			b.At = attempt.At + ms(10)
 			h.Attempts = append(h.Attempts, &b)
 		}},
-		"cold node pushed over": {RuleSlowStart, func(h *History) {
-			for i := range 31 { // of 30 tenths that it may be sent within a second right after its start
+		"starting backend beyond its budget": {RuleSlowStart, func(h *History) {
+			for i := range 31 { // x 0.1 s of work; the budget of the first second after the start is 3 s
 				h.Attempts = append(h.Attempts, &Attempt{ID: fmt.Sprint("x", i), Account: "b", Class: "zone-check", Plan: "chaine", Units: 1, At: ms(i), End: ms(i + 9),
 					AnsweredAt: ms(i + 9), Started: true, Outcome: "served", Node: "z2", Incarnation: 1, Work: 0.1})
 			}
 		}},
-		"cap on open attempts": {RuleMaxConcurrency, func(h *History) {
+		"beyond the concurrency limit": {RuleMaxConcurrency, func(h *History) {
 			for i := range 13 {
 				h.Attempts = append(h.Attempts, &Attempt{ID: fmt.Sprint("x", i), Account: "b", Class: "zone-check", Plan: "resto", Units: 1, At: ms(i), End: ms(i + 99),
 					Started: true, Outcome: "served", Node: "z1"})
 			}
 		}},
 		"ran twice": {"no effect twice", func(h *History) {
-			_, attempt := bill(h)
+			_, attempt := courierSend(h)
 			b := *attempt
 			attempt.Outcome, attempt.AnsweredAt = "reset", 0
 			b.At, b.End, b.AnsweredAt = attempt.End+ms(20), attempt.End+ms(30), attempt.End+ms(30)
 			h.Requests[2].AnsweredAt = b.End
 			h.Attempts = append(h.Attempts, &b)
 		}},
-		"refused though it ran": {"no effect twice", func(h *History) {
-			try, attempt := bill(h)
-			try.Result, attempt.Outcome = Rejected, "reset"
+		"rejected although it ran": {"no effect twice", func(h *History) {
+			request, attempt := courierSend(h)
+			request.Result, attempt.Outcome = Rejected, "reset"
 		}},
-		"key used twice": {"no effect twice", func(h *History) {
+		"two effects of one key": {"no effect twice", func(h *History) {
 			b := *h.Attempts[1]
 			h.Attempts[1].Outcome, h.Attempts[1].AnsweredAt = "silent", 0
 			b.At, b.End, b.AnsweredAt = b.End+ms(4200), b.End+ms(4300), b.End+ms(4300)
 			h.Requests[1].AnsweredAt, h.Requests[1].Deadline = b.End, b.End
 			h.Attempts = append(h.Attempts, &b)
 		}},
-		"two attempts out": {"one attempt out", func(h *History) {
+		"two open attempts": {"one attempt out", func(h *History) {
 			b := *h.Attempts[0]
 			h.Attempts[0].End, h.Attempts[0].Outcome, h.Attempts[0].AnsweredAt = ms(400), "gone", 0
 			b.Node, b.At, b.End, b.AnsweredAt = "z2", ms(40), ms(90), ms(90)
 			h.Requests[0].AnsweredAt = ms(91)
 			h.Attempts = append(h.Attempts, &b)
 		}},
-		"sent after a drain": {"drains kept", func(h *History) {
+		"sent after a drain notice": {"drains kept", func(h *History) {
 			h.Notices = append(h.Notices, Notice{"f0", "z1", "terminating", 5*time.Second - ms(320), 0})
 			h.Attempts = h.Attempts[:6]
 		}},
-		"over the quota": {"quotas kept", func(h *History) {
-			for i := range 90 { // of 76 that fit
+		"beyond the quota": {"quotas kept", func(h *History) {
+			for i := range 90 { // the burst is 76 units
 				attempt := &Attempt{ID: fmt.Sprint("x", i), Account: "b", Class: "zone-check", Plan: "chaine", Units: 1, At: ms(i), End: ms(i + 9),
 					Started: true, Outcome: "served", Node: "z1"}
 				h.Attempts = append(h.Attempts, attempt)
 			}
 		}},
-		"over the ceiling": {"ceilings kept", func(h *History) {
+		"beyond the hard limit": {"ceilings kept", func(h *History) {
 			for i := range 200 {
 				attempt := &Attempt{ID: fmt.Sprint("x", i), Account: "b", Class: "zone-check", Plan: "chaine", Units: 1, At: ms(i), End: ms(i + 9),
 					Started: true, Outcome: "served", Node: "z1"}
@@ -146,49 +147,49 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := cleanHistory(6)
-			tc.plant(h)
+			tc.modify(h)
 			cfg := testConfig()
-			if name == "over the quota" {
+			if name == "beyond the quota" {
 				cfg.QuotaSlack = 6
 			}
-			if name == "cap on open attempts" {
+			if name == "beyond the concurrency limit" {
 				cfg.ConcurrencyFactor = 2
 			}
 			rep := Check(h, cfg)
 			if rep.ViolationCounts[tc.rule] == 0 || rep.Verdict() == nil {
-				t.Errorf("not found: %+v", rep.ViolationCounts)
+				t.Errorf("got violations %+v and verdict %v, want a violation of %q", rep.ViolationCounts, rep.Verdict(), tc.rule)
 			}
 			for rule := range rep.ViolationCounts {
 				if rule != tc.rule {
-					t.Errorf("%s is reported, too: %+v", rule, rep.Violations)
+					t.Errorf("rule %q is reported too, want %q only: %+v", rule, tc.rule, rep.Violations)
 				}
 			}
 		})
 	}
 }
 
-// Guards against reports of what is no violation.
+// Guards against false alarms: each case changes a clean history without violating a rule.
 func TestCheck_NoViolation(t *testing.T) {
-	for name, plant := range map[string]func(h *History){
+	for name, modify := range map[string]func(h *History){
 		"forwarder killed": func(h *History) {
 			h.Requests[4].Result, h.Requests[4].Answers = ConnectionLost, 0
 			h.Outages = append(h.Outages, Outage{0, h.Requests[4].SentAt + ms(10), h.Requests[4].SentAt + ms(900)})
 		},
-		"key used again in time": func(h *History) {
+		"key used again before it expires": func(h *History) {
 			b := *h.Attempts[1]
 			h.Attempts[1].Outcome, h.Attempts[1].AnsweredAt = "silent", 0
 			b.At, b.End, b.AnsweredAt, b.KnownKey = b.End+ms(200), b.End+ms(300), b.End+ms(300), true
 			h.Requests[1].AnsweredAt = b.End
 			h.Attempts = append(h.Attempts, &b)
 		},
-		"turned away and sent again": func(h *History) {
+		"rejected by its backend and retried": func(h *History) {
 			attempt := h.Attempts[2]
 			b := *attempt
 			attempt.Outcome, attempt.Started, attempt.AnsweredAt, attempt.End = "full", false, 0, attempt.At+ms(1)
 			b.At = attempt.At + ms(10)
 			h.Attempts = append(h.Attempts, &b)
 		},
-		"its end was not to be seen": func(h *History) { // by the node: the ingress ended the connection in a cut
+		"end not noticed by the backend": func(h *History) { // the ingress ended the connection while the network was cut
 			b := *h.Attempts[0]
 			h.Attempts[0].End, h.Attempts[0].Outcome, h.Attempts[0].AnsweredAt, h.Attempts[0].Conn = 0, "", 0, "c"
 			h.ConnectionEnds["c"] = []time.Duration{0, ms(30)}
@@ -196,36 +197,36 @@
 			h.Requests[0].AnsweredAt = ms(141)
 			h.Attempts = append(h.Attempts, &b)
 		},
-		"sent as it hung up": func(h *History) {
+		"sent as the client disconnects": func(h *History) {
 			h.Requests[4].Result, h.Requests[4].Answers, h.Requests[4].DisconnectedAt = Disconnected, 0, h.Requests[4].SentAt
 			h.Attempts[4].At += ms(250)
 		},
-		"hung up": func(h *History) {
+		"client disconnected": func(h *History) {
 			h.Requests[4].Result, h.Requests[4].Answers, h.Requests[4].DisconnectedAt = Disconnected, 0, h.Requests[4].SentAt
 		},
-		"behind others on its connection": func(h *History) {
+		"late behind others on its connection": func(h *History) {
 			h.Requests[4].BatchIndex, h.Requests[4].AnsweredAt = 2, h.Requests[4].Deadline+ms(900)
 		},
-		"told in an earlier life": func(h *History) {
+		"notice before an outage of the forwarder": func(h *History) {
 			h.Notices = append(h.Notices, Notice{"f0", "z1", "terminated", ms(100), 0})
 			h.Outages = append(h.Outages, Outage{0, ms(150), ms(160)})
 			h.Attempts = append(h.Attempts[:0], h.Attempts[1:]...)
 			h.Requests = append(h.Requests[:0], h.Requests[1:]...)
 		},
-		"warm": func(h *History) {
+		"backend after its warm-up": func(h *History) {
 			for i := range 40 {
 				h.Attempts = append(h.Attempts, &Attempt{ID: fmt.Sprint("x", i), Account: "b", Class: "zone-check", Plan: "chaine", Units: 1, At: ms(9000 + i), End: ms(9009 + i),
 					AnsweredAt: ms(9009 + i), Started: true, Outcome: "served", Node: "z2", Incarnation: 1, Work: 0.1})
 			}
 		},
-		"sent within the grace": func(h *History) {
+		"sent within the grace of a drain": func(h *History) {
 			h.Notices = append(h.Notices, Notice{"f0", "z1", "terminating", 5*time.Second - ms(200), 0})
 			h.Attempts = h.Attempts[:6]
 		},
-		"told to another": func(h *History) {
+		"notice to another forwarder": func(h *History) {
 			h.Notices = append(h.Notices, Notice{"f1", "z1", "terminating", 0, 0})
 		},
-		"up to the ceiling": func(h *History) {
+		"up to the hard limit": func(h *History) {
 			for i := range 150 {
 				h.Attempts = append(h.Attempts, &Attempt{ID: fmt.Sprint("x", i), Account: "b", Class: "zone-check", Plan: "chaine",
 					Units: 1, At: ms(i), End: ms(i + 9), Started: true, Outcome: "served", Node: "z1"})
@@ -234,25 +235,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := cleanHistory(6)
-			plant(h)
+			modify(h)
 			if rep := Check(h, testConfig()); len(rep.Violations) != 0 {
-				t.Errorf("%+v", rep.Violations)
+				t.Errorf("got violations %+v, want none", rep.Violations)
 			}
 		})
 	}
 }
 
-// Guards the figures: overshoot in units and percent, and service of what was requested inside quotas.
+// Guards the figures of a report: overshoot in units, and service as a fraction of what was requested inside quotas.
 func TestCheck_Figures(t *testing.T) {
 	h := cleanHistory(0)
-	for i := range 12 { // 9 units fit comptoir's window
+	for i := range 12 { // comptoir has a burst of 9 units
 		id := fmt.Sprint("c", i)
 		h.Requests = append(h.Requests, &Request{ID: id, OriginalID: id, Account: "c", Class: "zone-check", Plan: "comptoir", Units: 1, SentAt: ms(i),
 			Deadline: ms(2000), AnsweredAt: ms(i + 20), Answers: 1, Result: Served})
 		h.Attempts = append(h.Attempts, &Attempt{ID: id, Node: "z1", Account: "c", Class: "zone-check", Plan: "comptoir", Units: 1,
 			At: ms(i), End: ms(i + 9), Started: true, Outcome: "served"})
 	}
-	for i := range 4 { // half of what is asked comes in time
+	for i := range 4 { // half of the requests are answered in time
 		id := fmt.Sprint("d", i)
 		h.Requests = append(h.Requests, &Request{ID: id, OriginalID: id, Account: "d", Class: "zone-check", Plan: "comptoir", Units: 1, SentAt: ms(i),
 			Deadline: ms(2000), AnsweredAt: ms(i + 20 + i%2*600), Answers: 1, Result: Served})
@@ -261,34 +262,34 @@
 	}
 	rep := Check(h, testConfig())
 	if len(rep.Overshoots) != 1 || rep.Overshoots[0].Account != "c" || rep.Overshoots[0].Units < 2.97 || rep.Overshoots[0].Units > 3 {
-		t.Errorf("overshoot %+v", rep.Overshoots)
+		t.Errorf("got overshoots %+v, want one of account c with 2.97 to 3 units", rep.Overshoots)
 	}
 	if want := (9.0 + 2) / 13; rep.Service < want-0.01 || rep.Service > want+0.01 {
-		t.Errorf("service %v, want %v", rep.Service, want)
+		t.Errorf("got service %v, want %v", rep.Service, want)
 	}
 }
 
-// Guards that too few occasions to break a rule, and a testbed that was late, fail the verdict.
+// Guards against a verdict that passes without evidence: it fails if a rule had too few occasions or if the testbed was late.
 func TestReport_VerdictNeedsOccasions(t *testing.T) {
 	cfg := testConfig()
 	cfg.MinOccasions = map[string]int{RuleNoDuplicateEffect: 1}
 	if rep := Check(cleanHistory(30), cfg); rep.Verdict() == nil || !strings.Contains(rep.Verdict().Error(), "not seen") {
-		t.Errorf("without occasions: %v", rep.Verdict())
+		t.Errorf("got verdict %v without occasions, want an error with \"not seen\"", rep.Verdict())
 	}
 	h := cleanHistory(30)
 	h.Attempts[2].Outcome, h.Attempts[2].AnsweredAt = "reset", 0
 	h.Requests[2].Result = Failed
 	if rep := Check(h, cfg); rep.Verdict() != nil || rep.Occasions[RuleNoDuplicateEffect] == 0 {
-		t.Errorf("with one: %v, %v", rep.Verdict(), rep.Occasions)
+		t.Errorf("got verdict %v and occasions %v, want no error and an occasion of %q", rep.Verdict(), rep.Occasions, RuleNoDuplicateEffect)
 	}
 	cfg.MaxLateness = time.Millisecond
 	h.MaxLateness = 2 * time.Millisecond
 	if rep := Check(h, cfg); rep.Verdict() == nil || !strings.Contains(rep.Verdict().Error(), "void") {
-		t.Errorf("late: %v", rep.Verdict())
+		t.Errorf("got verdict %v for a late testbed, want an error with \"void\"", rep.Verdict())
 	}
 }
 
-// Guards stored runs: they give the same report when they are checked again.
+// Guards against recorded runs that give another report when they are read and checked again.
 func TestReadHistory_SameReport(t *testing.T) {
 	h, cfg := cleanHistory(30), testConfig()
 	h.Requests[5].Answers = 2
@@ -303,26 +304,26 @@
 		t.Fatal(err)
 	}
 	if got := Check(again, cfg); !reflect.DeepEqual(got, want) || got.ViolationCounts[RuleOneAnswer] != 1 {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("report of the recorded run: got %+v, want %+v with one violation of %q", got, want, RuleOneAnswer)
 	}
 	if _, _, err := ReadHistory(strings.NewReader("{")); err == nil {
-		t.Error("half a file is read")
+		t.Error("ReadHistory of a truncated file: got no error, want one")
 	}
 }
 
-// Guards that a notice during a hot restart binds replacementGrace after its begin, neither sooner nor later, and that a cordon
-// binds at once, and across restarts.
+// Guards the times from which notices and cordons bind an ingress: a notice during a hot restart binds hotRestartGrace after the
+// start of the restart, neither sooner nor later. A cordon binds after the usual grace, and across restarts.
 func TestReport_CheckCordons(t *testing.T) {
 	h := NewHistory()
 	h.Replacements = []Outage{{Forwarder: 1, From: 10 * time.Second, To: 10200 * time.Millisecond}}
-	for told, want := range map[time.Duration]time.Duration{9 * time.Second: 9 * time.Second, 10 * time.Second: 12 * time.Second,
+	for notified, want := range map[time.Duration]time.Duration{9 * time.Second: 9 * time.Second, 10 * time.Second: 12 * time.Second,
 		11900 * time.Millisecond: 12 * time.Second, 12 * time.Second: 12 * time.Second, 13 * time.Second: 13 * time.Second} {
-		if got := h.bindingFrom(1, told); got != want {
-			t.Errorf("told at %v: binds at %v, want %v", told, got, want)
+		if got := h.bindingFrom(1, notified); got != want {
+			t.Errorf("notice at %v binds from %v, want %v", notified, got, want)
 		}
 	}
 	if h.bindingFrom(0, 11*time.Second) != 11*time.Second {
-		t.Error("another forwarder was replaced")
+		t.Error("a notice to forwarder 0 is delayed by the hot restart of forwarder 1")
 	}
 	h.Cordons = []Cordon{{Ingress: IngressName(1), Node: "z", From: 20 * time.Second, To: 25 * time.Second}}
 	h.Restarts = []Outage{{Forwarder: 1, From: 21 * time.Second, To: 22 * time.Second}}
@@ -334,17 +335,17 @@
 	rep := &Report{ViolationCounts: map[string]int{}, Occasions: map[string]int{}, OccasionDetails: map[string]int{}}
 	rep.checkCordons(h, Config{DrainGraceS: 0.25}, requests)
 	if len(rep.Violations) != 1 || rep.Occasions[RuleCordon] != 1 || !strings.Contains(rep.Violations[0].Detail, "held") {
-		t.Errorf("%+v, %d seen", rep.Violations, rep.Occasions[RuleCordon])
+		t.Errorf("got violations %+v and %d occasions, want one violation by request \"held\" and one occasion", rep.Violations, rep.Occasions[RuleCordon])
 	}
 }
 
-// Guards an abandoned attempt whose bytes arrive after those of the next one: only one was open at a time. An attempt that is
-// abandoned later than the next one arrived is a violation.
+// Guards against a false alarm for an abandoned attempt whose bytes arrive after those of the next attempt: only one was open at
+// a time. It is a violation if the first attempt was abandoned only after the next one had arrived.
 func TestCheck_OvertakenAttempt(t *testing.T) {
 	for name, x := range map[string]struct {
-		endedAt  time.Duration // the overtaken one's connection
-		breaches int
-	}{"given up before": {ms(90), 0}, "given up behind it": {ms(105), 1}} {
+		endedAt    time.Duration // end of the overtaken attempt's connection
+		violations int
+	}{"abandoned before the next one": {ms(90), 0}, "abandoned after the next one": {ms(105), 1}} {
 		h := NewHistoryWithClock(func() time.Duration { return 0 })
 		first := &Attempt{ID: "a", Account: "x", Class: "zone-check", Plan: "comptoir", Units: 1, Node: "z1", Conn: "c1", At: ms(110), End: ms(110), Outcome: "gone", Started: true}
 		next := &Attempt{ID: "a", Account: "x", Class: "zone-check", Plan: "comptoir", Units: 1, Node: "z2", Conn: "c2", At: ms(100), End: ms(500), AnsweredAt: ms(500), Outcome: "served", Started: true}
@@ -353,17 +354,17 @@
 		h.Requests = []*Request{{ID: "a", OriginalID: "a", Account: "x", Class: "zone-check", Plan: "comptoir", Units: 1, Deadline: 2 * time.Second, AnsweredAt: ms(501), Answers: 1, Result: Served}}
 		h.ConnectionEnds["c1"] = []time.Duration{x.endedAt}
 		rep := Check(h, testConfig())
-		if rep.ViolationCounts[RuleOneOpenAttempt] != x.breaches {
-			t.Errorf("%s: %v", name, rep.Violations)
+		if rep.ViolationCounts[RuleOneOpenAttempt] != x.violations {
+			t.Errorf("%s: got violations %v, want %d of %q", name, rep.Violations, x.violations, RuleOneOpenAttempt)
 		}
 	}
 }
 
-// Guards the slack of a starting backend's budget, by the operators' documentation.
+// Guards the slack of a starting backend's budget: it follows the operators' documentation.
 func TestWithChanceSlack(t *testing.T) {
 	for _, x := range []struct{ budget, mean, want float64 }{{100, 1, 122}, {25, 1, 43}, {10, 0.1, 12.2}} {
 		if got := withChanceSlack(x.budget, x.mean); got < x.want-0.01 || got > x.want+0.01 {
-			t.Errorf("%+v: %v", x, got)
+			t.Errorf("withChanceSlack(%v, %v) = %v, want %v", x.budget, x.mean, got, x.want)
 		}
 	}
 }
--- a/internal/testbed/oracle/counts_test.go
+++ b/internal/testbed/oracle/counts_test.go
@@ -9,9 +9,9 @@
 	"eiderspread/policy"
 )
 
-// counted returns a history of one account, of 10 units per second and a burst of 20, through four gateways: perS requests per
-// second of one unit each, of which admit selects those that are admitted.
-func counted(perS int, admit func(i int, at time.Duration) bool) *History {
+// sharedCountHistory returns a history of 30 s of one account, which sends perS requests per second of one unit each. The function
+// admit selects the requests that are admitted; the others are denied by the quota.
+func sharedCountHistory(perS int, admit func(i int, at time.Duration) bool) *History {
 	h := NewHistory()
 	for i := range perS * 30 {
 		at := time.Second * time.Duration(i) / time.Duration(perS)
@@ -28,16 +28,18 @@
 	return h
 }
 
+// Guards against excess and shortfall that the error bound of a shared count does not explain, and against false alarms where it
+// does. The account has 10 units per second and a burst of 20, through four gateways.
 func TestReport_CheckSharedCounts(t *testing.T) {
 	plan := policy.Plan{Name: "p", Rate: 10, Burst: 20, Weight: 1}
-	room := 20.0
+	available := 20.0
 	exact := func(perS int) func(int, time.Duration) bool {
-		room = 20
+		available = 20
 		return func(int, time.Duration) bool {
-			if room = min(20, room+10/float64(perS)); room < 1 {
+			if available = min(20, available+10/float64(perS)); available < 1 {
 				return false
 			}
-			room--
+			available--
 			return true
 		}
 	}
@@ -46,29 +48,29 @@
 		rule string
 		h    func() *History
 	}{
-		{"an exact count", "", func() *History { return counted(40, exact(40)) }},
-		{"everything inside", "", func() *History { return counted(8, func(int, time.Duration) bool { return true }) }},
-		{"a half beyond the rate all the time", RuleQuota, func() *History { return counted(40, func(i int, _ time.Duration) bool { return i%8 < 3 }) }},
-		{"a burst of five times the burst", RuleQuota, func() *History {
-			return counted(100, func(_ int, at time.Duration) bool { return at < time.Second })
+		{"an exact count", "", func() *History { return sharedCountHistory(40, exact(40)) }},
+		{"all requests inside the quota", "", func() *History { return sharedCountHistory(8, func(int, time.Duration) bool { return true }) }},
+		{"one and a half times the rate all the time", RuleQuota, func() *History { return sharedCountHistory(40, func(i int, _ time.Duration) bool { return i%8 < 3 }) }},
+		{"five times the burst in the first second", RuleQuota, func() *History {
+			return sharedCountHistory(100, func(_ int, at time.Duration) bool { return at < time.Second })
 		}},
-		{"the same while its gateways are split in four sides", "", func() *History {
-			h := counted(100, func(_ int, at time.Duration) bool {
+		{"the same during a network partition into four sides", "", func() *History {
+			h := sharedCountHistory(100, func(_ int, at time.Duration) bool {
 				return at < time.Second || at > 4*time.Second && at.Milliseconds()%100 == 0
 			})
 			h.PeerFaults = append(h.PeerFaults, PeerFault{From: 0, To: 3 * time.Second, Sides: 4})
 			return h
 		}},
-		{"a half of what the quota holds", RuleQuotaUsable, func() *History { return counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 }) }},
-		{"the same in a silence that goes on", "", func() *History {
-			h := counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 })
+		{"half of what the quota holds", RuleQuotaUsable, func() *History { return sharedCountHistory(8, func(i int, _ time.Duration) bool { return i%2 == 0 }) }},
+		{"the same while all messages are lost", "", func() *History {
+			h := sharedCountHistory(8, func(i int, _ time.Duration) bool { return i%2 == 0 })
 			h.PeerFaults = append(h.PeerFaults, PeerFault{LossRate: 1})
 			return h
 		}},
-		{"a half refused for nodes' sake", "", func() *History {
-			h := counted(8, func(i int, _ time.Duration) bool { return i%2 == 0 })
-			for _, x := range h.Requests {
-				x.Reason = int(reason.AdaptiveLimit)
+		{"half rejected because of backends", "", func() *History {
+			h := sharedCountHistory(8, func(i int, _ time.Duration) bool { return i%2 == 0 })
+			for _, request := range h.Requests {
+				request.Reason = int(reason.AdaptiveLimit)
 			}
 			return h
 		}},
@@ -76,7 +78,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			rep := Check(tc.h(), Config{Plans: []policy.Plan{plan}, Homes: map[string]GatewayRange{"a": {0, 4}}, Gateways: 4})
 			if tc.rule != "" && rep.ViolationCounts[tc.rule] == 0 || tc.rule == "" && rep.ViolationCounts[RuleQuota]+rep.ViolationCounts[RuleQuotaUsable] > 0 {
-				t.Errorf("broken: %v (%v)", rep.ViolationCounts, rep.Violations)
+				t.Errorf("got violations %v (%v), want one of %q, or none if that is empty", rep.ViolationCounts, rep.Violations, tc.rule)
 			}
 		})
 	}
--- a/internal/testbed/oracle/load_test.go
+++ b/internal/testbed/oracle/load_test.go
@@ -15,9 +15,9 @@
 var loadClasses = []policy.Class{{Name: "cheap", LatencyObjectiveS: 0.5, DeadlineS: 2, PriorityWeight: 1}, {Name: "dear", LatencyObjectiveS: 1.5, DeadlineS: 4, PriorityWeight: 5}}
 var loadPlans = []policy.Plan{{Name: "large", Rate: 1000, Burst: 1000, Weight: 2}, {Name: "small", Rate: 1000, Burst: 1000, Weight: 1}}
 
-// requestSpec is one request of a history; times are in seconds, served from its sending to its answer.
+// requestSpec describes one request of a history. Times are in seconds.
 type requestSpec struct {
-	at, served float64 // served 0: refused
+	at, served float64 // sending, and the time from it to the answer; served 0: rejected
 	class      int
 	plan       int
 	account    string
@@ -44,11 +44,11 @@
 	return Check(h, Config{Classes: loadClasses, Plans: loadPlans, Overload: true, Peak: peak}).Load
 }
 
-// Guards the bound: no schedule on one core, by order of arrival or by priority weight, exceeds it.
+// Guards the upper bound of the goal: no schedule on one core, by order of arrival or by priority weight, may exceed it.
 func TestUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(5, 120).Draw(t, "n")
-		byWeight := rapid.Bool().Draw(t, "dearest first")
+		byWeight := rapid.Bool().Draw(t, "highest weight first")
 		var list []requestSpec
 		at := 0.0
 		for i := range n {
@@ -56,7 +56,7 @@
 			list = append(list, requestSpec{at: at, class: rapid.IntRange(0, 1).Draw(t, "class"), plan: rapid.IntRange(0, 1).Draw(t, "plan"), account: fmt.Sprint(i % 7)})
 		}
 		done := make([]bool, n)
-		for free := 0.0; ; { // one core, 0.1 s each
+		for free := 0.0; ; { // one core, 0.1 s of work for each request
 			next := -1
 			for i := range list {
 				if done[i] || list[i].at > free || free+0.1 > list[i].at+loadClasses[list[i].class].LatencyObjectiveS {
@@ -78,13 +78,13 @@
 			free = list[later].at
 		}
 		if l := loadOf(loadHistory(at+5, list), Peak{}); l.Goal > l.UpperBound+1e-9 {
-			t.Fatalf("goal %.4f, bound %.4f", l.Goal, l.UpperBound)
+			t.Fatalf("got goal %.4f, want at most the upper bound %.4f", l.Goal, l.UpperBound)
 		}
 	})
 }
 
-// Guards the figures: with twice the capacity requested, of one class and plan, the bound is about a half; starved accounts,
-// slow answers and the recovery are told apart.
+// Guards the figures of a run under overload: with a demand of twice the capacity, of one class and plan, the upper bound is about
+// a half. Starved accounts, slow answers and the recovery are measured.
 func TestReport_MeasureLoad(t *testing.T) {
 	var list []requestSpec
 	for i := range 400 { // 20 s, 20 a second at 0.1 s of work each on one core
@@ -98,15 +98,15 @@
 	}
 	l := loadOf(loadHistory(30, list), Peak{From: 0, To: 15 * time.Second})
 	if math.Abs(l.UpperBound-0.5) > 0.06 || math.Abs(l.Goal-0.5) > 1e-6 || math.Abs(l.Demand-2) > 0.1 || l.StarvedAccounts != 1 || l.WorstDecile != 0 || l.RecoveryS != -1 || l.SlowFraction != 0 {
-		t.Errorf("%+v", l)
+		t.Errorf("half of the requests served: got %+v, want upper bound and goal 0.5, demand 2, one starved account, worst decile 0, no recovery, no slow answer", l)
 	}
 	for i := range list {
 		if list[i].at >= 15 {
-			list[i].served = 1 // over half of the aim, and in time
+			list[i].served = 1 // in time, but slower than half of the latency objective of 1.5 s
 		}
 	}
 	l = loadOf(loadHistory(30, list), Peak{From: 0, To: 15 * time.Second})
 	if l.RecoveryS != 0 || l.StarvedAccounts != 0 || l.SlowFraction < 0.3 {
-		t.Errorf("%+v", l)
+		t.Errorf("all requests served from 15 s on: got %+v, want recovery after 0 s, no starved account and a slow fraction of at least 0.3", l)
 	}
 }
--- a/internal/testbed/oracle/record_test.go
+++ b/internal/testbed/oracle/record_test.go
@@ -6,7 +6,7 @@
 	"eiderspread/internal/testbed/golden"
 )
 
-// Guards recorded histories and load figures: they must stay readable by later versions.
+// Guards against renamed fields in recorded histories and load figures: later versions must be able to read them.
 func TestRecordJSON(t *testing.T) {
 	golden.JSON(t, "record.json", &record{})
 	golden.JSON(t, "load.json", &Load{})
