--- a/internal/testbed/oracle/print.go
+++ b/internal/testbed/oracle/print.go
@@ -40,7 +40,7 @@
 	if r.Load != nil {
 		r.Load.Print(w)
 	}
-	fmt.Fprintf(w, "retries by class and outcome before: %s\n", formatMap(r.Retries, "%s %d"))
+	fmt.Fprintf(w, "retries, by class and outcome of the attempt before: %s\n", formatMap(r.Retries, "%s %d"))
 	for _, o := range r.Overshoots[:min(len(r.Overshoots), maxPrintedOvershoots)] {
 		fmt.Fprintf(w, "overshoot %s %s: %.1f units, %.1f%% of the burst, at %.1f s\n", o.Account, o.Plan, o.Units, o.Percent, o.At.Seconds())
 	}
