--- a/internal/controlplane/planner/config.go
+++ b/internal/controlplane/planner/config.go
@@ -75,7 +75,7 @@
 	if cfg.AdminAddr, err = f.checkAdminAddr(cfg.LeaseS); err != nil {
 		return cfg, err
 	}
-	if err := trace.CheckFolder(f.TraceFolder, f.TraceMB); err != nil {
+	if err := trace.CheckSettings(f.TraceFolder, f.TraceMB); err != nil {
 		return cfg, err
 	}
 	cfg.Ingress.Settings.LoadShedding = f.LoadShedding
--- a/internal/dataplane/callprotocol/call.go
+++ b/internal/dataplane/callprotocol/call.go
@@ -64,7 +64,7 @@
 	policy.Request              // without its deadline
 	Spec           policy.Class // the request's class, with the settings in force when the command was parsed
 	TimeoutS       float64      // how long the client waits for the answer
-	Args           [][]byte     // command, account, id, fields and, in a write, the body; nil after Forget
+	Args           [][]byte     // command, account, id, fields and, in a write, the body; nil after ReleaseArgs
 	Size           int          // bytes of all arguments
 
 	timeout byteRange // the value of the timeout in the fields argument
@@ -73,8 +73,8 @@
 // byteRange is the half-open range [start, end) of bytes in a text.
 type byteRange struct{ start, end int }
 
-// Own copies the arguments out of the reader's buffer, which they alias before.
-func (c *Call) Own() {
+// CopyArgs copies the arguments out of the reader's buffer, which they alias before.
+func (c *Call) CopyArgs() {
 	b, args := make([]byte, 0, c.Size), make([][]byte, len(c.Args))
 	for i, arg := range c.Args {
 		n := len(b)
@@ -84,8 +84,8 @@
 	c.Args = args
 }
 
-// Forget drops the arguments, so that their memory can be freed. The call can't be forwarded afterwards.
-func (c *Call) Forget() { c.Args = nil }
+// ReleaseArgs drops the arguments, so that their memory can be freed. The call can't be forwarded afterwards.
+func (c *Call) ReleaseArgs() { c.Args = nil }
 
 // AppendCommand appends the command for a backend: the client's arguments unchanged, except that the timeout is replaced by timeoutS, the
 // remaining time in seconds. It is rounded up to whole milliseconds, and is at least 1 ms.
--- a/internal/dataplane/callprotocol/call_test.go
+++ b/internal/dataplane/callprotocol/call_test.go
@@ -89,7 +89,7 @@
 			c.TimeoutS <= 0 || c.TimeoutS > maxTimeoutMS/1000 || c.Class == "" || c.Plan != "basic" {
 			t.Fatalf("accepted call is out of range: %+v", c)
 		}
-		c.Own()
+		c.CopyArgs()
 		sent := c.AppendCommand(nil, c.TimeoutS)
 		again, n, err := resp.ParseCommand(sent, nil)
 		if n != len(sent) || err != nil || len(again) != len(args) {
--- a/internal/dataplane/callprotocol/schema.go
+++ b/internal/dataplane/callprotocol/schema.go
@@ -31,7 +31,8 @@
 	return v
 }
 
-// ParseCall parses a CALL command. The call aliases args until Own is called. An error is a *CallError, whose text is meant for the client.
+// ParseCall parses a CALL command. The call aliases args until CopyArgs is called. An error is a *CallError, whose text is meant for the
+// client.
 func (v *Schema) ParseCall(args [][]byte) (*Call, error) {
 	command := args[argCommand]
 	write := bytes.EqualFold(command, commandWrite)
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -15,7 +15,7 @@
 type attemptState uint8
 
 const (
-	attemptOut      attemptState = iota // it waits for a connection, is being written, or waits for its reply
+	attemptInFlight attemptState = iota // it waits for a connection, is being written, or waits for its reply
 	attemptEnded                        // its outcome is known, and reported once the decider's current event method has returned
 	attemptReported                     // its outcome has been reported to the decider
 )
@@ -66,7 +66,7 @@
 		a.expiresAt = min(a.expiresAt, in.now+timeoutS)
 	}
 	r.attempts = append(r.attempts, a)
-	r.attemptsOut++
+	r.attemptsInFlight++
 	in.counters.attempts++
 	if len(r.attempts) > 1 {
 		in.counters.retries++
@@ -94,7 +94,7 @@
 	if number < 0 || number >= len(r.attempts) {
 		return
 	}
-	if a := r.attempts[number]; a.state == attemptOut && a.firstByteAt == 0 {
+	if a := r.attempts[number]; a.state == attemptInFlight && a.firstByteAt == 0 {
 		in.finishDeferred(a, policy.Cancelled)
 	}
 }
@@ -148,7 +148,7 @@
 // expireAttempt ends an attempt that has timed out. If its last byte was never written, the outcome says that it did not run.
 func (in *Ingress) expireAttempt(a *attempt) {
 	switch {
-	case a.state != attemptOut:
+	case a.state != attemptInFlight:
 	case a.conn == nil:
 		in.counters.unsent[unsentTooLate]++
 		in.finishAttempt(a, callprotocol.Result{Status: policy.NotSent}, in.now)
@@ -175,7 +175,7 @@
 // finishAttempt ends an attempt that is in flight and reports its outcome. at is when the last byte of the reply was received, or when the
 // attempt failed. An attempt that has already ended is left unchanged.
 func (in *Ingress) finishAttempt(a *attempt, res callprotocol.Result, at float64) {
-	if a.state != attemptOut {
+	if a.state != attemptInFlight {
 		return
 	}
 	a.state = attemptEnded
@@ -208,7 +208,7 @@
 		return
 	}
 	r := a.request
-	r.attemptsOut--
+	r.attemptsInFlight--
 	if res.Status == policy.OK {
 		in.answerRequest(r, res.Value)
 	}
--- a/internal/dataplane/ingress/attempt_test.go
+++ b/internal/dataplane/ingress/attempt_test.go
@@ -117,7 +117,7 @@
 				t.Errorf("got a second outcome: %+v", receive(t, r.decider.outcomes))
 			}
 			if order == "answer first" {
-				c.served("the reply that came before the cancel")
+				c.expectValue("the reply that came before the cancel")
 			}
 		})
 	}
@@ -230,7 +230,7 @@
 // Guards against a command that runs for a client that has disconnected: the command is written in parts, and the client
 // disconnects, unseen by its stopped reader, before the last byte is written. That byte must not be written.
 func TestAttempt_LastByteNotSentAfterDisconnect(t *testing.T) {
-	l, _ := narrow(t) // its connections have small buffers from the first byte on
+	l, _ := listenSmallBuffers(t) // its connections have small buffers from the first byte on
 	r := startIngress(t, testConfig(l.Addr().String()), func(r *testIngress) {
 		sendTo(5)(r)
 		dial := r.ingress.backends.dial
--- a/internal/dataplane/ingress/backend_pool_test.go
+++ b/internal/dataplane/ingress/backend_pool_test.go
@@ -83,7 +83,7 @@
 // Guards the outcome of a command that the socket takes only in parts: if the connection breaks before the last byte the attempt is
 // reported as not run, and if the rest is written later it is served.
 func TestPool_PartialCommandWrite(t *testing.T) {
-	l, change := narrow(t)
+	l, change := listenSmallBuffers(t)
 	r := startIngress(t, testConfig(l.Addr().String()), change)
 	body := strings.Repeat("x", resp.MaxValueBytes)
 	post := func(id string) *testConn {
@@ -155,7 +155,7 @@
 				t.Fatalf("the new connection received %q, want a command of 4 parts", got)
 			}
 			write(b, servedReply)
-			client.served("request on a new connection")
+			client.expectValue("request on a new connection")
 			if stray != "" && old.command() != nil {
 				t.Error("a command was written to the connection with stray bytes")
 			}
@@ -176,7 +176,7 @@
 	b := receive(t, conns)
 	b.command()
 	write(b, servedReply)
-	c.served("first request")
+	c.expectValue("first request")
 	receive(t, r.decider.outcomes)
 	c.send(lookCommand("b")...)
 	if got := b.command(); len(got) != 4 || got[2] != "b" {
@@ -212,7 +212,7 @@
 				r.ingress.applyDiscoveryList(discovery.List{Endpoints: []discovery.Endpoint{e}}, r.ingress.now)
 			})
 			write(b, servedReply)
-			c.served("request that was in flight during the change")
+			c.expectValue("request that was in flight during the change")
 			c.send(lookCommand("b")...)
 			next := moved
 			if name == "restarted" {
@@ -223,7 +223,7 @@
 				t.Fatal("the new connection did not receive the next command")
 			}
 			write(b, servedReply)
-			c.served("request after the change")
+			c.expectValue("request after the change")
 		})
 	}
 }
@@ -254,7 +254,7 @@
 	c.send(lookCommand("b")...)
 	receive(t, dialled)
 	write(b, servedReply)
-	c.served("first request")
+	c.expectValue("first request")
 	if o := receive(t, r.decider.outcomes); o.Status != policy.OK {
 		t.Fatalf("got outcome %+v, want OK", o)
 	}
@@ -263,7 +263,7 @@
 		t.Fatalf("the idle connection received %q, want the call with id b", got)
 	}
 	write(b, servedReply)
-	c.served("second request")
+	c.expectValue("second request")
 }
 
 // Guards against a late duplicate of -BUSY or -ERR that is taken for the reply to the next command, which would be reported as never
@@ -293,7 +293,7 @@
 				t.Error("a command was written to the connection that sent a duplicate")
 			}
 			write(other, servedReply)
-			c2.served("second request")
+			c2.expectValue("second request")
 		})
 	}
 }
@@ -317,7 +317,7 @@
 		sendTo(0)(r)
 		r.ingress.backends.duplicateWindowS = 3600
 	})
-	text, answer := large(resp.MaxValueBytes+1, 7)
+	text, answer := randomLargeValue(resp.MaxValueBytes+1, 7)
 	c := r.client()
 	c.send(lookCommand("a")...)
 	w := receive(t, conns)
@@ -340,7 +340,7 @@
 // Guards against a second attempt for a non-idempotent request that is running: a goroutine has written the command's last byte, but
 // has not yet recorded writeComplete when the attempt times out.
 func TestPool_LastByteWrittenBeforeReported(t *testing.T) {
-	l, change := narrow(t)
+	l, change := listenSmallBuffers(t)
 	out, proceed := make(chan struct{}), make(chan struct{})
 	r := startIngress(t, testConfig(l.Addr().String()), func(r *testIngress) {
 		change(r)
--- a/internal/dataplane/ingress/backend_reader.go
+++ b/internal/dataplane/ingress/backend_reader.go
@@ -142,7 +142,7 @@
 
 // handleConnLost handles the end of a connection. The connection's attempt did not run if the last byte of its command was never written.
 func (in *Ingress) handleConnLost(c *backendConn, at float64) {
-	if a := c.attempt; a != nil && a.state == attemptOut {
+	if a := c.attempt; a != nil && a.state == attemptInFlight {
 		status := policy.Reset
 		if c.abandonWrite() {
 			status = policy.ConnectFailed
--- a/internal/dataplane/ingress/client_reader.go
+++ b/internal/dataplane/ingress/client_reader.go
@@ -154,7 +154,7 @@
 			})
 			return nil
 		}
-		call.Own()
+		call.CopyArgs()
 		in.post(at, func() { in.acceptRequest(c, call, at) })
 	case callprotocol.CommandPing:
 		in.post(at, func() { in.answerPing(c) })
--- a/internal/dataplane/ingress/client_table.go
+++ b/internal/dataplane/ingress/client_table.go
@@ -26,12 +26,12 @@
 // ones lies well below the third of the descriptors that clients have for requests: otherwise many connections without requests could use
 // up the descriptors, and connections with requests would not be accepted. Loop only, except for connPermits and commandTimeout.
 type clientTable struct {
-	conns           map[*clientConn]struct{}
-	evictIdleFrom   int           // from this many connections on, idle ones are closed for new ones
-	maxOpen         int           // from this many connections on, the calls of a new one are rejected
-	maxOverCapacity int           // connections accepted beyond maxOpen, so that their calls are rejected with an answer
-	openElsewhere   int           // connections of this ingress that the predecessor still holds; they count toward the limits
-	connPermits     chan struct{} // one for each connection, acquired before it is accepted
+	conns            map[*clientConn]struct{}
+	evictIdleFrom    int           // from this many connections on, idle ones are closed for new ones
+	maxOpen          int           // from this many connections on, the calls of a new one are rejected
+	maxOverCapacity  int           // connections accepted beyond maxOpen, so that their calls are rejected with an answer
+	predecessorConns int           // connections of this ingress that the predecessor still holds; they count toward the limits
+	connPermits      chan struct{} // one for each connection, acquired before it is accepted
 
 	commandTimeout time.Duration // for the first command of a connection, and for each incomplete one; never changes
 }
@@ -53,7 +53,7 @@
 	in.counters.accepted++
 	c.overCapacity = in.clients.atCapacity(in, c)
 	in.clients.conns[c] = struct{}{}
-	if c.overCapacity && in.clients.open()+in.clients.openElsewhere > in.clients.maxOpen+in.clients.maxOverCapacity {
+	if c.overCapacity && in.clients.open()+in.clients.predecessorConns > in.clients.maxOpen+in.clients.maxOverCapacity {
 		in.logFault("client rejected: too many connections", "open", in.clients.open())
 		in.counters.rejected[rejectNoCapacity]++
 		c.setCloseReason(closeNoCapacity)
@@ -87,7 +87,7 @@
 func (t *clientTable) atCapacity(in *Ingress, newcomer *clientConn) bool {
 	var excluded map[*clientConn]bool // candidates with input that their readers have not processed
 	for {
-		others := len(t.conns) + t.openElsewhere
+		others := len(t.conns) + t.predecessorConns
 		if _, counted := t.conns[newcomer]; counted {
 			others--
 		}
--- a/internal/dataplane/ingress/decider_migration.go
+++ b/internal/dataplane/ingress/decider_migration.go
@@ -140,7 +140,7 @@
 	completed    bool   // the client gets no further answer
 }
 
-// finished reports whether the request is completed and none of its attempts is out.
+// finished reports whether the request is completed and none of its attempts is in flight.
 func (r *predecessorRequest) finished() bool {
 	return r.completed && !slices.Contains(r.attemptsDone, false)
 }
--- a/internal/dataplane/ingress/discovery_test.go
+++ b/internal/dataplane/ingress/discovery_test.go
@@ -74,7 +74,7 @@
 			cfg.InitialEndpoints = discovery.List{Version: 4, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
 			r := startIngress(t, cfg, nil)
 			for _, want := range []string{"[old 0]", "[x 0 y 0]", "[x 1]", "[z 0]"} {
-				if got := fmt.Sprint(r.ids()); got != want {
+				if got := fmt.Sprint(r.nextBackendList()); got != want {
 					t.Fatalf("the decider got backends %s, want %s", got, want)
 				}
 			}
@@ -105,15 +105,15 @@
 	cfg := testConfig()
 	cfg.Discovery = from.addr()
 	r := startIngress(t, cfg, nil)
-	r.ids()
-	if got := fmt.Sprint(r.ids()); got != "[x 0]" {
+	r.nextBackendList()
+	if got := fmt.Sprint(r.nextBackendList()); got != "[x 0]" {
 		t.Fatalf("backends from the first address: got %s, want [x 0]", got)
 	}
 	cfg.Discovery = to.addr()
 	cfg.InitialEndpoints = discovery.List{Version: 1, Full: true, Endpoints: []discovery.Endpoint{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}}
 	r.reread <- cfg
 	for _, want := range []string{"[y 0]", "[v 0]"} {
-		if got := fmt.Sprint(r.ids()); got != want {
+		if got := fmt.Sprint(r.nextBackendList()); got != want {
 			t.Errorf("the decider got backends %s, want %s", got, want)
 		}
 	}
--- a/internal/dataplane/ingress/harness_test.go
+++ b/internal/dataplane/ingress/harness_test.go
@@ -193,8 +193,8 @@
 	})
 }
 
-// waitForNoRequests waits until the hand-over is active and the readers of all clients have stopped.
-func (r *testIngress) waitForNoRequests() {
+// waitForReadersStopped waits until the hand-over is active and the readers of all clients have stopped.
+func (r *testIngress) waitForReadersStopped() {
 	r.t.Helper()
 	r.waitFor("all client readers have stopped", func() bool {
 		for c := range r.ingress.clients.conns {
@@ -234,8 +234,9 @@
 	})
 }
 
-// slow sets 4 KiB socket buffers between the ingress and its only client, so that writes to a client that does not read block soon.
-func (r *testIngress) slow(w *testConn) {
+// setTinyClientBuffers sets 4 KiB socket buffers between the ingress and its only client, so that writes to a client that does not read
+// block soon.
+func (r *testIngress) setTinyClientBuffers(w *testConn) {
 	r.t.Helper()
 	noError(r.t, w.Conn.(*net.TCPConn).SetReadBuffer(4<<10))
 	r.waitFor("the ingress has the client's connection", func() bool {
@@ -247,8 +248,8 @@
 	})
 }
 
-// ids waits for the next list that the decider receives, and returns id and state of each backend.
-func (r *testIngress) ids() (ids []string) {
+// nextBackendList waits for the next list that the decider receives, and returns id and state of each backend.
+func (r *testIngress) nextBackendList() (ids []string) {
 	r.t.Helper()
 	for _, s := range receive(r.t, r.decider.lists) {
 		ids = append(ids, fmt.Sprint(s.ID, " ", s.State))
@@ -316,8 +317,8 @@
 	return args
 }
 
-// served reads one reply, which must be the value of servedReply.
-func (w *testConn) served(message string) {
+// expectValue reads one reply, which must be the value of servedReply.
+func (w *testConn) expectValue(message string) {
 	w.t.Helper()
 	if a, b := w.line(), w.line(); a != "$1" || b != "v" {
 		w.t.Errorf("%s: got reply lines %q, %q, want $1, v", message, a, b)
@@ -399,8 +400,8 @@
 	}
 }
 
-// narrow listens as a backend, and sets 4 KiB socket buffers between it and the ingress.
-func narrow(t *testing.T) (l net.Listener, change func(*testIngress)) {
+// listenSmallBuffers listens as a backend, and sets 4 KiB socket buffers between it and the ingress.
+func listenSmallBuffers(t *testing.T) (l net.Listener, change func(*testIngress)) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		closed := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -463,8 +464,8 @@
 	return newTestConn(t, mine), theirs.(*net.TCPConn)
 }
 
-// unsent returns the number of bytes in a connection's send queue that the peer has not acknowledged.
-func unsent(t *testing.T, c *net.TCPConn) (n int) {
+// unackedBytes returns the number of bytes in a connection's send queue that the peer has not acknowledged.
+func unackedBytes(t *testing.T, c *net.TCPConn) (n int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/dataplane/ingress/hot_restart_predecessor.go
+++ b/internal/dataplane/ingress/hot_restart_predecessor.go
@@ -101,7 +101,7 @@
 	if err == nil {
 		err = in.adoptEndpoints(message)
 	}
-	in.clients.openElsewhere, p.bootTime = max(0, message.OpenClients), message.BootTime
+	in.clients.predecessorConns, p.bootTime = max(0, message.OpenClients), message.BootTime
 	if in.memberLock == nil {
 		if err != nil { // this process has the sockets and serves clients, whatever became of the old process
 			in.log.Warn("hand-over from the old process incomplete: serving anyway", "error", err)
@@ -263,7 +263,7 @@
 // addResumedClient adds a connection of the predecessor to the client table. While this process hands over to its own successor, the
 // connection is transferred there.
 func (in *Ingress) addResumedClient(c *clientConn) {
-	in.clients.openElsewhere = max(0, in.clients.openElsewhere-1)
+	in.clients.predecessorConns = max(0, in.clients.predecessorConns-1)
 	c.commandReceived, c.callReceived = true, true // assumed, as this process can't know: a command of the client may be on its way
 	if in.successor.stage != handoverActive {
 		in.addClient(c)
@@ -279,7 +279,7 @@
 	in.log.Info("link to the old process has ended", "connections", transferred)
 	in.inputBudget.Release(p.reservedInput)
 	in.backends.maxConns = in.backends.maxConnsAlone
-	in.clients.openElsewhere = 0
+	in.clients.predecessorConns = 0
 	in.predecessor = nil
 	if p.orders != nil {
 		close(p.orders) // ends sendOrders; no send can follow, as only the loop queues orders, and only while in.predecessor is set
@@ -288,7 +288,7 @@
 	LimitMemory(in.cfg.MemoryMB, MemoryLimitFraction)
 }
 
-// predecessorAlive reports whether this process has to keep running for its predecessor. If the link ended, the predecessor would conclude
-// that its successor died, and serve again. The predecessor's connections, and the events and orders of its requests, may also pass through
-// this process to and from a third one.
-func (in *Ingress) predecessorAlive() bool { return in.predecessor != nil && !in.shutdown.expired }
+// mustAwaitPredecessor reports whether this process has to keep running for its predecessor. If the link ended, the predecessor would
+// conclude that its successor died, and serve again. The predecessor's connections, and the events and orders of its requests, may also
+// pass through this process to and from a third one.
+func (in *Ingress) mustAwaitPredecessor() bool { return in.predecessor != nil && !in.shutdown.expired }
--- a/internal/dataplane/ingress/hot_restart_test.go
+++ b/internal/dataplane/ingress/hot_restart_test.go
@@ -153,7 +153,7 @@
 // Guards the limit on descriptors while an ingress runs as two processes: the connections of the other process count.
 func TestHotRestart_ConnectionsElsewhereCountAgainstLimit(t *testing.T) {
 	r := startIngress(t, testConfig("127.0.0.1:1"), func(r *testIngress) {
-		r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen, r.ingress.clients.openElsewhere = 2, 2, 1
+		r.ingress.clients.evictIdleFrom, r.ingress.clients.maxOpen, r.ingress.clients.predecessorConns = 2, 2, 1
 	})
 	first := (*testConn)(nil)
 	for i := range 2 {
--- a/internal/dataplane/ingress/large_value.go
+++ b/internal/dataplane/ingress/large_value.go
@@ -92,7 +92,7 @@
 // the value.
 func (in *Ingress) beginLargeValue(c *backendConn, stream *valueStream) *largeValue {
 	a := c.attempt
-	ended := a == nil || a.state != attemptOut
+	ended := a == nil || a.state != attemptInFlight
 	if c.closed || ended || a.request == nil || a.request.completed || a.request.client.state == connClosed {
 		if !ended {
 			in.finishAttempt(a, callprotocol.Malformed(errNoReceiver), in.now)
--- a/internal/dataplane/ingress/large_value_migration.go
+++ b/internal/dataplane/ingress/large_value_migration.go
@@ -167,7 +167,7 @@
 // addResumedValue adds a value from the predecessor, and its client's connection, to those of this process.
 func (in *Ingress) addResumedValue(v *largeValue) {
 	c := v.client
-	in.clients.openElsewhere = max(0, in.clients.openElsewhere-1)
+	in.clients.predecessorConns = max(0, in.clients.predecessorConns-1)
 	in.backends.openConns++
 	c.commandReceived, c.callReceived, c.lastUsedAt, c.acceptedAt = true, true, in.now, in.now
 	in.clients.conns[c] = struct{}{}
--- a/internal/dataplane/ingress/large_value_stream.go
+++ b/internal/dataplane/ingress/large_value_stream.go
@@ -161,7 +161,7 @@
 			return errMigrating
 		case !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(wroteAt) > stallTimeout:
 			return errClientDisconnected
-		case s.unread > 0 && sockets.EndsWithin(c.conn, s.unread):
+		case s.unread > 0 && sockets.PeerClosedBefore(c.conn, s.unread):
 			return errTruncated
 		}
 	}
--- a/internal/dataplane/ingress/large_value_test.go
+++ b/internal/dataplane/ingress/large_value_test.go
@@ -17,8 +17,8 @@
 	"eiderspread/policy"
 )
 
-// large returns a random value of size bytes, and the backend's reply with that value and a load report.
-func large(size int, seed uint64) (value []byte, answer []byte) {
+// randomLargeValue returns a random value of size bytes, and the backend's reply with that value and a load report.
+func randomLargeValue(size int, seed uint64) (value []byte, answer []byte) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	value = make([]byte, size)
 	for i := range value {
@@ -31,7 +31,7 @@
 // the client and the backend, the value, and the rest of the reply.
 func startLargeValue(t *testing.T, r *testIngress, conns chan *testConn, id string, first int) (w, b *testConn, value, rest []byte) {
 	t.Helper()
-	value, answer := large(1<<20, 9)
+	value, answer := randomLargeValue(1<<20, 9)
 	w = r.client()
 	w.send(lookCommand(id)...)
 	w.send("PING") // answered after the value
@@ -52,7 +52,7 @@
 	w := r.client()
 	rng := rand.New(rand.NewPCG(5, 5))
 	for round, size := range []int{resp.MaxValueBytes + 1, 300_000, maxLargeValue} {
-		value, answer := large(size, uint64(round))
+		value, answer := randomLargeValue(size, uint64(round))
 		w.send(lookCommand(fmt.Sprint("large", round))...)
 		w.send("PING") // answered after the value
 		b := (*testConn)(nil)
@@ -106,7 +106,7 @@
 	slow.send(lookCommand("slow")...)
 	b := receive(t, conns)
 	b.command()
-	value, answer := large(maxLargeValue, 1)
+	value, answer := randomLargeValue(maxLargeValue, 1)
 	wrote := make(chan struct{})
 	go func() { write(b, string(answer)); close(wrote) }()
 	r.waitFor("the first bytes of the value have arrived", func() bool { q := r.ingress.requests["slow"]; return q != nil && q.attempts[0].firstByteAt > 0 })
@@ -131,7 +131,7 @@
 // Guards against an incomplete large value that looks complete to its client. If none of it was written, the request stays open and still
 // gets its answer from the decider.
 func TestLargeValue_Truncated(t *testing.T) {
-	value, whole := large(200_000, 3)
+	value, whole := randomLargeValue(200_000, 3)
 	for name, c := range map[string]struct {
 		answer []byte
 		close  bool
@@ -181,7 +181,7 @@
 			}
 		}
 	})
-	_, answer := large(maxLargeValue, 4)
+	_, answer := randomLargeValue(maxLargeValue, 4)
 	for _, queued := range []bool{false, true} {
 		w := r.client()
 		if queued {
@@ -216,7 +216,7 @@
 	write(w, command(lookCommand("next")...)[:40])
 	successor := startIngress(t, cfg, sendTo(0))
 	successor.waitFor("the new process serves", successor.ingress.acceptingClients.Load)
-	predecessor.waitForNoRequests()
+	predecessor.waitForReadersStopped()
 	predecessor.onLoop(predecessor.ingress.migrateValues) // as if migrateValuesAfterS had passed
 	receive(t, predecessor.ended)
 	successor.waitFor("the new process has the value", func() bool { return len(successor.ingress.largeValues) == 1 })
@@ -255,7 +255,7 @@
 	receive(t, conns).command()
 	successor := startIngress(t, cfg, sendTo(0))
 	successor.waitFor("the new process serves", successor.ingress.acceptingClients.Load)
-	predecessor.waitForNoRequests()
+	predecessor.waitForReadersStopped()
 	predecessor.onLoop(func() {
 		predecessor.ingress.migrateValues()
 		for v := range predecessor.ingress.largeValues {
@@ -286,7 +286,7 @@
 	}
 	link := dialAsSuccessor(t, path)
 	completeHandover(t, link)
-	r.waitForNoRequests()
+	r.waitForReadersStopped()
 
 	r.onLoop(func() {
 		r.ingress.successor.transfers = make(chan transfer, 8)
@@ -313,8 +313,8 @@
 	addr, conns := listenBackend(t)
 	r := startIngress(t, testConfig(addr), sendTo(0))
 	w := r.client()
-	r.slow(w)
-	_, answer := large(maxLargeValue, 3)
+	r.setTinyClientBuffers(w)
+	_, answer := randomLargeValue(maxLargeValue, 3)
 	w.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.command()
@@ -354,8 +354,8 @@
 	predecessor := startIngress(t, cfg, sendTo(0))
 	cfg.Listen = predecessor.ingress.listener.Addr().String()
 	w := predecessor.client()
-	predecessor.slow(w)
-	value, answer := large(150_000, 4)
+	predecessor.setTinyClientBuffers(w)
+	value, answer := randomLargeValue(150_000, 4)
 	w.send(lookCommand("a")...)
 	b := receive(t, conns)
 	b.command()
@@ -374,12 +374,12 @@
 		}
 		return false
 	})
-	predecessor.waitFor("the kernel has received the whole reply", func() bool { return unsent(t, b.Conn.(*net.TCPConn)) == 0 })
+	predecessor.waitFor("the kernel has received the whole reply", func() bool { return unackedBytes(t, b.Conn.(*net.TCPConn)) == 0 })
 	noError(t, b.Conn.(*net.TCPConn).SetLinger(0))
 	b.Close() // resets the connection
 	successor := startIngress(t, cfg, sendTo(0))
 	successor.waitFor("the new process serves", successor.ingress.acceptingClients.Load)
-	predecessor.waitForNoRequests()
+	predecessor.waitForReadersStopped()
 	predecessor.onLoop(predecessor.ingress.migrateValues)
 	receive(t, predecessor.ended)
 	if got := w.bulk(); !bytes.Equal(got, value) {
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -20,7 +20,7 @@
 	receivedAt         float64    // when its last byte arrived
 	timer              *timer     // fails the request if the decider has not answered in time; stopped at completion
 	attempts           []*attempt // that the decider asked for; those beyond the allowed number end unsent
-	attemptsOut        int        // attempts whose outcome the decider has not received yet
+	attemptsInFlight   int        // attempts whose outcome the decider has not received yet
 	maxAttempts        int        // the limit in the settings when it arrived
 	completed          bool       // no answer is owed any more: it is final or being streamed, or the client has disconnected
 }
@@ -182,13 +182,13 @@
 	r.completed = true
 	in.stopTimer(r.timer)
 	in.inputBudget.Release(r.Size)
-	r.Forget()
+	r.ReleaseArgs()
 	in.forgetIfDone(r)
 }
 
 // forgetIfDone removes a completed request without attempts in flight, which frees its id.
 func (in *Ingress) forgetIfDone(r *request) {
-	if r.completed && r.attemptsOut == 0 {
+	if r.completed && r.attemptsInFlight == 0 {
 		delete(in.requests, r.ID)
 	}
 }
--- a/internal/dataplane/ingress/request_test.go
+++ b/internal/dataplane/ingress/request_test.go
@@ -55,7 +55,7 @@
 	b := receive(t, conns)
 	b.command()
 	write(b, servedReply)
-	retry.served("retry after the disconnect")
+	retry.expectValue("retry after the disconnect")
 }
 
 // While an attempt of a completed request is in flight, a request with the same id must be rejected: it would have two attempts in flight.
@@ -80,7 +80,7 @@
 		t.Fatalf("backend got %q, want a command of 4 arguments", got)
 	}
 	write(b, servedReply)
-	retry.served("same id without an attempt in flight")
+	retry.expectValue("same id without an attempt in flight")
 }
 
 // While a request waits, its connection's reader parses the next command into the same buffer. The command that is sent to the backend must
--- a/internal/dataplane/ingressconfig/operator.go
+++ b/internal/dataplane/ingressconfig/operator.go
@@ -28,7 +28,7 @@
 			return o, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	if err := trace.CheckFolder(o.Trace, o.TraceMB); err != nil {
+	if err := trace.CheckSettings(o.Trace, o.TraceMB); err != nil {
 		return o, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := o.Overload.Check(); err != nil {
--- a/internal/dataplane/sockets/sockets.go
+++ b/internal/dataplane/sockets/sockets.go
@@ -37,9 +37,9 @@
 	return closed || controlErr != nil
 }
 
-// EndsWithin reports whether the peer has closed its side of the connection and fewer than n bytes are left to read. It is also true for a
-// connection that was closed locally.
-func EndsWithin(conn *net.TCPConn, n int) bool {
+// PeerClosedBefore reports whether the peer has closed its side of the connection and fewer than n bytes are left to read. It is also true
+// for a connection that was closed locally.
+func PeerClosedBefore(conn *net.TCPConn, n int) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
--- a/internal/dataplane/sockets/sockets_test.go
+++ b/internal/dataplane/sockets/sockets_test.go
@@ -44,22 +44,22 @@
 
 func TestStateOfConnection(t *testing.T) {
 	near, far, raw := tcpPair(t)
-	if !OpenAndSilent(raw) || PeerClosed(raw) || UnreadBytes(raw) != 0 || EndsWithin(near, 1) {
+	if !OpenAndSilent(raw) || PeerClosed(raw) || UnreadBytes(raw) != 0 || PeerClosedBefore(near, 1) {
 		t.Error("a new connection is not reported as open, silent and empty")
 	}
 	if _, err := far.Write([]byte("abc")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "3 unread bytes", func() bool { return UnreadBytes(raw) == 3 })
-	if OpenAndSilent(raw) || PeerClosed(raw) || EndsWithin(near, 4) {
+	if OpenAndSilent(raw) || PeerClosed(raw) || PeerClosedBefore(near, 4) {
 		t.Error("a connection with 3 unread bytes is reported as silent or closed by the peer")
 	}
 	if err := far.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the end of the peer after unread bytes", func() bool { return PeerClosed(raw) })
-	if !EndsWithin(near, 4) || EndsWithin(near, 3) {
-		t.Error("EndsWithin does not report the end after exactly 3 unread bytes")
+	if !PeerClosedBefore(near, 4) || PeerClosedBefore(near, 3) {
+		t.Error("PeerClosedBefore does not report the end after exactly 3 unread bytes")
 	}
 	var got [3]byte
 	if _, err := near.Read(got[:]); err != nil || string(got[:]) != "abc" {
@@ -69,7 +69,7 @@
 		t.Error("a connection that the peer has closed is reported as open")
 	}
 	near.Close()
-	if OpenAndSilent(raw) || !PeerClosed(raw) || !EndsWithin(near, 1) || UnreadBytes(raw) != -1 {
+	if OpenAndSilent(raw) || !PeerClosed(raw) || !PeerClosedBefore(near, 1) || UnreadBytes(raw) != -1 {
 		t.Error("a connection that was closed locally is reported as open")
 	}
 }
--- a/internal/observability/trace/recorder.go
+++ b/internal/observability/trace/recorder.go
@@ -83,9 +83,9 @@
 	return r, nil
 }
 
-// CheckFolder checks the trace settings of an operator's file. It returns an error if maxMB is below 0 or dir is not an
+// CheckSettings checks the trace settings of an operator's file. It returns an error if maxMB is below 0 or dir is not an
 // existing folder. An empty dir means that no trace is written.
-func CheckFolder(dir string, maxMB int) error {
+func CheckSettings(dir string, maxMB int) error {
 	if maxMB < 0 {
 		return fmt.Errorf("trace_mb is %d, must not be below 0", maxMB)
 	}
--- a/internal/observability/trace/recorder_test.go
+++ b/internal/observability/trace/recorder_test.go
@@ -79,8 +79,8 @@
 		maxMB int
 		valid bool
 	}{{"", 0, true}, {dir, 0, true}, {dir, 5, true}, {dir, -1, false}, {"", -1, false}, {file, 0, false}, {filepath.Join(dir, "missing"), 0, false}} {
-		if err := CheckFolder(tc.dir, tc.maxMB); (err == nil) != tc.valid {
-			t.Errorf("CheckFolder(%q, %d): error %v, want valid = %v", tc.dir, tc.maxMB, err, tc.valid)
+		if err := CheckSettings(tc.dir, tc.maxMB); (err == nil) != tc.valid {
+			t.Errorf("CheckSettings(%q, %d): error %v, want valid = %v", tc.dir, tc.maxMB, err, tc.valid)
 		}
 	}
 }
