--- a/internal/dataplane/ingress/admin.go
+++ b/internal/dataplane/ingress/admin.go
@@ -17,7 +17,7 @@
 const cordonPollInterval = 50 * time.Millisecond
 
 var (
-	errCordonAtPlanners = errors.New("this is a forwarder: call any planner of the fleet, which has all of them keep off")
+	errCordonAtPlanners = errors.New("this is a forwarder: call suspend or resume at any planner of the fleet")
 	errNotAccepting     = errors.New("this ingress takes no clients")
 )
 
--- a/internal/dataplane/ingress/discovery.go
+++ b/internal/dataplane/ingress/discovery.go
@@ -48,7 +48,7 @@
 			return
 		case cfg := <-reread:
 			if err := in.onLoop(ctx, func() error { return in.applySettings(cfg) }); err != nil {
-				in.log.Error("configuration not applied", "error", err)
+				in.log.Error("configuration not reloaded", "error", err)
 				continue
 			}
 			in.log.Info("configuration reloaded", "discovery", cfg.Discovery)
@@ -74,15 +74,15 @@
 // EndpointListAge implements Host.
 func (in *Ingress) EndpointListAge() discovery.Age { return in.watcher.Age() }
 
-// logListAge logs when the endpoint list becomes too old to be trusted and when it is fresh again, once for each change. The ingress keeps
-// using a stale list.
+// logListAge logs when the endpoint list becomes stale, which means too old to be trusted, and when it is up to date again, once for each
+// change. The ingress keeps using a stale list.
 func (in *Ingress) logListAge(age discovery.Age) {
 	switch {
 	case age.Stale() && !in.endpointListStale:
 		in.endpointListStale = true
-		in.log.Error("endpoint list is old", "heard_s", age.SinceUpdateS, "told_s", age.ReportedAgeS)
+		in.log.Error("endpoint list is stale", "heard_s", age.SinceUpdateS, "told_s", age.ReportedAgeS)
 	case !age.Stale() && in.endpointListStale:
 		in.endpointListStale = false
-		in.log.Info("endpoint list is fresh again")
+		in.log.Info("endpoint list is up to date again")
 	}
 }
--- a/internal/dataplane/ingress/event_loop.go
+++ b/internal/dataplane/ingress/event_loop.go
@@ -15,7 +15,7 @@
 	run        func()
 }
 
-// runLoop handles events one at a time until the drain is complete.
+// runLoop handles events one at a time until the shutdown is complete.
 func (in *Ingress) runLoop(ctx context.Context) {
 	defer close(in.done)
 	shutdown := ctx.Done()
--- a/internal/dataplane/ingress/hot_restart_predecessor.go
+++ b/internal/dataplane/ingress/hot_restart_predecessor.go
@@ -67,9 +67,9 @@
 	return err
 }
 
-// handoverError adds to cause that the running process could not be replaced.
+// handoverError adds to cause that the old process could not be replaced.
 func handoverError(cause error) error {
-	return fmt.Errorf("the running process does not hand over: %w", cause)
+	return fmt.Errorf("the old process does not hand over: %w", cause)
 }
 
 func (p *predecessorState) close() {
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -82,9 +82,9 @@
 	guardCounts guardCounters
 }
 
-// Run serves clients until ctx ends, then drains, and returns nil once the drain is complete. It also returns nil after a successor has
-// taken over. From each configuration received on reread, which may be nil, Run applies the discovery address, the classes and the number
-// of attempts.
+// Run serves clients until ctx ends, then shuts down, and returns nil once the shutdown is complete. It also returns nil after a successor
+// has taken over. From each configuration received on reread, which may be nil, Run applies the discovery address, the classes and the
+// number of attempts.
 func Run(ctx context.Context, cfg ingressconfig.Config, reread <-chan ingressconfig.Config, log *slog.Logger) error {
 	var recorder *trace.Recorder
 	err := RunWithDecider(ctx, cfg, reread, log, func(serveCtx context.Context, h Host) (Decider, error) {
@@ -103,7 +103,7 @@
 }
 
 // RunWithDecider is Run with a decider that newDecider creates. Goroutines that newDecider starts must end with the context that it
-// receives. That context ends when RunWithDecider returns, after the drain.
+// receives. That context ends when RunWithDecider returns, after the shutdown.
 func RunWithDecider(ctx context.Context, cfg ingressconfig.Config, reread <-chan ingressconfig.Config, log *slog.Logger,
 	newDecider func(context.Context, Host) (Decider, error)) error {
 	in, err := newIngress(cfg, log)
@@ -231,7 +231,7 @@
 	}
 }
 
-// serve starts the goroutines of the ingress and runs the event loop until the drain is complete. It returns an error only if the
+// serve starts the goroutines of the ingress and runs the event loop until the shutdown is complete. It returns an error only if the
 // hand-over from the predecessor fails.
 func (in *Ingress) serve(ctx context.Context, reread <-chan ingressconfig.Config, decider Decider) error {
 	defer in.closeSockets()
--- a/internal/dataplane/ingress/large_value_stream.go
+++ b/internal/dataplane/ingress/large_value_stream.go
@@ -22,7 +22,7 @@
 // endOfValue terminates the header line and the bytes of a RESP bulk string.
 const endOfValue = "\r\n"
 
-var errMigrating = errors.New("stream stopped: the large value migrates to the successor")
+var errMigrating = errors.New("stream stopped: the large value migrates to the new process")
 
 // valueStream is the progress of streaming a large value. The goroutine that streams the value owns it, except where a comment says
 // otherwise.
--- a/internal/dataplane/ingress/reload.go
+++ b/internal/dataplane/ingress/reload.go
@@ -14,7 +14,7 @@
 	}
 	decider, ok := in.decider.(ReconfigurableDecider)
 	if !ok {
-		in.log.Warn("new classes and number of attempts apply only after a restart")
+		in.log.Warn("changes of classes and attempts take effect only after a restart")
 		return nil
 	}
 	if err := decider.UpdateClasses(in.now, cfg.Settings.Classes, cfg.Settings.MaxAttempts); err != nil {
@@ -28,6 +28,6 @@
 	for _, class := range in.classes {
 		names = append(names, class.Name)
 	}
-	in.log.Info("settings applied", "classes", names, "attempts", in.maxAttempts)
+	in.log.Info("classes and attempts applied", "classes", names, "attempts", in.maxAttempts)
 	return nil
 }
--- a/internal/dataplane/ingressconfig/reload.go
+++ b/internal/dataplane/ingressconfig/reload.go
@@ -30,7 +30,7 @@
 			err = cfg.CheckReload(first)
 		}
 		if err != nil {
-			log.Error("configuration not applied", "error", err)
+			log.Error("configuration not reloaded", "error", err)
 			continue
 		}
 		if cfg.NeedsRestart(first) {
