--- a/internal/dataplane/ingressconfig/config_test.go
+++ b/internal/dataplane/ingressconfig/config_test.go
@@ -28,7 +28,7 @@
 		"peers: number 1":         {"127.0.1.2:7946", "x"},
 		"peers_all: ":             {"127.0.1.255:7946", "x"},
 		"peer_listen: ":           {`"peer_listen":"127.0.0.1:7946"`, `"peer_listen":""`},
-		"known: entry":            {"in_service", "resting"},
+		"known: endpoint":         {"in_service", "resting"},
 		"dialTimeoutS":            {"0.25", "0"},
 		"settings are missing":    {`"settings"`, `"set"`},
 	} {
