--- a/internal/dataplane/ingress/large_value_stream.go
+++ b/internal/dataplane/ingress/large_value_stream.go
@@ -22,7 +22,7 @@
 // endOfValue terminates the header line and the bytes of a RESP bulk string.
 const endOfValue = "\r\n"
 
-var errMigrating = errors.New("stream stopped: the large value migrates to the successor")
+var errMigrating = errors.New("stream stopped: the large value migrates to the new process")
 
 // valueStream is the progress of streaming a large value. The goroutine that streams the value owns it, except where a comment says
 // otherwise.
@@ -161,7 +161,7 @@
 			return errMigrating
 		case !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(wroteAt) > stallTimeout:
 			return errClientDisconnected
-		case s.unread > 0 && sockets.EndsWithin(c.conn, s.unread):
+		case s.unread > 0 && sockets.PeerClosedBefore(c.conn, s.unread):
 			return errTruncated
 		}
 	}
