--- a/internal/testbed/certs/certs.go
+++ b/internal/testbed/certs/certs.go
@@ -1,4 +1,4 @@
-// Package certs issues certificates for tests and for fleets on loopback.
+// Package certs issues certificates for tests and for test fleets on loopback addresses.
 package certs
 
 import (
@@ -17,9 +17,9 @@
 	"eiderspread/internal/base/mutualtls"
 )
 
-const valid = 24 * time.Hour
+const validity = 24 * time.Hour
 
-// Authority issues certificates into a folder.
+// Authority is a certificate authority that writes its certificates and keys to a directory.
 type Authority struct {
 	dir    string
 	cert   *x509.Certificate
@@ -31,7 +31,7 @@
 	return os.WriteFile(filepath.Join(a.dir, name), pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)
 }
 
-// New makes an authority; its certificate is the folder's ca.crt.
+// New creates an authority and writes its certificate to ca.crt in dir.
 func New(dir, name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 	a := &Authority{dir: dir, key: key, serial: 1}
 	a.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(valid), KeyUsage: x509.KeyUsageCertSign}
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(validity), KeyUsage: x509.KeyUsageCertSign}
 	der, err := x509.CreateCertificate(rand.Reader, a.cert, a.cert, &key.PublicKey, key)
 	if err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 	return a, a.write("ca.crt", "CERTIFICATE", der)
 }
 
-// Issue writes a certificate of a name, for servers on 127.0.0.1 and for clients, and tells where it lies.
+// Issue writes a certificate and key for name, valid for servers on 127.0.0.1 and for clients, and returns the file paths.
 func (a *Authority) Issue(name string) (mutualtls.Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	a.serial++
 	c := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(valid),
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(validity),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, &key.PublicKey, a.key)
 	if err != nil {
--- a/internal/testbed/etcdfleet/etcdfleet_test.go
+++ b/internal/testbed/etcdfleet/etcdfleet_test.go
@@ -22,20 +22,20 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// The programs under test are this one, started again.
+// TestMain runs a program under test instead of the tests if RIG_KIND is set: spawn starts the test binary itself.
 func TestMain(m *testing.M) {
 	kind, file := os.Getenv("RIG_KIND"), os.Getenv("RIG_FILE")
 	if kind == "" {
 		os.Exit(m.Run())
 	}
-	if err := program(kind, file); err != nil {
+	if err := runProgram(kind, file); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	os.Exit(0)
 }
 
-func program(kind, file string) error {
+func runProgram(kind, file string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -72,8 +72,9 @@
 	return c
 }
 
-// Guards the whole way from etcd to a node: a small fleet through one trouble of each kind, in order, while nodes are marked.
-// No node gets work past the cutoff, none comes in on a stale word, and after each trouble all views are the truth.
+// Guards the path from etcd to the nodes: a small fleet runs through each fault of etcd, in order, while nodes are marked as
+// draining. No node receives an attempt past the drain's cutoff, none enters service on stale membership, and after each fault
+// the lists of all agents equal what the sources hold.
 func TestFleetWhileEtcdBreaks(t *testing.T) {
 	rig, err := New(t.TempDir(), 3)
 	if err != nil {
@@ -85,7 +86,7 @@
 		Node: node.Config{Cores: 8, Queue: 100, Speed: 1, KeyedS: 4, Work: map[string]float64{"zone-check": 0.005, "slot-hold": 0.005, "courier-send": 0.005}}}
 	rig.Use(&cfg)
 	sc := testbed.Scenario{FleetConfig: cfg, Length: 16 * time.Second, Accounts: testbed.Accounts(4, 3, 1, 2, 2, 1), Floors: map[string]int{oracle.RuleDrain: 1, oracle.RuleFreshMembership: 4}}
-	// The troubles come one after the other as the one before is over; marks beside them.
+	// "next trouble" injects the next fault of etcd once the previous one is repaired; "mark" sets and removes drain marks.
 	for i := range 400 {
 		kind := "mark"
 		if i%8 == 0 {
@@ -94,13 +95,13 @@
 		sc.Faults = append(sc.Faults, testbed.Fault{At: time.Duration(i) * 40 * time.Millisecond, For: 300 * time.Millisecond, Kind: kind, A: i, B: i + 1})
 	}
 	played := 0
-	testbed.AddKind("next trouble", "the troubles in their order", "etcd", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
-		if played == len(inOrder) {
+	testbed.AddKind("next trouble", "the next fault of etcd in order", "etcd", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
+		if played == len(etcdFaults) {
 			return
 		}
 		x.A, x.B = played, played
 		played++
-		rig.round(x, wait)
+		rig.injectPair(x, wait)
 	})
 	f, rep, err := testbed.RunWith(sc, io.Discard, func() { rig.Print(io.Discard) })
 	if err != nil {
@@ -114,11 +115,11 @@
 	rig.mu.Lock()
 	defer rig.mu.Unlock()
 	if played < 4 || len(f.Hist.ViewChecks) < played-1 {
-		t.Errorf("%d troubles played, %d times current again: the run shows too little", played, len(f.Hist.ViewChecks))
+		t.Errorf("%d faults of etcd injected, want at least 4; %d convergence checks, want at least %d", played, len(f.Hist.ViewChecks), played-1)
 	}
-	if i := slices.IndexFunc(inOrder, func(x namedFault) bool {
-		return rig.met[x.name] == 0
-	}); i >= 0 && played == len(inOrder) {
-		t.Errorf("no %s", inOrder[i].name)
+	if i := slices.IndexFunc(etcdFaults, func(x namedFault) bool {
+		return rig.injected[x.name] == 0
+	}); i >= 0 && played == len(etcdFaults) {
+		t.Errorf("fault %q was never injected", etcdFaults[i].name)
 	}
 }
--- a/internal/testbed/etcdfleet/faults.go
+++ b/internal/testbed/etcdfleet/faults.go
@@ -12,31 +12,31 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Kinds are the faults of a run: those of etcd, those of agents, and a few of programs, nodes and the roster beside them.
+// Kinds are the fault kinds of a run, repeated by weight: faults of etcd and of agents, and a few of programs, nodes and rosters.
 var Kinds = []string{"etcd trouble", "etcd trouble", "etcd trouble", "etcd trouble", "etcd trouble", "etcd trouble", "thousand", "unlisted", "mark", "mark", "mark", "mark", "agent", "agent hup", "drain", "drain", "crash",
 	"late roster", "silent roster", "broken roster", "forwarder", "kill", "sick"}
 
-// faultFunc is one way in which etcd breaks; it returns what mends it.
-type faultFunc func(r *Rig, x testbed.Fault) (mend func())
+// faultFunc injects one fault of etcd and returns the function that repairs it.
+type faultFunc func(r *Rig, x testbed.Fault) (repair func())
 
 type namedFault struct {
 	name   string
 	inject faultFunc
 }
 
-// Troubles are the names of all troubles, as flags word them.
+// Troubles returns the names of all etcd faults, with hyphens as flags take them.
 func Troubles() (list []string) {
-	for _, t := range inOrder {
+	for _, t := range etcdFaults {
 		list = append(list, strings.ReplaceAll(t.name, " ", "-"))
 	}
 	return list
 }
 
-// inOrder are all troubles; a round picks two.
-var inOrder = []namedFault{
+// etcdFaults are all faults of etcd; injectPair picks two of them.
+var etcdFaults = []namedFault{
 	{"cut and compacted", func(r *Rig, x testbed.Fault) func() {
-		mend := r.cut(x.A%2, false)
-		return func() { r.Etcd.CompactAll(); mend() }
+		repair := r.cut(x.A%2, false)
+		return func() { r.Etcd.CompactAll(); repair() }
 	}},
 	{"cut", func(r *Rig, x testbed.Fault) func() { return r.cut(x.A%2, false) }},
 	{"cut from all", func(r *Rig, x testbed.Fault) func() { return r.cut(0, true) }},
@@ -58,41 +58,41 @@
 		return func() { _ = r.Etcd.StartMember(i) }
 	}},
 	{"all restarted", func(r *Rig, x testbed.Fault) func() {
-		seeing := r.blind(func(*beside) bool { return true })
+		endOutage := r.beginOutage(func(*agentProc) bool { return true })
 		r.Etcd.Stop()
-		return func() { _ = r.Etcd.Start(); seeing() }
+		return func() { _ = r.Etcd.Start(); endOutage() }
 	}},
 	{"replaced by another cluster", func(r *Rig, x testbed.Fault) func() {
-		seeing := r.blind(func(*beside) bool { return true })
+		endOutage := r.beginOutage(func(*agentProc) bool { return true })
 		r.Etcd.Stop()
 		return func() {
 			r.mu.Lock()
 			h := r.Etcd.Head()
-			r.Etcd.Restore(etcdstandin.Head{Cluster: h.Cluster + 1, Revision: 2, Term: 2}, r.refill()...)
+			r.Etcd.Restore(etcdstandin.Head{Cluster: h.Cluster + 1, Revision: 2, Term: 2}, r.expectedKVs()...)
 			r.mu.Unlock()
 			_ = r.Etcd.Start()
-			seeing()
+			endOutage()
 		}
 	}},
 	{"put back", func(r *Rig, x testbed.Fault) func() {
-		seeing := r.blind(func(*beside) bool { return true })
+		endOutage := r.beginOutage(func(*agentProc) bool { return true })
 		r.Etcd.Stop()
 		return func() {
 			r.mu.Lock()
 			h := r.Etcd.Head()
-			r.Etcd.Restore(etcdstandin.Head{Cluster: h.Cluster, Revision: max(2, h.Revision-100), Term: max(2, h.Term-1)}, r.refill()...)
+			r.Etcd.Restore(etcdstandin.Head{Cluster: h.Cluster, Revision: max(2, h.Revision-100), Term: max(2, h.Term-1)}, r.expectedKVs()...)
 			r.mu.Unlock()
 			_ = r.Etcd.Start()
-			seeing()
+			endOutage()
 		}
 	}},
-	{"a liar", func(r *Rig, x testbed.Fault) func() { // and its streams break, so that it is asked
+	{"a liar", func(r *Rig, x testbed.Fault) func() { // all connections break, so that agents reconnect and may reach the stale member
 		i, h := x.B%len(r.Etcd.Addrs()), r.Etcd.Head()
-		r.Etcd.Lie(i, max(r.Etcd.Compacted(), 1+h.Revision-int64(20+x.A%40)), h.Term)
+		r.Etcd.ServeStale(i, max(r.Etcd.Compacted(), 1+h.Revision-int64(20+x.A%40)), h.Term)
 		r.Etcd.StopMember(i)
 		_ = r.Etcd.StartMember(i)
 		r.breakAll()
-		return func() { r.Etcd.Lie(i, 0, 0) }
+		return func() { r.Etcd.ServeStale(i, 0, 0) }
 	}},
 	{"tokens forgotten", func(r *Rig, x testbed.Fault) func() { r.Etcd.Forget(); r.breakAll(); return func() {} }},
 	{"clock ahead by an hour", func(r *Rig, x testbed.Fault) func() { r.Etcd.Jump(time.Hour); return func() {} }},
@@ -114,7 +114,7 @@
 	{"sessions broken", func(r *Rig, x testbed.Fault) func() { r.breakAll(); return func() {} }},
 }
 
-// breakAll ends all connections between agents and etcd, in the middle of whatever is under way.
+// breakAll closes all connections between agents and etcd, also in the middle of a message.
 func (r *Rig) breakAll() {
 	for _, side := range r.links {
 		for _, k := range side {
@@ -123,22 +123,22 @@
 	}
 }
 
-// blind notes that agents hear nothing of etcd from now on.
-func (r *Rig) blind(which func(*beside) bool) (seeing func()) {
+// beginOutage records that the affected agents receive nothing from etcd, until endOutage is called.
+func (r *Rig) beginOutage(affected func(*agentProc) bool) (endOutage func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var parties []string
+	var observers []string
 	for _, a := range r.agents {
-		if which(a) {
-			parties = append(parties, a.observer)
+		if affected(a) {
+			observers = append(observers, a.observer)
 		}
 	}
-	return r.hist.BeginSourceOutage(oracle.EtcdSource, parties)
+	return r.hist.BeginSourceOutage(oracle.EtcdSource, observers)
 }
 
-// cut takes agents of one side, or all, from etcd without a word.
-func (r *Rig) cut(side int, all bool) (mend func()) {
-	seeing := r.blind(func(a *beside) bool { return all || a.side == side })
+// cut partitions the agents of one side, or all of them, from etcd without closing connections.
+func (r *Rig) cut(side int, all bool) (repair func()) {
+	endOutage := r.beginOutage(func(a *agentProc) bool { return all || a.side == side })
 	for s, list := range r.links {
 		if all || s == side {
 			for _, k := range list {
@@ -154,42 +154,43 @@
 				}
 			}
 		}
-		seeing()
+		endOutage()
 	}
 }
 
-// Kinds of faults are registered for the rig that is in use: one at a time, as a laboratory is one program.
+// rig is the rig that the registered fault kinds act on: one at a time, as a test fleet is one program.
 var rig *Rig
 
-// Play has the faults of this package act on a rig.
+// Play makes the fault kinds of this package act on r.
 func Play(r *Rig) { rig = r }
 
-// round has etcd break in two ways at once, mends it, and waits until all views equal the truth.
-func (r *Rig) round(x testbed.Fault, wait func(time.Duration) bool) {
-	list := inOrder
+// injectPair injects two faults of etcd at once, or one if both are the same or both exclusive, repairs them, and waits until
+// the lists of all agents equal what the sources hold.
+func (r *Rig) injectPair(x testbed.Fault, wait func(time.Duration) bool) {
+	list := etcdFaults
 	if len(r.Only) > 0 {
 		list = slices.DeleteFunc(slices.Clone(list), func(t namedFault) bool { return !slices.Contains(r.Only, strings.ReplaceAll(t.name, " ", "-")) })
 	}
 	one, two := list[x.A%len(list)], list[x.B%len(list)]
-	what := one.name
-	mends := []func(){one.inject(r, x)}
+	names := one.name
+	repairs := []func(){one.inject(r, x)}
 	r.mu.Lock()
-	r.met[one.name]++
+	r.injected[one.name]++
 	r.mu.Unlock()
-	// The whole cluster stops, or is put back, for one trouble alone; a cut does not meet another.
-	heavy := func(name string) bool {
+	// At most one of the two faults stops or restores the cluster, cuts or delays links, or makes a member serve stale data.
+	exclusive := func(name string) bool {
 		return slices.Contains([]string{"all restarted", "replaced by another cluster", "put back", "cut", "cut and compacted", "cut from all", "slow", "a liar"}, name)
 	}
-	if one.name != two.name && (!heavy(one.name) || !heavy(two.name)) {
-		what += " and " + two.name
-		mends = append(mends, two.inject(r, x))
+	if one.name != two.name && (!exclusive(one.name) || !exclusive(two.name)) {
+		names += " and " + two.name
+		repairs = append(repairs, two.inject(r, x))
 		r.mu.Lock()
-		r.met[two.name]++
+		r.injected[two.name]++
 		r.mu.Unlock()
 	}
 	wait(2*x.For + time.Second)
-	for _, mend := range mends {
-		mend()
+	for _, repair := range repairs {
+		repair()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -198,14 +199,14 @@
 		}
 		cancel()
 	}()
-	r.equal(ctx, what)
+	r.awaitConvergence(ctx, names)
 }
 
 func init() {
-	testbed.AddKind("etcd trouble", "etcd breaks in two ways at once, and is mended", "etcd", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
-		rig.round(x, wait)
+	testbed.AddKind("etcd trouble", "two faults of etcd at once, then the repair", "etcd", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
+		rig.injectPair(x, wait)
 	})
-	testbed.AddKind("mark", "a node is marked in etcd, the mark is taken back and set again at once, and taken back", "", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("mark", "a node's drain mark is set in etcd, removed, set again 20 ms later, and removed", "", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		nodes := f.Nodes()
 		if len(nodes) < 4 {
 			return
@@ -223,7 +224,7 @@
 			})
 		})
 	})
-	testbed.AddKind("unlisted", "etcd lists a node no more, its roster does, and then again", "unlisted", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("unlisted", "a node is removed from etcd but not from its roster, and added again", "unlisted", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		nodes := f.Nodes()
 		if len(nodes) < 4 {
 			return
@@ -233,7 +234,7 @@
 		wait(x.For + time.Second)
 		rig.unlist(n.ID, false)
 	})
-	testbed.AddKind("thousand", "a thousand nodes that nobody lists are marked in one transaction, and the marks taken back", "thousand", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("thousand", "drain marks of a thousand unlisted nodes are set in one transaction, and removed", "thousand", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		var ids []string
 		for i := range 1000 {
 			ids = append(ids, fmt.Sprint("ghost", i))
@@ -242,15 +243,15 @@
 		wait(x.For)
 		rig.mark(false, ids...)
 	})
-	testbed.AddKind("agent", "an agent is killed and comes back", "agent", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("agent", "an agent is killed and restarted", "agent", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		a := rig.agents[x.A%len(rig.agents)]
 		a.proc.Kill()
 		wait(x.For / 2)
 		_ = a.proc.Start()
 	})
-	testbed.AddKind("agent hup", "an agent gets other certificates and its endpoints in another order", "agent", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("agent hup", "an agent reloads new certificates and its endpoints in another order", "agent", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		a := rig.agents[x.A%len(rig.agents)]
-		if rig.write(a) == nil {
+		if rig.writeConfig(a) == nil {
 			a.proc.HUP()
 		}
 	})
--- a/internal/testbed/etcdfleet/rig.go
+++ b/internal/testbed/etcdfleet/rig.go
@@ -1,5 +1,6 @@
-// Package etcdfleet is the laboratory's membership from etcd: a stand-in cluster of several members, an agent beside each
-// program, and relays between agents and programs that note what each was told. Its faults break etcd while the fleet works.
+// Package etcdfleet supplies a test fleet with membership from etcd: a stand-in cluster of several members, one membership
+// agent per program, and relays between agents and programs that record the lists each program receives. Its fault kinds break
+// etcd while the fleet serves requests.
 package etcdfleet
 
 import (
@@ -28,46 +29,46 @@
 )
 
 const (
-	prefix   = "/eiderspread/lab/"
-	user     = "membershipagent"
-	secret   = "snow on the tracks"
-	staleMS  = 1200
-	etcdStar = 0.3 // seconds a leaderless etcd takes to elect
+	prefix    = "/eiderspread/lab/"
+	user      = "membershipagent"
+	password  = "snow on the tracks"
+	staleMS   = 1200
+	electionS = 0.3 // election time of the stand-in, seconds
 )
 
-// Rig is the membership of one fleet. Its methods may be called by any goroutine.
+// Rig is the membership source of one fleet. It is safe for concurrent use.
 type Rig struct {
 	Etcd *etcdstandin.Cluster
-	Only []string // troubles to choose from, of Troubles; none: all. Set before a run
+	Only []string // etcd faults to choose from, as in Troubles; empty: all. Set before a run
 
 	hist      *oracle.History
-	links     [2][]*testbed.Link // to each member, for agents of even and of odd numbers
+	links     [2][]*testbed.Link // a link to each member, for agents with even and with odd numbers
 	authority *certs.Authority
 	dir       string
 	mu        sync.Mutex
-	agents    []*beside
-	nodes     map[string]string // values of nodes, by id
+	agents    []*agentProc
+	nodes     map[string]string // etcd values of the listed nodes, by ID
 	marks     map[string]bool
-	starts    map[string]int64  // of nodes, in Unix milliseconds
-	off       map[string]string // values of nodes that etcd lists no more for a while
-	stored    map[string]string // what etcd holds of each node, as the history was told
-	met       map[string]int    // faults, by name
+	starts    map[string]int64  // start times of nodes, Unix milliseconds
+	unlisted  map[string]string // etcd values of nodes that are temporarily removed from etcd
+	stored    map[string]string // state of each node in etcd, as last recorded in hist
+	injected  map[string]int    // number of injected faults, by name
 }
 
-// beside is one agent.
-type beside struct {
+// agentProc is one membership agent and its process.
+type agentProc struct {
 	observer string
 	side     int
-	listen   string // of the agent itself
+	listen   string // address of the agent's API
 	status   string
 	file     string
 	proc     *testbed.Proc
-	turn     int // endpoints are given out in another order each time the file is written
+	turn     int // number of configuration files written; each rotates the endpoints by one
 }
 
-// New starts a cluster of so many members.
+// New starts a stand-in cluster with the given number of members. Its files are written into dir.
 func New(dir string, members int) (*Rig, error) {
-	r := &Rig{dir: dir, nodes: map[string]string{}, marks: map[string]bool{}, starts: map[string]int64{}, off: map[string]string{}, stored: map[string]string{}, met: map[string]int{}}
+	r := &Rig{dir: dir, nodes: map[string]string{}, marks: map[string]bool{}, starts: map[string]int64{}, unlisted: map[string]string{}, stored: map[string]string{}, injected: map[string]int{}}
 	var err error
 	if r.authority, err = certs.New(dir, "laboratory"); err != nil {
 		return nil, err
@@ -80,12 +81,12 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Etcd, err = etcdstandin.Open(etcdstandin.Config{Members: members, TLS: tls, Users: map[string]string{user: secret}, TokenTTL: 20 * time.Second,
-		Election: time.Duration(etcdStar * float64(time.Second)), RequestTimeout: time.Second, FragmentBytes: 400, BatchRevs: 3})
+	r.Etcd, err = etcdstandin.Open(etcdstandin.Config{Members: members, TLS: tls, Users: map[string]string{user: password}, TokenTTL: 20 * time.Second,
+		Election: time.Duration(electionS * float64(time.Second)), RequestTimeout: time.Second, FragmentBytes: 400, BatchRevs: 3})
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(filepath.Join(dir, "password"), []byte(secret+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "password"), []byte(password+"\n"), 0o600); err != nil {
 		return nil, err
 	}
 	for side := range r.links {
@@ -100,12 +101,12 @@
 	return r, nil
 }
 
-// Use has a fleet's membership come from the rig.
+// Use makes the rig the membership source of a fleet.
 func (r *Rig) Use(cfg *testbed.FleetConfig) {
 	cfg.OneAddr, cfg.Discovery, cfg.Source, cfg.StaleS = true, r.discovery, r.source, 2.5
 }
 
-// Close ends all.
+// Close stops the agents, the links and the cluster.
 func (r *Rig) Close() {
 	r.mu.Lock()
 	agents := slices.Clone(r.agents)
@@ -123,11 +124,11 @@
 
 // ---- what etcd holds ----
 
-// change makes one change in etcd and notes what it holds of the nodes named: what is milder before the write, as it may be
-// told at once, and what is stricter behind it.
+// change writes values to etcd in one revision and records the states of the nodes ids. A state that becomes in_service is
+// recorded before the write, as agents may report it immediately; any other state is recorded after the write. r.mu is held.
 func (r *Rig) change(ids []string, values map[string]string) {
 	for _, id := range ids {
-		if r.state(id) == "in_service" {
+		if r.etcdState(id) == "in_service" {
 			r.recordStored(id)
 		}
 	}
@@ -137,8 +138,8 @@
 	}
 }
 
-// state is what etcd holds of a node by the rig's own book; r.mu is held.
-func (r *Rig) state(id string) string {
+// etcdState returns the state of a node that follows from the rig's own record of what it wrote to etcd. r.mu is held.
+func (r *Rig) etcdState(id string) string {
 	_, listed := r.nodes[id]
 	switch {
 	case r.marks[id]:
@@ -152,7 +153,7 @@
 }
 
 func (r *Rig) recordStored(id string) {
-	if now := r.state(id); now != r.stored[id] {
+	if now := r.etcdState(id); now != r.stored[id] {
 		r.stored[id] = now
 		if r.hist != nil {
 			r.hist.SourceChanged(oracle.EtcdSource, id, now, r.starts[id])
@@ -160,8 +161,8 @@
 	}
 }
 
-// source takes a change of a node: one in three goes to etcd alone, one to the roster alone, one to both, by the node's id; a
-// node that goes is known to both to have gone.
+// source applies a state change of a node. A drain is announced, by a hash of the node's ID, to the roster only, to etcd and the
+// roster, or to etcd only, a third of the nodes each. in_service and terminated go to both.
 func (r *Rig) source(f *testbed.Fleet, t discovery.Endpoint) (toRoster bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,9 +172,9 @@
 	t.Addr = f.AddrFor("", t)
 	n, d := prefix+"nodes/"+t.ID, prefix+"drain/"+t.ID
 	if r.starts[t.ID] != t.StartedMS && t.State == "in_service" {
-		r.starts[t.ID], r.stored[t.ID] = t.StartedMS, "" // another life: what was held says nothing of it
+		r.starts[t.ID], r.stored[t.ID] = t.StartedMS, "" // a new incarnation: the state recorded for the previous one does not apply
 	}
-	delete(r.off, t.ID) // whatever it was: it is told anew
+	delete(r.unlisted, t.ID) // this change supersedes a temporary removal
 	where := sha256.Sum256([]byte(t.ID))[0] % 3
 	switch t.State {
 	case "in_service":
@@ -196,7 +197,7 @@
 	return true
 }
 
-// mark sets or takes back the marks of nodes, as one transaction.
+// mark sets or removes the drain marks of nodes in one transaction.
 func (r *Rig) mark(on bool, ids ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,9 +205,9 @@
 	var own []string
 	for _, id := range ids {
 		_, known := r.nodes[id]
-		known = known || r.off[id] != ""
+		known = known || r.unlisted[id] != ""
 		if !known && r.stored[id] != "" {
-			continue // it has gone
+			continue // the node is terminated
 		}
 		if known {
 			own = append(own, id)
@@ -224,7 +225,7 @@
 	r.change(own, values)
 }
 
-// unlist takes a node off etcd's list, or puts it back unless it has gone meanwhile.
+// unlist removes a node from etcd, or adds it again unless it changed state in the meantime.
 func (r *Rig) unlist(id string, off bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -232,17 +233,17 @@
 	switch {
 	case off && listed:
 		delete(r.nodes, id)
-		r.off[id] = value
+		r.unlisted[id] = value
 		r.change([]string{id}, map[string]string{prefix + "nodes/" + id: ""})
-	case !off && r.off[id] != "":
-		r.nodes[id] = r.off[id]
-		delete(r.off, id)
+	case !off && r.unlisted[id] != "":
+		r.nodes[id] = r.unlisted[id]
+		delete(r.unlisted, id)
 		r.change([]string{id}, map[string]string{prefix + "nodes/" + id: r.nodes[id]})
 	}
 }
 
-// refill puts all that should be there into a cluster that has been emptied or put back.
-func (r *Rig) refill() (kvs []etcdstandin.KV) {
+// expectedKVs returns the keys that etcd should hold, for a cluster that is replaced or restored. r.mu is held.
+func (r *Rig) expectedKVs() (kvs []etcdstandin.KV) {
 	for id, v := range r.nodes {
 		kvs = append(kvs, etcdstandin.KV{Key: prefix + "nodes/" + id, Value: v, Revision: 2})
 	}
@@ -254,33 +255,34 @@
 
 // ---- agents and relays ----
 
-func (r *Rig) write(a *beside) error {
+// writeConfig writes the agent's configuration file with a new certificate and its endpoints in the next order.
+func (r *Rig) writeConfig(a *agentProc) error {
 	id, err := r.authority.Issue(a.observer + "-" + strconv.Itoa(a.turn))
 	if err != nil {
 		return err
 	}
-	var ends []string
+	var endpoints []string
 	for _, k := range r.links[a.side] {
-		ends = append(ends, strconv.Quote("https://"+k.Addr()))
+		endpoints = append(endpoints, strconv.Quote("https://"+k.Addr()))
 	}
-	n := a.turn % len(ends)
-	ends = append(ends[n:], ends[:n]...)
+	n := a.turn % len(endpoints)
+	endpoints = append(endpoints[n:], endpoints[:n]...)
 	a.turn++
 	text, err := os.ReadFile(a.file + ".head")
 	if err != nil {
 		return err
 	}
-	head := string(text) + fmt.Sprintf("endpoints = [%s]\n[tls]\ncert = %q\nkey = %q\nca = %q\n", strings.Join(ends, ", "), id.Cert, id.Key, id.CA)
+	head := string(text) + fmt.Sprintf("endpoints = [%s]\n[tls]\ncert = %q\nkey = %q\nca = %q\n", strings.Join(endpoints, ", "), id.Cert, id.Key, id.CA)
 	return os.WriteFile(a.file, []byte(head), 0o600)
 }
 
-// discovery starts the agent of a party, and the relay that it asks.
+// discovery starts the agent of a program (party), and returns the address of the relay that the program connects to.
 func (r *Rig) discovery(f *testbed.Fleet, party string) (string, error) {
-	ros, err := f.Discovery.For(oracle.DiscoverySource(party))
+	rosterAddr, err := f.Discovery.For(oracle.DiscoverySource(party))
 	if err != nil {
 		return "", err
 	}
-	a := &beside{observer: party, file: filepath.Join(r.dir, "agent-"+party+".toml")}
+	a := &agentProc{observer: party, file: filepath.Join(r.dir, "agent-"+party+".toml")}
 	n, _ := strconv.Atoi(party[1:])
 	a.side = n % 2
 	if a.listen, err = testbed.FreeAddr(); err != nil {
@@ -291,11 +293,11 @@
 	}
 	head := fmt.Sprintf("listen = %q\nstatus = %q\nroster = %q\nstate = %q\nprefix = %q\nuser = %q\npassword_file = %q\n"+
 		"progress_ms = 300\nstale_ms = %d\nroster_stale_ms = 5000\norphan_ms = 60000\ntimeout_ms = 1000\nretry_ms = 600\nflap_ms = 1\nflap_most_ms = 1\n",
-		a.listen, a.status, ros, filepath.Join(r.dir, "agent-"+party+".state"), prefix, user, filepath.Join(r.dir, "password"), staleMS)
+		a.listen, a.status, rosterAddr, filepath.Join(r.dir, "agent-"+party+".state"), prefix, user, filepath.Join(r.dir, "password"), staleMS)
 	if err := os.WriteFile(a.file+".head", []byte(head), 0o600); err != nil {
 		return "", err
 	}
-	if err := r.write(a); err != nil {
+	if err := r.writeConfig(a); err != nil {
 		return "", err
 	}
 	a.proc = f.NewProc("agent", "agent-"+party, a.file)
@@ -306,11 +308,11 @@
 	r.agents = append(r.agents, a)
 	r.mu.Unlock()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if l, err := a.list(); err == nil && len(l.Endpoints) > 0 {
+		if l, err := a.fetchList(); err == nil && len(l.Endpoints) > 0 {
 			break
 		}
 		if time.Now().After(end) {
-			return "", fmt.Errorf("the agent of %s does not begin", party)
+			return "", fmt.Errorf("agent of %s: no endpoints listed within 20 s of its start", party)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -321,8 +323,8 @@
 	return l.Addr().String(), nil
 }
 
-// list asks the agent itself.
-func (a *beside) list() (l discovery.List, err error) {
+// fetchList returns the agent's current list, bypassing the relay.
+func (a *agentProc) fetchList() (l discovery.List, err error) {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + a.listen + "/api/targets")
 	if err != nil {
@@ -330,12 +332,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return l, fmt.Errorf("the agent answers %s", resp.Status)
+		return l, fmt.Errorf("agent %s: got status %s, expected 200", a.listen, resp.Status)
 	}
 	return l, json.NewDecoder(resp.Body).Decode(&l)
 }
 
-// relay passes on what an agent says to the program beside it and notes it: what a machine was told, and when.
+// relay forwards an agent's responses to its program and records each list and the time in the history.
 type relay struct {
 	hist     *oracle.History
 	observer string
@@ -378,23 +380,24 @@
 	}
 }
 
-// ---- the views ----
+// ---- views of the agents ----
 
-// want is the set of nodes that a party should see as up: by etcd's book and by what its roster has told it.
-func (r *Rig) want(party string, told map[string]string) string {
+// expectedUp returns the sorted IDs of the nodes that a party should list as in_service, given the states in etcd and those
+// announced by the party's roster: at least one source says in_service, and none says otherwise.
+func (r *Rig) expectedUp(party string, rosterStates map[string]string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ids := map[string]bool{}
 	for id := range r.stored {
 		ids[id] = true
 	}
-	for id := range told {
+	for id := range rosterStates {
 		ids[id] = true
 	}
 	var up []string
 	for id := range ids {
-		e, ros := r.stored[id], told[id]
-		if (e == "in_service" || ros == "in_service") && (e == "" || e == "in_service") && (ros == "" || ros == "in_service") {
+		etcdState, rosterState := r.stored[id], rosterStates[id]
+		if (etcdState == "in_service" || rosterState == "in_service") && (etcdState == "" || etcdState == "in_service") && (rosterState == "" || rosterState == "in_service") {
 			up = append(up, id)
 		}
 	}
@@ -402,8 +405,8 @@
 	return strings.Join(up, " ")
 }
 
-// discoveryNotified is what a party's roster has told its agent last, of each node.
-func (r *Rig) discoveryNotified() map[string]map[string]string {
+// rosterStates returns the last state of each node that each observer received, by observer and node ID.
+func (r *Rig) rosterStates() map[string]map[string]string {
 	defer r.hist.Lock()()
 	all := map[string]map[string]string{}
 	for _, t := range r.hist.Notices {
@@ -415,21 +418,22 @@
 	return all
 }
 
-const equalMost = 15 * time.Second
+const maxConvergence = 15 * time.Second
 
-// equal waits until every agent's list is what the sources hold, and notes how long that took.
-func (r *Rig) equal(ctx context.Context, after string) {
+// awaitConvergence waits until every agent's list equals what the sources hold, and records how long that took, or after
+// maxConvergence the last mismatch.
+func (r *Rig) awaitConvergence(ctx context.Context, fault string) {
 	began := time.Now()
 	r.mu.Lock()
-	left := slices.Clone(r.agents)
+	remaining := slices.Clone(r.agents)
 	r.mu.Unlock()
-	why := ""
-	for time.Since(began) < equalMost && ctx.Err() == nil {
-		told := r.discoveryNotified()
-		left = slices.DeleteFunc(left, func(a *beside) bool {
-			l, err := a.list()
+	mismatch := ""
+	for time.Since(began) < maxConvergence && ctx.Err() == nil {
+		rosterStates := r.rosterStates()
+		remaining = slices.DeleteFunc(remaining, func(a *agentProc) bool {
+			l, err := a.fetchList()
 			if err != nil {
-				why = a.observer + ": " + err.Error()
+				mismatch = a.observer + ": " + err.Error()
 				return false
 			}
 			var up []string
@@ -439,29 +443,29 @@
 				}
 			}
 			sort.Strings(up)
-			want := r.want(a.observer, told[oracle.DiscoverySource(a.observer)])
-			why = fmt.Sprintf("%s sees %v, the truth is %s", a.observer, up, want)
+			want := r.expectedUp(a.observer, rosterStates[oracle.DiscoverySource(a.observer)])
+			mismatch = fmt.Sprintf("%s lists %v as in service, expected [%s]", a.observer, up, want)
 			return strings.Join(up, " ") == want
 		})
-		if len(left) == 0 {
-			r.hist.AddViewCheck(oracle.ViewCheck{Fault: after, At: r.hist.Now(), Convergence: time.Since(began)})
+		if len(remaining) == 0 {
+			r.hist.AddViewCheck(oracle.ViewCheck{Fault: fault, At: r.hist.Now(), Convergence: time.Since(began)})
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if ctx.Err() == nil {
-		r.hist.AddViewCheck(oracle.ViewCheck{Fault: after, At: r.hist.Now(), Convergence: time.Since(began), Mismatch: why})
+		r.hist.AddViewCheck(oracle.ViewCheck{Fault: fault, At: r.hist.Now(), Convergence: time.Since(began), Mismatch: mismatch})
 	}
 }
 
-// sourceStatus is what an agent's status tells of etcd.
+// sourceStatus is the etcd part of an agent's status.
 type sourceStatus struct {
 	Etcd struct {
 		Reads, Repeats, Compacted, Replaced, Refused, Breaks int
 	} `json:"etcd"`
 }
 
-// Print tells what was met, and how long it took to be current again.
+// Print writes the injected faults, the counters of etcd and the agents, and the convergence times.
 func (r *Rig) Print(w io.Writer) {
 	var sum sourceStatus
 	for _, a := range r.agents {
@@ -482,14 +486,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []string
-	for k, n := range r.met {
+	for k, n := range r.injected {
 		list = append(list, fmt.Sprintf("%s %d", k, n))
 	}
 	sort.Strings(list)
-	fmt.Fprintf(w, "faults of etcd: %s\n", strings.Join(list, ", "))
+	fmt.Fprintf(w, "injected faults of etcd: %s\n", strings.Join(list, ", "))
 	n := r.Etcd.Counts()
-	fmt.Fprintf(w, "etcd: %d reads, %d watches, %d changes of leaders; agents (since their last starts): %d reads of the whole, %d sessions broken, "+
-		"%d compactions met, %d clusters replaced, %d old answers refused\n", n.Reads, n.Watches, n.Leaders, sum.Etcd.Reads, sum.Etcd.Breaks,
+	fmt.Fprintf(w, "etcd: %d reads, %d watches, %d leader changes; agents (since their last start): %d full reads, %d broken sessions, "+
+		"%d compacted watches, %d replaced clusters, %d stale answers refused\n", n.Reads, n.Watches, n.LeaderChanges, sum.Etcd.Reads, sum.Etcd.Breaks,
 		sum.Etcd.Compacted, sum.Etcd.Replaced, sum.Etcd.Refused)
 	var took []time.Duration
 	unlock := r.hist.Lock()
@@ -501,7 +505,7 @@
 	unlock()
 	if len(took) > 0 {
 		slices.Sort(took)
-		fmt.Fprintf(w, "views of all %d agents equal to the truth again after %v in the median, %v at worst, %d times\n", len(r.agents),
+		fmt.Fprintf(w, "lists of all %d agents converged after %v in the median, %v at most, in %d checks\n", len(r.agents),
 			took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond), len(took))
 	}
 }
--- a/internal/testbed/etcdfleet/sizes.go
+++ b/internal/testbed/etcdfleet/sizes.go
@@ -15,28 +15,28 @@
 	"eiderspread/internal/testbed/etcdstandin"
 )
 
-// Sizes measures what an agent and the ingress beside it cost by the number of nodes: the agent's start until it serves all of
-// them, its memory then, and with one node in a hundred changed a second CPU and memory of both, without traffic.
+// Sizes measures the cost of an agent and its ingress for each number of nodes, without traffic: the time from the agent's start
+// until it serves all nodes, its memory when idle, and CPU and memory of both while 1% of the nodes change per second.
 func Sizes(sizes []int, length time.Duration, seed uint64, dir string, spawn testbed.Spawn, w io.Writer) error {
-	fmt.Fprintf(w, "%d cores, one member, %v a size, 1%% of the nodes changed a second in ten transactions, seed %d\n", runtime.NumCPU(), length, seed)
-	fmt.Fprintln(w, "| nodes | served after | agent idle | agent, CPU of a core | agent, memory | ingress, CPU of a core | ingress, memory | told |")
+	fmt.Fprintf(w, "%d cores, one etcd member, %v per size, 1%% of the nodes changed per second in ten transactions, seed %d\n", runtime.NumCPU(), length, seed)
+	fmt.Fprintln(w, "| nodes | all served after | agent memory, idle | agent CPU, of one core | agent memory | ingress CPU, of one core | ingress memory | changes |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, n := range sizes {
-		if err := size(n, length, seed, filepath.Join(dir, fmt.Sprint(n)), spawn, w); err != nil {
+		if err := measureSize(n, length, seed, filepath.Join(dir, fmt.Sprint(n)), spawn, w); err != nil {
 			return fmt.Errorf("%d nodes: %w", n, err)
 		}
 	}
 	return nil
 }
 
-// maxServeTime bounds the wait until an agent serves all nodes; idleTime passes before its memory is read.
+// maxServeTime limits the wait until an agent serves all nodes; idleTime is the wait before its idle memory is read.
 const (
 	maxServeTime = time.Minute
 	idleTime     = 3 * time.Second
 )
 
-// size measures an agent and an ingress with n nodes in etcd, and prints a row of the table.
-func size(n int, length time.Duration, seed uint64, dir string, spawn testbed.Spawn, w io.Writer) error {
+// measureSize measures an agent and an ingress with n nodes in etcd, and prints a row of the table.
+func measureSize(n int, length time.Duration, seed uint64, dir string, spawn testbed.Spawn, w io.Writer) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// sizeNodes returns the keys of n nodes that nobody connects to: there is no traffic.
+// sizeNodes returns the etcd keys and values of n nodes. Nothing listens at their addresses, as there is no traffic.
 func sizeNodes(n int) map[string]string {
 	nodes := map[string]string{}
 	for i := range n {
@@ -100,17 +100,17 @@
 	if err := agent.Start(); err != nil {
 		return 0, err
 	}
-	for count(listen) < n {
+	for servedNodes(listen) < n {
 		if served := time.Since(began); served > maxServeTime {
-			return 0, fmt.Errorf("%d nodes are served after %v", count(listen), served)
+			return 0, fmt.Errorf("agent serves %d of %d nodes after %v", servedNodes(listen), n, served)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began), nil
 }
 
-// toggleDrains marks a thousandth of the nodes as draining, or takes their marks back, ten times a second. It returns how many changes
-// it made.
+// toggleDrains sets or removes the drain marks of a thousandth of the nodes ten times a second, for the given length. It returns
+// the number of changes.
 func toggleDrains(cluster *etcdstandin.Cluster, n int, length time.Duration, seed uint64) (changes int) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	marked := map[int]bool{}
@@ -138,8 +138,8 @@
 
 func mb(bytes int64) float64 { return float64(bytes) / (1 << 20) }
 
-// count is how many nodes an agent serves.
-func count(addr string) int {
+// servedNodes returns the number of nodes that an agent serves, 0 on an error.
+func servedNodes(addr string) int {
 	client := http.Client{Timeout: 10 * time.Second}
 	r, err := client.Get("http://" + addr + "/api/targets")
 	if err != nil {
--- a/internal/testbed/etcdstandin/cluster_test.go
+++ b/internal/testbed/etcdstandin/cluster_test.go
@@ -20,7 +20,8 @@
 	"eiderspread/internal/testbed/certs"
 )
 
-func three(t *testing.T) (*at, []*clientv3.Client) {
+// openThree starts a cluster of three members and returns a client for each of them.
+func openThree(t *testing.T) (*clusterTest, []*clientv3.Client) {
 	a := open(t, Config{Members: 3, Election: 20 * time.Millisecond, RequestTimeout: 100 * time.Millisecond})
 	var list []*clientv3.Client
 	for _, addr := range a.c.Addrs() {
@@ -29,22 +30,22 @@
 	return a, list
 }
 
-// Guards the minority: what needs agreement fails there, what does not is old, watches fall silent, and those that want a
-// leader end; the majority goes on under another leader.
+// Guards a member in a minority, here the isolated leader: linearizable reads and writes fail, serializable reads return old data,
+// watches receive no events, and watches that require a leader end. The majority continues under another leader.
 func TestMinority(t *testing.T) {
-	a, m := three(t)
+	a, m := openThree(t)
 	a.put("a", "1")
-	silent := m[0].Watch(a.ctx, "a", clientv3.WithRev(2))
-	led := m[0].Watch(clientv3.WithRequireLeader(a.ctx), "a", clientv3.WithRev(2))
-	a.events(silent, 1)
-	a.events(led, 1)
+	plain := m[0].Watch(a.ctx, "a", clientv3.WithRev(2))
+	withLeader := m[0].Watch(clientv3.WithRequireLeader(a.ctx), "a", clientv3.WithRev(2))
+	a.events(plain, 1)
+	a.events(withLeader, 1)
 	a.c.Cut(0, true) // the leader
 	_, err := m[0].Get(a.ctx, "a")
 	a.fails(err, rpctypes.ErrTimeout)
 	_, err = m[0].Put(a.ctx, "a", "lost")
 	a.fails(err, rpctypes.ErrTimeout)
-	if r := <-led; r.Err() == nil {
-		t.Errorf("a watch that wants a leader goes on: %+v", r)
+	if r := <-withLeader; r.Err() == nil {
+		t.Errorf("watch that requires a leader: got %+v, want error %v", r, rpctypes.ErrNoLeader)
 	} else {
 		a.fails(r.Err(), rpctypes.ErrNoLeader)
 	}
@@ -54,20 +55,20 @@
 	old, err := m[0].Get(a.ctx, "a", clientv3.WithSerializable())
 	a.ok(err)
 	a.eq([]any{kvs(old), old.Header.Revision, old.Header.RaftTerm}, []any{"a=1", int64(2), uint64(2)})
-	a.ok(m[0].RequestProgress(a.ctx)) // it says that all is well
-	if r := <-silent; !r.IsProgressNotify() || r.Header.Revision != 2 {
-		t.Errorf("%+v", r)
+	a.ok(m[0].RequestProgress(a.ctx)) // the isolated member still reports progress at its old revision
+	if r := <-plain; !r.IsProgressNotify() || r.Header.Revision != 2 {
+		t.Errorf("got %+v, want a progress notification at revision 2", r)
 	}
 	a.c.Cut(0, false)
-	a.eq(a.events(silent, 1), "PUT a=2@3")
+	a.eq(a.events(plain, 1), "PUT a=2@3")
 	now, err := m[0].Get(a.ctx, "a")
 	a.ok(err)
 	a.eq(kvs(now), "a=2")
 }
 
-// Guards a cluster without a majority, and what it is after one is back.
+// Guards a cluster that loses its majority: writes fail, and succeed again once a majority is back.
 func TestNoMajority(t *testing.T) {
-	a, m := three(t)
+	a, m := openThree(t)
 	a.put("a", "1")
 	a.c.StopMember(1)
 	a.c.StopMember(2)
@@ -83,9 +84,9 @@
 	a.eq(a.get("a").Header.Revision, int64(3))
 }
 
-// Guards a member that lags: what needs agreement waits until it has caught up, what does not is old.
+// Guards a lagging member: linearizable reads fail until it has caught up, serializable reads return old data.
 func TestLag(t *testing.T) {
-	a, m := three(t)
+	a, m := openThree(t)
 	a.c.Lag(2, true)
 	a.put("a", "1")
 	old, err := m[2].Get(a.ctx, "a", clientv3.WithSerializable())
@@ -100,31 +101,31 @@
 	a.eq(kvs(now), "a=1")
 }
 
-// Guards the liar: it answers from an older revision and term what needs agreement, too.
-func TestLiar(t *testing.T) {
-	a, m := three(t)
+// Guards ServeStale: the member answers linearizable reads, too, from the older revision and term.
+func TestServeStale(t *testing.T) {
+	a, m := openThree(t)
 	a.put("a", "1")
 	a.put("a", "2")
-	a.c.Lie(1, 2, 1)
+	a.c.ServeStale(1, 2, 1)
 	old, err := m[1].Get(a.ctx, "a")
 	a.ok(err)
 	a.eq([]any{kvs(old), old.Header.Revision, old.Header.RaftTerm}, []any{"a=1", int64(2), uint64(1)})
-	a.c.Lie(1, 0, 0)
+	a.c.ServeStale(1, 0, 0)
 	now, err := m[1].Get(a.ctx, "a")
 	a.ok(err)
 	a.eq([]any{kvs(now), now.Header.RaftTerm}, []any{"a=2", uint64(2)})
 }
 
-// Guards a change of leaders: the term rises, no write is lost, leases have their whole time again.
+// Guards a leader change: the term increases, no write is lost, and leases are renewed for their full TTL.
 func TestLeaderChange(t *testing.T) {
-	a, m := three(t)
+	a, m := openThree(t)
 	l, err := a.cli.Grant(a.ctx, 1000)
 	a.ok(err)
 	a.put("a", "1", clientv3.WithLease(l.ID))
 	a.c.Jump(999 * time.Second)
-	was := a.c.Counts().Leaders
+	was := a.c.Counts().LeaderChanges
 	a.c.ChangeLeader()
-	for a.c.Counts().Leaders == was {
+	for a.c.Counts().LeaderChanges == was {
 		time.Sleep(time.Millisecond)
 	}
 	r, err := m[2].Get(a.ctx, "a")
@@ -135,11 +136,11 @@
 	st, err := m[2].Status(a.ctx, a.c.Addrs()[2])
 	a.ok(err)
 	if st.Leader == 1 {
-		t.Error("the same leader again")
+		t.Error("got leader 1 after the change, want another member")
 	}
 }
 
-// Guards the file: a restart keeps what was committed, a torn last line is dropped, another fault is an error.
+// Guards the file: a restart restores all commits and drops an incomplete last line; any other invalid line is an error.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "etcd.log")
 	a := open(t, Config{File: path})
@@ -163,25 +164,25 @@
 	c.ok(c.c.Close())
 	a.ok(os.WriteFile(path, []byte("no\n"+string(text)), 0o600))
 	if _, err := Open(Config{File: path}); err == nil || !strings.Contains(err.Error(), "line 1") {
-		t.Error(err)
+		t.Errorf("got error %v, want one about line 1", err)
 	}
 }
 
-// Guards users and tokens: without one nothing is answered, one that ran out is renewed by the client, also for a watch.
+// Guards users and tokens: calls without a token fail, and the client replaces an expired or dropped token, also for a watch.
 func TestTokens(t *testing.T) {
 	c, err := Open(Config{Users: map[string]string{"u": "secret"}, TokenTTL: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	a := &at{t, c, client(t, clientv3.Config{Endpoints: c.Addrs(), Username: "u", Password: "secret"}), ctx}
+	a := &clusterTest{t, c, client(t, clientv3.Config{Endpoints: c.Addrs(), Username: "u", Password: "secret"}), ctx}
 	a.put("a", "1")
 	_, err = client(t, clientv3.Config{Endpoints: c.Addrs()}).Get(ctx, "a")
 	a.fails(err, rpctypes.ErrUserEmpty)
-	if _, err := clientv3.New(clientv3.Config{Endpoints: c.Addrs(), Username: "u", Password: "wrong", DialTimeout: patience}); err == nil {
-		t.Error("a wrong password is taken")
+	if _, err := clientv3.New(clientv3.Config{Endpoints: c.Addrs(), Username: "u", Password: "wrong", DialTimeout: testTimeout}); err == nil {
+		t.Error("a wrong password was accepted")
 	}
 	c.Jump(2 * time.Minute)
 	a.put("a", "2")
@@ -195,7 +196,7 @@
 	open.fails(err, rpctypes.ErrAuthNotEnabled)
 }
 
-// Guards TLS with clients' certificates.
+// Guards TLS: a client without a certificate gets no response.
 func TestTLS(t *testing.T) {
 	ca, err := certs.New(t.TempDir(), "lab")
 	if err != nil {
@@ -218,21 +219,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	a := &at{t, c, client(t, clientv3.Config{Endpoints: []string{"https://" + c.Addr()}, TLS: mine}), ctx}
+	a := &clusterTest{t, c, client(t, clientv3.Config{Endpoints: []string{"https://" + c.Addr()}, TLS: mine}), ctx}
 	a.eq(a.put("a", "1"), int64(2))
 	bare := client(t, clientv3.Config{Endpoints: []string{"https://" + c.Addr()}, TLS: &tls.Config{RootCAs: mine.RootCAs}})
 	short, stop := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer stop()
 	if _, err := bare.Get(short, "a"); err == nil {
-		t.Error("a client without a certificate is answered")
+		t.Error("a client without a certificate got a response")
 	}
 }
 
-// Guards a stream that breaks in the middle of a message in parts: whoever goes on behind its last revision misses nothing
-// and sees no half of a revision.
-func TestBreakInTheMiddleOfParts(t *testing.T) {
+// Guards a stream that ends in the middle of a fragmented message: the client resumes after its last complete revision, misses no
+// event and delivers no partial revision.
+func TestStreamEndsBetweenFragments(t *testing.T) {
 	a := open(t, Config{FragmentBytes: 300})
 	broken := status.Error(codes.Unavailable, "the connection broke")
 	parts := 0
@@ -249,9 +250,9 @@
 	}
 	a.txn(nil, list, nil)
 	if r := <-w; len(r.Events) != 30 || r.Err() != nil {
-		t.Errorf("%d events, %v", len(r.Events), r.Err())
+		t.Errorf("got %d events, %v, want 30 events of one revision", len(r.Events), r.Err())
 	}
 	if parts < 5 {
-		t.Errorf("%d parts: nothing broke in the middle", parts)
+		t.Errorf("got %d fragments, want at least 5: the stream did not end in the middle of a message", parts)
 	}
 }
--- a/internal/testbed/etcdstandin/etcd.go
+++ b/internal/testbed/etcdstandin/etcd.go
@@ -1,8 +1,8 @@
-// Package etcdstandin is the project's own stand-in for an etcd cluster, written from the published API: one state (package store)
-// behind several members on loopback addresses, each with its own point in the history that it has applied. Beside what a
-// cluster promises it does on command what breaks those promises or tries a client's patience: leaders change, members lag,
-// are cut off in a minority or lie, history is compacted, the state is put back or wiped, tokens run out.
-// docs/etcd-standin.md is its design note.
+// Package etcdstandin is a stand-in for an etcd cluster, written from etcd's published API. All members share one store
+// (package store) and listen on loopback addresses; each member has its own applied revision. Besides the behavior that etcd
+// guarantees, tests can inject faults that break the guarantees or delay clients: leader changes, members that lag, are
+// isolated in a minority or serve stale data, compacted history, a restored or wiped state, expired tokens.
+// docs/etcd-standin.md is the design note.
 package etcdstandin
 
 import (
@@ -25,74 +25,74 @@
 	"eiderspread/internal/testbed/etcdstandin/store"
 )
 
-// Config says what cluster to make. Zero values stand for the defaults.
+// Config configures a Cluster. Zero values select the defaults.
 type Config struct {
-	Listen         []string          // addresses of the members; none: Members of its own choice on loopback
-	Members        int               // 1 if 0 and Listen is empty
-	File           string            // an append-only file that keeps what is committed; empty: memory alone
-	TLS            *tls.Config       // for clients
-	Users          map[string]string // passwords by user; empty: no authentication
-	TokenTTL       time.Duration     // 5 minutes
-	Election       time.Duration     // without a leader before another is elected, 200 ms
-	RequestTimeout time.Duration     // of what needs a leader, 2 s
-	BatchRevs      int               // revisions in one message to a watch that catches up, 1000
-	FragmentBytes  int               // of a message to a watch that takes fragments, 1.5 MiB
-	Progress       time.Duration     // how often watches that want it are told how far they are, 10 minutes
-}
-
-// Head tells which state of which cluster an answer is of.
+	Listen         []string          // addresses of the members; empty: Members free ports on loopback
+	Members        int               // number of members if Listen is empty; default 1
+	File           string            // append-only file of the commits; empty: state in memory only
+	TLS            *tls.Config       // for client connections; nil: no TLS
+	Users          map[string]string // passwords by user name; empty: no authentication
+	TokenTTL       time.Duration     // default 5 minutes
+	Election       time.Duration     // time without a leader until the next one is elected; default 200 ms
+	RequestTimeout time.Duration     // of requests that need a leader; default 2 s
+	BatchRevs      int               // maximum revisions in one message to a watch that catches up; default 1000
+	FragmentBytes  int               // maximum size of a message to a watch that accepts fragments; default 1.5 MiB
+	Progress       time.Duration     // interval of progress notifications to watches that request them; default 10 minutes
+}
+
+// Head identifies the state of a cluster that a response was served from.
 type Head struct {
 	Cluster  uint64
 	Revision int64
 	Term     uint64
 }
 
-// KV is a key as it stands.
+// KV is a key with its current value.
 type KV struct {
 	Key, Value string
 	Revision   int64 // of its last change
 }
 
-// Script makes a Cluster do what a cluster would not. Its functions run without locks.
+// Script injects faults into the reads and watches of a Cluster. The Cluster calls the functions without holding its lock.
 type Script struct {
-	Silent    bool                                     // no progress is told
-	AfterRead func()                                   // after each read of keys
-	OnWatch   func(w pb.Watch_WatchServer, from int64) // after a watch's creation, before its events
-	OnSend    func(r *pb.WatchResponse) error          // before each message of events; an error breaks the stream
+	Silent    bool                                     // suppresses all progress notifications
+	AfterRead func()                                   // called after each read of keys
+	OnWatch   func(w pb.Watch_WatchServer, from int64) // called after a watch is created, before its events; from is its first revision
+	OnSend    func(r *pb.WatchResponse) error          // called before each message with events; an error ends the stream
 }
 
-// Cluster is a cluster of one or more members. Its methods may be called by any goroutine.
+// Cluster is a cluster of one or more members. It is safe for concurrent use.
 type Cluster struct {
 	cfg Config
 
-	mu        sync.Mutex
-	id        uint64
-	term      uint64
-	store     *store.Store
-	members   []*member
-	leader    int // -1: none
-	elections int // outdates timers
-	changed   chan struct{}
-	start     time.Time
-	skew      time.Duration // of the cluster's clock
-	expiry    *time.Timer
-	tokens    map[string]token // bounded by sweep
-	lastToken int
-	file      *os.File
-	fileErr   error
-	reads     int
-	watches   int
-	writes    int
-	changes   int // of leaders
-	script    Script
+	mu            sync.Mutex
+	id            uint64
+	term          uint64
+	store         *store.Store
+	members       []*member
+	leader        int           // index into members; -1: none
+	elections     int           // incremented by each election, so that the timer of an earlier election has no effect
+	changed       chan struct{} // closed and replaced by applyCommits
+	start         time.Time
+	skew          time.Duration // offset of the cluster's clock, see Jump
+	expiryTimer   *time.Timer
+	tokens        map[string]token // at most maxTokens; expire removes expired ones
+	lastToken     int
+	file          *os.File
+	fileErr       error
+	reads         int
+	watches       int
+	writes        int
+	leaderChanges int
+	script        Script
 }
 
 type token struct {
-	user string
-	ends time.Duration
+	user      string
+	expiresAt time.Duration
 }
 
-// member is one endpoint. Its fields belong to Cluster.mu.
+// member is one endpoint of a cluster. Cluster.mu guards its fields.
 type member struct {
 	pb.UnimplementedKVServer
 	pb.UnimplementedWatchServer
@@ -101,37 +101,37 @@
 	pb.UnimplementedMaintenanceServer
 	pb.UnimplementedClusterServer
 
-	cluster *Cluster
-	number  int
-	addr    string
-	srv     *grpc.Server // nil: down
-	cut     bool         // from the other members
-	lags    bool         // applies nothing
-	lies    bool         // answers as if it were up to date
-	lostAt  time.Time    // since when it has no leader
-	term    uint64
-	view    store.View
+	cluster     *Cluster
+	number      int
+	addr        string
+	srv         *grpc.Server // nil while the member is stopped
+	cut         bool         // isolated from the other members
+	lagging     bool         // does not apply commits
+	servesStale bool         // answers from an old view as if it were up to date
+	lostAt      time.Time    // when it lost its leader; zero while it has one
+	term        uint64
+	view        store.View
 }
 
-// New starts a cluster of one member without keys at a loopback address of its own.
+// New starts an empty cluster of one member on a free loopback port.
 func New() (*Cluster, error) { return Open(Config{}) }
 
-// Open starts a cluster, with what its file holds if it names one.
+// Open starts a cluster. If cfg.File is set, it first replays the commits in that file.
 func Open(cfg Config) (*Cluster, error) {
 	if len(cfg.Listen) == 0 {
 		for range max(cfg.Members, 1) {
 			cfg.Listen = append(cfg.Listen, "127.0.0.1:0")
 		}
 	}
-	def := func(d *time.Duration, v time.Duration) {
+	setDefault := func(d *time.Duration, v time.Duration) {
 		if *d == 0 {
 			*d = v
 		}
 	}
-	def(&cfg.TokenTTL, 5*time.Minute)
-	def(&cfg.Election, 200*time.Millisecond)
-	def(&cfg.RequestTimeout, 2*time.Second)
-	def(&cfg.Progress, 10*time.Minute)
+	setDefault(&cfg.TokenTTL, 5*time.Minute)
+	setDefault(&cfg.Election, 200*time.Millisecond)
+	setDefault(&cfg.RequestTimeout, 2*time.Second)
+	setDefault(&cfg.Progress, 10*time.Minute)
 	if cfg.BatchRevs == 0 {
 		cfg.BatchRevs = 1000
 	}
@@ -139,13 +139,13 @@
 		cfg.FragmentBytes = store.MaxRequest
 	}
 	c := &Cluster{cfg: cfg, id: 1, term: 2, leader: -1, changed: make(chan struct{}), start: time.Now(), tokens: map[string]token{}}
-	c.store = store.New(c.keep)
+	c.store = store.New(c.appendRecord)
 	if cfg.File != "" {
 		if err := c.load(); err != nil {
 			return nil, err
 		}
 	}
-	c.expiry = time.AfterFunc(time.Hour, c.expire)
+	c.expiryTimer = time.AfterFunc(time.Hour, c.expire)
 	for i, addr := range cfg.Listen {
 		c.members = append(c.members, &member{cluster: c, number: i, addr: addr})
 	}
@@ -156,10 +156,10 @@
 	return c, nil
 }
 
-// now is the cluster's clock; c.mu is held.
+// now returns the cluster's time since its start, including the offset set by Jump. The caller holds c.mu.
 func (c *Cluster) now() time.Duration { return time.Since(c.start) + c.skew }
 
-// Jump moves the cluster's clock, by which leases and tokens run out.
+// Jump moves the cluster's clock by d, which may be negative. Leases and tokens expire by this clock.
 func (c *Cluster) Jump(d time.Duration) {
 	c.mu.Lock()
 	c.skew += d
@@ -167,30 +167,30 @@
 	c.expire()
 }
 
-// expire ends leases and tokens whose time is over, and comes back when the next is.
+// expire removes expired leases and tokens, and resets expiryTimer to the next lease expiry, or to an hour at most.
 func (c *Cluster) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.store.View()
 	next, ok := c.store.Expire(c.now())
 	if c.store.View() != before {
-		c.advance()
+		c.applyCommits()
 	}
 	for id, t := range c.tokens {
-		if t.ends <= c.now() {
+		if t.expiresAt <= c.now() {
 			delete(c.tokens, id)
 		}
 	}
 	if !ok {
 		next = c.now() + time.Hour
 	}
-	c.expiry.Reset(min(max(next-c.now(), time.Millisecond), time.Hour))
+	c.expiryTimer.Reset(min(max(next-c.now(), time.Millisecond), time.Hour))
 }
 
 // ---- the file ----
 
-// keep writes a commit before anybody is answered; c.mu is held.
-func (c *Cluster) keep(r store.Record) {
+// appendRecord writes a commit to the file before the client is answered. The caller holds c.mu.
+func (c *Cluster) appendRecord(r store.Record) {
 	if c.file == nil {
 		return
 	}
@@ -206,23 +206,23 @@
 	}
 }
 
-// Err is what went wrong with the file, if anything did: what is committed after it is kept in memory alone.
+// Err returns the first error in writing the file, or nil. Records that cannot be written are kept in memory only.
 func (c *Cluster) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.fileErr
 }
 
-// load takes the file in. A torn last line is cut off; any other fault is an error.
+// load replays the file. It truncates an incomplete last line; any other invalid line is an error.
 func (c *Cluster) load() error {
 	f, err := os.OpenFile(c.cfg.File, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	in, good, n := bufio.NewReader(f), int64(0), 0
+	in, validBytes, n := bufio.NewReader(f), int64(0), 0
 	for {
 		line, err := in.ReadBytes('\n')
-		if err != nil { // the last line, torn or empty
+		if err != nil { // end of the file; line is empty or incomplete
 			break
 		}
 		n++
@@ -232,13 +232,13 @@
 			return fmt.Errorf("%s, line %d: %w", c.cfg.File, n, err)
 		}
 		c.store.Replay(c.now(), r)
-		good += int64(len(line))
+		validBytes += int64(len(line))
 	}
-	if err := f.Truncate(good); err != nil {
+	if err := f.Truncate(validBytes); err != nil {
 		f.Close()
 		return err
 	}
-	if _, err := f.Seek(good, 0); err != nil {
+	if _, err := f.Seek(validBytes, 0); err != nil {
 		f.Close()
 		return err
 	}
@@ -248,10 +248,10 @@
 
 // ---- members ----
 
-// Addr is where clients reach the first member; the same after a restart.
+// Addr returns the address of the first member. It does not change in a restart.
 func (c *Cluster) Addr() string { return c.Addrs()[0] }
 
-// Addrs are the members' addresses.
+// Addrs returns the addresses of all members.
 func (c *Cluster) Addrs() (list []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,7 +261,7 @@
 	return list
 }
 
-// Start has all members that are down serve again, with the state as it was.
+// Start starts all members that are stopped. The state is the one before the stop.
 func (c *Cluster) Start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -270,22 +270,22 @@
 			return err
 		}
 	}
-	if c.elections == 0 || len(c.members) == 1 { // a cluster that begins has its leader at once
-		c.lead(0)
+	if c.elections == 0 || len(c.members) == 1 { // a new cluster, or one of a single member, has a leader immediately
+		c.setLeader(0)
 	} else {
-		c.elect()
+		c.checkLeader()
 	}
 	return nil
 }
 
-// StartMember starts one member if it is down.
+// StartMember starts member i if it is stopped.
 func (c *Cluster) StartMember(i int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.startMember(c.members[i]); err != nil {
 		return err
 	}
-	c.elect()
+	c.checkLeader()
 	return nil
 }
 
@@ -295,7 +295,7 @@
 	}
 	var l net.Listener
 	var err error
-	for range 200 { // an address that was just left may be in use for a moment
+	for range 200 { // an address that was just closed may still be in use for a moment
 		if l, err = net.Listen("tcp", m.addr); err == nil {
 			break
 		}
@@ -321,33 +321,33 @@
 	return nil
 }
 
-// Stop ends all members as a crash would; the state stays.
+// Stop stops all members abruptly, as a crash does. The state is kept.
 func (c *Cluster) Stop() {
 	for i := range c.members {
 		c.StopMember(i)
 	}
 }
 
-// Close ends the cluster for good.
+// Close stops the cluster and closes its file. It returns write errors of the file, see Err.
 func (c *Cluster) Close() error {
 	c.Stop()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.expiry.Stop()
+	c.expiryTimer.Stop()
 	if c.file == nil {
 		return c.fileErr
 	}
 	return errors.Join(c.fileErr, c.file.Close())
 }
 
-// StopMember ends one member as a crash would.
+// StopMember stops member i abruptly, as a crash does.
 func (c *Cluster) StopMember(i int) {
 	c.mu.Lock()
 	m := c.members[i]
 	srv := m.srv
 	m.srv = nil
 	if srv != nil {
-		c.elect()
+		c.checkLeader()
 	}
 	c.mu.Unlock()
 	if srv != nil {
@@ -355,46 +355,46 @@
 	}
 }
 
-// Cut takes a member from the others, or brings it back. Its clients still reach it.
+// Cut isolates member i from the other members, or ends the isolation. Clients still reach the member.
 func (c *Cluster) Cut(i int, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.members[i].cut = on
-	c.elect()
+	c.checkLeader()
 }
 
-// Lag has a member apply nothing more, or catch up.
+// Lag stops member i from applying commits, or lets it catch up.
 func (c *Cluster) Lag(i int, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.members[i].lags = on
-	c.advance()
+	c.members[i].lagging = on
+	c.applyCommits()
 }
 
-// Lie has a member answer, also what needs the cluster's agreement, from an older revision and term as if that were all there
-// is; a revision of 0 ends it.
-func (c *Cluster) Lie(i int, rev int64, term uint64) {
+// ServeStale makes member i answer all reads, linearizable ones included, from an older revision and term as if they were
+// current. A revision of 0 ends this.
+func (c *Cluster) ServeStale(i int, rev int64, term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.members[i]
-	m.lies = rev > 0
-	if m.lies {
+	m.servesStale = rev > 0
+	if m.servesStale {
 		m.view.Revision, m.view.Compacted, m.term = rev, min(m.view.Compacted, rev), term
 	}
-	c.advance()
+	c.applyCommits()
 }
 
-// ChangeLeader has the leader step down: for the time of an election there is none, then another one.
+// ChangeLeader makes the leader step down. After Config.Election without a leader, another member is elected if possible.
 func (c *Cluster) ChangeLeader() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := c.leader
+	previous := c.leader
 	c.leader = -1
-	c.electAfter(was)
+	c.scheduleElection(previous)
 }
 
-// together tells that a member can reach the majority; c.mu is held.
-func (m *member) together() bool { return m.srv != nil && !m.cut && m.cluster.majority() }
+// inMajority reports whether the member runs and reaches a majority of the members. The caller holds Cluster.mu.
+func (m *member) inMajority() bool { return m.srv != nil && !m.cut && m.cluster.majority() }
 
 func (c *Cluster) majority() bool {
 	n := 0
@@ -406,71 +406,73 @@
 	return n > len(c.members)/2
 }
 
-// elect looks whether the leader can stay, and has another one elected after a while if not; c.mu is held.
-func (c *Cluster) elect() {
-	if c.leader >= 0 && c.members[c.leader].together() {
-		c.advance()
+// checkLeader keeps the leader while it is in the majority, and otherwise schedules an election. The caller holds c.mu.
+func (c *Cluster) checkLeader() {
+	if c.leader >= 0 && c.members[c.leader].inMajority() {
+		c.applyCommits()
 		return
 	}
 	c.leader = -1
-	c.electAfter(-1)
+	c.scheduleElection(-1)
 }
 
-// electAfter has a leader elected after an election's time, another one than not if there is one; c.mu is held.
-func (c *Cluster) electAfter(not int) {
+// scheduleElection elects a leader after Config.Election, and elects member exclude only if no other member is eligible. The
+// caller holds c.mu.
+func (c *Cluster) scheduleElection(exclude int) {
 	now := time.Now()
 	for _, m := range c.members {
 		if m.lostAt.IsZero() {
 			m.lostAt = now
 		}
 	}
-	c.advance()
+	c.applyCommits()
 	c.elections++
-	this := c.elections
+	election := c.elections
 	time.AfterFunc(c.cfg.Election, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.elections != this || c.leader >= 0 {
+		if c.elections != election || c.leader >= 0 {
 			return
 		}
-		choice := -1
+		candidate := -1
 		for k := range c.members {
-			i := (k + this) % len(c.members)
-			if c.members[i].together() && (choice < 0 || choice == not) {
-				choice = i
+			i := (k + election) % len(c.members)
+			if c.members[i].inMajority() && (candidate < 0 || candidate == exclude) {
+				candidate = i
 			}
 		}
-		if choice >= 0 {
-			c.lead(choice)
+		if candidate >= 0 {
+			c.setLeader(candidate)
 		}
 	})
 }
 
-// lead makes a member the leader of the next term; c.mu is held.
-func (c *Cluster) lead(i int) {
+// setLeader makes member i the leader of a new term and renews all leases; the first leader keeps the initial term. The caller
+// holds c.mu.
+func (c *Cluster) setLeader(i int) {
 	if c.elections > 0 {
 		c.term++
-		c.changes++
+		c.leaderChanges++
 		c.store.Extend(c.now())
 	}
 	c.elections++
 	c.leader = i
-	c.advance()
+	c.applyCommits()
 }
 
-// led tells that a member has a leader; c.mu is held.
-func (m *member) led() bool { return m.cluster.leader >= 0 && m.together() }
+// hasLeader reports whether the cluster has a leader that the member reaches. The caller holds Cluster.mu.
+func (m *member) hasLeader() bool { return m.cluster.leader >= 0 && m.inMajority() }
 
-// advance has every member that can apply what was committed, drops what no member needs any more, and wakes whoever waits;
-// c.mu is held.
-func (c *Cluster) advance() {
+// applyCommits updates the term of every member that has a leader, and its view unless it lags. Members that serve stale data
+// keep both. It then trims the history that no member needs and wakes all waiters. The caller holds c.mu.
+func (c *Cluster) applyCommits() {
 	floor := c.store.View().Compacted
 	for _, m := range c.members {
-		if m.led() {
+		if m.hasLeader() {
 			m.lostAt = time.Time{}
-			if !m.lies {
+			if !m.servesStale {
 				m.term = c.term
-				if !m.lags {
+				if !m.lagging {
 					m.view = c.store.View()
 				}
 			}
@@ -484,19 +486,20 @@
 	c.changed = make(chan struct{})
 }
 
-// wait blocks until ok holds, and returns with c.mu held and nil, or without it and with an error.
-func (m *member) wait(ctx context.Context, ok func() bool, why error) error {
+// wait blocks until ok returns true; ok is called with Cluster.mu held. On success wait returns nil with Cluster.mu held. On
+// an error it returns without the lock: timeoutErr after Config.RequestTimeout, or the error of ctx.
+func (m *member) wait(ctx context.Context, ok func() bool, timeoutErr error) error {
 	c := m.cluster
-	late := time.NewTimer(c.cfg.RequestTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(c.cfg.RequestTimeout)
+	defer timeout.Stop()
 	c.mu.Lock()
 	for !ok() {
 		changed := c.changed
 		c.mu.Unlock()
 		select {
 		case <-changed:
-		case <-late.C:
-			return why
+		case <-timeout.C:
+			return timeoutErr
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -505,16 +508,16 @@
 	return nil
 }
 
-// ---- the state, for tests ----
+// ---- state access for tests ----
 
-// Wipe puts a new, empty cluster in the place of this one. Call it while stopped, as operators would.
+// Wipe replaces this cluster by a new, empty one with another cluster ID. Call it while all members are stopped.
 func (c *Cluster) Wipe() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.restore(Head{Cluster: c.id + 1, Revision: 1, Term: 2}, nil)
 }
 
-// Restore puts a state in the place of what is there, with no history before it. The file does not keep it.
+// Restore replaces the state, without any history before h.Revision. It does not write to the file.
 func (c *Cluster) Restore(h Head, kvs ...KV) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -529,64 +532,64 @@
 	c.id, c.term = h.Cluster, h.Term
 	c.store.Reset(h.Revision, list)
 	for _, m := range c.members {
-		m.view, m.term, m.lies = c.store.View(), h.Term, false
+		m.view, m.term, m.servesStale = c.store.View(), h.Term, false
 	}
-	c.advance()
+	c.applyCommits()
 }
 
-// SetScript says what goes wrong from now on.
+// SetScript replaces the script of faults.
 func (c *Cluster) SetScript(s Script) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.script = s
 }
 
-// Counts tells what clients have done, and how often a leader was elected.
+// Counts holds the number of reads of keys, watches and writes by clients, and of leader changes.
 type Counts struct {
-	Reads, Watches, Writes, Leaders int
+	Reads, Watches, Writes, LeaderChanges int
 }
 
-// Counts tells what clients have done.
+// Counts returns the counters.
 func (c *Cluster) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Counts{c.reads, c.watches, c.writes, c.changes}
+	return Counts{c.reads, c.watches, c.writes, c.leaderChanges}
 }
 
-// Reads counts the reads of keys.
+// Reads returns the number of reads of keys, without count-only reads.
 func (c *Cluster) Reads() int { return c.Counts().Reads }
 
-// Compacted is the revision below which history is forgotten.
+// Compacted returns the revision of the last compaction. Reads below it fail.
 func (c *Cluster) Compacted() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.store.View().Compacted
 }
 
-// Head is the state as it is.
+// Head returns the cluster ID and the latest revision and term.
 func (c *Cluster) Head() Head {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Head{c.id, c.store.View().Revision, c.term}
 }
 
-// Set writes a key, Delete removes one, both whether there is a leader or not.
+// Set writes a key, also without a leader.
 func (c *Cluster) Set(key, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, _ = c.store.Put(&pb.PutRequest{Key: []byte(key), Value: []byte(value)})
-	c.advance()
+	c.applyCommits()
 }
 
-// Delete removes a key.
+// Delete removes a key, also without a leader.
 func (c *Cluster) Delete(key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, _ = c.store.Delete(&pb.DeleteRangeRequest{Key: []byte(key)})
-	c.advance()
+	c.applyCommits()
 }
 
-// Do makes several changes as one revision: an empty value deletes.
+// Do writes all keys in one revision, also without a leader. An empty value deletes the key.
 func (c *Cluster) Do(values map[string]string) {
 	var ops []*pb.RequestOp
 	for k, v := range values {
@@ -598,7 +601,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(ops) > 0 { // nested, as a list holds 128 at most
+	for len(ops) > 0 { // nested transactions, as each list holds MaxTxnOps operations (128) at most
 		var outer []*pb.RequestOp
 		for len(ops) > 0 && len(outer) < store.MaxTxnOps {
 			n := min(len(ops), store.MaxTxnOps)
@@ -607,18 +610,18 @@
 		}
 		_, _ = c.store.Txn(&pb.TxnRequest{Success: outer})
 	}
-	c.advance()
+	c.applyCommits()
 }
 
-// CompactAll forgets all history.
+// CompactAll compacts at the latest revision.
 func (c *Cluster) CompactAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_ = c.store.Compact(c.store.View().Revision)
-	c.advance()
+	c.applyCommits()
 }
 
-// State is all keys as they stand, in order, with the revision that they are of.
+// State returns all keys in order, and their revision.
 func (c *Cluster) State() ([]KV, int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/etcdstandin/services.go
+++ b/internal/testbed/etcdstandin/services.go
@@ -13,14 +13,14 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// header is that of an answer from a member's own point; c.mu is held.
+// header returns a response header at the member's own view. The caller holds Cluster.mu.
 func (m *member) header() *pb.ResponseHeader {
 	return &pb.ResponseHeader{ClusterId: m.cluster.id, MemberId: uint64(m.number) + 1, Revision: m.view.Revision, RaftTerm: m.term}
 }
 
-// ---- what holds for every call ----
+// ---- checks of every call ----
 
-func first(ctx context.Context, key string) string {
+func firstMetadata(ctx context.Context, key string) string {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := md.Get(key); len(v) > 0 {
 		return v[0]
@@ -29,52 +29,54 @@
 }
 
 func requiresLeader(ctx context.Context) bool {
-	return first(ctx, rpctypes.MetadataRequireLeaderKey) == rpctypes.MetadataHasLeader
+	return firstMetadata(ctx, rpctypes.MetadataRequireLeaderKey) == rpctypes.MetadataHasLeader
 }
 
-// allowed tells whether a call's token is good.
-func (c *Cluster) allowed(ctx context.Context) error {
+// checkToken returns an error if the cluster has users and the call carries no valid token.
+func (c *Cluster) checkToken(ctx context.Context) error {
 	if len(c.cfg.Users) == 0 {
 		return nil
 	}
-	id := first(ctx, rpctypes.TokenFieldNameGRPC)
+	id := firstMetadata(ctx, rpctypes.TokenFieldNameGRPC)
 	if id == "" {
 		return rpctypes.ErrGRPCUserEmpty
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t, ok := c.tokens[id]; !ok || t.ends <= c.now() {
+	if t, ok := c.tokens[id]; !ok || t.expiresAt <= c.now() {
 		return rpctypes.ErrGRPCInvalidAuthToken
 	}
 	return nil
 }
 
-// free are the calls that want no token.
-func free(method string) bool { return strings.HasSuffix(method, "/Authenticate") }
+// needsNoToken reports whether a method may be called without a token.
+func needsNoToken(method string) bool { return strings.HasSuffix(method, "/Authenticate") }
 
 func (m *member) unary(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	if requiresLeader(ctx) && m.leaderless() {
 		return nil, rpctypes.ErrGRPCNoLeader
 	}
-	if !free(info.FullMethod) {
-		if err := m.cluster.allowed(ctx); err != nil {
+	if !needsNoToken(info.FullMethod) {
+		if err := m.cluster.checkToken(ctx); err != nil {
 			return nil, err
 		}
 	}
 	return next(ctx, req)
 }
 
-// leaderless tells that a member has missed its leader for longer than an election takes.
+// leaderless reports whether the member has had no leader for longer than Config.Election. It is false for a member that serves
+// stale data.
 func (m *member) leaderless() bool {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
-	return !m.led() && !m.lies && !m.lostAt.IsZero() && time.Since(m.lostAt) > m.cluster.cfg.Election
+	return !m.hasLeader() && !m.servesStale && !m.lostAt.IsZero() && time.Since(m.lostAt) > m.cluster.cfg.Election
 }
 
-// stream ends streams that want a leader once it is lost; watches check their tokens themselves.
+// stream is the interceptor of streams. It ends streams that require a leader once the member is leaderless. It does not check
+// the token of watch streams, as create checks it for each watch.
 func (m *member) stream(srv any, s grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 	if !strings.HasSuffix(info.FullMethod, "/Watch") {
-		if err := m.cluster.allowed(s.Context()); err != nil {
+		if err := m.cluster.checkToken(s.Context()); err != nil {
 			return err
 		}
 	}
@@ -101,35 +103,36 @@
 			}
 		}
 	}()
-	err := next(srv, &ledStream{s, ctx})
+	err := next(srv, &leaderStream{s, ctx})
 	if cause := context.Cause(ctx); errors.Is(cause, rpctypes.ErrGRPCNoLeader) {
 		return cause
 	}
 	return err
 }
 
-// ledStream is a stream whose context ends with its member's leader.
-type ledStream struct {
+// leaderStream is a stream whose context is cancelled when the member has lost its leader.
+type leaderStream struct {
 	grpc.ServerStream
 	ctx context.Context
 }
 
-func (s *ledStream) Context() context.Context { return s.ctx }
+func (s *leaderStream) Context() context.Context { return s.ctx }
 
 // ---- KV ----
 
-// agreed waits until a member can answer what needs the cluster's agreement: it has a leader, and has applied all that was
-// committed when the call came. It returns with c.mu held and nil, or without it.
-func (m *member) agreed(ctx context.Context) error {
+// waitLinearizable waits until the member can answer a linearizable read: it has a leader and has applied all commits up to
+// the arrival of the call. It returns nil with Cluster.mu held, or an error without the lock.
+func (m *member) waitLinearizable(ctx context.Context) error {
 	m.cluster.mu.Lock()
 	rev, id := m.cluster.store.View().Revision, m.cluster.id
 	m.cluster.mu.Unlock()
-	return m.wait(ctx, func() bool { return m.lies || m.led() && (m.view.Revision >= rev || m.cluster.id != id) }, rpctypes.ErrGRPCTimeout)
+	return m.wait(ctx, func() bool { return m.servesStale || m.hasLeader() && (m.view.Revision >= rev || m.cluster.id != id) }, rpctypes.ErrGRPCTimeout)
 }
 
-// leading waits for a leader, for a write. It returns with c.mu held and nil, or without it.
-func (m *member) leading(ctx context.Context) error {
-	if err := m.wait(ctx, m.led, rpctypes.ErrGRPCTimeout); err != nil {
+// waitForLeader waits until the member has a leader, and counts a write. It returns nil with Cluster.mu held, or an error
+// without the lock.
+func (m *member) waitForLeader(ctx context.Context) error {
+	if err := m.wait(ctx, m.hasLeader, rpctypes.ErrGRPCTimeout); err != nil {
 		return err
 	}
 	m.cluster.writes++
@@ -141,7 +144,7 @@
 	c := m.cluster
 	if r.Serializable {
 		c.mu.Lock()
-	} else if err := m.agreed(ctx); err != nil {
+	} else if err := m.waitLinearizable(ctx); err != nil {
 		return nil, err
 	}
 	out, err := c.store.Range(r, m.view)
@@ -161,13 +164,14 @@
 	return out, err
 }
 
-// wrote ends a write: its commit is applied, and its answer says so. c.mu is held.
-func (m *member) wrote() *pb.ResponseHeader {
+// finishWrite applies the commit of a write and returns the header of its response, at the revision of the commit. The caller
+// holds Cluster.mu.
+func (m *member) finishWrite() *pb.ResponseHeader {
 	c := m.cluster
-	c.advance()
+	c.applyCommits()
 	next, ok := c.store.Expire(c.now())
 	if ok {
-		c.expiry.Reset(max(next-c.now(), time.Millisecond))
+		c.expiryTimer.Reset(max(next-c.now(), time.Millisecond))
 	}
 	h := m.header()
 	h.Revision, h.RaftTerm = c.store.View().Revision, c.term
@@ -176,7 +180,7 @@
 
 // Put implements the KV service.
 func (m *member) Put(ctx context.Context, r *pb.PutRequest) (*pb.PutResponse, error) {
-	if err := m.leading(ctx); err != nil {
+	if err := m.waitForLeader(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
@@ -184,13 +188,13 @@
 	if err != nil {
 		return nil, err
 	}
-	out.Header = m.wrote()
+	out.Header = m.finishWrite()
 	return out, nil
 }
 
 // DeleteRange implements the KV service.
 func (m *member) DeleteRange(ctx context.Context, r *pb.DeleteRangeRequest) (*pb.DeleteRangeResponse, error) {
-	if err := m.leading(ctx); err != nil {
+	if err := m.waitForLeader(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
@@ -198,13 +202,13 @@
 	if err != nil {
 		return nil, err
 	}
-	out.Header = m.wrote()
+	out.Header = m.finishWrite()
 	return out, nil
 }
 
 // Txn implements the KV service.
 func (m *member) Txn(ctx context.Context, r *pb.TxnRequest) (*pb.TxnResponse, error) {
-	if err := m.leading(ctx); err != nil {
+	if err := m.waitForLeader(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
@@ -212,27 +216,27 @@
 	if err != nil {
 		return nil, err
 	}
-	out.Header = m.wrote()
+	out.Header = m.finishWrite()
 	return out, nil
 }
 
 // Compact implements the KV service.
 func (m *member) Compact(ctx context.Context, r *pb.CompactionRequest) (*pb.CompactionResponse, error) {
-	if err := m.leading(ctx); err != nil {
+	if err := m.waitForLeader(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
 	if err := m.cluster.store.Compact(r.Revision); err != nil {
 		return nil, err
 	}
-	return &pb.CompactionResponse{Header: m.wrote()}, nil
+	return &pb.CompactionResponse{Header: m.finishWrite()}, nil
 }
 
 // ---- Lease ----
 
 // LeaseGrant implements the Lease service.
 func (m *member) LeaseGrant(ctx context.Context, r *pb.LeaseGrantRequest) (*pb.LeaseGrantResponse, error) {
-	if err := m.leading(ctx); err != nil {
+	if err := m.waitForLeader(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
@@ -241,19 +245,19 @@
 		return nil, err
 	}
 	_, ttl, _ := m.cluster.store.Lease(m.cluster.now(), id)
-	return &pb.LeaseGrantResponse{Header: m.wrote(), ID: id, TTL: ttl}, nil
+	return &pb.LeaseGrantResponse{Header: m.finishWrite(), ID: id, TTL: ttl}, nil
 }
 
 // LeaseRevoke implements the Lease service.
 func (m *member) LeaseRevoke(ctx context.Context, r *pb.LeaseRevokeRequest) (*pb.LeaseRevokeResponse, error) {
-	if err := m.leading(ctx); err != nil {
+	if err := m.waitForLeader(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
 	if err := m.cluster.store.Revoke(r.ID); err != nil {
 		return nil, err
 	}
-	return &pb.LeaseRevokeResponse{Header: m.wrote()}, nil
+	return &pb.LeaseRevokeResponse{Header: m.finishWrite()}, nil
 }
 
 // LeaseKeepAlive implements the Lease service.
@@ -263,7 +267,7 @@
 		if err != nil {
 			return err
 		}
-		if err := m.leading(w.Context()); err != nil {
+		if err := m.waitForLeader(w.Context()); err != nil {
 			return err
 		}
 		out := &pb.LeaseKeepAliveResponse{ID: r.ID, TTL: m.cluster.store.KeepAlive(m.cluster.now(), r.ID), Header: m.header()}
@@ -276,7 +280,7 @@
 
 // LeaseTimeToLive implements the Lease service.
 func (m *member) LeaseTimeToLive(ctx context.Context, r *pb.LeaseTimeToLiveRequest) (*pb.LeaseTimeToLiveResponse, error) {
-	if err := m.agreed(ctx); err != nil {
+	if err := m.waitLinearizable(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
@@ -295,7 +299,7 @@
 
 // LeaseLeases implements the Lease service.
 func (m *member) LeaseLeases(ctx context.Context, _ *pb.LeaseLeasesRequest) (*pb.LeaseLeasesResponse, error) {
-	if err := m.agreed(ctx); err != nil {
+	if err := m.waitLinearizable(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
@@ -306,9 +310,9 @@
 	return out, nil
 }
 
-// ---- Auth, Maintenance, Cluster: what client and tools use of them ----
+// ---- Auth, Maintenance, Cluster: the calls used by the client and tools ----
 
-const tokensMost = 10000
+const maxTokens = 10000 // then Authenticate drops all tokens
 
 // Authenticate implements the Auth service.
 func (m *member) Authenticate(_ context.Context, r *pb.AuthenticateRequest) (*pb.AuthenticateResponse, error) {
@@ -321,7 +325,7 @@
 	if want, ok := c.cfg.Users[r.Name]; !ok || want != r.Password {
 		return nil, rpctypes.ErrGRPCAuthFailed
 	}
-	if len(c.tokens) >= tokensMost {
+	if len(c.tokens) >= maxTokens {
 		clear(c.tokens)
 	}
 	c.lastToken++
@@ -330,7 +334,7 @@
 	return &pb.AuthenticateResponse{Header: m.header(), Token: id}, nil
 }
 
-// Forget ends all tokens.
+// Forget invalidates all tokens.
 func (c *Cluster) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -344,7 +348,7 @@
 	defer c.mu.Unlock()
 	out := &pb.StatusResponse{Header: m.header(), Version: "3.7.0", RaftTerm: m.term, RaftIndex: uint64(c.store.View().Revision),
 		RaftAppliedIndex: uint64(m.view.Revision), StorageVersion: "3.7.0"}
-	if m.led() {
+	if m.hasLeader() {
 		out.Leader = uint64(c.leader) + 1
 	} else {
 		out.Errors = []string{rpctypes.ErrorDesc(rpctypes.ErrGRPCNoLeader)}
@@ -356,7 +360,7 @@
 func (m *member) MemberList(ctx context.Context, r *pb.MemberListRequest) (*pb.MemberListResponse, error) {
 	c := m.cluster
 	if r.Linearizable {
-		if err := m.agreed(ctx); err != nil {
+		if err := m.waitLinearizable(ctx); err != nil {
 			return nil, err
 		}
 	} else {
--- a/internal/testbed/etcdstandin/store/model_test.go
+++ b/internal/testbed/etcdstandin/store/model_test.go
@@ -17,13 +17,13 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-var modelSteps = flag.Int("model-steps", 20000, "random calls of the model test")
+var modelSteps = flag.Int("model-steps", 20000, "number of random calls in the model test")
 
-// naive is the same state in the plainest form: the whole map at every revision.
-type naive struct {
-	past      []map[string]cell // by revision - 1
+// referenceModel is a simple implementation of the store: it keeps a full map of the keys for every revision.
+type referenceModel struct {
+	past      []map[string]cell // indexed by revision - 1
 	compacted int64
-	leases    map[int64]int64 // when each ends, in seconds
+	leases    map[int64]int64 // expiry time in seconds, by lease ID
 }
 
 type cell struct {
@@ -31,11 +31,11 @@
 	create, mod, version, lease int64
 }
 
-func (n *naive) rev() int64             { return int64(len(n.past)) }
-func (n *naive) now() map[string]cell   { return n.past[len(n.past)-1] }
-func (n *naive) push(m map[string]cell) { n.past = append(n.past, m) }
+func (n *referenceModel) rev() int64             { return int64(len(n.past)) }
+func (n *referenceModel) now() map[string]cell   { return n.past[len(n.past)-1] }
+func (n *referenceModel) push(m map[string]cell) { n.past = append(n.past, m) }
 
-func (n *naive) set(m map[string]cell, key, value string, lease int64) {
+func (n *referenceModel) set(m map[string]cell, key, value string, lease int64) {
 	old := m[key]
 	c := cell{value, old.create, n.rev() + 1, old.version + 1, lease}
 	if old.version == 0 {
@@ -44,7 +44,7 @@
 	m[key] = c
 }
 
-func (n *naive) list(m map[string]cell, from, end string) string {
+func (n *referenceModel) list(m map[string]cell, from, end string) string {
 	var out []string
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		in := k >= from && k < end
@@ -61,7 +61,7 @@
 	return fmt.Sprint(out)
 }
 
-func listed(r *pb.RangeResponse) string {
+func rangeText(r *pb.RangeResponse) string {
 	var out []string
 	for _, kv := range r.Kvs {
 		out = append(out, fmt.Sprint(string(kv.Key), cell{string(kv.Value), kv.CreateRevision, kv.ModRevision, kv.Version, kv.Lease}))
@@ -69,8 +69,8 @@
 	return fmt.Sprint(out)
 }
 
-// changed words what makes one revision out of the one before, in the order of keys.
-func changed(before, after map[string]cell) (list []string) {
+// diffText returns the changes between two revisions as text, sorted by key.
+func diffText(before, after map[string]cell) (list []string) {
 	keys := map[string]bool{}
 	for k := range before {
 		keys[k] = true
@@ -91,7 +91,7 @@
 	return list
 }
 
-func told(events []*mvccpb.Event) (list []string) {
+func eventText(events []*mvccpb.Event) (list []string) {
 	for _, e := range events {
 		if e.Type == mvccpb.DELETE {
 			list = append(list, "del "+string(e.Kv.Key)+" "+string(e.PrevKv.Value))
@@ -113,20 +113,20 @@
 	return 0
 }
 
-// Guards the store: random calls give what a naive map of full histories gives, and its file plays back to the same state.
+// Guards the store: random calls return the same results as the reference model, and the logged records replay to the same state.
 func TestModel(t *testing.T) {
 	for seed := range uint64(4) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { model(t, seed, *modelSteps/4) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { compareWithModel(t, seed, *modelSteps/4) })
 	}
 }
 
-func model(t *testing.T, seed uint64, steps int) {
+func compareWithModel(t *testing.T, seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var file []Record
 	s := New(func(r Record) { file = append(file, r) })
-	n := &naive{past: []map[string]cell{{}}, leases: map[int64]int64{}}
+	n := &referenceModel{past: []map[string]cell{{}}, leases: map[int64]int64{}}
 	key := func() string { return string(rune('a'+rng.IntN(5))) + []string{"", "/x", "/y"}[rng.IntN(3)] }
-	ends := func(k string) string { return []string{"", "\x00", k + "0", k + "\xff"}[rng.IntN(4)] }
+	rangeEnd := func(k string) string { return []string{"", "\x00", k + "0", k + "\xff"}[rng.IntN(4)] }
 	now := int64(0)
 	lease := func() int64 {
 		if rng.IntN(3) > 0 || len(n.leases) == 0 {
@@ -160,15 +160,15 @@
 			n.push(m)
 		case "delete":
 			k := key()
-			end := ends(k)
+			end := rangeEnd(k)
 			r, err := s.Delete(&pb.DeleteRangeRequest{Key: []byte(k), RangeEnd: []byte(end)})
-			gone := inside(n.now(), k, end)
-			if err != nil || r.Deleted != int64(len(gone)) {
-				t.Fatalf("step %d: %v, %v, want %v", i, r, err, gone)
+			deleted := inside(n.now(), k, end)
+			if err != nil || r.Deleted != int64(len(deleted)) {
+				t.Fatalf("step %d, delete: got %v, %v, want deletion of %v", i, r, err, deleted)
 			}
-			if len(gone) > 0 {
+			if len(deleted) > 0 {
 				m := maps.Clone(n.now())
-				for _, k := range gone {
+				for _, k := range deleted {
 					delete(m, k)
 				}
 				n.push(m)
@@ -180,14 +180,14 @@
 				Success: []*pb.RequestOp{{Request: &pb.RequestOp_RequestPut{RequestPut: &pb.PutRequest{Key: []byte(b), Value: fmt.Append(nil, "s", i)}}},
 					{Request: &pb.RequestOp_RequestDeleteRange{RequestDeleteRange: &pb.DeleteRangeRequest{Key: []byte(d)}}}},
 				Failure: []*pb.RequestOp{{Request: &pb.RequestOp_RequestPut{RequestPut: &pb.PutRequest{Key: []byte(d), Value: fmt.Append(nil, "f", i)}}}}})
-			if b == d { // refused, whichever branch it would have been
+			if b == d { // rejected, whichever branch the comparison selects
 				if !errors.Is(err, rpctypes.ErrGRPCDuplicateKey) {
-					t.Fatalf("step %d: %v", i, err)
+					t.Fatalf("step %d, txn: got error %v, want %v", i, err, rpctypes.ErrGRPCDuplicateKey)
 				}
 				break
 			}
 			if err != nil || r.Succeeded != (n.now()[a].version > 1) {
-				t.Fatalf("step %d: %v, %v", i, r, err)
+				t.Fatalf("step %d, txn: got %v, %v, want Succeeded %v", i, r, err, n.now()[a].version > 1)
 			}
 			m := maps.Clone(n.now())
 			if r.Succeeded {
@@ -199,7 +199,7 @@
 			n.push(m)
 		case "range", "old":
 			k := key()
-			end, rev := ends(k), int64(0)
+			end, rev := rangeEnd(k), int64(0)
 			if what == "old" {
 				rev = 1 + rng.Int64N(n.rev()+1)
 			}
@@ -207,18 +207,18 @@
 			switch {
 			case rev > n.rev():
 				if !errors.Is(err, rpctypes.ErrGRPCFutureRev) {
-					t.Fatalf("step %d: %v", i, err)
+					t.Fatalf("step %d, range at revision %d: got error %v, want %v", i, rev, err, rpctypes.ErrGRPCFutureRev)
 				}
 			case rev > 0 && rev < n.compacted:
 				if !errors.Is(err, rpctypes.ErrGRPCCompacted) {
-					t.Fatalf("step %d: %v", i, err)
+					t.Fatalf("step %d, range at revision %d: got error %v, want %v", i, rev, err, rpctypes.ErrGRPCCompacted)
 				}
 			default:
 				if rev == 0 {
 					rev = n.rev()
 				}
-				if want := n.list(n.past[rev-1], k, end); err != nil || listed(r) != want {
-					t.Fatalf("step %d, revision %d, %q to %q: %v, %v, want %v", i, rev, k, end, listed(r), err, want)
+				if want := n.list(n.past[rev-1], k, end); err != nil || rangeText(r) != want {
+					t.Fatalf("step %d, range at revision %d, %q to %q: got %v, %v, want %v", i, rev, k, end, rangeText(r), err, want)
 				}
 			}
 		case "compact":
@@ -230,11 +230,11 @@
 			switch {
 			case rev <= n.compacted:
 				if !errors.Is(err, rpctypes.ErrGRPCCompacted) {
-					t.Fatalf("step %d: %v", i, err)
+					t.Fatalf("step %d, compact %d: got error %v, want %v", i, rev, err, rpctypes.ErrGRPCCompacted)
 				}
 			case rev > n.rev():
 				if !errors.Is(err, rpctypes.ErrGRPCFutureRev) {
-					t.Fatalf("step %d: %v", i, err)
+					t.Fatalf("step %d, compact %d: got error %v, want %v", i, rev, err, rpctypes.ErrGRPCFutureRev)
 				}
 			case err != nil:
 				t.Fatal(err)
@@ -248,7 +248,7 @@
 				ttl := 1 + rng.Int64N(300)
 				id, err := s.Grant(at, 0, ttl)
 				if err != nil || n.leases[id] != 0 {
-					t.Fatal(id, err)
+					t.Fatalf("step %d, grant: got ID %d, %v, want an unused ID", i, id, err)
 				}
 				n.leases[id] = now + ttl
 			}
@@ -286,21 +286,21 @@
 			}
 		}
 		if s.View() != (View{n.rev(), n.compacted}) {
-			t.Fatalf("step %d, %s: at %+v, want %d, compacted %d", i, what, s.View(), n.rev(), n.compacted)
+			t.Fatalf("step %d, %s: got view %+v, want revision %d, compacted %d", i, what, s.View(), n.rev(), n.compacted)
 		}
-		if from := max(n.compacted, 2) + rng.Int64N(5); from <= n.rev() { // events are what makes one revision of the one before
-			if got, want := told(s.Events(from, from)), changed(n.past[from-2], n.past[from-1]); !reflect.DeepEqual(got, want) {
-				t.Fatalf("step %d: events of %d are %q, want %q", i, from, got, want)
+		if from := max(n.compacted, 2) + rng.Int64N(5); from <= n.rev() { // the events of a revision equal the difference to the previous revision
+			if got, want := eventText(s.Events(from, from)), diffText(n.past[from-2], n.past[from-1]); !reflect.DeepEqual(got, want) {
+				t.Fatalf("step %d: events of revision %d: got %q, want %q", i, from, got, want)
 			}
 		}
 	}
 	for _, what := range []string{"put", "txn", "old", "compact", "revoke", "time", "trim"} {
 		if seen[what] == 0 {
-			t.Errorf("no %s: the run shows nothing of it", what)
+			t.Errorf("no %q call among the random calls, want at least one", what)
 		}
 	}
-	again := New(nil)
-	for _, r := range file { // as JSON, as in the file
+	replayed := New(nil)
+	for _, r := range file { // encoded as JSON, as in the file
 		text, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
@@ -309,12 +309,12 @@
 		if err := json.Unmarshal(text, &back); err != nil {
 			t.Fatal(err)
 		}
-		again.Replay(0, back)
+		replayed.Replay(0, back)
 	}
 	all := &pb.RangeRequest{Key: []byte{0}, RangeEnd: []byte{0}}
 	a, _ := s.Range(all, s.View())
-	b, _ := again.Range(all, again.View())
-	if listed(a) != listed(b) || again.View() != s.View() || !reflect.DeepEqual(again.Leases(), s.Leases()) {
-		t.Errorf("the file plays back to %+v %v, not to %+v %v", again.View(), listed(b), s.View(), listed(a))
+	b, _ := replayed.Range(all, replayed.View())
+	if rangeText(a) != rangeText(b) || replayed.View() != s.View() || !reflect.DeepEqual(replayed.Leases(), s.Leases()) {
+		t.Errorf("replayed records: got view %+v, keys %v, leases %v, want %+v, %v, %v", replayed.View(), rangeText(b), replayed.Leases(), s.View(), rangeText(a), s.Leases())
 	}
 }
--- a/internal/testbed/etcdstandin/store/store.go
+++ b/internal/testbed/etcdstandin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the state of the project's stand-in for etcd: keys with all their versions, transactions, compaction and
-// leases, as etcd's published API words them. It does no I/O and takes time as a value. Errors are those of the client's
-// rpctypes. A Store is not safe for concurrent use.
+// Package store implements the state of the etcd stand-in: keys with all their versions, transactions, compaction and
+// leases, as etcd's published API defines them. It does no I/O; callers pass the time as a value. Errors are those of etcd's
+// package rpctypes. A Store is not safe for concurrent use.
 package store
 
 import (
@@ -14,30 +14,30 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// Bounds as etcd states them by default.
+// Limits, with the defaults that etcd documents.
 const (
 	MaxTxnOps   = 128
-	MaxRequest  = 3 << 19 // bytes: 1.5 MiB
-	MaxLeaseTTL = 9_000_000_000
+	MaxRequest  = 3 << 19       // bytes (1.5 MiB)
+	MaxLeaseTTL = 9_000_000_000 // seconds
 )
 
-// View is a point in the history from which reads are answered: a member's own.
+// View is the point in the history from which a member answers reads.
 type View struct {
-	Revision  int64 // the last that was applied
-	Compacted int64 // reads below it fail
+	Revision  int64 // last applied revision
+	Compacted int64 // compacted revision; reads below it fail
 }
 
-// Record is one commit as the append-only file keeps it: what was resolved, not what was asked.
+// Record is one commit as the append-only file stores it: the resulting changes, not the request.
 type Record struct {
 	Revision int64   `json:"rev,omitempty"` // of Writes
 	Writes   []Write `json:"writes,omitempty"`
 	Compact  int64   `json:"compact,omitempty"`
-	Grant    int64   `json:"grant,omitempty"` // a lease's id
-	TTL      int64   `json:"ttl,omitempty"`   // seconds
-	Revoke   int64   `json:"revoke,omitempty"`
+	Grant    int64   `json:"grant,omitempty"`  // ID of the granted lease
+	TTL      int64   `json:"ttl,omitempty"`    // seconds
+	Revoke   int64   `json:"revoke,omitempty"` // ID of the revoked lease
 }
 
-// Write is one key's change.
+// Write is a put or deletion of one key.
 type Write struct {
 	Key    []byte `json:"k"`
 	Value  []byte `json:"v,omitempty"`
@@ -45,25 +45,25 @@
 	Delete bool   `json:"d,omitempty"`
 }
 
-// Store is one cluster's state with its history, as far back as Trim has left it.
+// Store is the state of one cluster with its history, back to the last Trim.
 type Store struct {
 	rev, compacted int64
-	keys           []string // of hist, in order
+	keys           []string // keys of hist, sorted
 	hist           map[string][]*mvccpb.KeyValue
-	events         []*mvccpb.Event // in order of revisions; bounded by Trim
+	events         []*mvccpb.Event // ordered by revision; bounded by Trim
 	leases         map[int64]*lease
 	lastLease      int64
 	log            func(Record)
-	record         Record // of the commit under way
+	record         Record // of the commit in progress
 }
 
 type lease struct {
-	ttl  int64 // seconds
-	ends time.Duration
-	keys map[string]bool
+	ttl       int64 // seconds
+	expiresAt time.Duration
+	keys      map[string]bool
 }
 
-// New returns an empty store at revision 1, as etcd begins. Each commit is handed to log, which may be nil.
+// New returns an empty store at revision 1, like a new etcd cluster. It passes each commit to log, which may be nil.
 func New(log func(Record)) *Store {
 	if log == nil {
 		log = func(Record) {}
@@ -71,10 +71,10 @@
 	return &Store{rev: 1, hist: map[string][]*mvccpb.KeyValue{}, leases: map[int64]*lease{}, log: log}
 }
 
-// View is the newest point of the history.
+// View returns the latest point of the history.
 func (s *Store) View() View { return View{s.rev, s.compacted} }
 
-// Reset puts a state in the place of what is there, with no history before its revision.
+// Reset replaces the state by kvs, without history before rev and without leases.
 func (s *Store) Reset(rev int64, kvs []*mvccpb.KeyValue) {
 	s.rev, s.compacted = rev, rev
 	s.keys, s.hist, s.events, s.leases = nil, map[string][]*mvccpb.KeyValue{}, nil, map[int64]*lease{}
@@ -85,11 +85,11 @@
 	sort.Strings(s.keys)
 }
 
-// isTombstone tells a deletion from a value in a key's history.
+// isTombstone reports whether an entry of a key's history is a deletion.
 func isTombstone(kv *mvccpb.KeyValue) bool { return kv.Version == 0 }
 
-// at is a key as it stood at a revision, nil if it was not there.
-func (s *Store) at(key string, rev int64) *mvccpb.KeyValue {
+// keyAt returns a key as of a revision, or nil if it did not exist.
+func (s *Store) keyAt(key string, rev int64) *mvccpb.KeyValue {
 	h := s.hist[key]
 	i := sort.Search(len(h), func(i int) bool { return h[i].ModRevision > rev })
 	if i == 0 || isTombstone(h[i-1]) {
@@ -98,7 +98,7 @@
 	return h[i-1]
 }
 
-// Within tells whether a key lies in [from, end); an empty end means from alone, "\0" all from it on.
+// Within reports whether a key lies in the range [from, end). An empty end selects the key from only, "\0" all keys >= from.
 func Within(key, from, end []byte) bool {
 	switch {
 	case len(end) == 0:
@@ -109,10 +109,10 @@
 	return bytes.Compare(key, from) >= 0 && bytes.Compare(key, end) < 0
 }
 
-// in lists what stood in a range at a revision, by key.
-func (s *Store) in(from, end []byte, rev int64) (list []*mvccpb.KeyValue) {
+// rangeAt returns the keys of a range that existed at a revision, sorted by key.
+func (s *Store) rangeAt(from, end []byte, rev int64) (list []*mvccpb.KeyValue) {
 	for i := sort.SearchStrings(s.keys, string(from)); i < len(s.keys) && Within([]byte(s.keys[i]), from, end); i++ {
-		if kv := s.at(s.keys[i], rev); kv != nil {
+		if kv := s.keyAt(s.keys[i], rev); kv != nil {
 			list = append(list, kv)
 		}
 	}
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func (v View) check(rev int64) error {
+func (v View) checkRevision(rev int64) error {
 	switch {
 	case rev > v.Revision:
 		return rpctypes.ErrGRPCFutureRev
@@ -141,19 +141,19 @@
 	return nil
 }
 
-// Range answers a read from a view. The header is the caller's.
+// Range answers a read from a view. The caller sets the header of the response.
 func (s *Store) Range(r *pb.RangeRequest, v View) (*pb.RangeResponse, error) {
 	if err := checkRange(r); err != nil {
 		return nil, err
 	}
-	if err := v.check(r.Revision); err != nil {
+	if err := v.checkRevision(r.Revision); err != nil {
 		return nil, err
 	}
 	rev := v.Revision
 	if r.Revision > 0 {
 		rev = r.Revision
 	}
-	list := s.in(r.Key, r.RangeEnd, rev)
+	list := s.rangeAt(r.Key, r.RangeEnd, rev)
 	out := &pb.RangeResponse{Count: int64(len(list))}
 	if r.CountOnly {
 		return out, nil
@@ -187,7 +187,7 @@
 	return out, nil
 }
 
-func order(a, b int64) int {
+func compareInts(a, b int64) int {
 	switch {
 	case a < b:
 		return -1
@@ -200,25 +200,25 @@
 func sortBy(t pb.RangeRequest_SortTarget) func(a, b *mvccpb.KeyValue) int {
 	switch t {
 	case pb.RangeRequest_VERSION:
-		return func(a, b *mvccpb.KeyValue) int { return order(a.Version, b.Version) }
+		return func(a, b *mvccpb.KeyValue) int { return compareInts(a.Version, b.Version) }
 	case pb.RangeRequest_CREATE:
-		return func(a, b *mvccpb.KeyValue) int { return order(a.CreateRevision, b.CreateRevision) }
+		return func(a, b *mvccpb.KeyValue) int { return compareInts(a.CreateRevision, b.CreateRevision) }
 	case pb.RangeRequest_MOD:
-		return func(a, b *mvccpb.KeyValue) int { return order(a.ModRevision, b.ModRevision) }
+		return func(a, b *mvccpb.KeyValue) int { return compareInts(a.ModRevision, b.ModRevision) }
 	case pb.RangeRequest_VALUE:
 		return func(a, b *mvccpb.KeyValue) int { return bytes.Compare(a.Value, b.Value) }
 	}
 	return func(a, b *mvccpb.KeyValue) int { return bytes.Compare(a.Key, b.Key) }
 }
 
-// Events are those of revisions from, up to and with, to, in order. They are not to be changed.
+// Events returns the events of all revisions between from and to, both included, in order. Callers must not modify them.
 func (s *Store) Events(from, to int64) []*mvccpb.Event {
 	lo := sort.Search(len(s.events), func(i int) bool { return s.events[i].Kv.ModRevision >= from })
 	hi := sort.Search(len(s.events), func(i int) bool { return s.events[i].Kv.ModRevision > to })
 	return s.events[lo:max(lo, hi)]
 }
 
-// ---- writes: each is checked whole before anything is changed ----
+// ---- writes: each request is validated completely before anything is changed ----
 
 func (s *Store) checkPut(r *pb.PutRequest) error {
 	switch {
@@ -234,9 +234,9 @@
 	return nil
 }
 
-// checkState is what of a put hangs on the state.
-func (s *Store) checkState(r *pb.PutRequest) error {
-	if (r.IgnoreValue || r.IgnoreLease) && s.at(string(r.Key), s.rev) == nil {
+// checkPutState does the checks of a put that depend on the current state.
+func (s *Store) checkPutState(r *pb.PutRequest) error {
+	if (r.IgnoreValue || r.IgnoreLease) && s.keyAt(string(r.Key), s.rev) == nil {
 		return rpctypes.ErrGRPCKeyNotFound
 	}
 	if r.Lease != 0 && s.leases[r.Lease] == nil {
@@ -245,10 +245,10 @@
 	return nil
 }
 
-// write takes one change at the revision under way.
+// write applies one change at the revision in progress.
 func (s *Store) write(w Write) {
 	key, rev := string(w.Key), s.rev+1
-	old := s.at(key, rev)
+	old := s.keyAt(key, rev)
 	kv := &mvccpb.KeyValue{Key: w.Key, ModRevision: rev}
 	e := &mvccpb.Event{Type: mvccpb.DELETE, Kv: kv, PrevKv: old}
 	if !w.Delete {
@@ -273,7 +273,8 @@
 	s.record.Writes = append(s.record.Writes, w)
 }
 
-// commit ends a change: one revision for all that was written, none if nothing was.
+// commit completes a change and logs its record. All writes of the change share one new revision; without writes the revision
+// stays.
 func (s *Store) commit() {
 	if len(s.record.Writes) > 0 {
 		s.rev++
@@ -286,7 +287,7 @@
 }
 
 func (s *Store) put(r *pb.PutRequest) *pb.PutResponse {
-	old := s.at(string(r.Key), s.rev+1)
+	old := s.keyAt(string(r.Key), s.rev+1)
 	w := Write{Key: r.Key, Value: r.Value, Lease: r.Lease}
 	if r.IgnoreValue && old != nil {
 		w.Value = old.Value
@@ -302,9 +303,9 @@
 	return out
 }
 
-func (s *Store) remove(r *pb.DeleteRangeRequest) *pb.DeleteRangeResponse {
+func (s *Store) deleteRange(r *pb.DeleteRangeRequest) *pb.DeleteRangeResponse {
 	out := &pb.DeleteRangeResponse{}
-	for _, kv := range s.in(r.Key, r.RangeEnd, s.rev+1) {
+	for _, kv := range s.rangeAt(r.Key, r.RangeEnd, s.rev+1) {
 		s.write(Write{Key: kv.Key, Delete: true})
 		out.Deleted++
 		if r.PrevKv {
@@ -314,40 +315,40 @@
 	return out
 }
 
-// Put sets a key.
+// Put writes a key.
 func (s *Store) Put(r *pb.PutRequest) (*pb.PutResponse, error) {
 	if err := s.checkPut(r); err != nil {
 		return nil, err
 	}
-	if err := s.checkState(r); err != nil {
+	if err := s.checkPutState(r); err != nil {
 		return nil, err
 	}
 	defer s.commit()
 	return s.put(r), nil
 }
 
-// Delete removes a range.
+// Delete removes a key or range.
 func (s *Store) Delete(r *pb.DeleteRangeRequest) (*pb.DeleteRangeResponse, error) {
 	if len(r.Key) == 0 {
 		return nil, rpctypes.ErrGRPCEmptyKey
 	}
 	defer s.commit()
-	return s.remove(r), nil
+	return s.deleteRange(r), nil
 }
 
-// Txn does one of two lists of operations, as one revision.
+// Txn evaluates the comparisons and applies one of the two lists of operations as one revision.
 func (s *Store) Txn(r *pb.TxnRequest) (*pb.TxnResponse, error) {
 	if err := s.checkTxn(r); err != nil {
 		return nil, err
 	}
-	if _, _, err := intervals(r.Success); err != nil {
+	if _, _, err := checkDuplicateKeys(r.Success); err != nil {
 		return nil, err
 	}
-	if _, _, err := intervals(r.Failure); err != nil {
+	if _, _, err := checkDuplicateKeys(r.Failure); err != nil {
 		return nil, err
 	}
-	// What hangs on the state is checked for the branches that will be taken, before anything is written.
-	paths := s.paths(r)
+	// Checks that depend on the state are done for the chosen branches only, before anything is written.
+	paths := s.evalBranches(r)
 	if err := s.checkOps(r, paths); err != nil {
 		return nil, err
 	}
@@ -387,11 +388,11 @@
 	return nil
 }
 
-// intervals refuses a list of operations that writes a key twice: a put with a put or with a deletion. Puts in the two
-// branches of one inner transaction may meet, as only one of them is done.
-func intervals(ops []*pb.RequestOp) (puts map[string]bool, dels []*pb.DeleteRangeRequest, err error) {
+// checkDuplicateKeys returns an error if a list of operations puts a key twice, or puts and deletes it. Both branches of an
+// inner transaction may put the same key, as only one of them is applied.
+func checkDuplicateKeys(ops []*pb.RequestOp) (puts map[string]bool, dels []*pb.DeleteRangeRequest, err error) {
 	puts = map[string]bool{}
-	hit := func(key string) bool {
+	deleted := func(key string) bool {
 		return slices.ContainsFunc(dels, func(d *pb.DeleteRangeRequest) bool { return Within([]byte(key), d.Key, d.RangeEnd) })
 	}
 	for _, op := range ops {
@@ -404,21 +405,21 @@
 		if t == nil {
 			continue
 		}
-		then, delsThen, err := intervals(t.Success)
+		then, delsThen, err := checkDuplicateKeys(t.Success)
 		if err != nil {
 			return nil, nil, err
 		}
-		other, delsElse, err := intervals(t.Failure)
+		other, delsElse, err := checkDuplicateKeys(t.Failure)
 		if err != nil {
 			return nil, nil, err
 		}
 		for key := range then {
-			if puts[key] || hit(key) {
+			if puts[key] || deleted(key) {
 				return nil, nil, rpctypes.ErrGRPCDuplicateKey
 			}
 		}
 		for key := range other {
-			if puts[key] || hit(key) {
+			if puts[key] || deleted(key) {
 				return nil, nil, rpctypes.ErrGRPCDuplicateKey
 			}
 		}
@@ -432,7 +433,7 @@
 	}
 	for _, op := range ops {
 		if p := op.GetRequestPut(); p != nil {
-			if puts[string(p.Key)] || hit(string(p.Key)) {
+			if puts[string(p.Key)] || deleted(string(p.Key)) {
 				return nil, nil, rpctypes.ErrGRPCDuplicateKey
 			}
 			puts[string(p.Key)] = true
@@ -441,22 +442,23 @@
 	return puts, dels, nil
 }
 
-// paths says for a transaction and those in it, in order, which branch is taken: all compare with the state before.
-func (s *Store) paths(r *pb.TxnRequest) (list []bool) {
+// evalBranches returns whether the comparisons hold, for a transaction and the inner transactions in its chosen branches, in
+// order. All comparisons see the state before the transaction.
+func (s *Store) evalBranches(r *pb.TxnRequest) (list []bool) {
 	ok := true
 	for _, c := range r.Compare {
 		ok = ok && s.compareHolds(c)
 	}
 	list = append(list, ok)
-	for _, op := range branch(r, ok) {
+	for _, op := range chosenOps(r, ok) {
 		if t := op.GetRequestTxn(); t != nil {
-			list = append(list, s.paths(t)...)
+			list = append(list, s.evalBranches(t)...)
 		}
 	}
 	return list
 }
 
-func branch(r *pb.TxnRequest, ok bool) []*pb.RequestOp {
+func chosenOps(r *pb.TxnRequest, ok bool) []*pb.RequestOp {
 	if ok {
 		return r.Success
 	}
@@ -468,13 +470,13 @@
 	walk = func(r *pb.TxnRequest) error {
 		ok := paths[0]
 		paths = paths[1:]
-		for _, op := range branch(r, ok) {
+		for _, op := range chosenOps(r, ok) {
 			var err error
 			switch {
 			case op.GetRequestRange() != nil:
-				err = s.View().check(op.GetRequestRange().Revision)
+				err = s.View().checkRevision(op.GetRequestRange().Revision)
 			case op.GetRequestPut() != nil:
-				err = s.checkState(op.GetRequestPut())
+				err = s.checkPutState(op.GetRequestPut())
 			case op.GetRequestTxn() != nil:
 				err = walk(op.GetRequestTxn())
 			}
@@ -492,7 +494,7 @@
 	walk = func(r *pb.TxnRequest) *pb.TxnResponse {
 		out := &pb.TxnResponse{Succeeded: paths[0]}
 		paths = paths[1:]
-		for _, op := range branch(r, out.Succeeded) {
+		for _, op := range chosenOps(r, out.Succeeded) {
 			res := &pb.ResponseOp{}
 			switch {
 			case op.GetRequestRange() != nil:
@@ -508,7 +510,7 @@
 				got.Header = &pb.ResponseHeader{Revision: s.rev + 1}
 				res.Response = &pb.ResponseOp_ResponsePut{ResponsePut: got}
 			case op.GetRequestDeleteRange() != nil:
-				got := s.remove(op.GetRequestDeleteRange())
+				got := s.deleteRange(op.GetRequestDeleteRange())
 				got.Header = &pb.ResponseHeader{Revision: s.rev + 1}
 				res.Response = &pb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: got}
 			case op.GetRequestTxn() != nil:
@@ -521,12 +523,13 @@
 	return walk(r)
 }
 
-// compareHolds tells whether a comparison holds for each key of its range. A key that is not there compares as 0, and has no value.
+// compareHolds reports whether a comparison holds for each key of its range. A missing key compares as 0; a comparison with its
+// value never holds.
 func (s *Store) compareHolds(c *pb.Compare) bool {
-	list := s.in(c.Key, c.RangeEnd, s.rev)
+	list := s.rangeAt(c.Key, c.RangeEnd, s.rev)
 	if len(list) == 0 {
 		if len(c.RangeEnd) > 0 {
-			return true // no key of the range contradicts
+			return true // an empty range has no key that fails the comparison
 		}
 		if c.Target == pb.Compare_VALUE {
 			return false
@@ -537,31 +540,31 @@
 }
 
 func compare(c *pb.Compare, kv *mvccpb.KeyValue) bool {
-	by := 0
+	order := 0
 	switch c.Target {
 	case pb.Compare_CREATE:
-		by = order(kv.CreateRevision, c.GetCreateRevision())
+		order = compareInts(kv.CreateRevision, c.GetCreateRevision())
 	case pb.Compare_MOD:
-		by = order(kv.ModRevision, c.GetModRevision())
+		order = compareInts(kv.ModRevision, c.GetModRevision())
 	case pb.Compare_VERSION:
-		by = order(kv.Version, c.GetVersion())
+		order = compareInts(kv.Version, c.GetVersion())
 	case pb.Compare_LEASE:
-		by = order(kv.Lease, c.GetLease())
+		order = compareInts(kv.Lease, c.GetLease())
 	case pb.Compare_VALUE:
-		by = bytes.Compare(kv.Value, c.GetValue())
+		order = bytes.Compare(kv.Value, c.GetValue())
 	}
 	switch c.Result {
 	case pb.Compare_EQUAL:
-		return by == 0
+		return order == 0
 	case pb.Compare_NOT_EQUAL:
-		return by != 0
+		return order != 0
 	case pb.Compare_LESS:
-		return by < 0
+		return order < 0
 	}
-	return by > 0
+	return order > 0
 }
 
-// Compact forgets for readers what was before a revision. What lies below Trim's is dropped for good.
+// Compact makes reads below rev fail. Trim later deletes the history.
 func (s *Store) Compact(rev int64) error {
 	switch {
 	case rev <= s.compacted:
@@ -575,8 +578,8 @@
 	return nil
 }
 
-// Trim drops history that nobody can ask for: versions that were replaced before a revision, events before it. It is
-// never more than what was compacted away.
+// Trim deletes history that no member serves any more: versions that were replaced by revision rev, and events before rev. It
+// never deletes history that is not compacted.
 func (s *Store) Trim(rev int64) {
 	rev = min(rev, s.compacted)
 	lo := sort.Search(len(s.events), func(i int) bool { return s.events[i].Kv.ModRevision >= rev })
@@ -586,7 +589,7 @@
 	s.events = append([]*mvccpb.Event(nil), s.events[lo:]...)
 	s.keys = slices.DeleteFunc(s.keys, func(key string) bool {
 		h := s.hist[key]
-		i := sort.Search(len(h), func(i int) bool { return h[i].ModRevision > rev }) - 1 // the last at rev
+		i := sort.Search(len(h), func(i int) bool { return h[i].ModRevision > rev }) - 1 // the last version at rev
 		if i > 0 {
 			h = append([]*mvccpb.KeyValue(nil), h[i:]...)
 			s.hist[key] = h
@@ -601,7 +604,7 @@
 
 // ---- leases ----
 
-// Grant makes a lease of ttl seconds at a time, with an id of its own if id is 0.
+// Grant creates a lease that expires ttl seconds after now (at least 1) and returns its ID. With id 0 it assigns a free ID.
 func (s *Store) Grant(now time.Duration, id, ttl int64) (int64, error) {
 	switch {
 	case ttl > MaxLeaseTTL:
@@ -615,13 +618,13 @@
 		}
 	}
 	ttl = max(ttl, 1)
-	s.leases[id] = &lease{ttl: ttl, ends: now + time.Duration(ttl)*time.Second, keys: map[string]bool{}}
+	s.leases[id] = &lease{ttl: ttl, expiresAt: now + time.Duration(ttl)*time.Second, keys: map[string]bool{}}
 	s.record.Grant, s.record.TTL = id, ttl
 	s.commit()
 	return id, nil
 }
 
-// Revoke ends a lease; its keys go as one revision.
+// Revoke ends a lease and deletes its keys in one revision.
 func (s *Store) Revoke(id int64) error {
 	l := s.leases[id]
 	if l == nil {
@@ -641,17 +644,17 @@
 	return nil
 }
 
-// KeepAlive gives a lease its whole time again and returns it in seconds, 0 if there is no such lease.
+// KeepAlive renews a lease for its full TTL. It returns the TTL in seconds, 0 if the lease does not exist.
 func (s *Store) KeepAlive(now time.Duration, id int64) int64 {
 	l := s.leases[id]
 	if l == nil {
 		return 0
 	}
-	l.ends = now + time.Duration(l.ttl)*time.Second
+	l.expiresAt = now + time.Duration(l.ttl)*time.Second
 	return l.ttl
 }
 
-// Lease tells what is left of a lease, what it was granted, and its keys; granted is 0 if there is none.
+// Lease returns the remaining time of a lease, its granted TTL in seconds and its keys. granted is 0 if the lease does not exist.
 func (s *Store) Lease(now time.Duration, id int64) (left time.Duration, granted int64, keys []string) {
 	l := s.leases[id]
 	if l == nil {
@@ -661,10 +664,10 @@
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
-	return l.ends - now, l.ttl, keys
+	return l.expiresAt - now, l.ttl, keys
 }
 
-// Leases lists all leases, in order.
+// Leases returns the IDs of all leases, sorted.
 func (s *Store) Leases() (ids []int64) {
 	for id := range s.leases {
 		ids = append(ids, id)
@@ -673,20 +676,20 @@
 	return ids
 }
 
-// Extend gives all leases their whole time, as a new leader does.
+// Extend renews all leases for their full TTL, as a new leader does.
 func (s *Store) Extend(now time.Duration) {
 	for id := range s.leases {
 		s.KeepAlive(now, id)
 	}
 }
 
-// Expire ends the leases whose time is over, and returns when the next one's is; ok is false if there is none.
+// Expire revokes the expired leases, and returns when the next lease expires. ok is false if there is no lease left.
 func (s *Store) Expire(now time.Duration) (next time.Duration, ok bool) {
 	for _, id := range s.Leases() {
-		if l := s.leases[id]; l.ends <= now {
+		if l := s.leases[id]; l.expiresAt <= now {
 			_ = s.Revoke(id)
-		} else if !ok || l.ends < next {
-			next, ok = l.ends, true
+		} else if !ok || l.expiresAt < next {
+			next, ok = l.expiresAt, true
 		}
 	}
 	return next, ok
@@ -694,7 +697,7 @@
 
 // ---- the file ----
 
-// Replay takes a kept commit in. Leases get their whole time anew.
+// Replay applies a commit from the file. A lease starts with its full TTL at now.
 func (s *Store) Replay(now time.Duration, r Record) {
 	log := s.log
 	s.log = func(Record) {}
--- a/internal/testbed/etcdstandin/watch.go
+++ b/internal/testbed/etcdstandin/watch.go
@@ -16,18 +16,18 @@
 type watch struct {
 	id      int64
 	request *pb.WatchCreateRequest
-	next    int64 // the first revision that it has not been told
+	next    int64 // the first revision whose events have not been queued
 }
 
-// stream is one connection's watches. All that it is told goes out in one order by one goroutine, so that progress, which
-// says that all up to a revision has been told, says so behind it.
+// stream holds the watches of one gRPC stream. One goroutine (sendLoop) sends all responses in order, so that a progress
+// notification, which states that all events up to its revision were sent, follows these events.
 type stream struct {
 	member            *member
 	raw               pb.Watch_WatchServer
-	open              []*watch            // with Cluster.mu held
-	pending           []*pb.WatchResponse // answers to requests, with Cluster.mu held; bounded by what the client asks before it reads
-	progressRequested bool                // progress is asked for, with Cluster.mu held
-	wakeup            chan struct{}       // of one place
+	open              []*watch            // guarded by Cluster.mu
+	pending           []*pb.WatchResponse // responses, guarded by Cluster.mu; bounded by the client's requests before it reads
+	progressRequested bool                // the client requested a progress notification; guarded by Cluster.mu
+	wakeup            chan struct{}       // of capacity 1
 }
 
 func (w *stream) wake() {
@@ -42,7 +42,7 @@
 	c := m.cluster
 	w := &stream{member: m, raw: raw, wakeup: make(chan struct{}, 1)}
 	sent := make(chan error, 1)
-	go func() { sent <- w.follow() }()
+	go func() { sent <- w.sendLoop() }()
 	type got struct {
 		r   *pb.WatchRequest
 		err error
@@ -96,14 +96,14 @@
 	}
 }
 
-// create opens a watch, or says why not.
+// create opens a watch, or queues a response that refuses it. last is the next watch ID to assign.
 func (w *stream) create(r *pb.WatchCreateRequest, last *int64) {
 	m, c := w.member, w.member.cluster
-	denied := c.allowed(w.raw.Context())
+	denied := c.checkToken(w.raw.Context())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	refuse := func(id int64, why string) {
-		w.pending = append(w.pending, &pb.WatchResponse{Header: m.header(), WatchId: id, Created: true, Canceled: true, CancelReason: why})
+	refuse := func(id int64, reason string) {
+		w.pending = append(w.pending, &pb.WatchResponse{Header: m.header(), WatchId: id, Created: true, Canceled: true, CancelReason: reason})
 	}
 	if denied != nil {
 		refuse(r.WatchId, rpctypes.ErrorDesc(denied))
@@ -119,7 +119,7 @@
 		refuse(-1, "mvcc: duplicate watch ID provided on the WatchStream")
 		return
 	}
-	if len(r.Key) == 0 { // as the client words "all keys"
+	if len(r.Key) == 0 { // the client sends an empty key for "all keys"
 		r.Key = []byte{0}
 	}
 	c.watches++
@@ -127,7 +127,7 @@
 		k.next = m.view.Revision + 1
 	}
 	created := &pb.WatchResponse{Header: m.header(), WatchId: k.id, Created: true}
-	if script := c.script.OnWatch; script != nil { // the sender has nothing to send for it yet
+	if script := c.script.OnWatch; script != nil { // sendLoop sends nothing for this watch yet, as it is not in w.open
 		c.mu.Unlock()
 		_ = w.raw.Send(created)
 		script(w.raw, k.next)
@@ -138,8 +138,8 @@
 	w.open = append(w.open, k)
 }
 
-// follow tells a stream's watches of what happens, until one can't be told.
-func (w *stream) follow() error {
+// sendLoop sends responses, events and progress notifications to the client, until a send fails or the stream ends.
+func (w *stream) sendLoop() error {
 	m, c := w.member, w.member.cluster
 	tick := time.NewTicker(c.cfg.Progress)
 	defer tick.Stop()
@@ -149,8 +149,8 @@
 		due := w.pending
 		w.pending = nil
 		for _, k := range slices.Clone(w.open) {
-			list, gone := w.nextEvents(k)
-			if gone {
+			list, ended := w.nextEvents(k)
+			if ended {
 				w.open = slices.DeleteFunc(w.open, func(o *watch) bool { return o == k })
 			}
 			if notify && len(list) == 0 && k.request.ProgressNotify && !c.script.Silent {
@@ -186,14 +186,15 @@
 	}
 }
 
-// nextEvents is what a watch has not been told yet, up to its member's own point; gone tells that it ends. c.mu is held.
-func (w *stream) nextEvents(k *watch) (due []*pb.WatchResponse, gone bool) {
+// nextEvents returns the messages with the events that are new to the watch, up to the member's own view. ended is true if the
+// watch is cancelled because its next revision is compacted. The caller holds Cluster.mu.
+func (w *stream) nextEvents(k *watch) (due []*pb.WatchResponse, ended bool) {
 	m := w.member
 	if k.next < m.view.Compacted {
 		return []*pb.WatchResponse{{Header: m.header(), WatchId: k.id, Canceled: true, CompactRevision: m.view.Compacted,
 			CancelReason: rpctypes.ErrorDesc(rpctypes.ErrGRPCCompacted)}}, true
 	}
-	var now *pb.WatchResponse
+	var current *pb.WatchResponse
 	at, revs := int64(0), 0
 	for _, e := range m.cluster.store.Events(k.next, m.view.Revision) {
 		if !store.Within(e.Kv.Key, k.request.Key, k.request.RangeEnd) || slices.Contains(k.request.Filters, filterOf(e)) {
@@ -201,16 +202,16 @@
 		}
 		if e.Kv.ModRevision != at {
 			at = e.Kv.ModRevision
-			if revs++; now == nil || revs > m.cluster.cfg.BatchRevs {
-				now, revs = &pb.WatchResponse{Header: m.header(), WatchId: k.id}, 1
-				due = append(due, now)
+			if revs++; current == nil || revs > m.cluster.cfg.BatchRevs {
+				current, revs = &pb.WatchResponse{Header: m.header(), WatchId: k.id}, 1
+				due = append(due, current)
 			}
 		}
-		told := &mvccpb.Event{Type: e.Type, Kv: e.Kv}
+		event := &mvccpb.Event{Type: e.Type, Kv: e.Kv}
 		if k.request.PrevKv {
-			told.PrevKv = e.PrevKv
+			event.PrevKv = e.PrevKv
 		}
-		now.Events = append(now.Events, told)
+		current.Events = append(current.Events, event)
 	}
 	k.next = max(k.next, m.view.Revision+1)
 	if k.request.Fragment {
@@ -230,20 +231,20 @@
 	return pb.WatchCreateRequest_NOPUT
 }
 
-// fragments splits a message that is too large; all parts but the last say that more follow.
-func fragments(r *pb.WatchResponse, most int) (parts []*pb.WatchResponse) {
+// fragments splits a message whose events exceed maxBytes; all parts but the last have Fragment set.
+func fragments(r *pb.WatchResponse, maxBytes int) (parts []*pb.WatchResponse) {
 	size := 0
-	var now *pb.WatchResponse
+	var current *pb.WatchResponse
 	for _, e := range r.Events {
 		n := proto.Size(e)
-		if now == nil || size+n > most {
-			if now != nil {
-				now.Fragment = true
+		if current == nil || size+n > maxBytes {
+			if current != nil {
+				current.Fragment = true
 			}
-			now, size = &pb.WatchResponse{Header: r.Header, WatchId: r.WatchId}, 0
-			parts = append(parts, now)
+			current, size = &pb.WatchResponse{Header: r.Header, WatchId: r.WatchId}, 0
+			parts = append(parts, current)
 		}
-		now.Events = append(now.Events, e)
+		current.Events = append(current.Events, e)
 		size += n
 	}
 	if parts == nil {
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden holds encodings to bytes that were stored once: a rename that changes what goes on the wire or on disk fails a test. It is
-// imported by tests only.
+// Package golden compares encodings with stored files, so that a rename that changes the encoding on the wire or on disk fails a
+// test. Only tests import it.
 package golden
 
 import (
@@ -23,10 +23,10 @@
 
 var update = flag.Bool("update", false, "rewrite the files under testdata/golden")
 
-// Path is where the stored form of a name is, beside the test that runs.
+// Path returns the path of a stored encoding, relative to the directory of the running test.
 func Path(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Load reads stored bytes; those of a name that ends with .gz are compressed on disk.
+// Load reads a stored encoding. It decompresses files whose name ends with .gz.
 func Load(t testing.TB, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(Path(name))
@@ -58,7 +58,7 @@
 	}
 }
 
-// Check compares got with the stored bytes, which it returns.
+// Check compares got with the stored encoding, which it returns. With -update it stores got first.
 func Check(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	if *update {
@@ -66,20 +66,20 @@
 	}
 	want := Load(t, name)
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: the encoding has changed\n got %.2000q\nwant %.2000q", name, got, want)
+		t.Errorf("%s: encoding differs from the stored file\n got %.2000q\nwant %.2000q", name, got, want)
 	}
 	return want
 }
 
-// Same compares what was read with what was stored.
+// Same fails the test if a decoded value differs from the expected one.
 func Same(t testing.TB, what string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: read as\n%+v\nwant\n%+v", what, got, want)
+		t.Errorf("%s: decoded as\n%+v\nwant\n%+v", what, got, want)
 	}
 }
 
-// JSON holds the JSON form of v, a pointer to a value that is filled, in both directions.
+// JSON fills the value that v points to, and checks that its JSON encoding equals the stored one and decodes to the same value.
 func JSON(t testing.TB, name string, v any) {
 	t.Helper()
 	Fill(v)
@@ -94,10 +94,11 @@
 	Same(t, name, back, v)
 }
 
-// key is a key or a table's name in what the TOML encoder writes.
-var key = regexp.MustCompile(`(?m)^\s*(\[+[\w.]+\]+|\w+ =)`)
+// tomlKey matches a key or a table header in the output of the TOML encoder.
+var tomlKey = regexp.MustCompile(`(?m)^\s*(\[+[\w.]+\]+|\w+ =)`)
 
-// TOML holds the keys of an operator's file that is read into v, a pointer to a value that is filled. Such files are only read.
+// TOML fills the value that v points to, and checks that the stored operator's file decodes to the same value. It checks no
+// encoding, as the programs only read such files.
 func TOML(t testing.TB, name string, v any) {
 	t.Helper()
 	Fill(v)
@@ -106,7 +107,7 @@
 		if err := toml.NewEncoder(&b).Encode(v); err != nil {
 			t.Fatal(err)
 		}
-		Check(t, name, key.ReplaceAllFunc(b.Bytes(), bytes.ToLower))
+		Check(t, name, tomlKey.ReplaceAllFunc(b.Bytes(), bytes.ToLower))
 	}
 	back := reflect.New(reflect.TypeOf(v).Elem()).Interface()
 	if err := operatorconfig.Decode(Path(name), back); err != nil {
@@ -115,7 +116,8 @@
 	Same(t, name, back, v)
 }
 
-// Fill sets all that an encoder sees behind the pointer v to values that are not zero; numbers and texts differ from each other.
+// Fill sets all fields that an encoder sees in the value that v points to. No value is zero; numbers and strings differ from
+// each other.
 func Fill(v any) {
 	n := 0
 	fill(reflect.ValueOf(v).Elem(), &n)
@@ -162,6 +164,6 @@
 	case reflect.Float32, reflect.Float64:
 		v.SetFloat(float64(*n) + 0.25)
 	default:
-		panic("golden: can't fill " + v.Type().String())
+		panic("golden: cannot fill a value of type " + v.Type().String())
 	}
 }
--- a/internal/testbed/loadplot/loadplot.go
+++ b/internal/testbed/loadplot/loadplot.go
@@ -1,4 +1,4 @@
-// Package loadplot draws the figures of a run under overload.
+// Package loadplot plots the load of a test run under overload.
 package loadplot
 
 import (
@@ -17,14 +17,14 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Size of the picture.
+// Size of the plot.
 const (
 	width  = 28 * vg.Centimeter
 	height = 14 * vg.Centimeter
 )
 
-// Draw draws a run under overload as SVG: above the value that was requested, sent to backends and served in time, by
-// second of the request; below the load-shedding level of each gateway, or cell.
+// Draw writes an SVG file with two plots of a run. The upper plot shows the value that was requested, sent to backends and served
+// in time, by second of the request; the lower plot shows the load-shedding level of each gateway or cell.
 func Draw(load *oracle.Load, title, path string) error {
 	values, err := valuePlot(load, title)
 	if err != nil {
@@ -42,14 +42,14 @@
 
 func valuePlot(load *oracle.Load, title string) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text, p.Legend.Top = title, "worth a second", true
-	var lines []any // name and points by turns, as plotutil.AddLines takes them
+	p.Title.Text, p.Y.Label.Text, p.Legend.Top = title, "value per second", true
+	var lines []any // alternating names and points, as plotutil.AddLines expects
 	for _, series := range []struct {
 		name  string
 		value func(oracle.LoadSecond) float64
 	}{
-		{"asked for", func(s oracle.LoadSecond) float64 { return s.Demand }},
-		{"sent to nodes", func(s oracle.LoadSecond) float64 { return s.Admitted }},
+		{"requested", func(s oracle.LoadSecond) float64 { return s.Demand }},
+		{"sent to backends", func(s oracle.LoadSecond) float64 { return s.Admitted }},
 		{"served in time", func(s oracle.LoadSecond) float64 { return s.Served }},
 	} {
 		points := make(plotter.XYs, len(load.Seconds))
@@ -63,7 +63,7 @@
 
 func levelPlot(load *oracle.Load) (*plot.Plot, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "level of overload", 0, 1
+	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "seconds", "load-shedding level", 0, 1
 	p.X.Max = float64(len(load.Seconds))
 	gateways := 0
 	for _, l := range load.LoadLevels {
@@ -86,7 +86,7 @@
 	return p, nil
 }
 
-// saveStacked writes plots as one SVG, one below the other.
+// saveStacked writes the plots into one SVG file, one below the other.
 func saveStacked(path string, list ...*plot.Plot) error {
 	rows := make([][]*plot.Plot, len(list))
 	for i, p := range list {
--- a/internal/testbed/loadplot/loadplot_test.go
+++ b/internal/testbed/loadplot/loadplot_test.go
@@ -17,6 +17,6 @@
 		t.Fatal(err)
 	}
 	if st, err := os.Stat(path); err != nil || st.Size() == 0 {
-		t.Errorf("no drawing: %v", err)
+		t.Errorf("no SVG file or an empty one: %v", err)
 	}
 }
--- a/internal/testbed/node/model.go
+++ b/internal/testbed/node/model.go
@@ -1,6 +1,6 @@
-// Package node is the laboratory's one model of a zone node: what becomes of each attempt that comes to it, and when. It
-// does no I/O and takes time as a value, so that the nodes on sockets and those of fleets in virtual time are the same. It
-// alone knows whether an attempt ran, whatever it answers.
+// Package node is the testbed's model of a zone node (backend): it decides the outcome and the time of each attempt that the
+// node receives. It does no I/O and takes time as a value, so that nodes on sockets and nodes in virtual time behave the same.
+// Only the model knows whether an attempt ran; the answer does not tell.
 package node
 
 import (
@@ -8,65 +8,65 @@
 	"math/rand/v2"
 )
 
-// Config is what a node can do. Times are in seconds.
+// Config sets a node's capacity and behavior. Times are in seconds.
 type Config struct {
-	Zone                 string  // whose nodes share a memory of keys
-	Cores                int     // attempts in work at once
-	Queue                int     // attempts that may wait; further ones are turned away
-	Speed                float64 // factor on the work
-	KeyedS               float64 // for which the repeat of a key is dropped
-	SlowStartS           float64 // until it is warm after its start, 0: at once
-	SlowStartMinFraction float64 // of its capacity that it starts with
-	// Sent more than FallMultiple x what it can do at that moment within FallS, a cold node falls over and stays down.
-	// FallMultiple 0: it does not.
+	Zone                 string  // its nodes share the memory of idempotency keys
+	Cores                int     // attempts executed concurrently
+	Queue                int     // attempts that may wait; further ones are rejected
+	Speed                float64 // speed of a core; at 1 an attempt takes its nominal work
+	KeyedS               float64 // time after an attempt's start in which a repeat of its key has no effect
+	SlowStartS           float64 // warm-up time after the node's start, 0: none
+	SlowStartMinFraction float64 // fraction of its capacity at its start
+	// During warm-up a node crashes for good if the work sent to it within FallS exceeds FallMultiple times the work that it
+	// can do in FallS at that moment, see Budget. FallMultiple 0: it never crashes.
 	FallMultiple, FallS float64
-	Work                map[string]float64 // mean by class, on one core at speed 1
-	WorksOn             bool               // work of an attempt that was given up goes on
-	Conns               int                // connections at most, 0: no bound
-	ReportS             float64            // reports of load are made anew so often; 0: for each answer
-	IdleS               float64            // a connection that has idled for so long is closed, 0: never
+	Work                map[string]float64 // mean work by class, seconds of one core at speed 1
+	WorksOn             bool               // an attempt that the client abandoned runs to its end
+	Conns               int                // maximum number of connections, 0: no limit
+	ReportS             float64            // interval at which the reported load is sampled, 0: for each answer
+	IdleS               float64            // idle timeout of connections, 0: none
 }
 
-// Fate is what becomes of an attempt.
+// Fate is the outcome of an attempt.
 type Fate int
 
-// The fates of an attempt that comes whole. Those from ErrorRan on run, and those from Copy on are served.
+// The fates of attempts. Attempts from ErrorRan to AbsurdLoad run, as those with Served do; Copy and AbsurdLoad are served too.
 const (
 	Served      Fate = iota
-	Error            // answered with an error without having run
-	Full             // turned away
-	ResetUnrun       // the connection breaks, nothing has run
-	SilentUnrun      // no answer, nothing has run
+	Error            // error answer, the attempt did not run
+	Full             // rejected as busy
+	ResetUnrun       // connection reset, the attempt did not run
+	SilentUnrun      // no answer, the attempt did not run
 	ErrorRan
-	ResetRan   // the connection breaks before the answer
-	ResetMid   // and in the middle of it
+	ResetRan   // connection reset before the answer
+	ResetMid   // connection reset in the middle of the answer
 	SilentRan  // no answer
-	Late       // the answer comes after seconds
-	Garbage    // bytes that are no answer
-	Lying      // a value whose length lies
+	Late       // the answer is delayed by 0.5 to 4.5 s
+	Garbage    // bytes that are not a valid answer
+	Lying      // a value whose stated length is wrong
 	Endless    // a value that never ends
 	Valueless  // an answer without a value
-	Copy       // a second copy right behind the answer
-	AbsurdLoad // served, with a load report beyond belief
-	Broken     // the connection breaks before the command is whole: no attempt at all
-	fates
+	Copy       // the answer is sent twice
+	AbsurdLoad // served, with an implausible load report
+	Broken     // connection reset before the command is complete: the node receives no attempt
+	fateCount
 )
 
-var fateNames = [fates]string{"served", "error", "full", "reset unrun", "silent unrun", "error", "reset", "reset in the answer", "silent",
+var fateNames = [fateCount]string{"served", "error", "full", "reset unrun", "silent unrun", "error", "reset", "reset in the answer", "silent",
 	"late", "noise", "lying length", "endless value", "no value", "copy", "absurd load", "broken in the command"}
 
 func (f Fate) String() string { return fateNames[f] }
 
-// MayHaveRun tells what whoever sent the attempt must take for possible.
+// MayHaveRun reports whether the sender of the attempt must assume that it may have run.
 func (f Fate) MayHaveRun() bool { return f != Full && f != Broken }
 
-// Conditions is how often which fate comes, as shares of the attempts, and how slow the node is.
+// Conditions are the fraction of attempts with each fate, and the slowdown of the node.
 type Conditions struct {
-	Fractions [fates]float64
-	Slow      float64 // factor on the time that work takes; 0 stands for 1
+	Fractions [fateCount]float64
+	Slow      float64 // factor on the execution time; below 1 counts as 1
 }
 
-// Rough is a weather in which a share x of all attempts goes wrong, in every way.
+// Rough returns conditions in which fraction x of all attempts fails, spread over all fates by fixed weights.
 func Rough(x float64) (w Conditions) {
 	for f, part := range map[Fate]float64{Error: 1, Full: 2, ResetUnrun: 2, SilentUnrun: 0.5, ErrorRan: 1, ResetRan: 2, ResetMid: 1, SilentRan: 0.5,
 		Late: 0.5, Garbage: 0.5, Lying: 0.5, Endless: 0.5, Valueless: 0.5, Copy: 1, AbsurdLoad: 1, Broken: 1.5} {
@@ -75,40 +75,40 @@
 	return w
 }
 
-// Attempt is one command that has come whole.
+// Attempt is one completely received command.
 type Attempt struct {
-	Handle                       uint64 // of the caller's choice
+	Handle                       uint64 // identifier chosen by the caller
 	Request, Account, Class, Key string
 	fate                         Fate
 	work, doneAt                 float64
-	began, left, repeat          bool
+	began, abandoned, repeat     bool
 }
 
-// Out is told what happens. Its methods are called while one of the model's runs, in order.
+// Out receives the events of a Model, in order. The model calls its methods from within its own.
 type Out interface {
-	Began(at float64, a *Attempt, work float64, repeat bool) // its work begins; repeat: its key is known, so that it has no effect
-	Answer(at float64, a *Attempt, f Fate, load float64)     // what is to be written, in the form that the fate says; ends the attempt but for Late
-	Ended(at float64, a *Attempt, how string)                // nothing more comes of it
-	Fell(at float64)                                         // it has fallen over: connections break, new ones are refused
+	Began(at float64, a *Attempt, work float64, repeat bool) // execution starts; repeat: its key was used within KeyedS, so it has no effect
+	Answer(at float64, a *Attempt, f Fate, load float64)     // the answer to write, in the form of fate f; Ended follows
+	Ended(at float64, a *Attempt, how string)                // the attempt is finished, no further event follows
+	Fell(at float64)                                         // the node crashed: connections are reset, new ones refused
 }
 
-// Keys is the memory that all nodes share of keyed requests.
+// Keys is the memory of idempotency keys that all nodes share. It is not safe for concurrent use.
 type Keys struct{ seen map[string]float64 }
 
 // NewKeys returns an empty memory.
 func NewKeys() *Keys { return &Keys{seen: map[string]float64{}} }
 
-const keysMost = 1 << 14 // then those that are over are forgotten
+const maxKeys = 1 << 14 // above this number, firstUse deletes expired keys
 
-// known tells whether the key was begun within span.
+// known reports whether an attempt with the key started less than span ago.
 func (k *Keys) known(now float64, key string, span float64) bool {
 	at, ok := k.seen[key]
 	return ok && now-at < span
 }
 
-// first tells whether the key was not begun within span, and notes that it is now.
-func (k *Keys) first(now float64, key string, span float64) bool {
-	if len(k.seen) > keysMost {
+// firstUse reports whether no attempt with the key started less than span ago, and if so records now as its start.
+func (k *Keys) firstUse(now float64, key string, span float64) bool {
+	if len(k.seen) > maxKeys {
 		for key, at := range k.seen {
 			if now-at > span {
 				delete(k.seen, key)
@@ -122,7 +122,7 @@
 	return true
 }
 
-// Model is one node's life. It is not safe for concurrent use; Keys neither.
+// Model is one incarnation of a node. It is not safe for concurrent use.
 type Model struct {
 	cfg           Config
 	rng           *rand.Rand
@@ -133,28 +133,28 @@
 	paused        bool
 	fallen        bool
 	waiting       []*Attempt
-	working       []*Attempt // Cores at most
-	silent        []*Attempt // answered late or never
-	sent          []sent     // while cold
-	now           float64    // of the last event
-	reportedLoad  float64    // load, and when it was looked at
+	working       []*Attempt // at most Cores
+	silent        []*Attempt // to be answered late or never
+	sent          []sentWork // during warm-up, within the last FallS
+	now           float64    // time of the last call of Advance
+	reportedLoad  float64    // last sampled load; loadSampledAt is the time of the sample
 	loadSampledAt float64
 }
 
-type sent struct{ at, work float64 }
+type sentWork struct{ at, work float64 }
 
-// New starts a node's life. A born of long ago is a warm node.
+// New returns a node that started at time born. A node that started at least SlowStartS ago is warm.
 func New(cfg Config, keys *Keys, seed uint64, born float64, out Out) *Model {
 	return &Model{cfg: cfg, keys: keys, rng: rand.New(rand.NewPCG(seed, 7)), startedAt: born, out: out}
 }
 
-// SetConditions says how things stand from now on.
+// SetConditions replaces the conditions.
 func (m *Model) SetConditions(w Conditions) { m.conditions = w }
 
-// Fallen tells that it has fallen over.
+// Fallen reports whether the node crashed.
 func (m *Model) Fallen() bool { return m.fallen }
 
-// WarmFraction is the part of its capacity that it has by now.
+// WarmFraction returns the fraction of its capacity that a node has at an age in seconds.
 func (c Config) WarmFraction(age float64) float64 {
 	if c.SlowStartS <= 0 || age >= c.SlowStartS {
 		return 1
@@ -162,16 +162,16 @@
 	return c.SlowStartMinFraction + (1-c.SlowStartMinFraction)*max(age, 0)/c.SlowStartS
 }
 
-// Budget is the work that it may be sent within FallS, at an age.
+// Budget returns the work, in seconds of a core, that a node survives within FallS at an age.
 func (c Config) Budget(age float64) float64 {
 	return c.FallMultiple * float64(c.Cores) * c.Speed * c.WarmFraction(age) * c.FallS
 }
 
-// Breaks draws whether the connection is to break in the middle of the command that begins to come.
+// Breaks draws whether the connection is reset in the middle of the command whose first bytes arrive.
 func (m *Model) Breaks() bool { return m.rng.Float64() < m.conditions.Fractions[Broken] }
 
-// draw picks a fate.
-func (m *Model) draw() Fate {
+// drawFate draws a fate other than Broken by the fractions of the conditions.
+func (m *Model) drawFate() Fate {
 	x := m.rng.Float64()
 	for f := Error; f < Broken; f++ {
 		if x -= m.conditions.Fractions[f]; x < 0 {
@@ -181,11 +181,11 @@
 	return Served
 }
 
-// Arrive takes an attempt whose last byte has come. It returns the work that it stands for, in seconds of a core.
+// Arrive handles an attempt whose last byte has arrived. It returns the attempt's work in seconds of a core.
 func (m *Model) Arrive(now float64, a *Attempt) (work float64) {
 	m.Advance(now)
 	mean := m.cfg.Work[a.Class]
-	a.repeat = a.Key != "" && m.keys.known(now, m.cfg.Zone+"/"+a.Account+"/"+a.Key, m.cfg.KeyedS) // it is dropped, however long it waits
+	a.repeat = a.Key != "" && m.keys.known(now, m.cfg.Zone+"/"+a.Account+"/"+a.Key, m.cfg.KeyedS) // it has no effect, however long it waits
 	a.work = min(mean*math.Exp(0.5*m.rng.NormFloat64()-0.125), 6*mean)
 	if m.fallen {
 		m.out.Ended(now, a, "down")
@@ -199,7 +199,7 @@
 				sum += s.work
 			}
 		}
-		keep = append(keep, sent{now, a.work})
+		keep = append(keep, sentWork{now, a.work})
 		m.sent = keep
 		if sum > m.cfg.Budget(age) {
 			m.Fall(now)
@@ -207,7 +207,7 @@
 			return a.work
 		}
 	}
-	if a.fate = m.draw(); len(m.waiting)+len(m.working) >= m.cfg.Cores+m.cfg.Queue {
+	if a.fate = m.drawFate(); len(m.waiting)+len(m.working) >= m.cfg.Cores+m.cfg.Queue {
 		a.fate = Full
 	}
 	switch a.fate {
@@ -224,7 +224,7 @@
 	return a.work
 }
 
-// Fall ends the node for good.
+// Fall crashes the node for good.
 func (m *Model) Fall(now float64) {
 	m.fallen = true
 	m.out.Fell(now)
@@ -236,7 +236,7 @@
 	m.working, m.waiting, m.silent = nil, nil, nil
 }
 
-// begin puts what waits to work.
+// begin starts waiting attempts while cores are free.
 func (m *Model) begin(now float64) {
 	for len(m.waiting) > 0 && len(m.working) < m.cfg.Cores && !m.paused {
 		a := m.waiting[0]
@@ -245,12 +245,12 @@
 		a.began = true
 		a.doneAt = now + a.work*slow/(m.cfg.Speed*m.cfg.WarmFraction(now-m.startedAt))
 		m.working = append(m.working, a)
-		repeat := a.repeat || a.Key != "" && !m.keys.first(now, m.cfg.Zone+"/"+a.Account+"/"+a.Key, m.cfg.KeyedS)
+		repeat := a.repeat || a.Key != "" && !m.keys.firstUse(now, m.cfg.Zone+"/"+a.Account+"/"+a.Key, m.cfg.KeyedS)
 		m.out.Began(now, a, a.work, repeat)
 	}
 }
 
-// Next is when Advance has something to do, +Inf if nothing is under way.
+// Next returns the time of the next event that Advance handles, +Inf if there is none or the node is paused.
 func (m *Model) Next() float64 {
 	next := math.Inf(1)
 	if m.paused {
@@ -264,7 +264,7 @@
 	return next
 }
 
-// Advance finishes what is done by now.
+// Advance handles all events up to now.
 func (m *Model) Advance(now float64) {
 	m.now = now
 	for !m.paused {
@@ -280,14 +280,14 @@
 			return
 		}
 		at := a.doneAt
-		if remove(&m.silent, a) { // the late answer
+		if remove(&m.silent, a) { // a late answer is due
 			m.out.Answer(at, a, Late, m.Load())
 			m.out.Ended(at, a, a.fate.String())
 			continue
 		}
 		remove(&m.working, a)
 		switch {
-		case a.left:
+		case a.abandoned:
 			m.out.Ended(at, a, "gone")
 		case a.fate == SilentRan:
 			a.doneAt = math.Inf(1)
@@ -313,21 +313,21 @@
 	return false
 }
 
-// Leave takes the end of the connection that an attempt came on: it is given up.
+// Leave handles the end of the connection of an attempt: the client abandoned it.
 func (m *Model) Leave(now float64, a *Attempt) {
 	m.Advance(now)
 	switch {
 	case remove(&m.waiting, a), remove(&m.silent, a):
 		m.out.Ended(now, a, "gone")
 	case m.cfg.WorksOn:
-		a.left = true
+		a.abandoned = true
 	case remove(&m.working, a):
 		m.out.Ended(now, a, "gone")
 		m.begin(now)
 	}
 }
 
-// Pause stops the node's time, Resume lets it go on: what is in work takes as much longer.
+// Pause stops the node's time until Resume. Attempts in execution and late answers are delayed by its length.
 func (m *Model) Pause(now float64) {
 	m.Advance(now)
 	m.paused = true
@@ -352,7 +352,7 @@
 	m.begin(now)
 }
 
-// Load is the share of its cores that are busy, as it was when it was last looked at.
+// Load returns the fraction of busy cores as last sampled, see ReportS.
 func (m *Model) Load() float64 {
 	if m.cfg.ReportS <= 0 || m.now >= m.loadSampledAt+m.cfg.ReportS {
 		m.reportedLoad, m.loadSampledAt = float64(len(m.working))/float64(m.cfg.Cores), m.now
--- a/internal/testbed/node/model_test.go
+++ b/internal/testbed/node/model_test.go
@@ -7,37 +7,37 @@
 	"testing"
 )
 
-// recorder is a node's Out: what happened, in words.
+// recorder implements Out. It records the events as text and checks their order per attempt.
 type recorder struct {
-	said    []string
+	events  []string
 	open    map[*Attempt]string
 	effects int
 	fell    bool
 	t       *testing.T
 }
 
-func (r *recorder) say(at float64, format string, args ...any) {
-	r.said = append(r.said, fmt.Sprintf("%.2f ", at)+fmt.Sprintf(format, args...))
+func (r *recorder) record(at float64, format string, args ...any) {
+	r.events = append(r.events, fmt.Sprintf("%.2f ", at)+fmt.Sprintf(format, args...))
 }
 func (r *recorder) Began(at float64, a *Attempt, _ float64, repeat bool) {
 	if r.open[a] != "came" {
-		r.t.Errorf("%s begins when %q", a.Request, r.open[a])
+		r.t.Errorf("attempt %s started in state %q, want %q", a.Request, r.open[a], "came")
 	}
 	r.open[a] = "began"
 	if !repeat {
 		r.effects++
 	}
-	r.say(at, "%s began", a.Request)
+	r.record(at, "%s began", a.Request)
 }
 func (r *recorder) Answer(at float64, a *Attempt, f Fate, _ float64) {
-	r.say(at, "%s %v", a.Request, f)
+	r.record(at, "%s %v", a.Request, f)
 }
 func (r *recorder) Ended(at float64, a *Attempt, how string) {
 	if _, ok := r.open[a]; !ok {
-		r.t.Errorf("%s ends twice or never came", a.Request)
+		r.t.Errorf("attempt %s ended twice or without having arrived", a.Request)
 	}
 	delete(r.open, a)
-	r.say(at, "%s ended: %s", a.Request, how)
+	r.record(at, "%s ended: %s", a.Request, how)
 }
 func (r *recorder) Fell(float64) { r.fell = true }
 
@@ -51,14 +51,14 @@
 	m.Arrive(now, a)
 }
 
-var plain = Config{Cores: 2, Queue: 1, Speed: 1, KeyedS: 4, Work: map[string]float64{"x": 1}}
+var baseConfig = Config{Cores: 2, Queue: 1, Speed: 1, KeyedS: 4, Work: map[string]float64{"x": 1}}
 
-// Guards the model's bookkeeping: whatever comes in whatever order, each attempt begins once at most and ends once, no
-// more are in work than there are cores, and what is turned away or broken off unrun never ran.
+// Guards the model's bookkeeping under random arrivals, abandoned attempts and pauses: each attempt starts at most once and ends
+// once, no more attempts execute than there are cores, and an attempt whose fate excludes a run never starts.
 func TestEveryAttemptEndsOnce(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		cfg := plain
+		cfg := baseConfig
 		cfg.WorksOn = seed%2 == 0
 		r := &recorder{t: t, open: map[*Attempt]string{}}
 		m := New(cfg, NewKeys(), seed, 0, r)
@@ -82,7 +82,7 @@
 				m.Resume(now)
 			}
 			if len(m.working) > cfg.Cores || len(m.waiting)+len(m.working) > cfg.Queue+cfg.Cores {
-				t.Fatalf("seed %d: %d in work, %d waiting", seed, len(m.working), len(m.waiting))
+				t.Fatalf("seed %d: %d attempts executing and %d waiting, want at most %d cores and %d queued", seed, len(m.working), len(m.waiting), cfg.Cores, cfg.Queue)
 			}
 		}
 		m.Resume(now)
@@ -94,18 +94,19 @@
 				m.Leave(now+1000, a)
 			}
 			if a.began && (a.fate == Full || a.fate == ResetUnrun || a.fate == Error || a.fate == SilentUnrun) {
-				t.Errorf("seed %d: %v ran", seed, a.fate)
+				t.Errorf("seed %d: attempt with fate %v ran, want not run", seed, a.fate)
 			}
 		}
 		if len(r.open) > 0 {
-			t.Errorf("seed %d: %d attempts never end", seed, len(r.open))
+			t.Errorf("seed %d: %d attempts never ended", seed, len(r.open))
 		}
 	}
 }
 
-// Guards the rule on cold nodes: the budget is what the rule says, at any age, and one that fell stays down.
+// Guards the overload rule of nodes in warm-up: a node crashes exactly when the work sent exceeds the budget of its age. A crash
+// ends all attempts; a warm node, or one within its budget, does not crash.
 func TestFalls(t *testing.T) {
-	cfg := plain
+	cfg := baseConfig
 	cfg.Cores, cfg.Queue, cfg.SlowStartS, cfg.SlowStartMinFraction, cfg.FallMultiple, cfg.FallS = 4, 1000, 10, 0.25, 3, 1
 	for _, age := range []float64{0, 5, 9.9, 10} {
 		m, r := testModel(t, cfg, 0)
@@ -115,38 +116,38 @@
 			r.open[a] = "came"
 			sum += m.Arrive(age, a)
 			if over := sum > 3*4*(0.25+0.75*age/10); age < 10 && over != r.fell {
-				t.Fatalf("age %v: %v sent, fallen %v", age, sum, r.fell)
+				t.Fatalf("age %v s: crashed %v after %v s of work, want %v", age, r.fell, sum, over)
 			}
 		}
 		if r.fell != (age < 10) || m.Fallen() != r.fell {
-			t.Errorf("age %v: fallen %v", age, r.fell)
+			t.Errorf("age %v s: crashed %v (Fallen %v), want %v", age, r.fell, m.Fallen(), age < 10)
 		}
 		if r.fell && len(r.open) > 0 {
-			t.Errorf("age %v: %d open after the fall", age, len(r.open))
+			t.Errorf("age %v s: %d attempts open after the crash, want 0", age, len(r.open))
 		}
 	}
-	m, r := testModel(t, cfg, 0) // slowly enough, it stands
+	m, r := testModel(t, cfg, 0) // within its budget the node does not crash
 	for i := range 300 {
 		r.arrive(m, float64(i)*0.7, &Attempt{Request: fmt.Sprint(i), Class: "x"})
 	}
 	if r.fell {
-		t.Error("fell under what it can do")
+		t.Error("node crashed under a load within its budget")
 	}
 }
 
-// Guards the memory of keys: a repeat within the time has no effect, one after it has.
+// Guards the memory of idempotency keys: a repeat within KeyedS has no effect, a later one has.
 func TestKeys(t *testing.T) {
-	m, r := testModel(t, plain, 0)
+	m, r := testModel(t, baseConfig, 0)
 	for i, at := range []float64{0, 3.9, 8, 11} {
 		r.arrive(m, at, &Attempt{Request: fmt.Sprint(i), Class: "x", Key: "k"})
 		m.Advance(at + 3)
 	}
 	if r.effects != 2 {
-		t.Errorf("%d effects: %v", r.effects, r.said)
+		t.Errorf("got %d effects, want 2: %v", r.effects, r.events)
 	}
 }
 
-// Guards the fates: each of them is drawn, and served are all that carry a value.
+// Guards the draw of fates: under Rough(1) each fate but Served is drawn at least once in 2000 attempts.
 func TestFates(t *testing.T) {
 	m, r := testModel(t, Config{Cores: 1000, Queue: 1, Speed: 1, Work: map[string]float64{"x": 0.001}}, 0)
 	m.SetConditions(Rough(1))
@@ -159,9 +160,9 @@
 			seen[Broken] = true
 		}
 	}
-	for f := Error; f < fates; f++ {
+	for f := Error; f < fateCount; f++ {
 		if !seen[f] {
-			t.Errorf("%v never comes", f)
+			t.Errorf("fate %v was never drawn", f)
 		}
 	}
 }
