--- a/internal/testbed/etcdstandin/etcd.go
+++ b/internal/testbed/etcdstandin/etcd.go
@@ -510,7 +510,7 @@
 
 // ---- state access for tests ----
 
-// Wipe replaces this cluster by a new, empty one with another cluster ID. Call it while all members are stopped.
+// Wipe replaces this cluster by a new, empty one with another cluster ID. Call it while all members are stopped, as an operator would.
 func (c *Cluster) Wipe() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/node/model.go
+++ b/internal/testbed/node/model.go
@@ -84,7 +84,7 @@
 	began, abandoned, repeat     bool
 }
 
-// Out receives the events of a Model, in order. The model calls its methods from within its own.
+// Out receives the events of a Model, in order, during the calls of the Model's methods.
 type Out interface {
 	Began(at float64, a *Attempt, work float64, repeat bool) // execution starts; repeat: its key was used within KeyedS, so it has no effect
 	Answer(at float64, a *Attempt, f Fate, load float64)     // the answer to write, in the form of fate f; Ended follows
--- a/internal/testbed/node/model_test.go
+++ b/internal/testbed/node/model_test.go
@@ -105,7 +105,7 @@
 
 // Guards the overload rule of nodes in warm-up: a node crashes exactly when the work sent exceeds the budget of its age. A crash
 // ends all attempts; a warm node, or one within its budget, does not crash.
-func TestFalls(t *testing.T) {
+func TestOverloadDuringWarmUp(t *testing.T) {
 	cfg := baseConfig
 	cfg.Cores, cfg.Queue, cfg.SlowStartS, cfg.SlowStartMinFraction, cfg.FallMultiple, cfg.FallS = 4, 1000, 10, 0.25, 3, 1
 	for _, age := range []float64{0, 5, 9.9, 10} {
