--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -12,35 +12,36 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Discovery is a stand-in discovery. Each party asks at an address of its own, so that it is known who was told what
-// and when, and so that parties can be told late, or of addresses of their own.
+// Discovery is a stand-in for the discovery service. Each party, that is, each client of discovery, queries it at an address of its own.
+// So the stand-in can record which party was sent which list at what time, and give each party its own addresses of the nodes. It can also
+// send changes late.
 type Discovery struct {
 	hist *oracle.History
-	// AddrFor, if set before the first party asks, gives the address under which a party sees a node.
+	// AddrFor, if set, returns the address at which a party sees a node. It must be set before the first party connects.
 	AddrFor func(party string, t discovery.Endpoint) string
 
-	mu      sync.Mutex
-	version int64
-	list    map[string]discovery.Endpoint
-	changes []change
-	changed chan struct{} // closed and replaced with each change
-	late    time.Duration
-	silent  bool
-	breaks  chan struct{} // closed and replaced to end all watches
-	servers []*http.Server
+	mu         sync.Mutex
+	version    int64                         // of the list; increases with each change
+	list       map[string]discovery.Endpoint // nodes that are not terminated, by ID
+	changes    []change                      // since the last Break, by version
+	changed    chan struct{}                 // closed and replaced with each change
+	delay      time.Duration                 // of new changes
+	silent     bool                          // send nothing, not even heartbeats
+	disconnect chan struct{}                 // closed and replaced to end all watches
+	servers    []*http.Server
 }
 
 type change struct {
 	discovery.List
-	notBefore time.Time // told no earlier
+	notBefore time.Time // no party is sent the change before this time
 }
 
-// NewDiscovery returns a roster without nodes.
+// NewDiscovery returns a discovery stand-in without nodes.
 func NewDiscovery(hist *oracle.History) *Discovery {
-	return &Discovery{hist: hist, version: 1, list: map[string]discovery.Endpoint{}, changed: make(chan struct{}), breaks: make(chan struct{})}
+	return &Discovery{hist: hist, version: 1, list: map[string]discovery.Endpoint{}, changed: make(chan struct{}), disconnect: make(chan struct{})}
 }
 
-// Set says how a node stands from now on.
+// Set announces the state of a node. A terminated node leaves the list.
 func (r *Discovery) Set(t discovery.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,58 +51,58 @@
 	} else {
 		r.list[t.ID] = t
 	}
-	r.changes = append(r.changes, change{discovery.List{Version: r.version, Endpoints: []discovery.Endpoint{t}}, time.Now().Add(r.late)})
-	r.wake()
+	r.changes = append(r.changes, change{discovery.List{Version: r.version, Endpoints: []discovery.Endpoint{t}}, time.Now().Add(r.delay)})
+	r.notifyWatches()
 }
 
-func (r *Discovery) wake() {
+func (r *Discovery) notifyWatches() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Late has changes from now on told so much later.
+// Late delays the changes that are announced from now on by d.
 func (r *Discovery) Late(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.late = d
+	r.delay = d
 }
 
-// Silent has the roster say nothing more, not even that it is there, until it is taken back.
+// Silent makes the stand-in send nothing, not even heartbeats, until it is called with false.
 func (r *Discovery) Silent(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.silent = on
-	r.wake()
+	r.notifyWatches()
 }
 
-// Break ends all watches and forgets the changes: whoever comes back is told the whole list.
+// Break ends all watches and forgets the changes, so that a watch that has missed some of them gets the full list.
 func (r *Discovery) Break() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.changes = nil
-	close(r.breaks)
-	r.breaks = make(chan struct{})
+	close(r.disconnect)
+	r.disconnect = make(chan struct{})
 }
 
-// All is the whole list as a party sees it.
+// All returns the full list as a party sees it.
 func (r *Discovery) All(party string) discovery.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := discovery.List{Version: r.version, Full: true}
 	for _, t := range r.list {
-		l.Endpoints = append(l.Endpoints, r.seen(party, t))
+		l.Endpoints = append(l.Endpoints, r.endpointFor(party, t))
 	}
 	return l
 }
 
-func (r *Discovery) seen(party string, t discovery.Endpoint) discovery.Endpoint {
+func (r *Discovery) endpointFor(party string, t discovery.Endpoint) discovery.Endpoint {
 	if r.AddrFor != nil {
 		t.Addr = r.AddrFor(party, t)
 	}
 	return t
 }
 
-// For opens the address at which a party asks.
+// For opens a listener for a party and returns its address.
 func (r *Discovery) For(party string) (addr string, err error) {
 	l, err := net.Listen("tcp", ownAddr(0))
 	if err != nil {
@@ -115,7 +116,7 @@
 	return l.Addr().String(), nil
 }
 
-// Close ends all that For opened.
+// Close closes all listeners that For opened, and their connections.
 func (r *Discovery) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,12 +125,12 @@
 	}
 }
 
-// dueChanges is what a watch that has heard all up to after is to be told now, and how long until there may be more. The first of
-// a watch for which changes are missing is the whole list.
-func (r *Discovery) dueChanges(party string, after int64) (list []discovery.List, wait time.Duration, changed, breaks <-chan struct{}, silent bool) {
+// listsAfter returns the lists that a watch which has received version after is to be sent now: the changes since then, or the full list
+// if the stand-in no longer has all of them. The watch has to call it again when wait has passed or changed is closed.
+func (r *Discovery) listsAfter(party string, after int64) (list []discovery.List, wait time.Duration, changed, disconnect <-chan struct{}, silent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait, changed, breaks, silent = 2*time.Second, r.changed, r.breaks, r.silent
+	wait, changed, disconnect, silent = 2*time.Second, r.changed, r.disconnect, r.silent
 	if silent {
 		return
 	}
@@ -140,9 +141,9 @@
 	if after < known {
 		l := discovery.List{Version: r.version, Full: true}
 		for _, t := range r.list {
-			l.Endpoints = append(l.Endpoints, r.seen(party, t))
+			l.Endpoints = append(l.Endpoints, r.endpointFor(party, t))
 		}
-		return []discovery.List{l}, wait, changed, breaks, silent
+		return []discovery.List{l}, wait, changed, disconnect, silent
 	}
 	for _, c := range r.changes {
 		if c.Version <= after {
@@ -153,7 +154,7 @@
 			break
 		}
 		l := c.List
-		l.Endpoints = []discovery.Endpoint{r.seen(party, l.Endpoints[0])}
+		l.Endpoints = []discovery.Endpoint{r.endpointFor(party, l.Endpoints[0])}
 		list = append(list, l)
 	}
 	return
@@ -178,7 +179,7 @@
 	_, _ = fmt.Sscan(q.URL.Query().Get("after"), &after)
 	out := json.NewEncoder(w)
 	for {
-		due, wait, changed, breaks, silent := r.dueChanges(party, after)
+		due, wait, changed, disconnect, silent := r.listsAfter(party, after)
 		for _, l := range due {
 			RecordUp(r.hist, party, l)
 			if out.Encode(l) != nil {
@@ -190,7 +191,7 @@
 		}
 		select {
 		case <-changed:
-		case <-breaks:
+		case <-disconnect:
 			return
 		case <-time.After(wait):
 			if !silent && wait == 2*time.Second {
@@ -203,7 +204,8 @@
 	}
 }
 
-// RecordUp records what is about to be written of nodes that are up: a party may send as soon as it can have read it.
+// RecordUp records the notification of a party about the nodes of l that are in service. It is called before l is written, as the party may
+// send attempts to them as soon as it has read l.
 func RecordUp(hist *oracle.History, party string, l discovery.List) {
 	for _, t := range l.Endpoints {
 		if t.State == "in_service" {
@@ -212,7 +214,8 @@
 	}
 }
 
-// RecordAbsent records what was written of nodes that are not. Of a whole list, what it does not hold is gone.
+// RecordAbsent records the notification of a party about the nodes of l that are not in service. If l is a full list, nodes that it does
+// not contain are recorded as terminated. It is called after l was written.
 func RecordAbsent(hist *oracle.History, party string, l discovery.List) {
 	listed := map[string]bool{}
 	for _, t := range l.Endpoints {
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -7,27 +7,27 @@
 	"eiderspread/internal/testbed/node"
 )
 
-// kinds are all faults on sockets. docs/laboratory.md tells how to add one.
+// kinds are the kinds of faults of fleets on sockets, by name. docs/laboratory.md explains how to add one.
 var kinds = map[string]kind{
-	"kill": {"a planner is killed and comes back", 2, 2, onPlanner, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"kill": {"a planner is killed and restarted", 2, 2, onPlanner, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		p := f.Planners[x.A%len(f.Planners)]
 		p.Kill()
 		wait(x.For)
 		_ = p.Start()
 	}},
-	"term": {"a planner is ended and comes back", 1, 2, onPlanner, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"term": {"a planner is terminated with SIGTERM and restarted", 1, 2, onPlanner, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		p := f.Planners[x.A%len(f.Planners)]
 		p.Term()
 		wait(x.For)
 		_ = p.Start()
 	}},
-	"pause": {"a planner stands still", 1, 2, onPlanner, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"pause": {"a planner is paused and resumed", 1, 2, onPlanner, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		p := f.Planners[x.A%len(f.Planners)]
 		p.Pause()
 		wait(2 * x.For)
 		p.Resume()
 	}},
-	"all": {"all planners die at once", 1, 2, one("planners"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"all": {"all planners are killed at once and restarted", 1, 2, fixedTarget("planners"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		for _, p := range f.Planners {
 			p.Kill()
 		}
@@ -47,34 +47,34 @@
 	"lone": {"a forwarder is cut off from all planners", 1, 2, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.cutPlanners(x, wait, func(_, i int) bool { return i == x.A%len(f.Forwarders) })
 	}},
-	"peers": {"ingresses are split in two halves", 1, 1, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"peers": {"the ingresses are partitioned into two halves", 1, 1, fixedTarget("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		defer f.Hist.BeginPeerFault(2, 0)()
 		f.Peers.All(PacketConditions{Cut: true}, func(i, j int) bool { return i%2 != j%2 })
 		wait(x.For)
 		f.Peers.All(PacketConditions{}, nil)
 	}},
-	"fog": {"messages between ingresses are lost, late and doubled", 1, 1, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"fog": {"messages between ingresses are lost, delayed and duplicated", 1, 1, fixedTarget("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		defer f.Hist.BeginPeerFault(0, 0.3*x.X)()
 		f.Peers.All(PacketConditions{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}, nil)
 		wait(x.For)
 		f.Peers.All(PacketConditions{}, nil)
 	}},
-	"deaf": {"an ingress hears no other one, and the auditor is not told: a plant", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"deaf": {"an ingress receives no messages from the others, and the oracle is not told: a planted violation", 0, 4, fixedTarget("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.Peers.All(PacketConditions{Cut: true}, func(i, j int) bool { return j == x.A%len(f.Forwarders) })
 		wait(x.For)
 		f.Peers.All(PacketConditions{}, nil)
 	}},
-	"babel": {"half of the ingresses send words that the others can't read, and the auditor is not told: a plant", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"babel": {"two halves of the ingresses can't decode each other's messages, and the oracle is not told: a planted violation", 0, 4, fixedTarget("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.Peers.All(PacketConditions{Alien: true}, func(i, j int) bool { return i%2 != j%2 })
 		wait(x.For)
 		f.Peers.All(PacketConditions{}, nil)
 	}},
-	"liar": {"an ingress says of overload by turns that all is well and that all is lost", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"liar": {"an ingress reports false load-shedding levels to the others, none and full in turn", 0, 4, fixedTarget("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.Peers.All(PacketConditions{Lies: true}, func(i, _ int) bool { return i == x.A%len(f.Forwarders) })
 		wait(x.For)
 		f.Peers.All(PacketConditions{}, nil)
 	}},
-	"half heavy": {"every second node is three times as slow", 0, 5, one("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"half heavy": {"every second node is three times as slow", 0, 5, fixedTarget("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		var half []*Node
 		for i, n := range f.Nodes() {
 			if i%2 == 0 {
@@ -83,39 +83,39 @@
 		}
 		f.changeConditions(Fault{For: x.For / 2}, wait, half, func(w *node.Conditions) { w.Slow = 3 })
 	}},
-	"thick fog": {"half of all messages between ingresses are lost", 0, 4, one("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"thick fog": {"half of all messages between ingresses are lost", 0, 4, fixedTarget("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		defer f.Hist.BeginPeerFault(0, 0.5)()
 		f.Peers.All(PacketConditions{Loss: 0.5}, nil)
 		wait(x.For)
 		f.Peers.All(PacketConditions{}, nil)
 	}},
-	"mass kill": {"seven in ten ingresses are killed at once and come back", 0, 4, one("mass"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"mass kill": {"seven in ten ingresses are killed at once and restarted", 0, 4, fixedTarget("mass"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		var all sync.WaitGroup
 		for i := range f.Forwarders {
 			if i%10 < 7 {
-				all.Go(func() { f.killed(i, x.For, wait) })
+				all.Go(func() { f.killAndRestart(i, x.For, wait) })
 			}
 		}
 		all.Wait()
 	}},
-	"heavy": {"every node is three times as slow", 0, 5, one("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"heavy": {"every node is three times as slow", 0, 5, fixedTarget("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		defer f.Hist.BeginSlowdown(3)()
 		f.changeConditions(Fault{For: x.For / 2}, wait, f.Nodes(), func(w *node.Conditions) { w.Slow = 3 })
 	}},
-	"forwarder": {"a forwarder or ingress is killed and comes back", 1, 0, onForwarder, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.killed(x.A%len(f.Forwarders), x.For, wait)
+	"forwarder": {"a forwarder or ingress is killed and restarted", 1, 0, onForwarder, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+		f.killAndRestart(x.A%len(f.Forwarders), x.For, wait)
 	}},
-	"blink": {"a forwarder or ingress is killed and comes back at once", 1, 0, onForwarder, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
+	"blink": {"a forwarder or ingress is killed and restarted at once", 1, 0, onForwarder, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		i := x.A % len(f.Forwarders)
 		p, from := f.Forwarders[i], f.Hist.Now()
 		p.Kill()
 		f.restartForwarder(i)
 		f.Hist.AddOutage(i, from, f.Hist.Now())
 	}},
-	"restart": {"a forwarder or ingress is ended and comes back", 1, 0, onForwarder, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
+	"restart": {"a forwarder or ingress is terminated with SIGTERM and restarted", 1, 0, onForwarder, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		f.restart(x.A % len(f.Forwarders))
 	}},
-	"roll": {"ingresses are ended and come back, one after the other", 1, 0, one("roll"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"roll": {"up to five ingresses are terminated with SIGTERM and restarted, one after the other", 1, 0, fixedTarget("roll"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		for k := range min(len(f.Forwarders), 5) {
 			y := Fault{A: x.A + k}
 			f.claim(onForwarder(f, y), func() { f.restart(y.A % len(f.Forwarders)) })
@@ -124,23 +124,23 @@
 			}
 		}
 	}},
-	"lost client": {"the way from clients to an ingress is cut silently", 1, 0, onForwarder, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"lost client": {"the link from clients to an ingress is cut; connections stay open", 1, 0, onForwarder, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		i, from := x.A%len(f.Forwarders), f.Hist.Now()
 		f.FrontLinks[i].Cut()
 		wait(x.For / 2)
 		f.FrontLinks[i].Heal()
 		f.Hist.AddOutage(i, from, f.Hist.Now()+50*time.Millisecond)
 	}},
-	"drain": {"the roster tells that a node drains; another comes", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"drain": {"discovery reports that a node is draining, and another node starts", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
 			_, _ = f.AddNode(true)
 			f.Drain(n, 2*time.Second)
 		}
 	}},
-	"crash": {"a node crashes and comes back at its address with a new start", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"crash": {"a node crashes and restarts at its address with a new start time", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.crash(f.pick(x.A), "", x, wait)
 	}},
-	"lone crash": {"the first node crashes, however few there are, and comes back", 0, 0, one("first node"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"lone crash": {"the first node crashes, however few nodes run, and restarts", 0, 0, fixedTarget("first node"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		for _, n := range f.Nodes() {
 			if n.ID == "z1" {
 				f.crash(n, "", x, wait)
@@ -148,10 +148,10 @@
 			}
 		}
 	}},
-	"replace": {"a node crashes, another comes under a new id at its address", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"replace": {"a node crashes, and a node with a new ID starts at its address", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.crash(f.pick(x.A), f.newNodeID(), x, wait)
 	}},
-	"crashes": {"half of the nodes crash in concert and come back cold", 1, 0, one("nodes"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"crashes": {"half of the nodes crash at the same time and restart cold", 1, 0, fixedTarget("nodes"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		var all sync.WaitGroup
 		for i, n := range f.Nodes() {
 			if i%2 == x.B%2 {
@@ -160,58 +160,58 @@
 		}
 		all.Wait()
 	}},
-	"node pause": {"a node stands still", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"node pause": {"a node is paused and resumed", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
 			n.Pause()
 			wait(x.For)
 			n.Resume()
 		}
 	}},
-	"slow": {"a node is slow", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"slow": {"a node is 2 to 6 times as slow", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
 			f.changeConditions(x, wait, []*Node{n}, func(w *node.Conditions) { w.Slow = 2 + 4*x.X })
 		}
 	}},
-	"snow": {"every node is slower by 1.4 to 2.8", 1, 0, one("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"snow": {"every node is 1.4 to 2.8 times as slow", 1, 0, fixedTarget("weather"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.changeConditions(x, wait, f.Nodes(), func(w *node.Conditions) { w.Slow = 1.4 + 1.4*x.X })
 	}},
-	"sick": {"a node errs, breaks off, stays silent and answers nonsense", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"sick": {"a node returns errors, resets connections, does not answer and sends malformed answers", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
 			f.changeConditions(x, wait, []*Node{n}, func(w *node.Conditions) { *w = node.Rough(0.4 + 0.6*x.X) })
 		}
 	}},
-	"node cut": {"a node is cut off without a word", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.wayTo(x, wait, Way{Cut: true}, true)
+	"node cut": {"a node is cut off; connections stay open", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+		f.changeLinks(x, wait, Way{Cut: true}, true)
 	}},
-	"node half cut": {"a node is cut off from half of the ingresses without a word", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.wayTo(x, wait, Way{Cut: true}, false)
+	"node half cut": {"a node is cut off from half of the ingresses; connections stay open", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+		f.changeLinks(x, wait, Way{Cut: true}, false)
 	}},
-	"one way": {"what a node answers is lost without a word", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.wayTo(x, wait, Way{Cut: true, Back: true}, true)
+	"one way": {"the answers of a node are lost; connections stay open", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+		f.changeLinks(x, wait, Way{Cut: true, Back: true}, true)
 	}},
-	"refused": {"new connections to a node are refused", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.wayTo(x, wait, Way{Refuse: true}, true)
+	"refused": {"new connections to a node are reset at once", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+		f.changeLinks(x, wait, Way{Refuse: true}, true)
 	}},
-	"far": {"a node is far away", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.wayTo(x, wait, Way{Delay: time.Duration(10+80*x.X) * time.Millisecond}, true)
+	"far": {"the link to a node has a delay of 10 to 90 ms in each direction", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+		f.changeLinks(x, wait, Way{Delay: time.Duration(10+80*x.X) * time.Millisecond}, true)
 	}},
-	"late roster": {"the roster tells seconds late", 1, 0, one("roster"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"late roster": {"discovery sends changes 1 to 5 s late", 1, 0, fixedTarget("roster"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.Discovery.Late(time.Duration((1 + 4*x.X) * float64(time.Second)))
 		wait(x.For)
 		f.Discovery.Late(0)
 	}},
-	"silent roster": {"the roster says nothing", 1, 0, one("roster"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"silent roster": {"discovery sends nothing, not even heartbeats", 1, 0, fixedTarget("roster"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		f.Discovery.Silent(true)
 		wait(2 * x.For)
 		f.Discovery.Silent(false)
 	}},
-	"broken roster": {"all watches break, and the whole list is told", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
+	"broken roster": {"discovery ends all watches and forgets the changes that it has sent", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		f.Discovery.Break()
 	}},
-	"shift": {"accounts move to others of their ingresses at one stroke", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
+	"shift": {"accounts shift their load to others of their ingresses at the same time", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		f.Front.Shift(0.11 + 0.48*x.X)
 	}},
-	"flood": {"an account of the last plan asks for far more", 1, 0, one("flood"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"flood": {"an account of the last plan asks for 3 to 8 times as much", 1, 0, fixedTarget("flood"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		list := f.clients.cfg.Accounts
 		a := list[len(list)-1-x.A%min(3, len(list))]
 		f.clients.Flood(a.Name, 3+5*x.X)
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -18,8 +18,8 @@
 	"eiderspread/internal/testbed/node"
 )
 
-// Fault is one thing that goes wrong, and is mended. A and B pick its targets, X says how bad it is; what they mean hangs on
-// the kind. A schedule is drawn before a run, so that it can be played again and cut down.
+// Fault is one fault of a run. At is its start, after the start of the run, and For its length. A and B select its targets, X is its severity;
+// their meaning depends on the kind. A schedule of faults is drawn before a run, so that it can be replayed and reduced.
 type Fault struct {
 	At   time.Duration `json:"at"`
 	For  time.Duration `json:"for"`
@@ -33,23 +33,26 @@
 	return fmt.Sprintf("%s %d %d %.2f for %v", f.Kind, f.A, f.B, f.X, f.For.Round(time.Millisecond))
 }
 
-// kind is one kind of fault on sockets. Its do returns when the fault is mended; wait returns false when the run has ended,
-// after which all is mended at once.
+// kind is a kind of fault of fleets on sockets. inject applies a fault and returns when it has ended it. wait returns false as soon as the
+// run is over; inject then ends the fault at once.
 type kind struct {
-	what   string
-	weight int                            // how often it is drawn, of all
-	level  int                            // 1: of one-level fleets alone, 2: of two-level ones alone, 0: of both, 3: of those with sources of their own, 4: of one-level ones, 5: of both, these three only when named
-	target func(f *Fleet, x Fault) string // no two faults of a target overlap; nil: they may
+	what   string // description, for the help text
+	weight int    // how often it is drawn, relative to the others; 0 counts as 1
+	// level tells which fleets the kind is for. Drawn by default: 0 for all, 1 for one-level, 2 for two-level fleets. Drawn only when named:
+	// 3 for fleets with a FleetConfig.Source, 4 for one-level fleets, 5 for all.
+	level int
+	// target names what a fault affects. Faults with the same target don't overlap. nil: no restriction.
+	target func(f *Fleet, x Fault) string
 	inject func(f *Fleet, x Fault, wait func(time.Duration) bool)
 }
 
 func onPlanner(f *Fleet, x Fault) string   { return fmt.Sprint("planner ", x.A%len(f.Planners)) }
 func onForwarder(f *Fleet, x Fault) string { return fmt.Sprint("forwarder ", x.A%len(f.Forwarders)) }
-func one(what string) func(*Fleet, Fault) string {
+func fixedTarget(what string) func(*Fleet, Fault) string {
 	return func(*Fleet, Fault) string { return what }
 }
 
-// pick chooses a node; nil if there are too few for one to be missed.
+// pick selects one of the running nodes. It returns nil if fewer than three run, as such a fleet can't spare one.
 func (f *Fleet) pick(n int) *Node {
 	nodes := f.Nodes()
 	if len(nodes) < 3 {
@@ -58,17 +61,17 @@
 	return nodes[n%len(nodes)]
 }
 
-// AddKind adds a kind of fault that another package of the laboratory knows how to do. Its weight is 1 and no two of a target
-// overlap, "" if they may. It is for package initialisation alone.
+// AddKind adds a kind of fault that another package implements, with weight 1, for fleets with a FleetConfig.Source. Faults with the same
+// target don't overlap; an empty target restricts nothing. It may be called only during package initialization.
 func AddKind(name, what, target string, do func(f *Fleet, x Fault, wait func(time.Duration) bool)) {
 	k := kind{what: what, weight: 1, level: 3, inject: do}
 	if target != "" {
-		k.target = one(target)
+		k.target = fixedTarget(target)
 	}
 	kinds[name] = k
 }
 
-// KindNames lists all kinds of faults for a fleet of that shape, or with two nil all of them, each with what it does.
+// KindNames returns a line for each kind of fault, with its name and description.
 func KindNames() (list []string) {
 	for _, name := range slices.Sorted(maps.Keys(kinds)) {
 		list = append(list, fmt.Sprintf("%-14s %s", name, kinds[name].what))
@@ -76,28 +79,29 @@
 	return list
 }
 
-// Fits tells whether a kind of fault is one of a shape: of two levels, or of one. Kinds that are none on sockets fit two.
+// Fits tells whether a kind of fault is drawn by default for fleets of two levels, or of one. Unknown names, that is, kinds that only the
+// simulation has, fit two levels.
 func Fits(name string, two bool) bool {
 	k, ok := kinds[name]
 	return !ok && two || ok && (k.level == 0 || k.level < 3 && (k.level == 2) == two)
 }
 
-// Plays tells whether a kind of fault can be played by a shape, drawn or only when named.
+// Plays tells whether a kind of fault can be injected into fleets of two levels, or of one, by default or when named.
 func Plays(name string, two bool) bool {
 	return Fits(name, two) || kinds[name].level == 5 || kinds[name].level == 4 && !two
 }
 
-// Schedule draws the faults of a run: one every so often in the mean, each for 0.5 to 3 s, so that they overlap. No kinds
-// stand for all that fit the shape.
+// Schedule draws the faults of a run. The mean interval between them is every, and each lasts 0.5 to 3 s, so that they overlap. Without names
+// it draws from all kinds that fit the fleet.
 func Schedule(seed uint64, length, every time.Duration, two bool, names []string) (list []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	given := len(names) > 0
-	if !given {
+	named := len(names) > 0
+	if !named {
 		names = slices.Sorted(maps.Keys(kinds))
 	}
 	var draws []string
 	for _, name := range names {
-		if Fits(name, two) || given && (kinds[name].level == 3 || kinds[name].level == 4 && !two || kinds[name].level == 5) {
+		if Fits(name, two) || named && (kinds[name].level == 3 || kinds[name].level == 4 && !two || kinds[name].level == 5) {
 			for range max(kinds[name].weight, 1) {
 				draws = append(draws, name)
 			}
@@ -113,35 +117,35 @@
 	return list
 }
 
-// CheckKinds tells whether all names are kinds of faults.
+// CheckKinds returns an error if a name is not a kind of fault.
 func CheckKinds(names []string) error {
 	for _, name := range names {
 		if _, ok := kinds[name]; !ok {
-			return fmt.Errorf("unknown kind of fault %q; known are %s", name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+			return fmt.Errorf("unknown kind of fault %q, want one of %s", name, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 		}
 	}
 	return nil
 }
 
-// claim runs do unless another fault of the target is under way.
+// claim calls do unless another fault of the target is active, and tells whether it did.
 func (f *Fleet) claim(target string, do func()) bool {
 	f.mu.Lock()
-	if f.taken[target] {
+	if f.busyTargets[target] {
 		f.mu.Unlock()
 		return false
 	}
-	f.taken[target] = true
+	f.busyTargets[target] = true
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
-		delete(f.taken, target)
+		delete(f.busyTargets, target)
 		f.mu.Unlock()
 	}()
 	do()
 	return true
 }
 
-// play does what goes wrong, each thing at its time until ctx ends, and returns when all is mended: at the end of faulty at the latest.
+// play injects each fault of list at its time until ctx ends, and returns when all faults have ended. The end of faulty ends them early.
 func (f *Fleet) play(ctx, faulty context.Context, list []Fault, log io.Writer) {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -154,7 +158,7 @@
 		}
 	}
 	var mu sync.Mutex
-	note := func(what string) {
+	logLine := func(what string) {
 		mu.Lock()
 		defer mu.Unlock()
 		fmt.Fprintf(log, "%8.3f %s\n", f.Hist.Now().Seconds(), what)
@@ -173,20 +177,20 @@
 		all.Go(func() {
 			do := func() {
 				f.Hist.AddFault(x.String())
-				note(x.String())
+				logLine(x.String())
 				k.inject(f, x, wait)
 			}
 			if k.target == nil {
 				do()
 			} else if !f.claim(k.target(f, x), do) {
-				note("left out, its target has a fault already: " + x.String())
+				logLine("skipped, another fault of its target is active: " + x.String())
 			}
 		})
 	}
 }
 
-// killed kills a forwarder or ingress and starts it again a while later.
-func (f *Fleet) killed(i int, after time.Duration, wait func(time.Duration) bool) {
+// killAndRestart kills a forwarder or ingress and restarts it after a delay.
+func (f *Fleet) killAndRestart(i int, after time.Duration, wait func(time.Duration) bool) {
 	p, from := f.Forwarders[i], f.Hist.Now()
 	p.Kill()
 	wait(after)
@@ -194,28 +198,30 @@
 	f.Hist.AddOutage(i, from, f.Hist.Now())
 }
 
-// restartForwarder starts a forwarder's or an ingress's program for another life, with the list of nodes as it last had it, and waits until it is ready.
+// restartForwarder starts a new incarnation of a forwarder or ingress, with the endpoint list that it received last, and waits until it is
+// ready.
 func (f *Fleet) restartForwarder(i int) {
 	p := f.Forwarders[i]
-	if err := f.refreshKnown(i); err != nil {
-		f.Hist.AddFault(p.Name + " starts with an old list: " + err.Error())
+	if err := f.writeKnownEndpoints(i); err != nil {
+		f.Hist.AddFault(p.Name + " starts with an outdated endpoint list: " + err.Error())
 	}
 	if err := p.Start(); err != nil {
-		f.Hist.AddFault("not started: " + err.Error())
+		f.Hist.AddFault("restart failed: " + err.Error())
 		return
 	}
 	if err := p.Ready(10 * time.Second); err != nil {
-		f.Hist.AddFault("after its start " + err.Error())
+		f.Hist.AddFault("after its restart " + err.Error())
 	}
 }
 
-// refreshKnown writes into the configuration of an ingress of one level what it was last told of nodes, as the platform does at each start.
-func (f *Fleet) refreshKnown(i int) error {
+// writeKnownEndpoints writes the endpoint list that a one-level ingress received last into its configuration, as the platform does at each
+// start.
+func (f *Fleet) writeKnownEndpoints(i int) error {
 	p := f.Forwarders[i]
 	if len(f.Planners) > 0 || p.adminInterfaces[0].file == "" || f.cfg.Discovery != nil {
 		return nil
 	}
-	told := f.Hist.LastStates(f.Observer(i))
+	lastStates := f.Hist.LastStates(f.Observer(i))
 	for _, d := range p.adminInterfaces {
 		text, err := os.ReadFile(d.file)
 		if err != nil {
@@ -229,15 +235,15 @@
 		if err := json.Unmarshal(text, &before); err != nil {
 			return err
 		}
-		for _, t := range before.Known.Endpoints { // of which nothing was told since
-			if told[t.ID] == "" {
-				told[t.ID] = t.State
+		for _, t := range before.Known.Endpoints { // no later state was sent of these
+			if lastStates[t.ID] == "" {
+				lastStates[t.ID] = t.State
 			}
 		}
 		known := f.Discovery.All(f.Observer(i))
-		known.Endpoints = slices.DeleteFunc(known.Endpoints, func(t discovery.Endpoint) bool { return told[t.ID] == "" || told[t.ID] == "terminated" })
+		known.Endpoints = slices.DeleteFunc(known.Endpoints, func(t discovery.Endpoint) bool { return lastStates[t.ID] == "" || lastStates[t.ID] == "terminated" })
 		for n := range known.Endpoints {
-			known.Endpoints[n].State = told[known.Endpoints[n].ID]
+			known.Endpoints[n].State = lastStates[known.Endpoints[n].ID]
 		}
 		c["known"] = known
 		if text, err = json.Marshal(c); err != nil {
@@ -250,7 +256,7 @@
 	return nil
 }
 
-// restart ends a forwarder or ingress in order and starts it again.
+// restart terminates a forwarder or ingress with SIGTERM and starts it again when it has ended.
 func (f *Fleet) restart(i int) {
 	p := f.Forwarders[i]
 	p.Term()
@@ -259,10 +265,12 @@
 	f.Hist.AddRestart(i, from, f.Hist.Now())
 }
 
+// cutPlanner cuts the links between one planner and the forwarders that which selects.
 func (f *Fleet) cutPlanner(x Fault, wait func(time.Duration) bool, which func(i int) bool) {
 	f.cutPlanners(x, wait, func(p, i int) bool { return p == x.A%len(f.Planners) && which(i) })
 }
 
+// cutPlanners cuts the links between planners p and forwarders i that which selects, for the length of the fault.
 func (f *Fleet) cutPlanners(x Fault, wait func(time.Duration) bool, which func(p, i int) bool) {
 	var links []*Link
 	for p, list := range f.Links {
@@ -279,8 +287,9 @@
 	}
 }
 
-// wayTo changes the way to a node from all ingresses or from half of them. A cut is healed late at times.
-func (f *Fleet) wayTo(x Fault, wait func(time.Duration) bool, w Way, all bool) {
+// changeLinks changes the links to a node from all ingresses, or from those with even or odd numbers, and heals them after one to three times
+// the length of the fault.
+func (f *Fleet) changeLinks(x Fault, wait func(time.Duration) bool, w Way, all bool) {
 	n := f.pick(x.A)
 	if n == nil {
 		return
@@ -298,7 +307,7 @@
 	}
 }
 
-// changeConditions changes how things stand at nodes, for a while.
+// changeConditions changes the conditions of nodes for twice the length of the fault.
 func (f *Fleet) changeConditions(x Fault, wait func(time.Duration) bool, nodes []*Node, change func(*node.Conditions)) {
 	w := f.cfg.NodeConditions
 	change(&w)
@@ -311,24 +320,24 @@
 	}
 }
 
-// crash ends a node at once. The roster knows only seconds later, and of the return a little later too. With an id another
-// node comes in its place.
+// crash stops a node and later starts one at its address: the same one, or with an id another in its place. Discovery reports the end only
+// 1 to 4 s after the crash, or not at all if the same node is back by then. It reports the start once the node listens.
 func (f *Fleet) crash(n *Node, id string, x Fault, wait func(time.Duration) bool) {
-	if n == nil || !f.without(n) {
+	if n == nil || !f.removeNode(n) {
 		return
 	}
 	links, addr := f.linksOf(n), n.Addr()
 	n.Stop()
-	notice := time.Duration((1 + 3*x.X) * float64(time.Second))
-	told := x.For > notice || id != ""
-	if told {
-		wait(notice)
+	delay := time.Duration((1 + 3*x.X) * float64(time.Second))
+	notified := x.For > delay || id != ""
+	if notified {
+		wait(delay)
 		f.notify(n, "terminated")
-		wait(max(x.For-notice, 100*time.Millisecond))
+		wait(max(x.For-delay, 100*time.Millisecond))
 	} else {
 		wait(x.For)
 	}
 	if _, err := f.startNode(cmp.Or(id, n.ID), addr, links, true); err != nil {
-		f.Hist.AddFault("node " + n.ID + " does not come back: " + err.Error())
+		f.Hist.AddFault("node " + n.ID + " was not restarted: " + err.Error())
 	}
 }
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -16,41 +16,41 @@
 	"eiderspread/policy"
 )
 
-// Spawn makes the command of one program: kind is forwarder, planner or ingress, file its configuration.
+// Spawn returns the command of a program. kind is forwarder, planner or ingress, and file is the path of its configuration.
 type Spawn func(kind, file string) *exec.Cmd
 
 // FleetConfig describes a fleet under test and its stand-ins.
 type FleetConfig struct {
-	Forwarders, Planners int // with Planners 0 the forwarders are one-program ingresses that talk to each other
+	Forwarders, Planners int // without planners the forwarders are one-level ingresses, which exchange messages with each other
 	Nodes                int
-	Params               topology.Params // times; the rest is filled in
+	Params               topology.Params // StartFleet sets Name, Forwarders and Planners
 	Classes              []policy.Class
 	Plans                []policy.Plan
 	Node                 node.Config
-	NodeConditions       node.Conditions // of nodes, from the start on
+	NodeConditions       node.Conditions // conditions of the nodes when no fault changes them
 	Seed                 uint64
 	Dir                  string
 	Spawn                Spawn
 	MemoryMB, Sockets    int
-	StallS               float64 // by which a process may be late as it is held up: added to what counts to an answer, not to drains
-	LateDials            float64 // share of the connections to nodes that come up late, where RunIngress is what runs
-	SlowS                float64 // added to the auditor's time limits, for tests that a slow machine must pass too
-	Exact                bool    // quotas have QuotaSlack alone: for runs in which no node is slow
-	Quota                float64 // of the rule on quotas; 0: QuotaSlack in two levels, not judged in one
-	CapX                 float64 // of the rule on caps; 0: 2 in two levels, not judged in one
-	PeerLoss             float64 // of messages between ingresses in virtual time; 0 stands for 3%
-	Operator             string  // more of the operator's file of ingresses of one level, or of planners
-	MeasureOverload      bool    // more is asked for than nodes can do: the auditor works out what that came to
+	StallS               float64 // seconds that a stalled process may be late; extends the oracle's limits for answers, but not those for drains
+	LateDials            float64 // fraction of connections to nodes that are established late; needs programs that call RunIngress
+	SlowS                float64 // seconds added to the oracle's time limits, for tests that must also pass on a slow machine
+	Exact                bool    // the quota rule allows only its slack, without QuotaSeconds: for runs in which no node is slow
+	Quota                float64 // slack of the quota rule, in units; 0: QuotaSlack in two levels, not checked in one
+	CapX                 float64 // factor of the rule on concurrency limits; 0: 2 in two levels, not checked in one
+	PeerLoss             float64 // fraction of messages between ingresses that is lost in virtual time; 0: 3%
+	Operator             string  // lines added to the operator's file of one-level ingresses, or of planners
+	MeasureOverload      bool    // the demand exceeds the capacity of the nodes: the oracle measures the result
 	Peak                 oracle.Peak
-	Stated               oracle.LoadSheddingBounds // of a fleet that sheds as one, in such a run
-	Zones                int                       // of nodes, in turn, each of which remembers keys for itself; 0: one, and all remember alike
+	Stated               oracle.LoadSheddingBounds // with MeasureOverload and Operator: the bounds on load shedding that the oracle checks
+	Zones                int                       // zones, assigned to nodes in turn, each with its own memory of keys; 0: one zone
 	Direct               bool                      // no links between clients, ingresses and nodes: for measurements of cost
-	// Discovery, if set, gives the address at which a party asks, in place of the stand-in roster.
+	// Discovery, if set, returns the address at which a party queries discovery, in place of the stand-in.
 	Discovery func(f *Fleet, party string) (string, error)
-	// Source, if set, is told of each change of a node before the stand-in roster is, and says whether the roster is to be told too.
+	// Source, if set, receives each change of a node first, and tells whether the discovery stand-in is to receive the change too.
 	Source  func(f *Fleet, t discovery.Endpoint) bool
-	OneAddr bool    // all parties see a node at one address
-	StaleS  float64 // of the rule on stale words; 0: not judged
+	OneAddr bool    // all parties see a node at the same address
+	StaleS  float64 // seconds, the oracle's MembershipTTLS; 0: not checked
 }
 
 // Fleet is a running fleet with its stand-ins.
@@ -60,30 +60,31 @@
 	Discovery  *Discovery
 	Forwarders []*Proc
 	Planners   []*Proc
-	Links      [][]*Link // by planner and forwarder
-	FrontLinks []*Link   // from clients, by forwarder; nil with Direct
+	Links      [][]*Link // [planner][forwarder]
+	FrontLinks []*Link   // from clients, by forwarder; nil if Direct
 	Front      *Front
-	Peers      *PeerNet // of a fleet of one level
+	Peers      *PeerNet // of a one-level fleet
 
-	mu        sync.Mutex
-	nodes     []*Node            // that run and do not drain
-	nodeLinks map[string][]*Link // by node: for forwarders of even and of odd numbers
-	net       *NodeNet
-	nodeSeq   int
-	taken     map[string]bool // targets of faults that are under way
-	clients   *Clients        // while they run
-	accounts  []Account       // that ask
+	mu          sync.Mutex
+	nodes       []*Node            // that run and are not draining
+	nodeLinks   map[string][]*Link // by node: [0] for forwarders with even numbers, [1] for those with odd ones
+	net         *NodeNet
+	nodeSeq     int
+	busyTargets map[string]bool // targets of active faults
+	clients     *Clients        // set when the scenario starts
+	accounts    []Account       // of the scenario
 }
 
-// ZoneOf is the zone of a node, of so many, by its id.
+// ZoneOf returns the zone of the node with an ID, out of a number of zones.
 func ZoneOf(id string, zones int) string {
 	n, _ := strconv.Atoi(strings.TrimPrefix(id, "z"))
 	return string(rune('a' + n%max(zones, 1)))
 }
 
-// StartFleet starts stand-ins and programs and waits until every forwarder takes requests.
+// StartFleet starts the stand-ins and programs and waits until every forwarder answers PING. After an error the caller has to stop the returned
+// fleet.
 func StartFleet(cfg FleetConfig) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, Hist: oracle.NewHistory(), nodeLinks: map[string][]*Link{}, taken: map[string]bool{}}
+	f := &Fleet{cfg: cfg, Hist: oracle.NewHistory(), nodeLinks: map[string][]*Link{}, busyTargets: map[string]bool{}}
 	f.net = NewNodeNet(f.Hist)
 	f.Discovery = NewDiscovery(f.Hist)
 	f.Discovery.AddrFor = f.addrFor
@@ -94,9 +95,9 @@
 	}
 	var err error
 	if cfg.Planners > 0 {
-		err = f.twoLevels()
+		err = f.addTwoLevelPrograms()
 	} else {
-		err = f.oneLevel()
+		err = f.addOneLevelPrograms()
 	}
 	if err != nil {
 		return f, err
@@ -117,22 +118,22 @@
 	return f, nil
 }
 
-// Observer is the roster's name of a forwarder.
+// Observer returns the name that forwarder i has in the history and towards discovery.
 func (f *Fleet) Observer(i int) string { return oracle.IngressName(i) }
 
-// NewProc makes a program of the fleet that Stop does not know; what it says goes to a log in the fleet's folder.
-func (f *Fleet) NewProc(kind, name, file string) *Proc { return f.proc(kind, name, file, "", "") }
+// NewProc returns a program that Stop does not end. Its output goes to a log file in the directory of the fleet.
+func (f *Fleet) NewProc(kind, name, file string) *Proc { return f.newProc(kind, name, file, "", "") }
 
-// Dir is the fleet's folder.
+// Dir returns the directory with the configurations and logs of the fleet.
 func (f *Fleet) Dir() string { return f.cfg.Dir }
 
-// Seed is the fleet's.
+// Seed returns the random seed of the fleet.
 func (f *Fleet) Seed() uint64 { return f.cfg.Seed }
 
-// Claim runs do unless another fault of the target is under way.
+// Claim calls do unless another fault of the target is active, and tells whether it did.
 func (f *Fleet) Claim(target string, do func()) bool { return f.claim(target, do) }
 
-// addrFor is where a party sees a node: behind a link.
+// addrFor returns the address at which a party sees a node: that of a link to the node, if it has links.
 func (f *Fleet) addrFor(party string, t discovery.Endpoint) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +148,7 @@
 	return links[side].Addr()
 }
 
-// AddNode starts another node, cold or as one that has stood for long, and has the roster tell of it.
+// AddNode starts a node and announces it to discovery. A cold node is in slow start, any other counts as long since started.
 func (f *Fleet) AddNode(cold bool) (*Node, error) {
 	return f.startNode(f.newNodeID(), "", nil, cold)
 }
@@ -159,7 +160,7 @@
 	return fmt.Sprintf("z%d", f.nodeSeq)
 }
 
-// startNode starts a node at an address, "" for one of its own, behind links that are there or behind new ones.
+// startNode starts a node at addr, or at an address of its own if addr is empty. It uses the given links to it and opens the missing ones.
 func (f *Fleet) startNode(id, addr string, links []*Link, cold bool) (*Node, error) {
 	f.mu.Lock()
 	f.nodeSeq++
@@ -187,20 +188,21 @@
 	return n, nil
 }
 
-// Nodes are those that run and do not drain.
+// Nodes returns the nodes that run and are not draining.
 func (f *Fleet) Nodes() []*Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.nodes)
 }
 
-// linksOf are the links to a node.
+// linksOf returns the links to a node.
 func (f *Fleet) linksOf(n *Node) []*Link {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.nodeLinks[n.ID]
 }
 
+// notify announces the state of a node to discovery.
 func (f *Fleet) notify(n *Node, state string) {
 	started := int64(0)
 	if n.inSlowStart() {
@@ -212,11 +214,11 @@
 	}
 }
 
-// AddrFor is the address at which a party sees a node.
+// AddrFor returns the address at which a party sees a node.
 func (f *Fleet) AddrFor(party string, t discovery.Endpoint) string { return f.addrFor(party, t) }
 
-// without takes a node out of those that run, and tells whether it was among them.
-func (f *Fleet) without(n *Node) bool {
+// removeNode removes a node from the running ones, and tells whether it was one of them.
+func (f *Fleet) removeNode(n *Node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := len(f.nodes)
@@ -224,19 +226,19 @@
 	return len(f.nodes) < before
 }
 
-// Drain has the roster tell that a node drains, and ends it a while later.
-func (f *Fleet) Drain(n *Node, gone time.Duration) {
-	if !f.without(n) {
+// Drain announces to discovery that a node is draining, and stops the node after stopAfter.
+func (f *Fleet) Drain(n *Node, stopAfter time.Duration) {
+	if !f.removeNode(n) {
 		return
 	}
 	f.notify(n, "terminating")
-	time.AfterFunc(gone, func() {
+	time.AfterFunc(stopAfter, func() {
 		f.notify(n, "terminated")
 		n.Stop()
 	})
 }
 
-// Stop ends all.
+// Stop ends the programs, links and stand-ins.
 func (f *Fleet) Stop() {
 	for _, p := range append(append([]*Proc{}, f.Forwarders...), f.Planners...) {
 		p.Kill()
--- a/internal/testbed/fleet_layout.go
+++ b/internal/testbed/fleet_layout.go
@@ -14,8 +14,8 @@
 	"eiderspread/policy"
 )
 
-// settingsOf words classes and plans as the platform does.
-func settingsOf(cfg FleetConfig, me int, peers bool) map[string]any {
+// makeSettings returns the settings of program number me, with classes and plans in the format of the platform.
+func makeSettings(cfg FleetConfig, me int, peers bool) map[string]any {
 	effects := map[policy.Idempotency]string{policy.Idempotent: "retryable", policy.KeyedIdempotent: "dedup", policy.NonIdempotent: "fragile"}
 	scopes := map[policy.KeyScope]string{policy.ScopeAll: "all", policy.ScopeZone: "zone", policy.ScopeCell: "cell"}
 	var profiles, packages []map[string]any
@@ -37,26 +37,27 @@
 			"fallS": StatedFallS}}
 }
 
-// base writes a configuration as the platform gives it.
-func (f *Fleet) base(name string, number int, listen string, peers []string) (string, error) {
-	ask := f.Discovery.For
+// writeBaseConfig writes the configuration that the platform gives a program, and returns its path. number is the number of the program, peers
+// has the addresses of all ingresses of a one-level fleet.
+func (f *Fleet) writeBaseConfig(name string, number int, listen string, peers []string) (string, error) {
+	openDiscovery := f.Discovery.For
 	if f.cfg.Discovery != nil {
-		ask = func(party string) (string, error) { return f.cfg.Discovery(f, party) }
+		openDiscovery = func(party string) (string, error) { return f.cfg.Discovery(f, party) }
 	}
-	discovery, err := ask(name)
+	discovery, err := openDiscovery(name)
 	if err != nil {
 		return "", err
 	}
 	c := map[string]any{"name": name, "listen": listen, "discovery": discovery,
 		"seed": fmt.Sprintf("%016x", f.cfg.Seed*1000+uint64(number)+1), "limits": map[string]any{"memory_mb": max(f.cfg.MemoryMB, 64), "sockets": max(f.cfg.Sockets, 512)},
-		"known": f.Discovery.All(name), "settings": settingsOf(f.cfg, number, len(peers) > 0)}
+		"known": f.Discovery.All(name), "settings": makeSettings(f.cfg, number, len(peers) > 0)}
 	if len(peers) > 0 {
 		c["peer_listen"], c["peers"] = peers[number], peers
 	}
-	return f.write(name+".json", c)
+	return f.writeJSON(name+".json", c)
 }
 
-func (f *Fleet) write(name string, v any) (string, error) {
+func (f *Fleet) writeJSON(name string, v any) (string, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return "", err
@@ -65,7 +66,8 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-func (f *Fleet) oneLevel() error {
+// addOneLevelPrograms adds the ingresses of a one-level fleet, with the network between them.
+func (f *Fleet) addOneLevelPrograms() error {
 	var peers []string
 	for range f.cfg.Forwarders {
 		c, err := net.ListenPacket("udp", ownAddr(0))
@@ -84,7 +86,7 @@
 		if err != nil {
 			return err
 		}
-		file, err := f.base(f.Observer(i), i, listen, f.Peers.Peers(i))
+		file, err := f.writeBaseConfig(f.Observer(i), i, listen, f.Peers.Peers(i))
 		if err != nil {
 			return err
 		}
@@ -98,7 +100,7 @@
 				return err
 			}
 		}
-		p := f.proc("ingress", f.Observer(i), file, listen, status)
+		p := f.newProc("ingress", f.Observer(i), file, listen, status)
 		if err := f.addAdminInterfaces(p, "ingress", file, nil); err != nil {
 			return err
 		}
@@ -107,20 +109,21 @@
 	return nil
 }
 
-func (f *Fleet) proc(kind, name, file, listen, status string) *Proc {
+func (f *Fleet) newProc(kind, name, file, listen, status string) *Proc {
 	return &Proc{Name: name, Listen: listen, Status: status, log: filepath.Join(f.cfg.Dir, name+".log"),
 		cmd: func() *exec.Cmd { return f.cfg.Spawn(kind, file) }}
 }
 
-func (f *Fleet) common(number int, base, status string) string {
+// commonConfig returns the lines that the operator's files of planners and forwarders have in common.
+func (f *Fleet) commonConfig(number int, base, status string) string {
 	p := f.cfg.Params
 	return fmt.Sprintf("fleet = \"lab\"\nnumber = %d\nforwarders = %d\nplanners = %d\ncells = %d\nlease_ms = %g\nbeat_ms = %g\n"+
 		"silence_ms = %g\nwait_ms = %g\nfailsafe_ms = %g\nbase = %q\nstatus = %q\n", number, f.cfg.Forwarders, f.cfg.Planners,
 		p.Cells, p.LeaseS*1e3, p.HeartbeatS*1e3, p.LinkTimeoutS*1e3, p.LeaderWaitS*1e3, p.FailsafeDelayS*1e3, base, status)
 }
 
-// twoLevels adds the planners of a fleet, with the links to them, and its forwarders.
-func (f *Fleet) twoLevels() error {
+// addTwoLevelPrograms adds the planners of a two-level fleet, with the links to them, and its forwarders.
+func (f *Fleet) addTwoLevelPrograms() error {
 	f.cfg.Params.Name, f.cfg.Params.Forwarders, f.cfg.Params.Planners = "lab", f.cfg.Forwarders, f.cfg.Planners
 	if err := f.cfg.Params.Check(); err != nil {
 		return err
@@ -148,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	base, err := f.base(name, i, listen, nil)
+	base, err := f.writeBaseConfig(name, i, listen, nil)
 	if err != nil {
 		return err
 	}
@@ -157,14 +160,14 @@
 	if err != nil {
 		return err
 	}
-	text := f.common(i, base, status) + fmt.Sprintf("listen = %q\n", listen)
+	text := f.commonConfig(i, base, status) + fmt.Sprintf("listen = %q\n", listen)
 	if f.cfg.Params.LeaseS <= maxAdminLeaseS {
 		text += fmt.Sprintf("console = %q\n", console)
 	}
 	if err := os.WriteFile(file, []byte(text+f.cfg.Operator), 0o600); err != nil {
 		return err
 	}
-	p := f.proc("planner", name, file, listen, status)
+	p := f.newProc("planner", name, file, listen, status)
 	p.adminInterfaces = [2]adminInterface{{console, file}, {console, file}}
 	f.Planners = append(f.Planners, p)
 	var links []*Link
@@ -188,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	base, err := f.base(f.Observer(i), i, listen, nil)
+	base, err := f.writeBaseConfig(f.Observer(i), i, listen, nil)
 	if err != nil {
 		return err
 	}
@@ -196,10 +199,10 @@
 	for _, links := range f.Links {
 		planners = append(planners, strconv.Quote(links[i].Addr()))
 	}
-	p := f.proc("forwarder", f.Observer(i), "", listen, status)
+	p := f.newProc("forwarder", f.Observer(i), "", listen, status)
 	err = f.addAdminInterfaces(p, "forwarder", base, func(n int, base string) (string, error) {
 		file := filepath.Join(f.cfg.Dir, fmt.Sprintf("%s-%d.toml", f.Observer(i), n))
-		text := f.common(i, base, status) + "planners_at = [" + strings.Join(planners, ", ") + "]\n"
+		text := f.commonConfig(i, base, status) + "planners_at = [" + strings.Join(planners, ", ") + "]\n"
 		return file, os.WriteFile(file, []byte(text), 0o600)
 	})
 	if err != nil {
@@ -209,7 +212,7 @@
 	return nil
 }
 
-// openFront makes the way from clients to the ingresses.
+// openFront opens the links from clients to the ingresses, unless the fleet is Direct, and makes the front.
 func (f *Fleet) openFront() error {
 	var addrs []string
 	var front *Front
@@ -226,7 +229,7 @@
 		addrs = append(addrs, addr)
 	}
 	front = NewFront(f.Hist, addrs, func(i int) int { return f.Forwarders[i].Incarnation() }, f.cfg.Seed)
-	front.leaves = func(i int) bool { return f.Forwarders[i].Leaving() > leaveAfter }
+	front.leaves = func(i int) bool { return f.Forwarders[i].TerminatingFor() > leaveAfter }
 	if !f.cfg.Direct {
 		front.cut = func(i int, since time.Time) bool { return f.FrontLinks[i].CutSince(since) }
 	}
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// Way is what becomes of what a link carries.
+// Way is the state of a link.
 type Way struct {
-	Cut    bool          // no byte passes, without a word: open connections stay open and silent, new ones are taken and silent too
-	Back   bool          // with Cut: only what comes back from the far end is lost
-	Refuse bool          // new connections are reset at once
-	Delay  time.Duration // on each piece, in both directions
+	Cut    bool          // drop all bytes; open connections stay open, new ones are accepted and carry nothing
+	Back   bool          // with Cut: drop only the bytes from the far end
+	Refuse bool          // reset new connections at once
+	Delay  time.Duration // of each chunk of bytes, in both directions
 }
 
-// Hooks are told what a link sees; each may be nil. They are called by goroutines of the link.
+// Hooks are the callbacks of a link; each may be nil. The goroutines of the link call them.
 type Hooks struct {
-	NearEnd   func(far string)  // the near end has ended a connection whose far end has this address, which the far end may not see
-	Unreached func(near string) // a connection from this address reached nobody
+	NearEnd   func(far string)  // the near end has ended a connection; far is its address at the far end, which may not notice
+	Unreached func(near string) // a connection from the address near did not reach the far end
 }
 
-// Link is a TCP link between two parties that can be cut without a word, slowed, refused and healed.
+// Link is a TCP proxy between two parties. It can drop bytes while connections stay open, delay them and refuse connections.
 type Link struct {
 	listener net.Listener
 	hooks    Hooks
 
-	mu     sync.Mutex
-	target string
-	way    Way
-	conns  map[net.Conn]bool
-	heal   chan struct{} // closed when the cut ends
-	cutAt  time.Time     // when the last cut ended, or goes on
+	mu       sync.Mutex
+	target   string // address of the far end
+	way      Way
+	conns    map[net.Conn]bool // open connections of both ends
+	healed   chan struct{}     // closed and replaced when a cut ends
+	healedAt time.Time         // when the last cut ended
 }
 
-// CutSince tells whether the link was cut at some time after t.
+// CutSince tells whether the link was cut at any time after t.
 func (k *Link) CutSince(t time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.way.Cut || k.cutAt.After(t)
+	return k.way.Cut || k.healedAt.After(t)
 }
 
 // NewLink opens a link to an address.
 func NewLink(to string) (*Link, error) { return NewLinkWith(to, Hooks{}) }
 
-// NewLinkWith opens a link that tells what it sees.
+// NewLinkWith opens a link with callbacks to an address.
 func NewLinkWith(to string, hooks Hooks) (*Link, error) {
 	l, err := net.Listen("tcp", ownAddr(0))
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{target: to, listener: l, hooks: hooks, conns: map[net.Conn]bool{}, heal: make(chan struct{})}
+	k := &Link{target: to, listener: l, hooks: hooks, conns: map[net.Conn]bool{}, healed: make(chan struct{})}
 	go k.accept()
 	return k, nil
 }
 
-// Addr is the near end.
+// Addr returns the address of the near end.
 func (k *Link) Addr() string { return k.listener.Addr().String() }
 
-// Close ends the link.
+// Close closes the link and its connections.
 func (k *Link) Close() {
 	k.listener.Close()
 	k.Heal()
@@ -68,13 +68,13 @@
 	}
 }
 
-// Cut stops all bytes.
+// Cut drops all bytes from now on, in both directions.
 func (k *Link) Cut() { k.Set(Way{Cut: true}) }
 
-// Heal ends whatever was set: connections that a cut met are reset.
+// Heal ends the effect of Set. If the link was cut, all open connections are reset.
 func (k *Link) Heal() { k.Set(Way{}) }
 
-// Set says what becomes of what the link carries from now on.
+// Set changes the state of the link. At the end of a cut all open connections are reset.
 func (k *Link) Set(w Way) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -83,24 +83,25 @@
 	if !healed {
 		return
 	}
-	k.cutAt = time.Now()
+	k.healedAt = time.Now()
 	for c := range k.conns {
 		reset(c)
 	}
-	close(k.heal)
-	k.heal = make(chan struct{})
+	close(k.healed)
+	k.healed = make(chan struct{})
 }
 
-func (k *Link) state() (way Way, heal chan struct{}) {
+func (k *Link) state() (way Way, healed chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.way, k.heal
+	return k.way, k.healed
 }
 
-func (k *Link) keep(c net.Conn, on bool) {
+// track adds a connection to the open ones, or removes it.
+func (k *Link) track(c net.Conn, open bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if on {
+	if open {
 		k.conns[c] = true
 	} else {
 		delete(k.conns, c)
@@ -119,25 +120,25 @@
 
 func (k *Link) serve(near net.Conn) {
 	defer near.Close()
-	k.keep(near, true)
-	defer k.keep(near, false)
-	way, heal := k.state()
+	k.track(near, true)
+	defer k.track(near, false)
+	way, healed := k.state()
 	switch {
 	case way.Refuse:
-		k.unreached(near)
+		k.rejectUnreached(near)
 		return
 	case way.Cut && !way.Back:
-		<-heal
+		<-healed
 		return
 	}
 	far, err := net.Dial("tcp", k.target)
 	if err != nil {
-		k.unreached(near)
+		k.rejectUnreached(near)
 		return
 	}
 	defer far.Close()
-	k.keep(far, true)
-	defer k.keep(far, false)
+	k.track(far, true)
+	defer k.track(far, false)
 	done := make(chan struct{}, 2)
 	go func() {
 		k.pump(far, near, false)
@@ -148,26 +149,27 @@
 	}()
 	go func() { k.pump(near, far, true); done <- struct{}{} }()
 	<-done
-	if way, heal := k.state(); way.Cut { // the end of one side is not to be seen at the other
-		<-heal
+	if way, healed := k.state(); way.Cut { // a cut also hides from one end that the other has closed
+		<-healed
 	}
 }
 
-func (k *Link) unreached(near net.Conn) {
+// rejectUnreached resets a connection that does not reach the far end.
+func (k *Link) rejectUnreached(near net.Conn) {
 	if k.hooks.Unreached != nil {
 		k.hooks.Unreached(near.RemoteAddr().String())
 	}
 	reset(near)
 }
 
-// pump moves bytes one way to the end of its source. What comes in a cut is lost, and so is the connection.
-func (k *Link) pump(to, from net.Conn, back bool) {
+// pump copies bytes in one direction until the source ends. Once it has read during a cut, it drops all that follows on the connection.
+func (k *Link) pump(to, from net.Conn, reverse bool) {
 	buf := make([]byte, 32<<10)
 	lost := false
 	for {
 		n, err := from.Read(buf)
 		way, _ := k.state()
-		lost = lost || way.Cut && (back || !way.Back)
+		lost = lost || way.Cut && (reverse || !way.Back)
 		if way.Delay > 0 {
 			time.Sleep(way.Delay)
 		}
@@ -182,7 +184,7 @@
 	}
 }
 
-// Break resets all open connections; new ones are taken as before.
+// Break resets all open connections. New ones are accepted as before.
 func (k *Link) Break() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -1,8 +1,8 @@
-// Package testbed tries fleets on loopback sockets: stand-ins for backends, discovery, the front and clients, links
-// that can be cut, processes that can be killed and paused, and faults of all of them by schedule. Package node has the model
-// of a backend, package oracle the invariant checker, package simulation fleets in virtual time, package mutation the guards that are taken out on
-// purpose. All of it is on loopback addresses. One process holds the stand-ins, so that one clock times everything; the
-// programs under test are processes of their own.
+// Package testbed runs fleets on loopback sockets against stand-ins for backends, discovery, the front and clients. Links can be cut, processes
+// can be killed and paused, and a schedule injects faults into all of them. Package node has the model of a backend, package oracle the
+// invariant checker, package simulation runs fleets in virtual time, and package mutation has the guards that are removed on purpose. All sockets
+// are on loopback addresses. One process holds the stand-ins, so that one clock times all events; the programs under test are processes of their
+// own.
 package testbed
 
 import (
@@ -21,8 +21,8 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Node is one stand-in zone node on a socket: a node.Model, and the connections to it. Each attempt is recorded when its last
-// byte has come and when it ends.
+// Node is a stand-in backend on a socket: a node.Model with its connections. The history gets each attempt when its last byte has arrived and
+// when it ends.
 type Node struct {
 	ID          string
 	cfg         node.Config
@@ -30,51 +30,50 @@
 	incarnation int
 	started     time.Time
 	slowStart   bool
-	zero        time.Time   // of the model's time
-	keysMu      *sync.Mutex // of the model's Keys, which all nodes share; taken inside mu
-
-	mu       sync.Mutex
-	listener net.Listener
-	model    *node.Model
-	timer    *time.Timer
-	nextAt   float64
-	handles  uint64
-	attempts map[uint64]*nodeAttempt // not ended
-	conns    map[net.Conn]bool
-	stopped  bool // takes no connections any more
-	crashed  bool // nor does anything else
+	epoch       time.Time   // start of the model's time
+	keysMu      *sync.Mutex // guards the model's Keys, which all nodes share; locked after mu
+
+	mu         sync.Mutex
+	listener   net.Listener
+	model      *node.Model
+	timer      *time.Timer
+	nextAt     float64
+	lastHandle uint64
+	attempts   map[uint64]*nodeAttempt // by handle; those that have not ended
+	conns      map[net.Conn]bool
+	stopped    bool // accepts no connections any more
+	crashed    bool // the model is no longer run either
 }
 
-// nodeAttempt is what the node keeps of an attempt that has not ended.
+// nodeAttempt is an attempt that has not ended.
 type nodeAttempt struct {
 	node.Attempt
 	rec   *oracle.Attempt
-	reply chan node.Fate // of one place, for what its connection is to write; closed with nothing to write
-	load  float64
+	reply chan node.Fate // holds the fate to answer with, if any; closed when the attempt ends
+	load  float64        // reported with the answer
 }
 
-// NodeNet is what all nodes of a laboratory share.
+// NodeNet is what all nodes of a fleet share: the history, the time of the models and the memory of keys.
 type NodeNet struct {
-	hist *oracle.History
-	zero time.Time
-	mu   sync.Mutex
-	keys *node.Keys
+	hist  *oracle.History
+	epoch time.Time
+	mu    sync.Mutex
+	keys  *node.Keys
 }
 
-// NewNodeNet makes what nodes share.
+// NewNodeNet returns a NodeNet whose time starts now, without keys.
 func NewNodeNet(hist *oracle.History) *NodeNet {
-	return &NodeNet{hist: hist, zero: time.Now(), keys: node.NewKeys()}
+	return &NodeNet{hist: hist, epoch: time.Now(), keys: node.NewKeys()}
 }
 
-// Start starts a node at an address, or with "" at one of its own: as one that has stood for long, or with cold as one that
-// has just started.
+// Start starts a node at addr, or at an address of its own if addr is empty. A cold node starts now, any other counts as started 1e6 s ago.
 func (w *NodeNet) Start(id, addr string, cfg node.Config, cold bool, seed uint64) (*Node, error) {
 	if addr == "" {
 		addr = ownAddr(0)
 	}
 	var l net.Listener
 	var err error
-	for range 50 { // what was here before may still hold the address for a moment
+	for range 50 { // the previous node may hold the address for a moment
 		if l, err = net.Listen("tcp", addr); err == nil {
 			break
 		}
@@ -83,26 +82,26 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{ID: id, cfg: cfg, listener: l, hist: w.hist, zero: w.zero, keysMu: &w.mu, started: time.Now(), slowStart: cold, attempts: map[uint64]*nodeAttempt{},
+	n := &Node{ID: id, cfg: cfg, listener: l, hist: w.hist, epoch: w.epoch, keysMu: &w.mu, started: time.Now(), slowStart: cold, attempts: map[uint64]*nodeAttempt{},
 		conns: map[net.Conn]bool{}, nextAt: math.Inf(1)}
-	born, started := n.now(), w.hist.Now()
+	modelStart, started := n.now(), w.hist.Now()
 	if !cold {
-		born -= 1e6
+		modelStart -= 1e6
 		started = -1e6 * time.Second
 	}
 	n.incarnation = w.hist.AddIncarnation(oracle.Incarnation{Node: id, StartedAt: started, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.SlowStartMinFraction, WarmUpS: cfg.SlowStartS})
-	n.model = node.New(cfg, w.keys, seed, born, n)
-	n.timer = time.AfterFunc(time.Hour, n.ring)
+	n.model = node.New(cfg, w.keys, seed, modelStart, n)
+	n.timer = time.AfterFunc(time.Hour, n.advance)
 	go n.accept(l)
 	return n, nil
 }
 
-// inSlowStart tells that its start is of this run.
+// inSlowStart tells whether the node was started cold.
 func (n *Node) inSlowStart() bool { return n.slowStart }
 
-func (n *Node) now() float64 { return time.Since(n.zero).Seconds() }
+func (n *Node) now() float64 { return time.Since(n.epoch).Seconds() }
 
-// do runs something on the model, and sets the timer for what comes next.
+// do calls f with the model, unless the node has crashed, and sets the timer to the model's next event.
 func (n *Node) do(f func(m *node.Model, now float64)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,20 +119,20 @@
 	}
 }
 
-func (n *Node) ring() { n.do(func(m *node.Model, now float64) { m.Advance(now) }) }
+func (n *Node) advance() { n.do(func(m *node.Model, now float64) { m.Advance(now) }) }
 
-// SetConditions says how things stand at the node from now on.
+// SetConditions changes the conditions of the node from now on.
 func (n *Node) SetConditions(w node.Conditions) {
 	n.do(func(m *node.Model, now float64) { m.Advance(now); m.SetConditions(w) })
 }
 
-// Pause stops the node's time; its connections stay open. Resume ends that.
+// Pause stops the work of the node until Resume; its connections stay open.
 func (n *Node) Pause() { n.do(func(m *node.Model, now float64) { m.Pause(now) }) }
 
 // Resume ends a pause.
 func (n *Node) Resume() { n.do(func(m *node.Model, now float64) { m.Resume(now) }) }
 
-// Fallen tells that the node has fallen over.
+// Fallen tells whether the node has failed because it was sent too much work while cold.
 func (n *Node) Fallen() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,6 +169,7 @@
 	n.stop()
 }
 
+// stop closes the listener and resets all connections. n.mu is held.
 func (n *Node) stop() {
 	n.stopped = true
 	n.listener.Close()
@@ -178,7 +178,7 @@
 	}
 }
 
-// reset ends a connection as a dying process does.
+// reset closes a connection with a TCP reset, as the end of its process would.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -186,10 +186,10 @@
 	c.Close()
 }
 
-// Addr is where the node listens.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Stop ends the node as a crash would: what it holds is lost.
+// Stop ends the node as a crash would: its attempts are lost.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -227,20 +227,20 @@
 	}
 }
 
-var errBreaks = errors.New("breaks in the command")
+var errBroken = errors.New("injected break within a command")
 
-// readCommand reads an array of bulk strings. After its head it asks whether the connection is to break now.
+// readCommand reads a command, an array of bulk strings. It returns errBroken if breaks, called after the header of the array, is true.
 func readCommand(r *bufio.Reader, breaks func() bool) ([]string, error) {
 	head, err := r.ReadString('\n')
 	if err != nil {
 		return nil, err
 	}
 	if breaks != nil && breaks() {
-		return nil, errBreaks
+		return nil, errBroken
 	}
 	count, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(head, "*")))
 	if err != nil || head[0] != '*' || count > 16 {
-		return nil, errors.New("no command")
+		return nil, fmt.Errorf("invalid command header %q, want an array of at most 16 strings", head)
 	}
 	args := make([]string, 0, count)
 	for range count {
@@ -250,7 +250,7 @@
 		}
 		size, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "$")))
 		if err != nil || size < 0 || size > 64<<10 {
-			return nil, errors.New("no length")
+			return nil, fmt.Errorf("invalid string header %q, want a length of 0 to 65536 bytes", line)
 		}
 		b := make([]byte, size+2)
 		if _, err := io.ReadFull(r, b); err != nil {
@@ -261,8 +261,8 @@
 	return args, nil
 }
 
-// fieldsOf splits the list of names and values of a call.
-func fieldsOf(list string) map[string]string {
+// parseFields parses the comma-separated name=value pairs of a call.
+func parseFields(list string) map[string]string {
 	m := map[string]string{}
 	for part := range strings.SplitSeq(list, ",") {
 		k, v, _ := strings.Cut(part, "=")
@@ -271,22 +271,22 @@
 	return m
 }
 
-// serve takes one command after the other. While one is in work its connection is watched, so that an attempt that
-// is given up ends at once.
+// serve processes the commands of a connection one after the other. It keeps reading while a command is in progress, so that an attempt whose
+// connection is closed ends at once.
 func (n *Node) serve(c net.Conn) {
 	commands := make(chan []string)
 	quit := make(chan struct{})
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	defer close(quit)
 	go func() {
-		defer close(gone)
+		defer close(closed)
 		r := bufio.NewReader(c)
 		for {
 			args, err := readCommand(r, func() (b bool) {
 				n.do(func(m *node.Model, _ float64) { b = m.Breaks() })
 				return b
 			})
-			if errors.Is(err, errBreaks) {
+			if errors.Is(err, errBroken) {
 				reset(c)
 			}
 			if err != nil {
@@ -303,57 +303,57 @@
 	if idle == 0 {
 		idle = time.Hour
 	}
-	wait := time.NewTimer(idle)
-	defer wait.Stop()
+	idleTimer := time.NewTimer(idle)
+	defer idleTimer.Stop()
 	for {
-		wait.Reset(idle)
+		idleTimer.Reset(idle)
 		select {
 		case args := <-commands:
-			if !n.command(c, args, gone) {
+			if !n.command(c, args, closed) {
 				reset(c)
 				return
 			}
-		case <-gone:
+		case <-closed:
 			return
-		case <-wait.C:
+		case <-idleTimer.C:
 			return
 		}
 	}
 }
 
-// command carries out one command and tells whether the connection goes on.
-func (n *Node) command(c net.Conn, args []string, gone <-chan struct{}) bool {
+// command processes one command and tells whether the connection stays open.
+func (n *Node) command(c net.Conn, args []string, closed <-chan struct{}) bool {
 	if len(args) < 4 || !strings.HasPrefix(args[0], "CALL.") {
 		answer := "-ERR unknown\r\n"
 		if len(args) > 0 && args[0] == "INFO" {
 			n.mu.Lock()
-			load := loadOf(n.model.Load())
+			load := formatLoad(n.model.Load())
 			n.mu.Unlock()
-			answer = bulk(load)
+			answer = bulkString(load)
 		}
 		_, err := io.WriteString(c, answer)
 		return err == nil
 	}
-	f := fieldsOf(args[3])
+	f := parseFields(args[3])
 	units, _ := strconv.ParseFloat(f["units"], 64)
 	x := &nodeAttempt{reply: make(chan node.Fate, 1), rec: &oracle.Attempt{ID: args[2], Node: n.ID, Account: args[1], Class: f["c"], Plan: f["t"],
 		Units: units, Incarnation: n.incarnation, Conn: c.RemoteAddr().String()},
 		Attempt: node.Attempt{Request: args[2], Account: args[1], Class: f["c"], Key: f["k"]}}
 	n.do(func(m *node.Model, now float64) {
-		n.handles++
-		x.Handle = n.handles
+		n.lastHandle++
+		x.Handle = n.lastHandle
 		n.attempts[x.Handle] = x
 		n.hist.AttemptReceived(x.rec)
 		n.hist.SetAttemptWork(x.rec, m.Arrive(now, &x.Attempt))
 	})
-	if x.Handle == 0 { // it had crashed
+	if x.Handle == 0 { // the node had crashed
 		return false
 	}
 	var fate node.Fate
-	var answers bool
+	var hasReply bool
 	select {
-	case fate, answers = <-x.reply:
-	case <-gone:
+	case fate, hasReply = <-x.reply:
+	case <-closed:
 		n.hist.ConnectionEnded(x.rec.Conn)
 		n.do(func(m *node.Model, now float64) {
 			if n.attempts[x.Handle] == x {
@@ -362,33 +362,33 @@
 		})
 		return false
 	}
-	if !answers { // it fell over or crashed
+	if !hasReply { // the node has failed or crashed
 		return false
 	}
-	text, goesOn := replyOf(fate, args[2], loadOf(x.load))
+	text, keepOpen := formatReply(fate, args[2], formatLoad(x.load))
 	if _, err := io.WriteString(c, text); err != nil {
 		return false
 	}
-	if fate == node.Copy { // at once, or so late that the next command may be there already
+	if fate == node.Copy { // the copy comes 0, 4 or 8 ms later, so that the next command may have arrived
 		time.Sleep(time.Duration(x.Handle%3) * 4 * time.Millisecond)
 		if _, err := io.WriteString(c, text); err != nil {
-			goesOn = false
+			keepOpen = false
 		}
 	}
 	if fate == node.Served || fate == node.Copy || fate == node.AbsurdLoad || fate == node.Late {
 		n.hist.AttemptAnswered(x.rec)
 	}
-	return goesOn
+	return keepOpen
 }
 
-func bulk(s string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(s), s) }
+func bulkString(s string) string { return fmt.Sprintf("$%d\r\n%s\r\n", len(s), s) }
 
-func loadOf(util float64) string { return fmt.Sprintf("cpu_share=%.3f,svc_ms=%.1f", util, 100.0) }
+func formatLoad(util float64) string { return fmt.Sprintf("cpu_share=%.3f,svc_ms=%.1f", util, 100.0) }
 
-// replyOf words what a fate brings back, and tells whether the connection goes on after it.
-func replyOf(f node.Fate, id, load string) (text string, goesOn bool) {
-	value := bulk("v:" + id)
-	whole := "*3\r\n" + value + "$-1\r\n" + bulk(load)
+// formatReply returns the bytes that a fate answers with, and whether the connection stays open.
+func formatReply(f node.Fate, id, load string) (text string, keepOpen bool) {
+	value := bulkString("v:" + id)
+	whole := "*3\r\n" + value + "$-1\r\n" + bulkString(load)
 	switch f {
 	case node.Served, node.Late, node.Copy:
 		return whole, true
@@ -407,7 +407,7 @@
 	case node.Valueless:
 		return "*3\r\n$-1\r\n$-1\r\n$-1\r\n", true
 	case node.AbsurdLoad:
-		return "*3\r\n" + value + "$-1\r\n" + bulk("cpu_share=1e8,svc_ms=-4"), true
+		return "*3\r\n" + value + "$-1\r\n" + bulkString("cpu_share=1e8,svc_ms=-4"), true
 	}
 	return "", false // ResetUnrun, ResetRan
 }
--- a/internal/testbed/operators.go
+++ b/internal/testbed/operators.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net/http"
 	"os"
@@ -15,23 +14,25 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// What operators do by hand to one-program ingresses: replace a program beside itself, take nodes out and call them back.
-// Ingresses of a fleet of one level have a door each; every second start of one has it at another address. In two levels planners have one.
+// Operations of operators: hot restarts of programs, and cordons of nodes. Operators call the admin interfaces of programs. Ingresses and
+// forwarders have two addresses for it, which alternate with each hot restart, as predecessor and successor run at the same time. Planners
+// have one.
 
 const (
-	replaceMost    = 10 * time.Second // for an old program to end after its successor was started
-	callMost       = 2 * time.Second
-	callRetry      = 50 * time.Millisecond
-	maxAdminLeaseS = 0.6              // seconds: planners with longer leases have no door
-	resumeMost     = 10 * time.Second // for a call back to get through to an ingress that is down now
+	replaceTimeout  = 10 * time.Second      // for the predecessor to end after its successor was started
+	callTimeout     = 2 * time.Second       // of one call
+	callRetry       = 50 * time.Millisecond // interval between tries of a call
+	maxAdminLeaseS  = 0.6                   // seconds: planners with longer leases have no admin interface
+	uncordonTimeout = 10 * time.Second      // for an uncordon call to succeed at a program that may be down at first
 )
 
-// adminInterface is one address of a program's operators' door, and the configuration that names it.
-type adminInterface struct{ console, file string }
+// adminInterface is an address of the admin interface of a program, and the configuration with that address.
+type adminInterface struct{ addr, file string }
 
-// addAdminInterfaces gives a program two configurations that differ in the door alone, and a folder that outlives it. wrap, if not nil, words the
-// operator's file that names a configuration; the program is given that one.
-func (f *Fleet) addAdminInterfaces(p *Proc, kind, file string, wrap func(n int, base string) (string, error)) error {
+// addAdminInterfaces gives a program two configurations that differ only in the address of the admin interface, and a temporary directory that
+// outlives its processes. writeOperatorFile, if not nil, writes an operator's file that names configuration base; the program is then started
+// with that file.
+func (f *Fleet) addAdminInterfaces(p *Proc, kind, file string, writeOperatorFile func(n int, base string) (string, error)) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -50,12 +51,12 @@
 			return err
 		}
 		c["console"] = addr
-		path, err := f.write(fmt.Sprintf("%s-%d.json", p.Name, i), c)
+		path, err := f.writeJSON(fmt.Sprintf("%s-%d.json", p.Name, i), c)
 		if err != nil {
 			return err
 		}
-		if wrap != nil {
-			if path, err = wrap(i, path); err != nil {
+		if writeOperatorFile != nil {
+			if path, err = writeOperatorFile(i, path); err != nil {
 				return err
 			}
 		}
@@ -78,21 +79,22 @@
 	return nil
 }
 
+// admin returns the admin interface that is in use.
 func (p *Proc) admin() adminInterface {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.adminInterfaces[p.turn%len(p.adminInterfaces)]
+	return p.adminInterfaces[p.replacements%len(p.adminInterfaces)]
 }
 
-// Replace starts the program a second time beside itself, and returns when the first has ended. To clients its life goes
-// on: no connection may end by it.
+// Replace hot-restarts the program: it starts a successor and returns when the predecessor has ended. The incarnation stays the same, as no
+// client's connection may end because of a hot restart.
 func (p *Proc) Replace() error {
 	p.mu.Lock()
-	old, exited := p.run, p.exited
-	p.turn++
+	old, exited := p.running, p.exited
+	p.replacements++
 	p.mu.Unlock()
 	if old == nil || !p.Up() {
-		return errors.New("nothing runs that could be replaced")
+		return fmt.Errorf("%s is not running, so it has no hot restart", p.Name)
 	}
 	if err := p.start(false); err != nil {
 		return err
@@ -100,46 +102,46 @@
 	select {
 	case <-exited:
 		return nil
-	case <-time.After(replaceMost):
+	case <-time.After(replaceTimeout):
 		_ = old.Process.Kill()
 		<-exited
-		return fmt.Errorf("%s: the old program did not end", p.Name)
+		return fmt.Errorf("%s: the predecessor did not end within %v of the start of its successor", p.Name, replaceTimeout)
 	}
 }
 
-// ReplaceInVain starts the program a second time beside itself, has meanwhile run from its first yes on, and kills it. The first
-// process goes on; it returns when that one takes clients again.
-func (p *Proc) ReplaceInVain(meanwhile func()) error {
+// ReplaceAndKillSuccessor starts a successor, calls meanwhile when it is ready or after half of replaceTimeout, and kills it. The predecessor
+// goes on; the method returns when the predecessor accepts clients again.
+func (p *Proc) ReplaceAndKillSuccessor(meanwhile func()) error {
 	p.mu.Lock()
-	old, exited, paused, turn := p.run, p.exited, p.paused, p.turn
-	p.turn++
+	old, exited, paused, replacements := p.running, p.exited, p.paused, p.replacements
+	p.replacements++
 	p.mu.Unlock()
 	if old == nil || !p.Up() {
-		return errors.New("nothing runs that could be replaced")
+		return fmt.Errorf("%s is not running, so it has no hot restart", p.Name)
 	}
 	err := p.start(false)
 	if err == nil {
-		p.ready(replaceMost / 2)
+		p.waitReady(replaceTimeout / 2)
 		meanwhile()
 		p.Kill()
 	}
 	select {
-	case <-exited: // it had nothing left: what died was the program
+	case <-exited: // the predecessor had handed over everything and ended: the kill ended the program
 		return p.start(true)
 	default:
 	}
 	p.mu.Lock()
-	p.run, p.exited, p.paused, p.turn = old, exited, paused, turn
+	p.running, p.exited, p.paused, p.replacements = old, exited, paused, replacements
 	p.mu.Unlock()
-	if err == nil && !p.ready(replaceMost/2) {
-		err = fmt.Errorf("%s: the first program does not take clients again", p.Name)
+	if err == nil && !p.waitReady(replaceTimeout/2) {
+		err = fmt.Errorf("%s: the predecessor is not ready %v after its successor was killed", p.Name, replaceTimeout/2)
 	}
 	return err
 }
 
-// ready waits until the program's door says that it takes clients; false if it does not come to that.
-func (p *Proc) ready(most time.Duration) bool {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(callRetry / 10) {
+// waitReady waits until the program's admin interface reports it as ready. It returns false if that does not happen within timeout.
+func (p *Proc) waitReady(timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(callRetry / 10) {
 		if status, err := p.Call(context.Background(), http.MethodGet, "/v1/readyz"); err == nil && status == http.StatusOK {
 			return true
 		}
@@ -147,15 +149,15 @@
 	return false
 }
 
-var operators = http.Client{Timeout: callMost, Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Call makes an operator's call and returns its status.
+// Call calls the admin interface of the program and returns the HTTP status.
 func (p *Proc) Call(ctx context.Context, method, path string) (int, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.admin().console+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.admin().addr+path, nil)
 	if err != nil {
 		return 0, err
 	}
-	resp, err := operators.Do(req)
+	resp, err := adminClient.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -163,14 +165,14 @@
 	return resp.StatusCode, nil
 }
 
-// cordon has operators take a node out at every ingress that says yes, for as long as wait does, and call it back.
+// cordon cordons a node at every ingress that accepts the call, runs meanwhile, and uncordons the node at these ingresses.
 func (f *Fleet) cordon(n *Node, meanwhile func()) {
-	held := make([]bool, len(f.Forwarders))
+	cordoned := make([]bool, len(f.Forwarders))
 	var all sync.WaitGroup
 	for i, p := range f.Forwarders {
 		all.Go(func() {
 			if status, err := p.Call(context.Background(), http.MethodPost, "/v1/backends/"+n.ID+"/suspend"); err == nil && status == http.StatusOK {
-				held[i] = true
+				cordoned[i] = true
 				f.Hist.SetCordon(f.Observer(i), n.ID, true)
 			}
 		})
@@ -178,91 +180,91 @@
 	all.Wait()
 	meanwhile()
 	for i, p := range f.Forwarders {
-		if !held[i] {
+		if !cordoned[i] {
 			continue
 		}
 		all.Go(func() {
 			f.Hist.SetCordon(f.Observer(i), n.ID, false)
 			status := 0
-			for end := time.Now().Add(resumeMost); time.Now().Before(end); time.Sleep(callRetry) {
+			for end := time.Now().Add(uncordonTimeout); time.Now().Before(end); time.Sleep(callRetry) {
 				var err error
 				if status, err = p.Call(context.Background(), http.MethodPost, "/v1/backends/"+n.ID+"/resume"); err == nil && status < 500 {
 					break
 				}
 			}
 			if status != http.StatusOK {
-				f.Hist.AddFault(fmt.Sprintf("%s does not call %s back: status %d", p.Name, n.ID, status))
+				f.Hist.AddFault(fmt.Sprintf("%s does not uncordon %s: status %d", p.Name, n.ID, status))
 			}
 		})
 	}
 	all.Wait()
 }
 
-// cordonAtPlanner has operators take a node out at one planner, for as long as meanwhile does, and call it back at another. From the yes on
-// every forwarder is bound, whoever leads.
+// cordonAtPlanner cordons a node at one planner, runs meanwhile, and uncordons the node at another planner. Once a planner has accepted the
+// cordon, it binds every forwarder, whichever planner leads.
 func (f *Fleet) cordonAtPlanner(n *Node, at int, meanwhile func()) {
 	path := "/v1/backends/" + n.ID
-	yes, status, err := false, 0, error(nil)
-	for end := time.Now().Add(resumeMost / 3); !yes && time.Now().Before(end); at++ { // a planner may be down, or linked to too few
+	cordoned, status, err := false, 0, error(nil)
+	for end := time.Now().Add(uncordonTimeout / 3); !cordoned && time.Now().Before(end); at++ { // a planner may be down, or linked to too few forwarders
 		status, err = f.Planners[at%len(f.Planners)].Call(context.Background(), http.MethodPost, path+"/suspend")
-		yes = err == nil && status == http.StatusOK
+		cordoned = err == nil && status == http.StatusOK
 	}
-	if yes {
+	if cordoned {
 		for i := range f.Forwarders {
 			f.Hist.SetCordon(f.Observer(i), n.ID, true)
 		}
 	} else {
-		f.Hist.AddFault(fmt.Sprintf("planner %d does not hold %s: status %d, %v", at%len(f.Planners), n.ID, status, err))
+		f.Hist.AddFault(fmt.Sprintf("planner %d does not cordon %s: status %d, %v", at%len(f.Planners), n.ID, status, err))
 	}
 	meanwhile()
 	for i := range f.Forwarders {
-		if yes {
+		if cordoned {
 			f.Hist.SetCordon(f.Observer(i), n.ID, false)
 		}
 	}
-	for end := time.Now().Add(resumeMost); time.Now().Before(end); time.Sleep(callRetry) {
-		at++ // whichever answers
+	for end := time.Now().Add(uncordonTimeout); time.Now().Before(end); time.Sleep(callRetry) {
+		at++ // try the next planner
 		if status, err = f.Planners[at%len(f.Planners)].Call(context.Background(), http.MethodPost, path+"/resume"); err == nil && status == http.StatusOK {
 			return
 		}
 	}
-	f.Hist.AddFault(fmt.Sprintf("nobody calls %s back: status %d, %v", n.ID, status, err))
+	f.Hist.AddFault(fmt.Sprintf("no planner uncordons %s: status %d, %v", n.ID, status, err))
 }
 
 func init() {
-	kinds["fleet held"] = kind{"operators take a node out at one planner and call it back at another", 1, 2, one("held"),
+	kinds["fleet held"] = kind{"operators cordon a node at one planner and uncordon it at another", 1, 2, fixedTarget("held"),
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			if n := f.pick(x.A); n != nil {
 				f.cordonAtPlanner(n, x.B, func() { wait(x.For) })
 			}
 		}}
-	kinds["away"] = kind{"operators send a planner away and have it back", 1, 2, onPlanner,
+	kinds["away"] = kind{"operators drain a planner and activate it again", 1, 2, onPlanner,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			p := f.Planners[x.A%len(f.Planners)]
 			_, _ = p.Call(context.Background(), http.MethodPost, "/v1/ingress/drain")
 			wait(x.For)
 			_, _ = p.Call(context.Background(), http.MethodPost, "/v1/ingress/activate")
 		}}
-	kinds["replaced"] = kind{"operators replace an ingress's program beside itself", 1, 4, onForwarder,
+	kinds["replaced"] = kind{"operators hot-restart an ingress", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 			i, from := x.A%len(f.Forwarders), f.Hist.Now()
 			if err := f.Forwarders[i].Replace(); err != nil {
-				f.Hist.AddFault("not replaced: " + err.Error())
+				f.Hist.AddFault("hot restart failed: " + err.Error())
 				return
 			}
 			f.Hist.AddReplacement(i, from, f.Hist.Now())
 		}}
-	kinds["fleet replaced"] = kind{"operators replace a forwarder's program beside itself", 2, 2, onForwarder, kinds["replaced"].inject}
-	kinds["successor dies"] = kind{"operators replace a forwarder's program, and the new one dies of it", 1, 2, onForwarder,
+	kinds["fleet replaced"] = kind{"operators hot-restart a forwarder", 2, 2, onForwarder, kinds["replaced"].inject}
+	kinds["successor dies"] = kind{"operators hot-restart a forwarder, and the successor is killed", 1, 2, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			i, from := x.A%len(f.Forwarders), f.Hist.Now()
-			err := f.Forwarders[i].ReplaceInVain(func() { wait(time.Duration(0.4 * x.X * float64(time.Second))) })
-			f.Hist.AddOutage(i, from, f.Hist.Now()) // what the new one had taken is its clients' to try again
+			err := f.Forwarders[i].ReplaceAndKillSuccessor(func() { wait(time.Duration(0.4 * x.X * float64(time.Second))) })
+			f.Hist.AddOutage(i, from, f.Hist.Now()) // clients have to retry what the successor had accepted
 			if err != nil {
-				f.Hist.AddFault("not replaced in vain: " + err.Error())
+				f.Hist.AddFault("hot restart with killed successor failed: " + err.Error())
 			}
 		}}
-	kinds["held"] = kind{"operators take a node out at every ingress, restart it at times, and call it back", 1, 4, one("held"),
+	kinds["held"] = kind{"operators cordon a node at every ingress, restart it at times, and uncordon it", 1, 4, fixedTarget("held"),
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			n := f.pick(x.A)
 			if n == nil {
@@ -275,7 +277,7 @@
 				wait(x.For)
 			})
 		}}
-	scenarios["operators"] = scenario{what: "programs replaced beside themselves, nodes held and restarted, while nodes err, drain and crash and programs die",
+	scenarios["operators"] = scenario{what: "hot restarts of programs and cordons and restarts of nodes, while nodes fail, drain and crash and programs are killed",
 		kinds: []string{"replaced", "replaced", "replaced", "held", "held", "held", "drain", "crash", "sick", "forwarder", "broken roster", "silent roster", "late roster"},
 		every: 400 * time.Millisecond, faultyFraction: 0.05, hangUps: 0.03, batches: 0.2, misbehaving: 1,
 		floors: map[string]int{oracle.RuleCordon: 20, oracle.RuleReplacement: 20, oracle.RuleNoRequestLost: 50}}
--- a/internal/testbed/peernet.go
+++ b/internal/testbed/peernet.go
@@ -9,44 +9,44 @@
 	"eiderspread/internal/base/peerprotocol"
 )
 
-// PeerNet carries the datagrams between ingresses, each pair through addresses of its own, so that they can be cut,
-// lost, late and doubled by pair and direction.
+// PeerNet carries the datagrams between ingresses. Each pair uses addresses of its own, so that datagrams can be dropped, delayed and
+// duplicated by pair and direction.
 type PeerNet struct {
-	socks [][]*net.UDPConn // socks[i][j]: where i sends for j, and from where i hears j
+	sockets [][]*net.UDPConn // sockets[i][j] receives what i sends to j, and sends to i what j has sent
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	targets []*net.UDPAddr // each one's own address
-	rule    [][]PacketConditions
-	sent    int
-	began   time.Time
+	mu         sync.Mutex
+	rng        *rand.Rand
+	targets    []*net.UDPAddr       // the address of each ingress
+	conditions [][]PacketConditions // [sender][receiver]
+	sent       int
+	began      time.Time
 }
 
-// PacketConditions is what becomes of datagrams in one direction.
+// PacketConditions is the treatment of datagrams in one direction.
 type PacketConditions struct {
 	Cut    bool
-	Alien  bool    // they come in a form that nobody reads
-	Lies   bool    // what they say of overload is false: nothing and all by turns, with a phase that runs away
-	Loss   float64 // share that is lost
-	Double float64 // share that comes twice
+	Alien  bool    // with a protocol version that no receiver accepts
+	Lies   bool    // with a false load-shedding state, see Lie
+	Loss   float64 // fraction that is lost
+	Double float64 // fraction that is duplicated
 	Delay  time.Duration
-	Jitter time.Duration // as much more, by chance
+	Jitter time.Duration // maximum of the random part of the delay, added to Delay
 }
 
-// NewPeerNet makes the net of n ingresses, whose own addresses are to.
+// NewPeerNet returns the network between the ingresses with the addresses to.
 func NewPeerNet(to []string, seed uint64) (*PeerNet, error) {
 	n := len(to)
-	p := &PeerNet{began: time.Now(), rng: rand.New(rand.NewPCG(seed, 13)), socks: make([][]*net.UDPConn, n), rule: make([][]PacketConditions, n)}
+	p := &PeerNet{began: time.Now(), rng: rand.New(rand.NewPCG(seed, 13)), sockets: make([][]*net.UDPConn, n), conditions: make([][]PacketConditions, n)}
 	for i := range n {
 		addr, err := net.ResolveUDPAddr("udp", to[i])
 		if err != nil {
 			return nil, err
 		}
 		p.targets = append(p.targets, addr)
-		p.rule[i] = make([]PacketConditions, n)
-		p.socks[i] = make([]*net.UDPConn, n)
+		p.conditions[i] = make([]PacketConditions, n)
+		p.sockets[i] = make([]*net.UDPConn, n)
 		for j := range n {
-			if p.socks[i][j], err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+			if p.sockets[i][j], err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 				p.Close()
 				return nil, err
 			}
@@ -55,16 +55,16 @@
 	for i := range n {
 		for j := range n {
 			if i != j {
-				go p.carry(i, j)
+				go p.forward(i, j)
 			}
 		}
 	}
 	return p, nil
 }
 
-// Close ends the net.
+// Close closes the network.
 func (p *PeerNet) Close() {
-	for _, list := range p.socks {
+	for _, list := range p.sockets {
 		for _, s := range list {
 			if s != nil {
 				s.Close()
@@ -73,85 +73,85 @@
 	}
 }
 
-// Peers is the list of addresses that ingress i is to be told; its own stands for itself.
+// Peers returns the peer addresses for the configuration of ingress i; the one at index i is the ingress's own.
 func (p *PeerNet) Peers(i int) (list []string) {
-	for j := range p.socks {
-		list = append(list, p.socks[i][j].LocalAddr().String())
+	for j := range p.sockets {
+		list = append(list, p.sockets[i][j].LocalAddr().String())
 	}
 	list[i] = p.targets[i].String()
 	return list
 }
 
-// Set says what becomes of datagrams from i to j from now on.
+// Set changes the treatment of datagrams from i to j from now on.
 func (p *PeerNet) Set(i, j int, w PacketConditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rule[i][j] = w
+	p.conditions[i][j] = w
 }
 
-// All says so for all pairs for which which holds.
-func (p *PeerNet) All(w PacketConditions, which func(i, j int) bool) {
-	for i := range p.socks {
-		for j := range p.socks {
-			if which == nil || which(i, j) {
+// All is Set for all pairs that match selects, with nil for all pairs.
+func (p *PeerNet) All(w PacketConditions, match func(i, j int) bool) {
+	for i := range p.sockets {
+		for j := range p.sockets {
+			if match == nil || match(i, j) {
 				p.Set(i, j, w)
 			}
 		}
 	}
 }
 
-// Sent counts the datagrams that ingresses have sent.
+// Sent returns the number of datagrams that ingresses have sent.
 func (p *PeerNet) Sent() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sent
 }
 
-// fate draws what becomes of one datagram: after which times it comes, if at all.
-func (p *PeerNet) fate(i, j int) (after []time.Duration, w PacketConditions) {
+// drawDelays draws the delays of the copies of a datagram from i to j that are delivered: one or two, or none if it is lost.
+func (p *PeerNet) drawDelays(i, j int) (delays []time.Duration, w PacketConditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sent++
-	w = p.rule[i][j]
+	w = p.conditions[i][j]
 	if w.Cut || p.rng.Float64() < w.Loss {
 		return nil, w
 	}
-	late := func() time.Duration { return w.Delay + time.Duration(p.rng.Float64()*float64(w.Jitter)) }
-	after = append(after, late())
+	delay := func() time.Duration { return w.Delay + time.Duration(p.rng.Float64()*float64(w.Jitter)) }
+	delays = append(delays, delay())
 	if p.rng.Float64() < w.Double {
-		after = append(after, late())
+		delays = append(delays, delay())
 	}
-	return after, w
+	return delays, w
 }
 
-// Lie is what one that lies says of overload in a message at a time in seconds: for a second that all is well, for the next that all is lost, in a
-// phase that runs ten times too fast.
+// Lie overwrites the load-shedding state in message b with a false one. at is the time in seconds: the level alternates each second between 0
+// and 1, and the phase runs ten times too fast.
 func Lie(b []byte, at float64) {
 	peerprotocol.OverwriteLoadShedState(b, float64(int(at)%2), uint8(int(at*20)))
 }
 
-// carry takes what i sends for j, and sends it from where j hears i.
-func (p *PeerNet) carry(i, j int) {
+// forward receives what i sends to j, and sends it to j from the address at which j sees i.
+func (p *PeerNet) forward(i, j int) {
 	buf := make([]byte, 2048)
 	for {
-		n, err := p.socks[i][j].Read(buf)
+		n, err := p.sockets[i][j].Read(buf)
 		if err != nil {
 			return
 		}
-		fate, w := p.fate(i, j)
+		delays, w := p.drawDelays(i, j)
 		switch {
 		case w.Alien && n > 0:
-			buf[0]++ // the version of a message stands first
+			buf[0]++ // the first byte of a message is its version
 		case w.Lies:
 			Lie(buf[:n], time.Since(p.began).Seconds())
 		}
-		for _, d := range fate {
+		for _, d := range delays {
 			if d == 0 {
-				_, _ = p.socks[j][i].WriteToUDP(buf[:n], p.targets[j])
+				_, _ = p.sockets[j][i].WriteToUDP(buf[:n], p.targets[j])
 				continue
 			}
 			data := append([]byte(nil), buf[:n]...)
-			time.AfterFunc(d, func() { _, _ = p.socks[j][i].WriteToUDP(data, p.targets[j]) })
+			time.AfterFunc(d, func() { _, _ = p.sockets[j][i].WriteToUDP(data, p.targets[j]) })
 		}
 	}
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -19,28 +18,28 @@
 	"time"
 )
 
-// Proc is one program under test.
+// Proc is a program under test.
 type Proc struct {
 	Name, Listen, Status string
 	log                  string
 	cmd                  func() *exec.Cmd
-	adminInterfaces      [2]adminInterface // of an ingress; the one in use changes with each replacement
+	adminInterfaces      [2]adminInterface // the one in use changes with each hot restart
 
-	mu     sync.Mutex
-	run    *exec.Cmd
-	exited chan struct{}
-	paused bool
-	starts int
-	turn   int           // replacements
-	termAt time.Time     // when it was asked to end, while it does
-	cpu    time.Duration // of runs that have ended
+	mu           sync.Mutex
+	running      *exec.Cmd
+	exited       chan struct{}
+	paused       bool
+	starts       int           // incarnations so far
+	replacements int           // hot restarts so far
+	termSentAt   time.Time     // when SIGTERM was sent; zero unless the program is terminating
+	cpu          time.Duration // of processes that have ended
 }
 
-// Start starts the program.
+// Start starts a new incarnation of the program.
 func (p *Proc) Start() error { return p.start(true) }
 
-// start starts the program, for another life of it or in the one that goes on.
-func (p *Proc) start(another bool) error {
+// start starts a process of the program, as a new incarnation or within the current one.
+func (p *Proc) start(newIncarnation bool) error {
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -53,8 +52,8 @@
 	}
 	exited := make(chan struct{})
 	p.mu.Lock()
-	p.run, p.exited, p.paused = c, exited, false
-	if another {
+	p.running, p.exited, p.paused = c, exited, false
+	if newIncarnation {
 		p.starts++
 	}
 	p.mu.Unlock()
@@ -68,7 +67,7 @@
 	return nil
 }
 
-// Incarnation tells one run of the program from another; it is below 0 while the program does not run or is paused.
+// Incarnation returns the number of the current incarnation, or -1 while the program does not run or is paused.
 func (p *Proc) Incarnation() int {
 	if !p.Up() {
 		return -1
@@ -78,34 +77,35 @@
 	return p.starts
 }
 
-// starting has all programs started by one thread that lives as long as the laboratory: a program ends with the thread
-// that started it, so that none is left behind when the laboratory itself is killed.
-var starting = sync.OnceValue(func() chan func() {
-	todo := make(chan func())
+// startThread returns a channel of calls to the one thread that starts all programs, which lives as long as the testbed. The kernel kills a
+// program when the thread that started it ends, so that no program stays behind when the testbed itself is killed.
+var startThread = sync.OnceValue(func() chan func() {
+	calls := make(chan func())
 	go func() {
 		runtime.LockOSThread()
-		for do := range todo {
+		for do := range calls {
 			do()
 		}
 	}()
-	return todo
+	return calls
 })
 
+// spawned starts a command on the thread of startThread.
 func spawned(c *exec.Cmd) error {
 	if c.SysProcAttr == nil {
 		c.SysProcAttr = &syscall.SysProcAttr{}
 	}
 	c.SysProcAttr.Pdeathsig = syscall.SIGKILL
 	done := make(chan error)
-	starting() <- func() { done <- c.Start() }
+	startThread() <- func() { done <- c.Start() }
 	return <-done
 }
 
-// Up tells that the program runs and is not paused.
+// Up tells whether the program runs and is not paused.
 func (p *Proc) Up() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.run == nil || p.paused {
+	if p.running == nil || p.paused {
 		return false
 	}
 	select {
@@ -119,22 +119,22 @@
 func (p *Proc) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.run != nil {
-		_ = p.run.Process.Signal(s)
+	if p.running != nil {
+		_ = p.running.Process.Signal(s)
 	}
 }
 
-// HUP has the program read its files again.
+// HUP sends SIGHUP, which makes the program read its files again.
 func (p *Proc) HUP() { p.signal(syscall.SIGHUP) }
 
-// RSS is the program's resident memory in bytes, 0 if it does not run.
+// RSS returns the resident memory of the program in bytes, or 0 if it does not run.
 func (p *Proc) RSS() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.run == nil {
+	if p.running == nil {
 		return 0
 	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.run.Process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.running.Process.Pid))
 	if err != nil {
 		return 0
 	}
@@ -145,33 +145,33 @@
 	return 0
 }
 
-// Kill ends the program at once and waits for its end.
+// Kill kills the program and waits for its end.
 func (p *Proc) Kill() {
 	p.signal(syscall.SIGKILL)
 	p.wait()
 }
 
-// leaveAfter a program was asked to end, the front sends it no new connections: between 0.2 and 0.4 s on the platform.
+// leaveAfter is the time from SIGTERM until the front sends the program no new connections: between 0.2 and 0.4 s on the platform.
 const leaveAfter = 300 * time.Millisecond
 
-// Leaving is for how long the program has been asked to end; 0 while it has not, or has ended.
-func (p *Proc) Leaving() time.Duration {
+// TerminatingFor returns the time since SIGTERM was sent, or 0 if the program is not terminating.
+func (p *Proc) TerminatingFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.termAt.IsZero() {
+	if p.termSentAt.IsZero() {
 		return 0
 	}
-	return time.Since(p.termAt)
+	return time.Since(p.termSentAt)
 }
 
-// Term asks the program to end and waits for its end.
+// Term sends SIGTERM and waits for the end of the program.
 func (p *Proc) Term() {
 	p.mu.Lock()
-	p.termAt = time.Now()
+	p.termSentAt = time.Now()
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		p.termAt = time.Time{}
+		p.termSentAt = time.Time{}
 		p.mu.Unlock()
 	}()
 	p.signal(syscall.SIGTERM)
@@ -187,7 +187,7 @@
 	}
 }
 
-// Pause stops the program's time, Resume lets it go on.
+// Pause stops the program with SIGSTOP until Resume.
 func (p *Proc) Pause() {
 	p.mu.Lock()
 	p.paused = true
@@ -204,8 +204,8 @@
 }
 
 // Ready waits until the program answers PING.
-func (p *Proc) Ready(most time.Duration) error {
-	end := time.Now().Add(most)
+func (p *Proc) Ready(timeout time.Duration) error {
+	end := time.Now().Add(timeout)
 	for time.Now().Before(end) {
 		if c, err := net.DialTimeout("tcp", p.Listen, time.Second); err == nil {
 			_ = c.SetDeadline(time.Now().Add(time.Second))
@@ -218,20 +218,20 @@
 		}
 		if !p.Up() {
 			text, _ := os.ReadFile(p.log)
-			return fmt.Errorf("%s ended: %s", p.Name, text)
+			return fmt.Errorf("%s ended before it answered PING, its log: %s", p.Name, text)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return fmt.Errorf("%s is not ready", p.Name)
+	return fmt.Errorf("%s did not answer PING within %v", p.Name, timeout)
 }
 
-// CPU is what the program has used, all its runs together.
+// CPU returns the processor time that all processes of the program have used.
 func (p *Proc) CPU() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cpu := p.cpu
-	if p.run != nil {
-		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.run.Process.Pid)); err == nil {
+	if p.running != nil {
+		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.running.Process.Pid)); err == nil {
 			f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 			if len(f) > 13 {
 				user, _ := strconv.Atoi(f[11])
@@ -243,10 +243,10 @@
 	return cpu
 }
 
-// ReadStatus reads a program's status into v.
+// ReadStatus decodes the program's status page into v.
 func (p *Proc) ReadStatus(ctx context.Context, v any) error {
 	if p.Status == "" {
-		return errors.New("no status")
+		return fmt.Errorf("%s has no status page", p.Name)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/testbed/upgrade.go
+++ b/internal/testbed/upgrade.go
@@ -9,23 +9,23 @@
 	"eiderspread/internal/controlplane/rollout"
 )
 
-// A whole fleet of two levels upgraded under load: planners hand over and are restarted, forwarders are replaced while they serve, one at a
-// time, as internal/controlplane/rollout decides.
+// Upgrades of a two-level fleet under load: planners are drained, so that they hand over, and restarted; forwarders are hot-restarted while they
+// serve. One program is upgraded at a time, in the order that internal/controlplane/rollout decides.
 
 const upgradeTick = 20 * time.Millisecond
 
-// upgrader carries a rollout out on a fleet's programs.
+// upgrader is the rollout.Output for the programs of a fleet.
 type upgrader struct {
-	fleet   *Fleet
-	procs   []*Proc
-	number  []int // of forwarders; -1: a planner
-	rollout *rollout.Rollout
-	events  chan func(now float64)
-	probing []bool
-	done    chan struct{}
+	fleet          *Fleet
+	procs          []*Proc
+	forwarderIndex []int // by program; -1: a planner
+	rollout        *rollout.Rollout
+	events         chan func(now float64)
+	probing        []bool        // by program: a readiness check is in progress
+	done           chan struct{} // closed when the upgrade is over
 }
 
-// post hands the rollout's goroutine an event; none is left behind when it is over.
+// post passes an event to the goroutine of the rollout, or drops it if the upgrade is over.
 func (u *upgrader) post(do func(now float64)) {
 	select {
 	case u.events <- do:
@@ -33,26 +33,27 @@
 	}
 }
 
-// Upgrade upgrades all programs once, and returns how long it took. Others may die meanwhile: the rollout waits for them.
+// Upgrade upgrades all programs once, and returns the time it took. Faults may end other programs meanwhile: the rollout waits until they are
+// ready again.
 func (f *Fleet) Upgrade(ctx context.Context) (time.Duration, error) {
 	u := &upgrader{fleet: f, events: make(chan func(float64), 64), done: make(chan struct{})}
 	defer close(u.done)
 	var list []rollout.Program
 	for _, p := range f.Planners {
 		list = append(list, rollout.Program{Name: p.Name, Kind: rollout.Planner})
-		u.procs, u.number = append(u.procs, p), append(u.number, -1)
+		u.procs, u.forwarderIndex = append(u.procs, p), append(u.forwarderIndex, -1)
 	}
 	for i, p := range f.Forwarders {
 		list = append(list, rollout.Program{Name: p.Name, Kind: rollout.Forwarder, HotRestart: true})
-		u.procs, u.number = append(u.procs, p), append(u.number, i)
+		u.procs, u.forwarderIndex = append(u.procs, p), append(u.forwarderIndex, i)
 	}
 	u.probing = make([]bool, len(list))
 	began := time.Now()
-	now := func() float64 { return time.Since(began).Seconds() }
+	elapsed := func() float64 { return time.Since(began).Seconds() }
 	times := rollout.DefaultTimeouts
 	times.StableS, times.DrainS = 0.3, 1
 	var err error
-	if u.rollout, err = rollout.New(list, times, "", now(), u); err != nil {
+	if u.rollout, err = rollout.New(list, times, "", elapsed(), u); err != nil {
 		return 0, err
 	}
 	tick := time.NewTicker(upgradeTick)
@@ -60,12 +61,12 @@
 	for {
 		select {
 		case do := <-u.events:
-			do(now())
+			do(elapsed())
 		case <-tick.C:
-			u.rollout.Tick(now())
+			u.rollout.Tick(elapsed())
 		case <-ctx.Done():
 			done, at, phase := u.rollout.Progress()
-			return time.Since(began), fmt.Errorf("%d done, %s %s: %w", done, at.Name, phase, ctx.Err())
+			return time.Since(began), fmt.Errorf("%d programs done, %s %s: %w", done, at.Name, phase, ctx.Err())
 		}
 		if over, err := u.rollout.Done(); over {
 			return time.Since(began), err
@@ -93,7 +94,7 @@
 	go func() {
 		status, err := u.procs[i].Call(context.Background(), http.MethodPost, "/v1/ingress/drain")
 		if err == nil && status != http.StatusOK {
-			err = fmt.Errorf("drain is answered with %d", status)
+			err = fmt.Errorf("drain %s: status %d, want 200", u.procs[i].Name, status)
 		}
 		u.post(func(now float64) { u.rollout.HandleDrained(now, i, err) })
 	}()
@@ -101,7 +102,7 @@
 
 // Restart implements rollout.Output.
 func (u *upgrader) Restart(i int) {
-	p, n := u.procs[i], u.number[i]
+	p, n := u.procs[i], u.forwarderIndex[i]
 	target := onPlanner(u.fleet, Fault{A: i})
 	if n >= 0 {
 		target = onForwarder(u.fleet, Fault{A: n})
@@ -118,7 +119,7 @@
 		}
 		u.post(func(now float64) { u.rollout.HandleRestarted(now, i, err) })
 	}
-	go func() { // once no fault has the program
+	go func() { // waits until no fault of the program is active
 		for !u.fleet.claim(target, restart) {
 			select {
 			case <-u.done:
@@ -129,7 +130,7 @@
 	}()
 }
 
-// UpgradeAll upgrades the fleet again and again, so many times or until ctx ends, and returns how long each took.
+// UpgradeAll upgrades the fleet times times, and returns how long each upgrade took. It stops at the first error, also when ctx ends.
 func (f *Fleet) UpgradeAll(ctx context.Context, times int) (took []time.Duration, err error) {
 	for range times {
 		d, err := f.Upgrade(ctx)
