--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -78,9 +78,9 @@
 func (k *Link) Set(w Way) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	healed := k.way.Cut && !w.Cut
+	endsCut := k.way.Cut && !w.Cut
 	k.way = w
-	if !healed {
+	if !endsCut {
 		return
 	}
 	k.healedAt = time.Now()
