--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -18,7 +18,7 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// costWarmUp is how long a fleet runs before what a request costs is measured.
+// costWarmUp is how long a fleet runs idle before the cost of requests is measured.
 const costWarmUp = 3 * time.Second
 
 // labOptions are the flags of the lab command.
@@ -44,32 +44,32 @@
 	shedding   bool
 	rate       float64
 
-	set *flag.FlagSet // the flags as they were given, for a recorded run
+	set *flag.FlagSet // the parsed flags, kept for recording the run
 }
 
 func parseLabOptions(args []string) (o labOptions, err error) {
 	set := flag.NewFlagSet("lab", flag.ContinueOnError)
 	o.set = set
-	set.IntVar(&o.forwarders, "forwarders", 20, "forwarders, or one-program ingresses with -planners 0")
-	set.IntVar(&o.planners, "planners", 3, "planners; 0 for a fleet of one level")
-	set.IntVar(&o.nodes, "nodes", 10, "zone nodes")
-	set.DurationVar(&o.length, "for", time.Minute, "how long clients ask")
-	set.StringVar(&o.scenario, "scenario", "storm", "what goes wrong, one of:\n"+strings.Join(testbed.ScenarioNames(), "\n"))
-	set.DurationVar(&o.every, "every", 0, "mean time between two faults, in place of the scenario's")
-	set.IntVar(&o.upgrades, "upgrades", 0, "upgrade the whole fleet so many times meanwhile, program by program")
-	set.StringVar(&o.kinds, "kinds", "", "faults to choose from, by commas, in place of the scenario's:\n"+strings.Join(testbed.KindNames(), "\n"))
-	set.StringVar(&o.recordFile, "record", "", "keep the run in this file, for testbed judge, replay and shrink")
-	set.StringVar(&o.replayFile, "replay", "", "play the faults that this file of -record holds")
-	set.Uint64Var(&o.seed, "seed", 1, "of accounts, traffic and faults")
-	set.Float64Var(&o.scale, "scale", 2, "of the number of accounts")
-	set.IntVar(&o.spread, "spread", 4, "forwarders that an account comes through")
-	set.StringVar(&o.dir, "dir", "", "where files and logs go (a new folder)")
-	set.BoolVar(&o.cost, "cost", false, "measure what a request costs, without faults, at -sizes")
-	set.StringVar(&o.sizes, "sizes", "5/0,5/3", "with -cost: forwarders/planners, by commas; 0 planners for one level")
-	set.IntVar(&o.failsafes, "failsafes", 0, "stop all planners so many times, and measure the time into the fail-safe and back")
-	set.IntVar(&o.deaths, "deaths", 0, "kill a planner so many times, and measure the time until all cells are led again")
-	set.BoolVar(&o.shedding, "overload", false, "ingresses or planners shed load as one")
-	set.Float64Var(&o.rate, "rate", 1, "of what each account asks")
+	set.IntVar(&o.forwarders, "forwarders", 20, "number of forwarders or, with -planners 0, of single-process ingresses")
+	set.IntVar(&o.planners, "planners", 3, "number of planners; 0 for a single-level fleet")
+	set.IntVar(&o.nodes, "nodes", 10, "number of nodes")
+	set.DurationVar(&o.length, "for", time.Minute, "duration of client traffic")
+	set.StringVar(&o.scenario, "scenario", "storm", "scenario of faults and traffic, one of:\n"+strings.Join(testbed.ScenarioNames(), "\n"))
+	set.DurationVar(&o.every, "every", 0, "mean time between two faults; 0: the scenario's own")
+	set.IntVar(&o.upgrades, "upgrades", 0, "number of upgrades of the whole fleet during the run, program by program")
+	set.StringVar(&o.kinds, "kinds", "", "kinds of faults to choose from, separated by commas, instead of the scenario's own:\n"+strings.Join(testbed.KindNames(), "\n"))
+	set.StringVar(&o.recordFile, "record", "", "record the run in this file, for testbed judge, lab -replay and testbed shrink")
+	set.StringVar(&o.replayFile, "replay", "", "inject the faults from this file of -record instead of the scenario's")
+	set.Uint64Var(&o.seed, "seed", 1, "seed of accounts, traffic and faults")
+	set.Float64Var(&o.scale, "scale", 2, "factor on the number of accounts")
+	set.IntVar(&o.spread, "spread", 4, "number of forwarders that each account uses")
+	set.StringVar(&o.dir, "dir", "", "directory for files and logs; empty: a new temporary one")
+	set.BoolVar(&o.cost, "cost", false, "measure the cost per request, without faults, at each of -sizes")
+	set.StringVar(&o.sizes, "sizes", "5/0,5/3", "with -cost: fleets as forwarders/planners, separated by commas; 0 planners for a single-level fleet")
+	set.IntVar(&o.failsafes, "failsafes", 0, "pause and resume all planners this many times and measure the time until the fail-safe and until all cells have a leader again; 0: off")
+	set.IntVar(&o.deaths, "deaths", 0, "kill a planner this many times and measure the time until all cells have a leader again; 0: off")
+	set.BoolVar(&o.shedding, "overload", false, "ingresses or planners shed load, coordinated across the fleet")
+	set.Float64Var(&o.rate, "rate", 1, "factor on the request rate of each account")
 	return o, set.Parse(args)
 }
 
@@ -81,8 +81,9 @@
 	return report.Verdict()
 }
 
-// playRecorded runs what a kept run's arguments say and returns its breaches by rule.
-func playRecorded(args []string) (map[string]int, error) {
+// replayArgs runs testbed lab with the arguments of a recorded run and returns the number of violations by rule. It returns nil without an
+// error for a measurement and for a void run.
+func replayArgs(args []string) (map[string]int, error) {
 	report, err := labRun(args, io.Discard)
 	if err != nil || report == nil || report.Void != "" {
 		return nil, err
@@ -90,7 +91,7 @@
 	return report.ViolationCounts, nil
 }
 
-// labRun does what testbed lab is asked for. Its report is nil where that was a measurement.
+// labRun executes testbed lab. It returns the oracle's report of the run, nil for a measurement (-failsafes, -deaths, -cost).
 func labRun(args []string, out io.Writer) (*oracle.Report, error) {
 	o, err := parseLabOptions(args)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return o.play(scenario, out)
 }
 
-// newScenario returns a fleet of the size asked for, without faults, and makes its folder.
+// newScenario returns a scenario with a fleet of the requested size and no faults. It creates the directory for the fleet's files.
 func (o *labOptions) newScenario() (sc testbed.Scenario, err error) {
 	if o.dir == "" {
 		if o.dir, err = os.MkdirTemp("", "testbed"); err != nil {
@@ -126,7 +127,7 @@
 		return sc, err
 	}
 	if o.upgrades > 0 && o.planners == 0 {
-		return sc, errors.New("-upgrades is for fleets of two levels")
+		return sc, errors.New("-upgrades needs a two-level fleet, but -planners is 0")
 	}
 	return testbed.Scenario{
 		Length:   o.length,
@@ -147,7 +148,7 @@
 	}, nil
 }
 
-// accounts returns the accounts of a fleet of so many forwarders.
+// accounts returns the accounts of a fleet with the given number of forwarders, scaled by -scale and -rate.
 func (o *labOptions) accounts(forwarders int) []testbed.Account {
 	scaled := func(n int) int { return max(1, int(float64(n)*o.scale)) }
 	accounts := testbed.Accounts(scaled(20), scaled(10), scaled(3), forwarders, o.spread, o.seed)
@@ -162,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d times: into the fail-safe %s; led again %s\n", runtime.NumCPU(), o.forwarders,
+	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d times: fail-safe after %s; all cells led again after %s\n", runtime.NumCPU(), o.forwarders,
 		o.planners, len(into), medianAndWorst(into), medianAndWorst(back))
 	return nil
 }
@@ -172,22 +173,22 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d deaths: led again %s\n", runtime.NumCPU(), o.forwarders, o.planners, len(back),
+	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d deaths: all cells led again after %s\n", runtime.NumCPU(), o.forwarders, o.planners, len(back),
 		medianAndWorst(back))
 	return nil
 }
 
-// medianAndWorst describes sorted times.
+// medianAndWorst formats the median and the maximum of durations in ascending order.
 func medianAndWorst(sorted []time.Duration) string {
 	return fmt.Sprintf("median %v, worst %v", sorted[len(sorted)/2].Round(time.Millisecond), sorted[len(sorted)-1].Round(time.Millisecond))
 }
 
-// measureCost plays a fleet of each size without faults and prints what a request costs.
+// measureCost runs a fleet of each size without faults and prints the cost per request.
 func (o *labOptions) measureCost(sc testbed.Scenario, out io.Writer) error {
 	fmt.Fprintf(out, "%d cores, %d nodes, %d accounts, %v, seed %d\n%s\n", runtime.NumCPU(), o.nodes, len(sc.Accounts), o.length, o.seed, testbed.CostHeader)
 	for size := range strings.SplitSeq(o.sizes, ",") {
 		if _, err := fmt.Sscanf(size, "%d/%d", &sc.Forwarders, &sc.Planners); err != nil {
-			return fmt.Errorf("size %q: %w", size, err)
+			return fmt.Errorf("size %q is not of the form forwarders/planners: %w", size, err)
 		}
 		sc.Accounts = o.accounts(sc.Forwarders)
 		sc.Dir = filepath.Join(o.dir, strings.ReplaceAll(size, "/", "-"))
@@ -223,19 +224,20 @@
 		}
 	}
 	report.Print(out)
-	microsecondsATry := func(list []*testbed.Proc) float64 {
+	microsecondsPerRequest := func(list []*testbed.Proc) float64 {
 		var cpu time.Duration
 		for _, process := range list {
 			cpu += process.CPU()
 		}
 		return cpu.Seconds() * 1e6 / math.Max(float64(report.Requests), 1)
 	}
-	fmt.Fprintf(out, "CPU a try: forwarders %.0f us, planners %.0f us; the laboratory was %v late at worst\n", microsecondsATry(fleet.Forwarders),
-		microsecondsATry(fleet.Planners), fleet.Hist.MaxLateness.Round(time.Millisecond))
+	fmt.Fprintf(out, "CPU per request: forwarders %.0f us, planners %.0f us; the testbed itself was up to %v late\n", microsecondsPerRequest(fleet.Forwarders),
+		microsecondsPerRequest(fleet.Planners), fleet.Hist.MaxLateness.Round(time.Millisecond))
 	return report, nil
 }
 
-// addFaults gives the scenario its faults: those of its name and kinds, or those of a recorded run.
+// addFaults completes the scenario by its name, with faults of its own kinds, or of -kinds, at the intervals of -every. With -replay the
+// faults of the recorded run replace them.
 func (o *labOptions) addFaults(sc *testbed.Scenario) error {
 	var kinds []string
 	if o.kinds != "" {
@@ -261,7 +263,7 @@
 	return nil
 }
 
-// spawner starts the programs under test, which lie beside this one.
+// spawner returns a function that prepares the command of a program under test. The programs must be in this program's directory.
 func spawner(self string) testbed.Spawn {
 	return func(kind, file string) *exec.Cmd {
 		if kind == "ingress" {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command testbed tries the ingress: fleets on sockets and in virtual time with injected faults, judged by an invariant checker.
+// Command testbed tests the ingress: it runs fleets on sockets and in virtual time, injects faults, and checks invariants with an oracle.
 package main
 
 import (
@@ -9,16 +9,16 @@
 )
 
 const usage = `usage: testbed COMMAND ...
-  lab [flags]               a fleet with stand-ins on loopback, with faults and an audit; lab -h lists the flags
-  soak [flags]              real processes under faults that overlap, drawn from numbers, one run after the other; soak -h lists the flags
-  judge FILE                judges a run that lab -record kept, without running it again
-  shrink FILE [-runs N]     cuts the faults of a run that lab -record kept down to those that its breach needs
-  sim [flags]               the decision parts alone in virtual time, many schedules; sim -h lists the flags
-  budget [flags]            by how much the shared count of an account may be wrong in each failure; budget -h lists the flags
-  counts [flags]            plays each such failure in virtual time, beside its budget; counts -h lists the flags
-  overload [flags]          fleets that are asked for more than nodes can do, deciding on it as one and not, by turns; overload -h lists the flags
-  subsets [flags]           which nodes each ingress of a fleet prefers: spread of load and movement, by size; subsets -h lists the flags
-  mutants [flags]           takes guards out one by one and has the laboratory find out; mutants -h lists the flags
+  lab [flags]               runs a fleet and stand-ins on loopback, injects faults and checks the rules; lab -h lists the flags
+  soak [flags]              runs real processes under overlapping random faults, one seeded run after the other; soak -h lists the flags
+  judge FILE                checks the rules on a run recorded by lab -record, without running it again
+  shrink FILE [-runs N]     reduces the faults of a run recorded by lab -record to those that its violation needs
+  sim [flags]               simulates many fault schedules of the decision modules in virtual time; sim -h lists the flags
+  budget [flags]            prints the error bounds of an account's shared count in each failure; budget -h lists the flags
+  counts [flags]            simulates each such failure in virtual time and prints its errors and bounds; counts -h lists the flags
+  overload [flags]          runs overloaded fleets with and without coordinated load shedding; overload -h lists the flags
+  subsets [flags]           prints load spread and churn of the ingresses' node subsets, by fleet size; subsets -h lists the flags
+  mutants [flags]           removes guards one by one and checks that the testbed detects each removal; mutants -h lists the flags
 `
 
 func main() {
@@ -38,9 +38,9 @@
 		return runLab(rest)
 	case "soak":
 		return runSoak(rest, os.Stdout)
-	case "ingress": // of a soak
+	case "ingress": // started by soak; not in the usage text
 		if len(rest) != 1 {
-			return fmt.Errorf("ingress wants one file")
+			return fmt.Errorf("ingress: expected one configuration file, got %d arguments", len(rest))
 		}
 		return testbed.RunIngress(rest[0])
 	case "judge":
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Guards the command line: a wrong call is an error.
+// Guards against a command line that is wrong and yet accepted.
 func TestRun(t *testing.T) {
 	for want, args := range map[string][]string{
 		"no command given":  nil,
@@ -16,7 +16,7 @@
 		"size \"x\"":        {"lab", "-cost", "-sizes", "x", "-dir", t.TempDir()},
 	} {
 		if err := run(args); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got %v, want %q", args, err, want)
+			t.Errorf("run(%q) = %v, want an error with %q", args, err, want)
 		}
 	}
 }
@@ -27,11 +27,11 @@
 		t.Fatal(err)
 	}
 	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 1+int(errorbound.FaultKinds) || !strings.HasPrefix(lines[1], "calm") {
-		t.Errorf("%s", out.String())
+		t.Errorf("got %d lines, want a header and %d kinds of failure, \"calm\" first:\n%s", len(lines), int(errorbound.FaultKinds), out.String())
 	}
 	for _, bad := range [][]string{{"-rate", "0"}, {"-sides", "1"}, {"-loss", "2"}, {"more"}, {"-gateways", "0"}} {
 		if err := printBudget(bad, &out); err == nil {
-			t.Errorf("%v was taken", bad)
+			t.Errorf("printBudget(%q) = nil, want an error", bad)
 		}
 	}
 }
@@ -42,11 +42,11 @@
 		t.Fatal(err)
 	}
 	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); len(lines) != 2+len(simulation.CountFailures) {
-		t.Errorf("%s", out.String())
+		t.Errorf("got %d lines, want two header lines and %d failures:\n%s", len(lines), len(simulation.CountFailures), out.String())
 	}
 	for _, bad := range [][]string{{"-ingresses", "1"}, {"-ingresses", "4,x"}, {"-seeds", "0"}} {
 		if err := printCounts(bad, &out); err == nil {
-			t.Errorf("%v was taken", bad)
+			t.Errorf("printCounts(%q) = nil, want an error", bad)
 		}
 	}
 }
--- a/cmd/testbed/overload.go
+++ b/cmd/testbed/overload.go
@@ -21,22 +21,22 @@
 	"eiderspread/internal/testbed/simulation"
 )
 
-// overloadHeader is the head of the table of runs under overload.
-const overloadHeader = "| scenario | ingresses | decided | asked | goal | of the bound | whole | worst 10 s | worst plan of best | worst tenth | starved | late | in vain | tries | used | classes | known s | spread | swing | back s | breaches |\n" +
+// overloadHeader is the table header of the overload command.
+const overloadHeader = "| scenario | ingresses | decided | demand | goal | goal/bound | overall | worst 10 s | worst/best plan | worst tenth | starved | slow | wasted | requests/original | utilization | classes | detection s | spread | swing | recovery s | breaches |\n" +
 	"|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|"
 
-// runOverload plays scenarios of overload with the fleet deciding on it as one, and without, by turns, and prints a table.
+// runOverload runs overload scenarios without ("alone") and with ("as one") load shedding, which the fleet coordinates, and prints a table.
 func runOverload(args []string) error {
 	set := flag.NewFlagSet("overload", flag.ContinueOnError)
-	scenarios := set.String("scenarios", "overload-low,overload,overload-high", "by commas")
-	sizes := set.String("ingresses", "8", "how many, by commas")
-	planners := set.Int("planners", 0, "planners; 0 for a fleet of one level")
-	nodes := set.Int("nodes", 0, "zone nodes, in place of the scenario's 2")
-	seeds := set.Int("seeds", 2, "runs of each, from seed 1 on; the table has their means")
-	length := set.Duration("for", 25*time.Second, "of each run")
-	sockets := set.Bool("sockets", false, "processes on sockets, one run after the other; else in virtual time")
-	only := set.String("decided", "alone,as one", "which of the two, by commas")
-	keep := set.String("keep", "", "a folder for the figures of each kind's first run, which decisiontrace overload draws")
+	scenarios := set.String("scenarios", "overload-low,overload,overload-high", "scenarios, separated by commas")
+	sizes := set.String("ingresses", "8", "numbers of ingresses, separated by commas")
+	planners := set.Int("planners", 0, "number of planners; 0 for a single-level fleet")
+	nodes := set.Int("nodes", 0, "number of nodes; 0: the scenario's own, mostly 2")
+	seeds := set.Int("seeds", 2, "number of runs of each kind, with seeds from 1 on; the table has their means")
+	length := set.Duration("for", 25*time.Second, "duration of each run")
+	sockets := set.Bool("sockets", false, "run processes on sockets, one run after the other, instead of simulating in virtual time")
+	only := set.String("decided", "alone,as one", "without (alone) or with (as one) coordinated load shedding, separated by commas")
+	keep := set.String("keep", "", "directory for the figures of the first run of each kind, which decisiontrace overload draws")
 	if err := set.Parse(args); err != nil {
 		return err
 	}
@@ -45,19 +45,19 @@
 		for _, size := range strings.Split(*sizes, ",") {
 			n, err := strconv.Atoi(size)
 			if err != nil || n < 1 {
-				return fmt.Errorf("-ingresses: %q is no number of ingresses", size)
+				return fmt.Errorf("-ingresses: %q is not a number of ingresses, want at least 1", size)
 			}
 			for _, how := range strings.Split(*only, ",") {
 				p := overloadRun{name: name, ingresses: n, planners: *planners, nodes: *nodes, length: *length, cfg: loadshed.Config{Enabled: how == "as one"}}
-				reps := make([]*oracle.Report, *seeds)
+				reports := make([]*oracle.Report, *seeds)
 				errs := make([]error, *seeds)
 				var all sync.WaitGroup
-				for i := range reps {
+				for i := range reports {
 					play := func() {
 						if *sockets {
-							reps[i], errs[i] = p.sockets(uint64(i + 1))
+							reports[i], errs[i] = p.runProcesses(uint64(i + 1))
 						} else {
-							reps[i], errs[i] = p.virtual(uint64(i + 1))
+							reports[i], errs[i] = p.simulate(uint64(i + 1))
 						}
 					}
 					if *sockets {
@@ -72,9 +72,9 @@
 						return err
 					}
 				}
-				overloadRow(os.Stdout, name, n, how, reps)
+				printOverloadRow(os.Stdout, name, n, how, reports)
 				if *keep != "" {
-					if err := keepOverload(*keep, name, n, how, reps[0]); err != nil {
+					if err := writeLoad(*keep, name, n, how, reports[0]); err != nil {
 						return err
 					}
 				}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// overloadRun is one kind of run.
+// overloadRun describes runs that differ only in their seed.
 type overloadRun struct {
 	name             string
 	ingresses, nodes int
@@ -93,7 +93,8 @@
 	cfg              loadshed.Config
 }
 
-func (p overloadRun) virtual(seed uint64) (*oracle.Report, error) {
+// simulate runs the scenario in virtual time.
+func (p overloadRun) simulate(seed uint64) (*oracle.Report, error) {
 	cfg, err := simulation.Sized(p.name, p.planners > 0, p.ingresses, p.nodes, seed, p.length.Seconds())
 	if err != nil {
 		return nil, err
@@ -105,7 +106,8 @@
 	return simulation.New(cfg).Run(), nil
 }
 
-func (p overloadRun) sockets(seed uint64) (*oracle.Report, error) {
+// runProcesses runs the scenario with real processes on sockets.
+func (p overloadRun) runProcesses(seed uint64) (*oracle.Report, error) {
 	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return nil, err
@@ -123,19 +125,20 @@
 	if err := testbed.Make(p.name, &sc, nil, 0); err != nil {
 		return nil, err
 	}
-	_, rep, err := testbed.Run(sc, io.Discard)
-	return rep, err
+	_, report, err := testbed.Run(sc, io.Discard)
+	return report, err
 }
 
-// overloadRow prints the means of some runs.
-func overloadRow(w io.Writer, name string, n int, how string, reps []*oracle.Report) {
+// printOverloadRow prints the table row of runs of one kind. Violations and starved accounts are totals over the runs, and the recovery
+// time is the longest one; 99 means that a run did not recover. All other figures are means.
+func printOverloadRow(w io.Writer, name string, n int, how string, reports []*oracle.Report) {
 	m, spreads := oracle.Load{Classes: map[string]float64{}, LevelSpread: &oracle.LevelSpread{}}, 0.0
-	breaches, even, share := 0, 0.0, 0.0
-	k := 1 / float64(len(reps))
-	back := 0.0
-	for _, r := range reps {
+	violations, fairness, boundFraction := 0, 0.0, 0.0
+	k := 1 / float64(len(reports))
+	recoveryS := 0.0
+	for _, r := range reports {
 		for _, c := range r.ViolationCounts {
-			breaches += c
+			violations += c
 		}
 		l := r.Load
 		if l == nil {
@@ -151,29 +154,29 @@
 		for name, x := range l.Classes {
 			m.Classes[name] += k * x
 		}
-		even, share = even+k*l.Fairness(), share+k*l.Goal/max(l.UpperBound, 1e-9)
-		if back = max(back, l.RecoveryS); l.RecoveryS < 0 {
-			back = 99
+		fairness, boundFraction = fairness+k*l.Fairness(), boundFraction+k*l.Goal/max(l.UpperBound, 1e-9)
+		if recoveryS = max(recoveryS, l.RecoveryS); l.RecoveryS < 0 {
+			recoveryS = 99
 		}
 	}
-	held := " | | "
+	levels := " | | "
 	if spreads > 0 {
-		held = fmt.Sprintf("%.1f | %.2f | %.2f", m.LevelSpread.DetectionS/spreads, m.LevelSpread.Spread/spreads, m.LevelSpread.Swing/spreads)
+		levels = fmt.Sprintf("%.1f | %.2f | %.2f", m.LevelSpread.DetectionS/spreads, m.LevelSpread.Spread/spreads, m.LevelSpread.Swing/spreads)
 	}
 	var classes []string
 	for _, name := range slices.Sorted(maps.Keys(m.Classes)) {
 		classes = append(classes, fmt.Sprintf("%.2f", m.Classes[name]))
 	}
-	fmt.Fprintf(w, "| %s | %d | %s | %.2f | %.3f | %.3f | %.3f | %.3f | %.2f | %.3f | %d | %.3f | %.3f | %.2f | %.2f | %s | %s | %.0f | %d |\n", name, n, how, m.Demand, m.Goal, share, m.Overall,
-		m.WorstInterval, even, m.WorstDecile, m.StarvedAccounts, m.SlowFraction, m.WastedFraction, m.RequestsPerOriginal, m.Utilization, strings.Join(classes, " / "), held, back, breaches)
+	fmt.Fprintf(w, "| %s | %d | %s | %.2f | %.3f | %.3f | %.3f | %.3f | %.2f | %.3f | %d | %.3f | %.3f | %.2f | %.2f | %s | %s | %.0f | %d |\n", name, n, how, m.Demand, m.Goal, boundFraction, m.Overall,
+		m.WorstInterval, fairness, m.WorstDecile, m.StarvedAccounts, m.SlowFraction, m.WastedFraction, m.RequestsPerOriginal, m.Utilization, strings.Join(classes, " / "), levels, recoveryS, violations)
 }
 
-// keepOverload writes the figures of one run.
-func keepOverload(dir, name string, n int, how string, rep *oracle.Report) error {
+// writeLoad writes the figures of one run to a JSON file in dir.
+func writeLoad(dir, name string, n int, how string, report *oracle.Report) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	text, err := json.Marshal(rep.Load)
+	text, err := json.Marshal(report.Load)
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/runs.go
+++ b/cmd/testbed/runs.go
@@ -13,20 +13,20 @@
 	"eiderspread/internal/testbed/simulation"
 )
 
-// recordedRun is what lab -record keeps: the call, the faults, and beside it, in FILE.history, what nodes and clients saw.
+// recordedRun is the content of a file of lab -record. What nodes and clients saw is in a second file, FILE.history.
 type recordedRun struct {
-	Args   []string        `json:"args"` // of testbed lab
+	Args   []string        `json:"args"` // flags of testbed lab
 	Faults []testbed.Fault `json:"faults"`
 }
 
 func writeRun(path string, set *flag.FlagSet, sc testbed.Scenario, f *testbed.Fleet) error {
-	k := recordedRun{Faults: sc.Faults}
+	recorded := recordedRun{Faults: sc.Faults}
 	set.Visit(func(x *flag.Flag) {
 		if x.Name != "record" && x.Name != "dir" && x.Name != "replay" {
-			k.Args = append(k.Args, "-"+x.Name+"="+x.Value.String())
+			recorded.Args = append(recorded.Args, "-"+x.Name+"="+x.Value.String())
 		}
 	})
-	text, err := json.MarshalIndent(k, "", " ")
+	text, err := json.MarshalIndent(recorded, "", " ")
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 	return writeHistory(path+".history", sc, f)
 }
 
-// writeHistory keeps what nodes and clients saw of a run, and the rules that it is judged by.
+// writeHistory writes what nodes and clients saw in a run, and the rules that the oracle checks it by.
 func writeHistory(path string, sc testbed.Scenario, f *testbed.Fleet) error {
 	out, err := os.Create(path)
 	if err != nil {
@@ -48,21 +48,21 @@
 	return oracle.WriteHistory(out, f.Hist, rules)
 }
 
-func readRun(path string) (k recordedRun, err error) {
+func readRun(path string) (recorded recordedRun, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return k, err
+		return recorded, err
 	}
-	if err := json.Unmarshal(text, &k); err != nil {
-		return k, fmt.Errorf("%s: %w", path, err)
+	if err := json.Unmarshal(text, &recorded); err != nil {
+		return recorded, fmt.Errorf("parse recorded run %s: %w", path, err)
 	}
-	return k, nil
+	return recorded, nil
 }
 
-// checkRecorded judges a kept run again.
+// checkRecorded checks the rules on a recorded run.
 func checkRecorded(args []string) error {
 	if len(args) != 1 {
-		return fmt.Errorf("judge wants one file of lab -record")
+		return fmt.Errorf("judge: expected one file of lab -record, got %d arguments", len(args))
 	}
 	in, err := os.Open(args[0] + ".history")
 	if err != nil {
@@ -73,23 +73,23 @@
 	if err != nil {
 		return err
 	}
-	rep := oracle.Check(h, rules)
-	rep.Print(os.Stdout)
-	return rep.Verdict()
+	report := oracle.Check(h, rules)
+	report.Print(os.Stdout)
+	return report.Verdict()
 }
 
-// shrink plays a kept run with ever fewer of its faults, each choice a few times since sockets don't repeat to the letter,
-// and prints those without which its breach is not seen.
+// shrink reduces the faults of a recorded run and prints those that its first violation needs. It runs each selection of faults up to -runs
+// times, because runs on sockets do not repeat exactly.
 func shrink(args []string) error {
 	set := flag.NewFlagSet("shrink", flag.ContinueOnError)
-	runs := set.Int("runs", 2, "how often a choice of faults is played before it counts as without the breach")
+	runs := set.Int("runs", 2, "number of runs without the violation after which a selection of faults counts as not causing it")
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") {
-		return fmt.Errorf("shrink wants a file of lab -record")
+		return fmt.Errorf("shrink: expected a file of lab -record before the flags")
 	}
 	if err := set.Parse(args[1:]); err != nil {
 		return err
 	}
-	k, err := readRun(args[0])
+	recorded, err := readRun(args[0])
 	if err != nil {
 		return err
 	}
@@ -102,31 +102,31 @@
 	if err != nil {
 		return err
 	}
-	rep := oracle.Check(h, rules)
-	if len(rep.Violations) == 0 {
-		return fmt.Errorf("%s holds no breach", args[0])
+	report := oracle.Check(h, rules)
+	if len(report.Violations) == 0 {
+		return fmt.Errorf("shrink: the run in %s violates no rule", args[0])
 	}
-	rule := rep.Violations[0].Rule
+	rule := report.Violations[0].Rule
 	dir, err := os.MkdirTemp("", "eidershrink")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	file := filepath.Join(dir, "run")
-	left := simulation.Shrink(k.Faults, func(list []testbed.Fault) bool {
+	left := simulation.Shrink(recorded.Faults, func(list []testbed.Fault) bool {
 		text, _ := json.Marshal(recordedRun{Faults: list})
 		if os.WriteFile(file, text, 0o600) != nil {
 			return false
 		}
 		for range *runs {
-			if counts, err := playRecorded(append(k.Args, "-replay="+file)); err == nil && counts[rule] > 0 {
+			if counts, err := replayArgs(append(recorded.Args, "-replay="+file)); err == nil && counts[rule] > 0 {
 				fmt.Printf("%d faults: %s\n", len(list), rule)
 				return true
 			}
 		}
 		return false
 	})
-	fmt.Printf("%q needs %d of %d faults:\n", rule, len(left), len(k.Faults))
+	fmt.Printf("the violation of %q needs %d of %d faults:\n", rule, len(left), len(recorded.Faults))
 	for _, x := range left {
 		fmt.Printf("%8.3f %v\n", x.At.Seconds(), x)
 	}
--- a/cmd/testbed/sim.go
+++ b/cmd/testbed/sim.go
@@ -19,7 +19,7 @@
 	"eiderspread/internal/testbed/simulation"
 )
 
-// maxShrinkTime bounds the search for the faults that matter.
+// maxShrinkTime bounds the search for the faults that a violation needs.
 const maxShrinkTime = time.Minute
 
 // simOptions are the flags of the sim command.
@@ -39,21 +39,21 @@
 
 func parseSimOptions(args []string) (o simOptions, err error) {
 	set := flag.NewFlagSet("sim", flag.ContinueOnError)
-	set.StringVar(&o.scenario, "scenario", "storm", "one of: "+strings.Join(names(testbed.ScenarioNames()), ", "))
-	set.IntVar(&o.planners, "planners", 3, "3 for two levels, 0 for one")
-	set.IntVar(&o.forwarders, "forwarders", 0, "how many, or ingresses; 0 for 5, or 4 of one level")
-	set.IntVar(&o.schedules, "schedules", 20, "how many")
-	set.Uint64Var(&o.firstSeed, "seed", 1, "of the first schedule; the others follow")
-	set.DurationVar(&o.length, "for", 30*time.Second, "virtual time of each")
-	set.IntVar(&o.jobs, "jobs", runtime.NumCPU(), "schedules at a time")
-	set.BoolVar(&o.shrink, "shrink", true, "cut a schedule that fails down to the faults that matter")
-	set.StringVar(&o.traceFolder, "trace", "", "a folder: decisions of the first schedule's ingresses, or planners, are written there, for decisiontrace")
-	set.BoolVar(&o.shedding, "overload", false, "ingresses and planners shed load as one")
-	set.StringVar(&o.rule, "rule", "", "with this, only a breach of this rule fails a schedule")
+	set.StringVar(&o.scenario, "scenario", "storm", "one of: "+strings.Join(firstWords(testbed.ScenarioNames()), ", "))
+	set.IntVar(&o.planners, "planners", 3, "3 for a two-level fleet, 0 for a single-level fleet")
+	set.IntVar(&o.forwarders, "forwarders", 0, "number of forwarders or, with -planners 0, of single-process ingresses; 0: 5 forwarders or 4 ingresses")
+	set.IntVar(&o.schedules, "schedules", 20, "number of schedules")
+	set.Uint64Var(&o.firstSeed, "seed", 1, "seed of the first schedule; each further schedule adds 1")
+	set.DurationVar(&o.length, "for", 30*time.Second, "virtual duration of each schedule")
+	set.IntVar(&o.jobs, "jobs", runtime.NumCPU(), "number of schedules to run at a time")
+	set.BoolVar(&o.shrink, "shrink", true, "stop after a failed schedule and reduce it to the faults that its violation needs")
+	set.StringVar(&o.traceFolder, "trace", "", "directory for the decisions of the first schedule's ingresses or planners, for decisiontrace; empty: off")
+	set.BoolVar(&o.shedding, "overload", false, "ingresses or planners shed load, coordinated across the fleet")
+	set.StringVar(&o.rule, "rule", "", "count a schedule as failed only if it violates this rule; empty: any rule")
 	return o, set.Parse(args)
 }
 
-// fails reports whether a schedule's report breaks a rule that counts.
+// fails reports whether the report has a violation of the rule of -rule, or of any rule without -rule.
 func (o simOptions) fails(report *oracle.Report) bool {
 	if o.rule == "" {
 		return len(report.ViolationCounts) > 0
@@ -61,19 +61,20 @@
 	return report.ViolationCounts[o.rule] > 0
 }
 
-// simRun plays the schedules of one call. mu guards all below it.
+// simRun runs the schedules of one sim command. mu guards the fields below it.
 type simRun struct {
 	simOptions
 	began time.Time
-	next  atomic.Uint64 // schedules begun
+	next  atomic.Uint64 // number of schedules started
 
 	mu     sync.Mutex
-	size   int // forwarders of a schedule
+	size   int // number of forwarders in a schedule
 	totals simTotals
 	failed []simulation.Config
 }
 
-// runSim plays schedules of a scenario in virtual time, and cuts the first that fails down to the faults that matter.
+// runSim runs schedules of a scenario in virtual time. With -shrink it reduces the first failed schedule to the faults that its violation
+// needs.
 func runSim(args []string) error {
 	options, err := parseSimOptions(args)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return fmt.Errorf("%d schedules failed", len(run.failed))
 }
 
-// work plays schedules until all are played, or one has failed that is to be shrunk.
+// work runs schedules until all have run or, with -shrink, until one has failed.
 func (run *simRun) work() {
 	for n := run.next.Add(1) - 1; n < uint64(run.schedules); n = run.next.Add(1) - 1 {
 		cfg, report, err := run.play(n)
@@ -115,7 +116,7 @@
 	}
 }
 
-// play plays the n-th schedule; the decisions of the first are traced if that was asked for.
+// play runs the n-th schedule. With -trace it writes the decisions of the first schedule.
 func (run *simRun) play(n uint64) (simulation.Config, *oracle.Report, error) {
 	cfg, err := simulation.MakeOf(run.scenario, run.planners > 0, run.forwarders, run.firstSeed+n, run.length.Seconds())
 	if err != nil {
@@ -132,7 +133,7 @@
 	return cfg, report, writeTraces(run.traceFolder, cfg, decisions)
 }
 
-// add counts a schedule's report. The caller holds mu.
+// add adds a schedule's report to the totals. The caller holds mu.
 func (run *simRun) add(cfg simulation.Config, report *oracle.Report) {
 	run.size = cfg.Forwarders
 	run.totals.add(report)
@@ -145,17 +146,17 @@
 	}
 }
 
-// played is how many schedules were played.
+// played returns the number of schedules that were started.
 func (run *simRun) played() int { return min(int(run.next.Load()), run.schedules) }
 
 func (run *simRun) print() {
-	fmt.Printf("%s, planners %d: %d schedules of %v from seed %d in %v on %d cores: %d tries, %d attempts, %d schedules failed\n", run.scenario,
+	fmt.Printf("%s, planners %d: %d schedules of %v from seed %d in %v on %d cores: %d requests, %d attempts, %d schedules failed\n", run.scenario,
 		run.planners, run.played(), run.length, run.firstSeed, time.Since(run.began).Round(time.Millisecond), runtime.NumCPU(), run.totals.requests,
 		run.totals.attempts, len(run.failed))
 	run.totals.print(float64(max(1, run.played())), run.length.Seconds(), float64(max(1, run.size)))
 }
 
-// printShrunk cuts a failed schedule down to the faults that matter and prints these, with the first breach.
+// printShrunk reduces a failed schedule to the faults that its violation needs and prints them, with the first violation.
 func (run *simRun) printShrunk(cfg simulation.Config) {
 	began := time.Now()
 	cfg.Faults = simulation.Shrink(cfg.Faults, func(faults []testbed.Fault) bool {
@@ -166,16 +167,16 @@
 		shorter.Faults = faults
 		return run.fails(simulation.New(shorter).Run())
 	})
-	fmt.Printf("seed %d: %d faults matter:\n", cfg.Seed, len(cfg.Faults))
+	fmt.Printf("seed %d: the violation needs %d faults:\n", cfg.Seed, len(cfg.Faults))
 	for _, fault := range cfg.Faults {
 		fmt.Printf("  %8.3f %v\n", fault.At.Seconds(), fault)
 	}
-	if breaches := simulation.New(cfg).Run().Violations; len(breaches) > 0 {
-		fmt.Printf("  %8.3f %s: %s\n", breaches[0].At.Seconds(), breaches[0].Rule, breaches[0].Detail)
+	if violations := simulation.New(cfg).Run().Violations; len(violations) > 0 {
+		fmt.Printf("  %8.3f %s: %s\n", violations[0].At.Seconds(), violations[0].Rule, violations[0].Detail)
 	}
 }
 
-// writeTraces writes the decisions of each gateway to a file of its own. Times are the schedule's.
+// writeTraces writes the decisions of each gateway to its own file. Times are in the schedule's virtual time.
 func writeTraces(folder string, cfg simulation.Config, decisions [][]reason.Decision) error {
 	for i, list := range decisions {
 		f, err := os.Create(filepath.Join(folder, fmt.Sprintf("sim%d-%d.trace", i, cfg.Seed)))
@@ -193,8 +194,8 @@
 	return nil
 }
 
-// names returns the first word of each line of a list.
-func names(list []string) (out []string) {
+// firstWords returns the first word of each line.
+func firstWords(list []string) (out []string) {
 	for _, line := range list {
 		out = append(out, strings.Fields(line)[0])
 	}
--- a/cmd/testbed/sim_totals.go
+++ b/cmd/testbed/sim_totals.go
@@ -9,26 +9,26 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// simTotals sums the reports of schedules.
+// simTotals aggregates the reports of schedules.
 type simTotals struct {
 	requests, attempts int
-	handshakes         int // connections opened to backends
-	service            float64
-	byPlan             map[string]float64 // service
+	handshakes         int                // connections opened to backends
+	service            float64            // sum over the schedules
+	byPlan             map[string]float64 // service, summed over the schedules
 	cost               oracle.OverQuotaCost
 
-	occasions, breaches map[string]int     // by rule
-	nearest             map[string]float64 // worst of all schedules, by bound
+	occasions, violations map[string]int     // by rule
+	utilization           map[string]float64 // by bound, the highest fraction of it that any schedule reached
 
-	ideal, withheld, excess    float64 // units
+	ideal, withheld, excess    float64 // units: see IdealUnits, WithheldUnits and Overshoots of oracle.Report
 	messages, droppedMessages  int     // between gateways
 	messageKinds               map[string]int
-	slotSeconds, excessSeconds float64 // of attempts within caps, and beyond them
+	slotSeconds, excessSeconds float64 // of attempts within concurrency limits, and beyond them
 	rejections                 map[reason.Reason]int
 }
 
 func newSimTotals() simTotals {
-	return simTotals{byPlan: map[string]float64{}, occasions: map[string]int{}, breaches: map[string]int{}, nearest: map[string]float64{},
+	return simTotals{byPlan: map[string]float64{}, occasions: map[string]int{}, violations: map[string]int{}, utilization: map[string]float64{},
 		messageKinds: map[string]int{}, rejections: map[reason.Reason]int{}}
 }
 
@@ -50,13 +50,13 @@
 	t.excessSeconds += report.ExcessSlotS
 	addEach(t.byPlan, report.ServiceByPlan)
 	addEach(t.occasions, report.Occasions)
-	addEach(t.breaches, report.ViolationCounts)
+	addEach(t.violations, report.ViolationCounts)
 	addEach(t.messageKinds, report.PeerMessageKinds)
 	for k, n := range report.Reasons {
 		t.rejections[reason.Reason(k)] += n
 	}
 	for bound, x := range report.Utilization {
-		t.nearest[bound] = max(t.nearest[bound], x)
+		t.utilization[bound] = max(t.utilization[bound], x)
 	}
 }
 
@@ -66,42 +66,42 @@
 	}
 }
 
-// print writes the totals of so many schedules, each of lengthS seconds and so many gateways.
+// print writes the totals of the given number of schedules, each of lengthS seconds and with the given number of gateways.
 func (t *simTotals) print(schedules, lengthS, gateways float64) {
 	for _, rule := range append(slices.Clone(oracle.RuleNames), "one leader", "everybody is led") {
-		if t.occasions[rule]+t.breaches[rule] > 0 {
-			fmt.Printf("  %-18s breaches %d, occasions %d\n", rule, t.breaches[rule], t.occasions[rule])
+		if t.occasions[rule]+t.violations[rule] > 0 {
+			fmt.Printf("  %-18s breaches %d, occasions %d\n", rule, t.violations[rule], t.occasions[rule])
 		}
 	}
-	for _, bound := range slices.Sorted(maps.Keys(t.nearest)) {
-		fmt.Printf("  nearest to %s: %.2f\n", bound, t.nearest[bound])
+	for _, bound := range slices.Sorted(maps.Keys(t.utilization)) {
+		fmt.Printf("  highest utilization, %s: %.2f\n", bound, t.utilization[bound])
 	}
 	fmt.Printf("  service %.3f", t.service/schedules)
 	for _, plan := range slices.Sorted(maps.Keys(t.byPlan)) {
 		fmt.Printf(" %s %.3f", plan, t.byPlan[plan]/schedules)
 	}
-	fmt.Printf("\n  beyond quotas: costs %.3f of the worth asked for inside, %.3f under a policy that sees all late", t.cost.Actual/schedules, t.cost.Delayed/schedules)
-	fmt.Printf("\n  connections opened to nodes: %.2f an attempt\n", float64(t.handshakes)/float64(max(t.attempts, 1)))
+	fmt.Printf("\n  cost of admissions beyond quotas: %.3f of the weight requested inside quotas, %.3f under a policy with delayed counts", t.cost.Actual/schedules, t.cost.Delayed/schedules)
+	fmt.Printf("\n  connections opened to nodes: %.2f per attempt\n", float64(t.handshakes)/float64(max(t.attempts, 1)))
 	if t.ideal > 0 {
 		t.printCounts(schedules*lengthS, gateways)
 	}
 }
 
-// printCounts writes what shared counts of quotas withheld and let in beyond, over so many seconds.
+// printCounts writes the errors of the shared counts of quotas, and rates of messages over the given number of seconds.
 func (t *simTotals) printCounts(seconds, gateways float64) {
-	fmt.Printf("  counts: %.0f units would be let in without fault, %.1f%% of them were withheld; the worst moments of accounts add up to %.1f%% beyond\n",
+	fmt.Printf("  counts: exact counting would admit %.0f units, %.1f%% of them were withheld; the largest excess of each account adds up to %.1f%% of them\n",
 		t.ideal, 100*t.withheld/t.ideal, 100*t.excess/t.ideal)
-	fmt.Printf("  messages between ingresses: %.1f a second at each, %.1f%% of them beyond its intake\n",
+	fmt.Printf("  messages between ingresses: %.1f per second at each, %.1f%% of them beyond the receiver's intake\n",
 		float64(t.messages)/seconds/gateways, 100*float64(t.droppedMessages)/float64(max(1, t.messages)))
 	if t.slotSeconds > 0 {
-		fmt.Printf("  places: %.0f s of attempts within caps, %.1f%% of that beyond\n", t.slotSeconds, 100*t.excessSeconds/t.slotSeconds)
+		fmt.Printf("  concurrency limits: %.0f s of attempts within them, %.1f%% of that beyond them\n", t.slotSeconds, 100*t.excessSeconds/t.slotSeconds)
 	}
-	fmt.Print("  sent, a second at each:")
+	fmt.Print("  sent per second at each:")
 	for _, kind := range slices.Sorted(maps.Keys(t.messageKinds)) {
 		fmt.Printf(" %s %.2f", kind, float64(t.messageKinds[kind])/seconds/gateways)
 	}
 	fmt.Println()
-	fmt.Print("  refused:")
+	fmt.Print("  rejections:")
 	byCount := func(a, b reason.Reason) int { return t.rejections[b] - t.rejections[a] }
 	for _, cause := range slices.SortedFunc(maps.Keys(t.rejections), byCount) {
 		fmt.Printf(" %v %d", cause, t.rejections[cause])
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -12,14 +12,14 @@
 	"eiderspread/internal/testbed"
 )
 
-// runSoak plays soaks of real processes, one number after the other, and tells of each whether the rules held.
+// runSoak runs soak tests of real processes, one seed after the other, and prints for each whether the rules held.
 func runSoak(args []string, w io.Writer) error {
 	set := flag.NewFlagSet("soak", flag.ContinueOnError)
-	from := set.Uint64("from", 1, "number of the first run; a number always draws the same run")
-	runs := set.Int("runs", 10, "runs")
-	length := set.Duration("for", 20*time.Second, "how long clients ask in each")
-	dir := set.String("dir", "", "where files and logs of runs that break a rule stay (a new folder)")
-	keep := set.Bool("keep", false, "keep those of all runs")
+	from := set.Uint64("from", 1, "seed of the first run; a seed always yields the same schedule of faults and traffic")
+	runs := set.Int("runs", 10, "number of runs")
+	length := set.Duration("for", 20*time.Second, "duration of client traffic in each run")
+	dir := set.String("dir", "", "directory for files and logs of runs that violate a rule; empty: a new temporary one")
+	keep := set.Bool("keep", false, "keep files and logs of all runs")
 	if err := set.Parse(args); err != nil {
 		return err
 	}
@@ -59,33 +59,33 @@
 		fmt.Fprintf(w, "%v: %v; %s\n", sc, verdict, folder)
 	}
 	if bad > 0 {
-		return fmt.Errorf("%d of %d runs", bad, *runs)
+		return fmt.Errorf("%d of %d runs violated a rule", bad, *runs)
 	}
 	return nil
 }
 
-// playSoak plays one run. Its report goes into its folder, and the history of one that breaks a rule, for testbed judge.
+// playSoak executes one run and writes its report to folder. For a run that violates a rule it also writes the history, for testbed judge.
 func playSoak(sc testbed.Scenario, folder string) (verdict, err error) {
 	report, err := os.Create(filepath.Join(folder, "report.txt"))
 	if err != nil {
 		return nil, err
 	}
 	defer report.Close()
-	fleet, rep, err := testbed.Run(sc, report)
+	fleet, result, err := testbed.Run(sc, report)
 	if err != nil {
 		return nil, err
 	}
 	for _, x := range fleet.Hist.Faults {
 		fmt.Fprintf(report, "did %8.3f %s\n", x.At.Seconds(), x.What)
 	}
-	rep.Print(report)
-	if verdict = rep.Verdict(); verdict != nil {
+	result.Print(report)
+	if verdict = result.Verdict(); verdict != nil {
 		return verdict, writeHistory(filepath.Join(folder, "run.json.history"), sc, fleet)
 	}
 	return nil, nil
 }
 
-// soakSpawner starts this program as an ingress, with the laboratory's faults in it.
+// soakSpawner returns a function that prepares the command of an ingress: this program, which can inject faults into its process.
 func soakSpawner(self string) testbed.Spawn {
 	return func(_, file string) *exec.Cmd { return exec.Command(self, "ingress", file) }
 }
--- a/internal/testbed/mutation/list.go
+++ b/internal/testbed/mutation/list.go
@@ -1,6 +1,8 @@
 package mutation
 
-// Runs of which mutants name those that bring their occasions. Virtual time first: it is quick.
+// Runs from which a mutation names those that need its guard, and files that mutations edit. Names of runs end in One
+// for a single-level fleet and in Two for a two-level fleet. A mutation lists runs in virtual time first, because they
+// are quick.
 const (
 	simOne          = "sim -shrink=false -schedules 24 -for 30s -planners 0 -scenario "
 	simTwo          = "sim -shrink=false -schedules 24 -for 30s -planners 3 -scenario "
@@ -31,9 +33,9 @@
 
 func edit(file, old, new string) []Edit { return []Edit{{file, old, new}} }
 
-// List is every guard that the laboratory is asked to miss.
+// List holds the mutations. The testbed must detect each of them, apart from those with a Reason.
 var List = []Mutation{
-	// ---- Overload shed as one ----
+	// ---- Load shedding coordinated across the fleet ----
 	{Name: "what can't be served is turned away at the door", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedOrder, "if s.level >= minLevel && accountQuantile(", "if s.level > 2 && accountQuantile("), Runs: []string{simShed + "overload", simShed + "overload-high"}},
 	{Name: "the level comes to what is served", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
@@ -49,16 +51,16 @@
 		Edits: edit(core, "if other != planner && c.planners[other].linked {", "if other != planner && c.planners[other].linked && false {"), Runs: []string{simShedTwo + "overload-low", simShedTwo + "overload"}},
 	{Name: "plans are served alike", Rule: "overload shed as one",
 		Edits: edit(rules+"request.go", "g.shedder.PlanWeight(req.plan.Weight), g.accountFor(incoming)", "req.plan.Weight, g.accountFor(incoming)"), Runs: []string{simShed + "overload", simShed + "overload-high"},
-		Reason: "little waits behind the door: the worst plan goes from 0.89 to 0.86 of the best at 2.8 times, in the mean of six runs"},
+		Reason: "few requests wait after admission: without the guard the worst plan's service falls from 0.89 to 0.86 of the best plan's at a demand of 2.8 times the capacity, in the mean of six runs"},
 	{Name: "what earns least goes first", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedOrder, "return p.ClassRank + 1, p.ClassCount + 1", "return p.ClassCount - p.ClassRank, p.ClassCount + 1"), Runs: []string{simShed + "overload"}},
 	{Name: "lots change with time", Rule: "overload shed as one", Unit: "./internal/decision/loadshed",
 		Edits: edit(shedOrder, "goldenSection*float64(slice)", "0*float64(slice)"), Runs: []string{simShed + "overload"},
-		Reason: "accounts with a bad lot are starved for as long as an overload lasts: 20 of them in place of 4 in four runs of 60 s, which no rule is made of"},
+		Reason: "without it accounts with a high quantile are starved for as long as an overload lasts: 20 accounts instead of 4 in four runs of 60 s; no rule checks this"},
 	{Name: "later tries are told where most are refused", Rule: "overload shed as one",
 		Edits: edit(rules+"request.go", "commonTimeoutFraction * g.shedder.CommonTimeoutFactor()\n", "commonTimeoutFraction * 1\n"), Runs: []string{simShed + "overload", simShed + "overload-high"},
-		Reason: "work in vain rises from 6 to 13% at 5 times, in the mean of six runs of 25 s; single runs lie too far apart for a bound between"},
-	// ---- The module: further attempts and refusals ----
+		Reason: "without it wasted work rises from 6 to 13% at a demand of 5 times the capacity, in the mean of six runs of 25 s; single runs vary too much for a bound between the two"},
+	// ---- Decision module: retries and rejections ----
 	{Name: "unsafe runs once", Rule: "no effect twice", Unit: "./policy",
 		Edits: edit(rules+"retry.go", "case req.firstRunBackend == nil || req.class.Idempotency == Idempotent ||", "case req.firstRunBackend == nil || req.class.Idempotency != KeyedIdempotent ||"),
 		Runs:  []string{simOne + "answers", labOne + "answers"}},
@@ -86,14 +88,14 @@
 		Edits: edit("internal/controlplane/forwarder/actions.go", "len(request.attempts) >= c.cfg.MaxAttempts", "len(request.attempts) >= 99"), Runs: []string{simTwo + "errors"}},
 	{Name: "a key goes where it is remembered", Rule: "no effect twice", Unit: "./policy",
 		Edits: edit(rules+"selection.go", "\t\treq.class.KeyScope.Same(req.firstRunBackend.Backend, backend.Backend)\n", "\t\tScopeAll.Same(req.firstRunBackend.Backend, backend.Backend)\n"), Runs: []string{simOne + "zones"}},
-	// ---- The module: quotas, caps and ceilings ----
+	// ---- Decision module: quotas, concurrency limits and hard limits ----
 	{Name: "the owner's window", Rule: "quotas kept", Unit: "./policy",
 		Edits: edit(rules+"quota_owner.go", "case plan.Rate > 0 && units > ledger.Available:", "case plan.Rate > 0 && units > ledger.Available+1e9:"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "what was let in is taken off the window", Rule: "quotas kept", Unit: "./policy",
 		Edits: edit(rules+"admission.go", `		g.ledger(account).Charge(units, maxDebtFraction*account.plan.Burst)
 `, `		g.ledger(account)
 `), Runs: []string{simTwo + "ceilings"}},
-	{Name: "cap on open attempts", Rule: "caps kept", Unit: "./policy", // when a request is let in, and when one that waited is sent
+	{Name: "cap on open attempts", Rule: "caps kept", Unit: "./policy", // checked at admission and again when a queued request is sent
 		Edits: []Edit{{rules + "quota_owner.go", "case plan.MaxConcurrency > 0 && g.freeSlots(account) <= 0:", "case false:"},
 			{rules + "adaptive_limit.go", " || req.account != nil && req.attempts == nil && g.atConcurrencyLimit(req.account)", ""}}, Runs: []string{simTwo + "capped"}},
 	{Name: "ceilings", Rule: "ceilings kept", Unit: "./policy",
@@ -120,7 +122,7 @@
 		Edits: edit(rules+"selection.go", `	if req.hardLimitUnpaid && !g.hardLimitCovers(req) {
 `, `	if false {
 `), Runs: []string{simTwo + "ceilings", simOne + "ceilings"}},
-	// ---- The module: the shared count of one level ----
+	// ---- Decision module: the shared count of a single-level fleet ----
 	{Name: "a grant is taken off the window", Rule: "quotas kept", Unit: "./policy",
 		Edits: edit(rules+"quota_owner.go", `		ledger.Available -= grant
 `, ""), Runs: []string{simOne + "calm"}},
@@ -134,31 +136,31 @@
 	delta += max(delta, 0)
 `), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "lives of a member are told apart", Rule: "quotas can be used",
-		Reason: "a new life's total begins at 0, which a former life's larger one turns into units handed back; restarts are allowed a window more each",
+		Reason: "a new incarnation's total starts at 0, and compared with the larger total of the former incarnation this counts as returned units; the error bound allows one more window per restart",
 		Edits:  edit(rules+"quota_owner.go", "g.now-member.ReportedAt <= memberTTLS && member.Incarnation == incarnation {", "g.now-member.ReportedAt <= memberTTLS {"), Runs: []string{simOne + "blinks", simOne + "programs"}},
 	{Name: "members split a room", Rule: "quotas kept",
-		Reason: "reports come a tenth of a second later and what was too much is owed: no window of a second shows it at 4, 12 or 80 ingresses",
+		Reason: "reports follow a tenth of a second later and the excess becomes debt: no window of one second shows it at 4, 12 or 80 ingresses",
 		Edits:  edit(rules+"admission.go", "share := available * localDemand / max(localDemand+otherDemand, epsilon)\n", "share := available\n"), Runs: []string{simOne + "crowd", simManyGateways + "crowd"}},
 	{Name: "a silence ends", Rule: "quotas can be used",
 		Edits: edit(rules+"quota_member.go", "account.backoffUntil = g.now + reply.BackoffS\n", "account.backoffUntil = g.now + reply.BackoffS*100\n"), Runs: []string{simOne + "calm", simManyGateways + "crowd"}},
 	{Name: "a member that lets in more than its split is counted", Rule: "quotas kept", Unit: "./internal/decision/quota",
 		Edits: edit(counts, "l.Available = max(l.Available-units, min(l.Available, -maxDebt))", "l.Available = max(l.Available-units/2, min(l.Available, -maxDebt))"), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "the local window is a part of the whole", Rule: "quotas kept",
-		Reason: "what a member last heard of the room bounds it as well, and what it lets in is owed once it is told",
+		Reason: "the available units in the owner's last reply bound a member as well, and the units that it admits become debt once it reports them",
 		Edits:  edit(rules+"quota_member.go", "account.localWindow.Refill(g.now, plan.Rate/gateways, burst)\n", "account.localWindow.Refill(g.now, 9*plan.Rate, 9*burst*gateways)\n"), Runs: []string{simOne + "programs", simManyGateways + "crowd"}},
 	{Name: "a window fills", Rule: "quotas can be used", Unit: "./policy",
 		Edits: edit(rules+"quota_owner.go", "ledger.Available+rate*(g.now-ledger.UpdatedAt)), g.now", "ledger.Available+rate/2*(g.now-ledger.UpdatedAt)), g.now"), Runs: []string{simOne + "calm"}},
 	{Name: "a window has a brim", Rule: "quotas kept", Unit: "./policy",
 		Edits: edit(rules+"quota_owner.go", "limit := account.plan.Burst - ", "limit := 9*account.plan.Burst - "), Runs: []string{simOne + "calm", simOne + "friday"}},
 	{Name: "a young count believes what members heard", Rule: "quotas kept",
-		Reason: "a window more is what the budget has for an owner that comes back empty; it is what is to be tightened next",
+		Reason: "the error bound allows one more window for an owner that restarts without state; this bound is the next to be tightened",
 		Edits:  edit(rules+"quota_owner.go", "if report.Known && g.now-ledger.StartedAt < ledgerRecoveryS {", "if false {"), Runs: []string{simOne + "programs", simOne + "blinks"}},
 	{Name: "lost reports are no silence", Rule: "quotas can be used", Unit: "./internal/decision/failuredetector",
-		Reason: "owners passed over for a second each cost 1% of service at 80 ingresses, which no rule is made of",
+		Reason: "without it members bypass owners for a second at a time, which costs 1% of service at 80 ingresses; no rule checks this",
 		Edits:  edit("internal/decision/failuredetector/failuredetector.go", "\tmaxThreshold      = 4 ", "\tmaxThreshold      = 2 "), Runs: []string{simOne + "friday"}},
-	// ---- The module: places lent by time, units ahead ----
+	// ---- Decision module: slot leases and prefetched units ----
 	{Name: "a place comes back by itself", Rule: "caps kept", Unit: "./internal/decision/slotlease",
-		Reason: "without it places stand idle, which no rule is made of: resto falls to 0.85 of its share at 300 ingresses",
+		Reason: "without it slots stay idle, which no rule checks: plan resto falls to 0.85 of its share at 300 ingresses",
 		Edits:  edit(slotTable, "now + min(leaseS, MaxLeaseS) + GraceS,", "now + 10*min(leaseS, MaxLeaseS) + GraceS,"), Runs: []string{simSlots + "places"}},
 	{Name: "a place is lent once", Rule: "caps kept", Unit: "./internal/decision/slotlease",
 		Edits: edit(slotTable, `if l.member != except {
@@ -167,15 +169,15 @@
 			slots += 0 * l.slots
 `), Runs: []string{simSlots + "places-slow"}},
 	{Name: "a place in use is renewed", Rule: "caps kept", Unit: "./policy",
-		Reason: "an attempt that outlives its place is one beyond the cap for as long as it lasts, which the budget of a cap of two has room for",
+		Reason: "an attempt that outlives its slot lease exceeds the concurrency limit by one until it ends; the error bound of a limit of two allows this",
 		Edits:  edit(rules+"concurrency_limit.go", "account.ownerLeases && req.inFlight > 0 &&\n\t\taccount.leasedSlots.Count(g.now+slotlease.RenewBeforeS) < account.inFlight {", "account.ownerLeases && req.inFlight > 99 {"), Runs: []string{simSlots + "places-slow"}},
 	{Name: "a new life lends nothing at first", Rule: "caps kept", Unit: "./policy",
-		Reason: "what its former life lent is over within half a second: twice the cap is stated for that long",
+		Reason: "slot leases of its former incarnation expire within half a second; the error bound allows twice the concurrency limit for that long",
 		Edits:  edit(rules+"gateway.go", "slotLeasingFrom: now + slotlease.ReportLeaseS,", "slotLeasingFrom: 0 * slotlease.ReportLeaseS,"), Runs: []string{simSlots + "places-storm"}},
 	{Name: "units ahead keep their place below the ceiling's brim", Rule: "ceilings kept", Unit: "./internal/decision/hardlimit",
-		Reason: "no schedule has all of a full ceiling asked for within the second in which units ahead are spent; the unit test does",
+		Reason: "in no schedule do requests use up a full hard limit within the second in which prefetched units are spent; in the unit test they do",
 		Edits:  edit(ceilings, "-l.prefetched.Sum(now, PrefetchS+sendDelayS))", ")"), Runs: []string{simOne + "storm", simOne + "ceilings"}},
-	// ---- Nodes held by hand in two levels ----
+	// ---- Cordons by operators of a two-level fleet ----
 	{Name: "a majority of forwarders has the word", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
 		Edits: edit("internal/controlplane/cordon/coordinator.go", "if op.answers < c.majority {", "if op.answers < 1 {"), Runs: []string{simTwo + "hands"}},
 	{Name: "a yes waits for older leads to end", Rule: "nodes that operators hold left alone", Unit: "./internal/controlplane/cordon",
@@ -184,13 +186,13 @@
 		Edits: edit("internal/controlplane/forwarder/cordons.go", "if newer && c.planners[i].cordonCapable {", "if newer && c.planners[i].cordonCapable && i == planner {"), Runs: []string{simTwo + "hands"}},
 	{Name: "modules hear of a hold", Rule: "nodes that operators hold left alone",
 		Edits: edit("internal/controlplane/planner/cordons.go", "case !uncordoned && backend.State == policy.Up:", "case !uncordoned && backend.State == policy.Up && false:"), Runs: []string{simTwo + "hands"}},
-	// ---- The module: servers ----
+	// ---- Decision module: backends ----
 	{Name: "cold servers get their part", Rule: "cold nodes stand", Unit: "./policy",
 		Edits: edit(rules+"slow_start.go", "\treturn backend.inFlight < slowStartInFlight &&\n\t\t(sent+workS <=", "\treturn true || backend.inFlight < slowStartInFlight &&\n\t\t(sent+workS <="),
 		Runs:  []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
 	{Name: "under overload a cold server's part is of what is answered", Rule: "cold nodes stand",
 		Edits: edit(rules+"slow_start.go", "min(g.admittedWork.Now(g.now, demandTauS), maxAdmittedToCompleted*g.completedWork.Now(g.now, demandTauS))", "g.admittedWork.Now(g.now, demandTauS)"), Runs: []string{"sim -shrink=false -schedules 24 -for 20s -planners 0 -forwarders 60 -scenario back"}},
-	{Name: "no new work for a node that drains", Rule: "drains kept", // the module, the pool, the last check before a write and the guard at the write each hold it alone
+	{Name: "no new work for a node that drains", Rule: "drains kept", // the decision module, the connection pool, the last check before a write and the attempt guard each enforce it alone
 		Edits: []Edit{{rules + "selection.go", "if backend.State != Up || g.now < backend.ejectedUntil {", "if g.now < backend.ejectedUntil {"},
 			{in + "attempt.go", "case a.backend == nil, a.backend.state != policy.Up:", "case a.backend == nil:"},
 			{rules + "attempt_guard.go", "if a.Backend.State != Up {", "if false {"},
@@ -202,7 +204,7 @@
 	{Name: "what changed is passed on whole", Rule: "drains kept", Unit: "./internal/dataplane/ingress",
 		Edits: edit("internal/membership/discovery/watcher.go", "if list.Full || len(list.Endpoints) > 0 {", "if list.Full || len(list.Endpoints) > 0 && list.Version%2 == 0 {"),
 		Runs:  []string{labOne + "drains", labTwo + "drains"}},
-	// ---- The ingress: what an attempt's end means ----
+	// ---- Ingress: outcomes of attempts ----
 	{Name: "silence to the end may have run", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"attempt.go", "in.finishAttempt(a, callprotocol.Result{Status: policy.Timeout}, in.now)", "in.finishAttempt(a, callprotocol.Result{Status: policy.NotSent}, in.now)"),
 		Runs:  []string{labOne + "answers", labTwo + "answers"}},
@@ -224,7 +226,7 @@
 		a.conn = nil
 `),
 		Runs: []string{labOne + "answers", labOne + "snow"}},
-	{Name: "a copy of an answer is no answer", Rule: "one answer", Unit: "./internal/dataplane/ingress", // its bytes, what waits on a connection, and the rest before use each tell it
+	{Name: "a copy of an answer is no answer", Rule: "one answer", Unit: "./internal/dataplane/ingress", // each detects it alone: equal reply bytes, bytes without an expected reply, bytes after a reply, unread bytes before reuse
 		Edits: []Edit{{in + "backend_reader.go", "if res.Status == policy.OK && r.recent.seen(r.input.Bytes()[:size], at, in.backends.duplicateWindowS) {", "if false {"},
 			{in + "backend_reader.go", "if n > 0 && !c.replyExpected.Load() {", "if n > 0 && !c.replyExpected.Load() && false {"},
 			{in + "backend_reader.go", `stray := r.input.Len() > size
@@ -232,7 +234,7 @@
 	r.input.Discard(size)`},
 			{in + "backend_pool.go", "in.now-c.idleSince > in.backends.idleTimeoutS || !c.silent() {", "in.now-c.idleSince > in.backends.idleTimeoutS {"}},
 		Runs: []string{labOne + "answers", labTwo + "answers"}},
-	// ---- The ingress: clients ----
+	// ---- Ingress: clients ----
 	{Name: "an id that is open is not taken again", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"request.go", "case in.requests[call.ID] != nil, in.predecessorRequests[call.ID] != nil:", "case false:"),
 		Runs:  []string{labOne + "rude", labTwo + "rude"}},
@@ -250,7 +252,7 @@
 		Edits: edit(in+"client_table.go", `		if c.fullyAnswered() && c.reader != readerTransferring && !c.recentlyOpened(in) {
 			in.closeGracefully(c, closeShutdown)`, `		if true {
 			in.closeClient(c, closeShutdown)`),
-		Runs: []string{"lab -forwarders 4 -planners 0 -nodes 6 -for 30s -scenario playoff -kinds roll,snow,snow -every 600ms"}}, // requests that last longer than the time in which new connections are taken
+		Runs: []string{"lab -forwarders 4 -planners 0 -nodes 6 -for 30s -scenario playoff -kinds roll,snow,snow -every 600ms"}}, // the requests last longer than the time in which new connections are accepted
 	{Name: "a client's hang-up ends its own requests alone", Rule: "no request lost",
 		Edits: edit(in+"client_close.go", `		if s.request != nil && !s.request.completed {
 			in.completeRequest(s.request)
@@ -285,16 +287,16 @@
 		Edits: edit(in+"client_writer.go", "case c.callReceived && in.drain.CloseAfterResponse(in.now) && c.fullyAnswered():", "case c.callReceived && in.drain.Active() && c.idle():"),
 		Runs:  []string{drainOne}},
 	{Name: "what may be written is asked directly before the write", Rule: "no effect twice", Unit: "./internal/dataplane/ingress",
-		Reason: "connections that come up late are the soak's alone, which counts it by the ingresses' own check; the unit test makes one",
+		Reason: "only the soak has connections that open late, and it detects late writes by the ingresses' own check; the unit test has one such connection",
 		Edits:  edit(in+"send_guard.go", "case now > a.latestStart:", "case false:"),
 		Runs:   []string{labOne + "keys"}},
 	// ---- Forwarders ----
-	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // by epoch and promise, and by the handle of the telling
+	{Name: "only the promised leader is followed", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // checked by epoch and promise, and by the handle of the submitted request
 		Edits: []Edit{{"internal/controlplane/forwarder/promises.go", "return cell.hasLeader && cell.holder == planner && cell.epoch == epoch && (!cell.expired(c.now) || !topology.FencingEnabled)", "return cell != nil"},
 			{"internal/controlplane/forwarder/requests.go", "\tdelete(c.submitted, request.handle)\n\tif request.handle != 0", "\tif request.handle != 0"},
 			{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"}},
 		Runs: []string{simTwo + "storm", simTwo + "programs"}},
-	{Name: "never two attempts out, whoever asks", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // a request waits for the end of its attempt, and a second one is not made
+	{Name: "never two attempts out, whoever asks", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder", // a request waits until its attempt has ended, and no second one is started
 		Edits: []Edit{{"internal/controlplane/forwarder/actions.go", "\tcase request.inFlight > 0:", "\tcase request.inFlight > 9:"},
 			{"internal/controlplane/forwarder/promises.go", "\t\tc.withdraw(request)\n\t\tif !request.completed && request.inFlight == 0 {", "\t\tc.withdraw(request)\n\t\tif !request.completed {"},
 			{"internal/controlplane/forwarder/actions.go", "mayHaveRun := request.mayHaveRun || request.inFlight > 0\n", "mayHaveRun := request.mayHaveRun\n"}},
@@ -319,7 +321,7 @@
 	{Name: "a forwarder remembers what was passed on", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit("internal/controlplane/forwarder/actions.go", "\t\t\tc.usage.record(request.Account, windowUsage{plan: request.plan, epoch: msg.Epoch, seq: msg.Round, debt: msg.Units, receivedAt: c.now})\n", ""), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a forwarder tells of what it has out", Rule: "caps kept", Unit: "./internal/controlplane/forwarder",
-		Reason: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Reason: "the additional attempts stay within twice the concurrency limit, which the rule allows at a change of leaders; the unit test fails without the guard",
 		Edits:  edit("internal/controlplane/forwarder/orphans.go", "\t\tc.orphans[request.Account] = orphanCount{request.plan, c.orphans[request.Account].attempts + request.inFlight}\n", "\t\tc.orphans[request.Account] = orphanCount{request.plan, 0}\n"),
 		Runs:   []string{simTwo + "capped"}},
 	{Name: "a forwarder that started tells so", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
@@ -344,7 +346,7 @@
 	{Name: "passes are taken off a window", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit(windows, "\twindow.available -= units\n\tt.admissions++", "\tt.admissions++"), Runs: []string{simTwo + "ceilings"}},
 	{Name: "a planner believes in what a lost forwarder has out", Rule: "caps kept", Unit: "./internal/controlplane/planner",
-		Reason: "what it adds lies within the twice the cap that is stated of a change of leaders; its unit test fails without it",
+		Reason: "the additional attempts stay within twice the concurrency limit, which the rule allows at a change of leaders; the unit test fails without the guard",
 		Edits:  edit("internal/controlplane/planner/requests.go", "\t\tc.applyCounts(request.cellID, cell.windows.setOrphans(c.now, forwarder, request.account, request.plan, attempts))\n", ""), Runs: []string{simTwo + "lonely"}},
 	{Name: "a planner tells its module of earlier passes", Rule: "quotas kept", Unit: "./internal/controlplane/planner",
 		Edits: edit("internal/controlplane/planner/requests.go", "\tc.applyCounts(cellID, cell.windows.initialCounts(c.now, msg.Name, planIndex))\n", "\tcell.windows.initialCounts(c.now, msg.Name, planIndex)\n"), Runs: []string{simTwo + "ceilings"}},
@@ -365,18 +367,18 @@
 	{Name: "an agent remembers what etcd told", Rule: "none on a stale word", Unit: "./internal/membership/agent",
 		Edits: edit("internal/membership/agent/agent.go", `	a.merger.Restore(saved.Merged)
 `, ""), Runs: []string{labEtcd}},
-	// ---- Operators ----
+	// ---- Cordons and hot restarts by operators ----
 	{Name: "discovery puts nothing back that is held", Rule: "nodes that operators hold left alone", Unit: "./internal/membership/cordontable",
 		Edits: edit("internal/membership/cordontable/table.go", "\t\tif endpoint.State == discovery.InService {\n", "\t\tif false {\n"), Runs: []string{labOne + "operators"}},
 	{Name: "a new process knows what is held", Rule: "nodes that operators hold left alone", Unit: "./internal/dataplane/ingress",
 		Edits: edit(in+"admin.go", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) { in.cordons.Replace(c) })", "in.cordonStore.ReadIfChanged(func(c cordontable.Cordons) {})"), Runs: []string{labOne + "operators -kinds replaced,held -every 200ms"}},
 	{Name: "connections go to the new process", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Reason: "a client whose idle connection ends asks on another; it costs a dial and, at times, a request that crosses the end and is sent again",
+		Reason: "a client whose idle connection is closed uses another one; this costs a dial and, at times, a request that crosses the close and is sent again",
 		Edits:  edit(in+"hot_restart_successor.go", "if in.successor.stage != handoverActive || c.state == connClosing", "if true || c.state == connClosing"), Runs: []string{labOne + "operators -kinds replaced"}},
 	{Name: "what was read of a command goes with its connection", Rule: "no request lost", Unit: "./internal/dataplane/ingress",
-		Reason: "the laboratory's clients write a command in one piece, so that a part of one is hardly ever read at that moment; the unit test sends halves",
+		Reason: "the testbed's clients write a command in one piece, so an ingress has hardly ever read only a part of one at the handover; the unit test sends halves",
 		Edits:  edit(in+"hot_restart_successor.go", "body: bytes.Clone(c.input.Bytes())}", "body: bytes.Clone(c.input.Bytes()[:0])}"), Runs: []string{labOne + "operators -kinds replaced -every 100ms"}},
-	// ---- A forwarder replaced while it serves ----
+	// ---- Hot restart of a forwarder ----
 	{Name: "promises that were handed on are not taken back", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "\tc.resetPromises()\n", "\tfor i := range c.cells {\n\t\tc.cells[i].requester, c.cells[i].leaderlessSince = noPlanner, now\n\t}\n"), Runs: []string{simTwo + "handed-torn"}},
 	{Name: "promises go over", Rule: "one leader", Unit: "./internal/controlplane/forwarder",
@@ -384,7 +386,7 @@
 	{Name: "tales go over", Rule: "quotas kept", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "for _, report := range state.UsageReports {", "for _, report := range state.UsageReports[:0] {"), Runs: []string{simTwo + "handed"}},
 	{Name: "a new process knows what may have run", Rule: "no effect twice", Unit: "./internal/controlplane/forwarder",
-		Reason: "it matters to a keyed request of which one attempt ran and the next, turned away unseen, is out at that moment; the unit test makes one",
+		Reason: "it matters only to a keyed request of which one attempt ran and the next, whose rejection is not yet seen, is in flight at the handover; the unit test has one",
 		Edits:  edit(mover, "mayHaveRun:   saved.MayHaveRun,", "mayHaveRun:   false,"), Runs: []string{simTwo + "handed-keys"}},
 	{Name: "a new process knows what is out", Rule: "one attempt out", Unit: "./internal/controlplane/forwarder",
 		Edits: edit(mover, "\t\tif !ended {\n\t\t\trequest.inFlight++", "\t\tif false {\n\t\t\trequest.inFlight++"), Runs: []string{simTwo + "upgrades"}},
@@ -394,7 +396,7 @@
 		Edits: edit(mover, "\tc.usage.incompleteAt = now\n\tclear(c.planners)", "\tclear(c.planners)"), Runs: []string{simTwo + "handed"}},
 	// ---- Links ----
 	{Name: "a silent link ends", Rule: "no request lost", Unit: "./internal/controlplane/transport",
-		Reason: "promises that run out hold the rules without it; it bounds how long a takeover takes, which testbed lab -deaths and -failsafes measure",
+		Reason: "without it the expiry of promises still keeps the rules; the guard bounds the duration of a takeover, which testbed lab -deaths and -failsafes measure",
 		Edits:  edit("internal/controlplane/transport/conn.go", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n", "NewConn(conn net.Conn, idleTimeout time.Duration) *Conn {\n\tidleTimeout = time.Hour\n"),
 		Runs:   []string{labTwo + "programs"}},
 }
--- a/internal/testbed/mutation/mutation.go
+++ b/internal/testbed/mutation/mutation.go
@@ -1,5 +1,5 @@
-// Package mutation takes guards out of the program, one at a time, to see whether the testbed finds out: a run that
-// could not lose its verdict shows nothing. Sources stay as they are: a mutant is built from an overlay of theirs.
+// Package mutation removes guards from the program, one at a time, to check that the testbed detects each removal: a
+// run that can't fail shows nothing. It does not change the sources: a mutant is built with an overlay over them.
 package mutation
 
 import (
@@ -16,36 +16,36 @@
 	"time"
 )
 
-// Edit replaces a text that stands exactly once in a file.
+// Edit replaces a text that occurs exactly once in a file.
 type Edit struct{ File, Old, New string }
 
 // Mutation is the removal of one guard.
 type Mutation struct {
 	Name   string // of the guard
-	Rule   string // that it is there for, as the auditor words it
+	Rule   string // that the guard enforces, by its name in the oracle's report
 	Edits  []Edit
-	Runs   []string // arguments of testbed, or membershipagent with its own, that bring the guard's occasions, the likeliest to object first
-	Unit   string   // package whose own tests are to fail too, "" if none is
-	Reason string   // of one that no run catches: why it is there all the same
+	Runs   []string // that need the guard, the likeliest to fail first: arguments of testbed, or agentPrefix and those of membershipagent
+	Unit   string   // package whose unit tests fail as well; "": none
+	Reason string   // why no run catches the mutant, and what the guard is for nevertheless; "": a run must catch it
 }
 
-// Result is what became of a mutant.
+// Result is the outcome of a mutant's runs.
 type Result struct {
 	Caught  bool
-	Run     string        // the run that objected
-	After   time.Duration // from the first run's start on
-	Verdict string        // the verdict
-	Unit    string        // caught, passed, "" if not tried
+	Run     string        // arguments of the run that caught the mutant
+	After   time.Duration // from the start of the first run
+	Verdict string        // the violated rule and how often it was violated
+	Unit    string        // result of the unit tests: "caught" or "passed"; "": not run
 }
 
-// Runner builds and runs mutants of the sources at Root, with files of its own in Dir.
+// Runner builds and runs mutants of the sources in Root. It writes its files to Dir.
 type Runner struct {
 	Root, Dir string
-	Most      time.Duration // for one run
+	Timeout   time.Duration // of one run
 }
 
-// Apply writes a mutant's overlay and returns its path. A text that does not stand exactly once is an error: the list has
-// to follow the sources.
+// Apply writes a mutant's overlay and returns its path. An old text that does not occur exactly once in its file is an
+// error, because the list must be updated with the sources.
 func (r Runner) Apply(m Mutation) (overlay string, err error) {
 	dir := filepath.Join(r.Dir, strings.ReplaceAll(m.Name, " ", "-"))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -61,7 +61,7 @@
 			texts[e.File] = string(b)
 		}
 		if n := strings.Count(texts[e.File], e.Old); n != 1 {
-			return "", fmt.Errorf("mutant %q no longer applies: %q stands %d times in %s", m.Name, e.Old, n, e.File)
+			return "", fmt.Errorf("mutant %q no longer applies: %q occurs %d times in %s, want once", m.Name, e.Old, n, e.File)
 		}
 		texts[e.File] = strings.Replace(texts[e.File], e.Old, e.New, 1)
 	}
@@ -85,7 +85,7 @@
 	return overlay, os.WriteFile(overlay, text, 0o600)
 }
 
-// Build builds a mutant, or with the zero Mutant the program as it is, and returns the folder of its programs.
+// Build builds a mutant, or the unchanged program for a zero Mutation, and returns the directory of the binaries.
 func (r Runner) Build(ctx context.Context, m Mutation) (bin string, err error) {
 	overlay, err := r.Apply(m)
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 	bin = filepath.Join(filepath.Dir(overlay), "bin")
 	args := []string{"build", "-overlay", overlay, "-o", bin + "/", "./cmd/testbed", "./cmd/fleet", "./cmd/eiderspread"}
-	if slices.ContainsFunc(m.Runs, func(run string) bool { return strings.HasPrefix(run, watch) }) {
+	if slices.ContainsFunc(m.Runs, func(run string) bool { return strings.HasPrefix(run, agentPrefix) }) {
 		args = append(args, "./cmd/membershipagent")
 	}
 	c := exec.CommandContext(ctx, "go", args...)
@@ -104,7 +104,8 @@
 	return bin, nil
 }
 
-// Play builds a mutant and runs its runs until one objects. An object is a broken rule, not a run that could not be made.
+// Play builds a mutant and executes its runs until one reports a violation of m.Rule. A run that can't be carried out
+// is an error. With unit it also runs the unit tests of m.Unit.
 func (r Runner) Play(ctx context.Context, m Mutation, unit bool) (res Result, err error) {
 	bin, err := r.Build(ctx, m)
 	if err != nil {
@@ -113,12 +114,12 @@
 	defer os.RemoveAll(bin)
 	began := time.Now()
 	for _, args := range m.Runs {
-		said, err := r.run(ctx, bin, args, m.Rule)
+		verdict, err := r.run(ctx, bin, args, m.Rule)
 		if err != nil {
 			return res, fmt.Errorf("mutant %q: %s: %w", m.Name, args, err)
 		}
-		if said != "" {
-			res.Caught, res.Run, res.After, res.Verdict = true, args, time.Since(began), said
+		if verdict != "" {
+			res.Caught, res.Run, res.After, res.Verdict = true, args, time.Since(began), verdict
 			break
 		}
 	}
@@ -133,20 +134,22 @@
 	return res, nil
 }
 
-// run makes one run and returns what the auditor objected to, "" if nothing.
+// run executes one run and returns how often it violated the rule, as text; "": it did not.
 func (r Runner) run(ctx context.Context, bin, args, rule string) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.Most)
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	if args, ok := strings.CutPrefix(args, watch); ok {
-		return r.run1(ctx, filepath.Join(bin, "membershipagent"), strings.Fields(args), rule)
+	if args, ok := strings.CutPrefix(args, agentPrefix); ok {
+		return r.runProgram(ctx, filepath.Join(bin, "membershipagent"), strings.Fields(args), rule)
 	}
-	return r.run1(ctx, filepath.Join(bin, "testbed"), strings.Fields(args), rule)
+	return r.runProgram(ctx, filepath.Join(bin, "testbed"), strings.Fields(args), rule)
 }
 
-// watch stands before runs of membershipagent.
-const watch = "membershipagent "
+// agentPrefix marks a run as one of membershipagent.
+const agentPrefix = "membershipagent "
 
-func (r Runner) run1(ctx context.Context, program string, list []string, rule string) (string, error) {
+// runProgram runs a program and searches its output for violations of the rule, as run does. A run that fails without
+// printing a verdict is an error.
+func (r Runner) runProgram(ctx context.Context, program string, list []string, rule string) (string, error) {
 	if list[0] == "lab" {
 		dir, err := os.MkdirTemp(r.Dir, "run")
 		if err != nil {
@@ -164,21 +167,21 @@
 	case ctx.Err() != nil || !errors.As(err, &exit):
 		return "", fmt.Errorf("%w: %.300s", errors.Join(err, ctx.Err()), out)
 	}
-	verdict := false
+	hasVerdict := false
 	for line := range strings.Lines(string(out)) {
 		line = strings.TrimSpace(line)
 		if f := strings.Fields(strings.TrimPrefix(line, rule)); strings.HasPrefix(line, rule) && len(f) > 1 {
-			if f[0] == "breaches" { // as sim words it
+			if f[0] == "breaches" { // sim prints this word before the number
 				f = f[1:]
 			}
 			if n, err := strconv.Atoi(strings.Trim(f[0], ",")); err == nil && n > 0 {
-				return fmt.Sprintf("%s broken %d times", rule, n), nil
+				return fmt.Sprintf("%s violated %d times", rule, n), nil
 			}
 		}
-		verdict = verdict || strings.HasPrefix(line, "verdict: ") || strings.Contains(line, "schedules failed")
+		hasVerdict = hasVerdict || strings.HasPrefix(line, "verdict: ") || strings.Contains(line, "schedules failed")
 	}
-	if verdict { // another rule, or too few occasions: it is not what the guard is for
+	if hasVerdict { // another rule was violated, or occasions were too few: neither shows that the guard is missing
 		return "", nil
 	}
-	return "", fmt.Errorf("no verdict: %.600s", out)
+	return "", fmt.Errorf("no verdict in the output: %.600s", out)
 }
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards the list: every mutant applies to the sources as they are, has a rule and a run, and no two are alike. There are
-// as many as the laboratory promises.
+// Guards against entries of the list that test nothing: every mutant must apply to the current sources, have a rule and
+// a run, and a name of its own. The list must have at least 40 mutants.
 func TestEveryMutantApplies(t *testing.T) {
 	r := Runner{Root: "../../..", Dir: t.TempDir()}
 	seen := map[string]bool{}
@@ -17,36 +17,36 @@
 			t.Error(err)
 		}
 		if seen[m.Name] || m.Rule == "" || len(m.Runs) == 0 {
-			t.Errorf("%q is twice there, or without a rule or run", m.Name)
+			t.Errorf("mutant %q: duplicate name %t, rule %q, %d runs; want a unique name, a rule and a run", m.Name, seen[m.Name], m.Rule, len(m.Runs))
 		}
 		seen[m.Name] = true
 	}
 	if len(List) < 40 {
-		t.Errorf("%d mutants, 40 at least", len(List))
+		t.Errorf("the list has %d mutants, want at least 40", len(List))
 	}
 }
 
-// Guards the guard: a text that is gone, or stands twice, is an error and no silent pass.
+// Guards against a mutant that silently changes nothing: an old text that is missing or occurs twice must be an error.
 func TestMutantThatNoLongerApplies(t *testing.T) {
 	r := Runner{Root: "../../..", Dir: t.TempDir()}
 	for _, old := range []string{"no such text", "return"} {
 		if _, err := r.Apply(Mutation{Name: "x", Edits: edit(module, old, "")}); err == nil || !strings.Contains(err.Error(), "no longer applies") {
-			t.Errorf("%q: %v", old, err)
+			t.Errorf("Apply with old text %q = %v, want an error with \"no longer applies\"", old, err)
 		}
 	}
 }
 
-// The short form of testbed mutants: the program as it is passes the same runs in which copies without a guard are found
-// out.
+// Guards against a testbed that no longer detects missing guards: the unchanged program must pass the runs that catch
+// two mutants. The testbed mutants command runs the whole list.
 func TestLaboratoryFindsMissingGuards(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds programs")
 	}
-	r := Runner{Root: "../../..", Dir: t.TempDir(), Most: 5 * time.Minute}
+	r := Runner{Root: "../../..", Dir: t.TempDir(), Timeout: 5 * time.Minute}
 	runs := []string{"sim -shrink=false -schedules 4 -for 20s -planners 0 -scenario answers", "sim -shrink=false -schedules 4 -for 15s -planners 3 -scenario ceilings"}
-	whole, err := r.Play(context.Background(), Mutation{Name: "none", Edits: edit(module, "package policy\n", "package policy\n\n"), Runs: runs}, false)
-	if err != nil || whole.Caught {
-		t.Fatalf("the program as it is: %+v, %v", whole, err)
+	unchanged, err := r.Play(context.Background(), Mutation{Name: "none", Edits: edit(module, "package policy\n", "package policy\n\n"), Runs: runs}, false)
+	if err != nil || unchanged.Caught {
+		t.Fatalf("unchanged program: result %+v, error %v; want it not caught", unchanged, err)
 	}
 	for _, name := range []string{"unsafe runs once", "a ceiling starts empty"} {
 		for _, m := range List {
@@ -55,7 +55,7 @@
 			}
 			m.Runs = runs
 			if res, err := r.Play(context.Background(), m, false); err != nil || !res.Caught {
-				t.Errorf("%s: %+v, %v", name, res, err)
+				t.Errorf("mutant %q: result %+v, error %v; want it caught", name, res, err)
 			}
 		}
 	}
