--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -30,7 +30,7 @@
 func TestMutantThatNoLongerApplies(t *testing.T) {
 	r := Runner{Root: "../../..", Dir: t.TempDir()}
 	for _, old := range []string{"no such text", "return"} {
-		if _, err := r.Apply(Mutation{Name: "x", Edits: edit(module, old, "")}); err == nil || !strings.Contains(err.Error(), "no longer applies") {
+		if _, err := r.Apply(Mutation{Name: "x", Edits: edit(gatewayFile, old, "")}); err == nil || !strings.Contains(err.Error(), "no longer applies") {
 			t.Errorf("Apply with old text %q = %v, want an error with \"no longer applies\"", old, err)
 		}
 	}
@@ -44,7 +44,7 @@
 	}
 	r := Runner{Root: "../../..", Dir: t.TempDir(), Timeout: 5 * time.Minute}
 	runs := []string{"sim -shrink=false -schedules 4 -for 20s -planners 0 -scenario answers", "sim -shrink=false -schedules 4 -for 15s -planners 3 -scenario ceilings"}
-	unchanged, err := r.Play(context.Background(), Mutation{Name: "none", Edits: edit(module, "package policy\n", "package policy\n\n"), Runs: runs}, false)
+	unchanged, err := r.Play(context.Background(), Mutation{Name: "none", Edits: edit(gatewayFile, "package policy\n", "package policy\n\n"), Runs: runs}, false)
 	if err != nil || unchanged.Caught {
 		t.Fatalf("unchanged program: result %+v, error %v; want it not caught", unchanged, err)
 	}
