--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -42,9 +42,9 @@
 	ClassFractions map[string]float64 // of the requests, by class
 	Units          map[string]int     // by class
 	Retries        int                // of a client, after its first try
-	HangUps        float64            // share of the tries whose client hangs up at a random moment
-	Batches        float64            // share of the requests that go out in threes on one connection
-	Misbehaving    int                // clients that send what they should not
+	DisconnectFraction        float64            // share of the tries whose client hangs up at a random moment
+	BatchFraction        float64            // share of the requests that go out in threes on one connection
+	MisbehavingClients    int                // clients that send what they should not
 	Seed           uint64
 }
 
@@ -56,19 +56,19 @@
 	front *Front
 
 	mu     sync.Mutex
-	idle   map[int][]*clientConn // by forwarder
-	open   map[*clientConn]bool  // all that are
+	idleConns   map[int][]*clientConn // by forwarder
+	openConns   map[*clientConn]bool  // all that are
 	rng    *rand.Rand
-	next   uint64
-	last   *oracle.Request
-	floods map[string]float64 // factor by account
+	nextID   uint64
+	lastRequest   *oracle.Request
+	floodFactors map[string]float64 // factor by account
 	wg     sync.WaitGroup     // bounded by the run's length and rates
 }
 
 type clientConn struct {
 	net.Conn
 	reader      *bufio.Reader
-	idleAt      time.Time
+	idleSince      time.Time
 	incarnation int  // of the forwarder's program
 	used        bool // it has carried a request before
 	forwarder   int
@@ -76,13 +76,13 @@
 
 	// Under the Clients' lock.
 	sentAt time.Time // the last request
-	awaits bool      // its answer
+	awaitingReply bool      // its answer
 }
 
 // Close ends the connection.
 func (k *clientConn) Close() error {
 	k.clients.mu.Lock()
-	delete(k.clients.open, k)
+	delete(k.clients.openConns, k)
 	k.clients.mu.Unlock()
 	return k.Conn.Close()
 }
@@ -91,13 +91,13 @@
 func (k *clientConn) setAwaiting(awaits bool) {
 	k.clients.mu.Lock()
 	defer k.clients.mu.Unlock()
-	if k.awaits = awaits; awaits {
+	if k.awaitingReply = awaits; awaits {
 		k.sentAt = time.Now()
 	}
 }
 
-// ended tells that the other side has ended the connection, whatever was read of it.
-func (k *clientConn) ended() (ended bool) {
+// closedByPeer tells that the other side has closedByPeer the connection, whatever was read of it.
+func (k *clientConn) closedByPeer() (ended bool) {
 	raw, err := k.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
@@ -115,27 +115,27 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := map[*clientConn]string{}
-	for k := range c.open {
+	for k := range c.openConns {
 		switch {
-		case k.forwarder != forwarder || k.ended():
-		case !k.awaits && time.Since(k.idleAt) > recent/4: // else its end may be on its way
+		case k.forwarder != forwarder || k.closedByPeer():
+		case !k.awaitingReply && time.Since(k.idleSince) > recent/4: // else its end may be on its way
 			held[k] = "idle"
-		case k.awaits && time.Since(k.sentAt) < recent:
+		case k.awaitingReply && time.Since(k.sentAt) < recent:
 			held[k] = "with a request sent " + time.Since(k.sentAt).Round(time.Millisecond).String() + " ago"
 		}
 	}
 	return held
 }
 
-var errLeaves = errors.New("no new connections go there any more")
+var errIngressLeaving = errors.New("no new connections go there any more")
 
-// idleMost is how long a connection is kept: less than what a forwarder allows, so that none is closed while a
+// maxConnIdle is how long a connection is kept: less than what a forwarder allows, so that none is closed while a
 // request crosses.
-const idleMost = 4 * time.Second
+const maxConnIdle = 4 * time.Second
 
-// open tells that the connection still stands.
-func (k *clientConn) open() bool {
-	if time.Since(k.idleAt) > idleMost {
+// reusable tells that the connection still stands.
+func (k *clientConn) reusable() bool {
+	if time.Since(k.idleSince) > maxConnIdle {
 		return false
 	}
 	_ = k.SetReadDeadline(time.Now().Add(20 * time.Microsecond))
@@ -146,15 +146,15 @@
 
 // NewClients makes clients; Run starts them.
 func NewClients(cfg Traffic, hist *oracle.History, front *Front) *Clients {
-	return &Clients{cfg: cfg, hist: hist, front: front, next: uint64(os.Getpid()) << idBits, idle: map[int][]*clientConn{}, open: map[*clientConn]bool{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)),
-		floods: map[string]float64{}}
+	return &Clients{cfg: cfg, hist: hist, front: front, nextID: uint64(os.Getpid()) << requestIDBits, idleConns: map[int][]*clientConn{}, openConns: map[*clientConn]bool{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)),
+		floodFactors: map[string]float64{}}
 }
 
 // Flood has an account ask for x times what it does, until it is taken back with 1.
 func (c *Clients) Flood(account string, x float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.floods[account] = x
+	c.floodFactors[account] = x
 }
 
 // Run asks until ctx ends and waits for the last answers.
@@ -163,10 +163,10 @@
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			c.account(ctx, a, rand.New(rand.NewPCG(c.cfg.Seed, uint64(i)+100)))
+			c.sendAccountRequests(ctx, a, rand.New(rand.NewPCG(c.cfg.Seed, uint64(i)+100)))
 		}()
 	}
-	for i := range c.cfg.Misbehaving {
+	for i := range c.cfg.MisbehavingClients {
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
@@ -175,8 +175,8 @@
 	}
 	c.wg.Wait()
 	c.mu.Lock()
-	idle := c.idle
-	c.idle = map[int][]*clientConn{}
+	idle := c.idleConns
+	c.idleConns = map[int][]*clientConn{}
 	c.mu.Unlock()
 	for _, list := range idle {
 		for _, k := range list {
@@ -185,8 +185,8 @@
 	}
 }
 
-// account draws the times of one account's requests ahead of any answer.
-func (c *Clients) account(ctx context.Context, a Account, rng *rand.Rand) {
+// sendAccountRequests draws the times of one sendAccountRequests's requests ahead of any answer.
+func (c *Clients) sendAccountRequests(ctx context.Context, a Account, rng *rand.Rand) {
 	mean := 0.0
 	for class, share := range c.cfg.ClassFractions {
 		mean += share * float64(c.cfg.Units[class])
@@ -196,7 +196,7 @@
 	flood := time.Now().Add(time.Duration(rng.Float64() * float64(a.FloodEvery)))
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		rate := a.Rate / mean * cmp.Or(c.floods[a.Name], 1)
+		rate := a.Rate / mean * cmp.Or(c.floodFactors[a.Name], 1)
 		c.mu.Unlock()
 		if now := time.Now(); a.FloodX > 0 && now.After(flood) {
 			rate *= a.FloodX
@@ -217,39 +217,39 @@
 		}
 		class := ClassOf(a, c.cfg.Classes, c.cfg.ClassFractions, rng.Float64())
 		key := strconv.FormatUint(rng.Uint64(), 16)
-		batch := rng.Float64() < c.cfg.Batches
+		batch := rng.Float64() < c.cfg.BatchFraction
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
 			if batch {
-				c.batch(a, key)
+				c.sendBatch(a, key)
 			} else {
-				c.request(ctx, a, class, key)
+				c.sendWithRetries(ctx, a, class, key)
 			}
 		}()
 	}
 }
 
-// idBits of an id count the requests of a run; what stands before them tells one laboratory from another.
-const idBits = 24
+// requestIDBits of an id count the requests of a run; what stands before them tells one laboratory from another.
+const requestIDBits = 24
 
-// newID returns an id that no request has had.
-func (c *Clients) newID() string {
+// newRequestID returns an id that no request has had.
+func (c *Clients) newRequestID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	return fmt.Sprintf("%016x", c.next)
+	c.nextID++
+	return fmt.Sprintf("%016x", c.nextID)
 }
 
-// chance draws from 0 to 1.
-func (c *Clients) chance() float64 {
+// randFloat draws from 0 to 1.
+func (c *Clients) randFloat() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.Float64()
 }
 
-// request makes a request's tries.
-func (c *Clients) request(ctx context.Context, a Account, class policy.Class, key string) {
+// sendWithRetries makes a sendWithRetries's tries.
+func (c *Clients) sendWithRetries(ctx context.Context, a Account, class policy.Class, key string) {
 	began := time.Now()
 	first := ""
 	for try := 0; try <= c.cfg.Retries; try++ {
@@ -257,8 +257,8 @@
 		if left < 50*time.Millisecond || try > 0 && ctx.Err() != nil {
 			return
 		}
-		id := c.newID()
-		wait := time.Duration((0.1 + 0.2*c.chance()) * float64(time.Second))
+		id := c.newRequestID()
+		wait := time.Duration((0.1 + 0.2*c.randFloat()) * float64(time.Second))
 		if first == "" {
 			first = id
 		}
@@ -286,26 +286,26 @@
 	return classes[0]
 }
 
-// dial takes a connection out of the pool or makes one.
-func (c *Clients) dial(f int, fresh bool) (*clientConn, error) {
+// acquire takes a connection out of the pool or makes one.
+func (c *Clients) acquire(f int, fresh bool) (*clientConn, error) {
 	for !fresh {
 		c.mu.Lock()
-		list := c.idle[f]
+		list := c.idleConns[f]
 		if len(list) == 0 {
 			c.mu.Unlock()
 			break
 		}
 		k := list[len(list)-1]
-		c.idle[f] = list[:len(list)-1]
+		c.idleConns[f] = list[:len(list)-1]
 		c.mu.Unlock()
-		if k.incarnation == c.front.Incarnation(f) && k.open() { // one to an earlier program has ended, whether or not that is seen here
+		if k.incarnation == c.front.Incarnation(f) && k.reusable() { // one to an earlier program has ended, whether or not that is seen here
 			return k, nil
 		}
 		k.Close()
 	}
 	life := c.front.Incarnation(f)
-	if c.front.Leaves(f) {
-		return nil, errLeaves
+	if c.front.IsLeaving(f) {
+		return nil, errIngressLeaving
 	}
 	conn, err := net.DialTimeout("tcp", c.front.Addr(f), time.Second)
 	if err != nil {
@@ -313,7 +313,7 @@
 	}
 	k := &clientConn{Conn: conn, reader: bufio.NewReader(conn), incarnation: life, forwarder: f, clients: c}
 	c.mu.Lock()
-	c.open[k] = true
+	c.openConns[k] = true
 	c.mu.Unlock()
 	return k, nil
 }
@@ -321,12 +321,12 @@
 func (c *Clients) release(f int, k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.idleAt, k.used, k.awaits = time.Now(), true, false
-	c.idle[f] = append(c.idle[f], k)
+	k.idleSince, k.used, k.awaitingReply = time.Now(), true, false
+	c.idleConns[f] = append(c.idleConns[f], k)
 }
 
-// command words a request.
-func (c *Clients) command(a Account, class policy.Class, id, key string, left time.Duration) string {
+// encodeCommand words a request.
+func (c *Clients) encodeCommand(a Account, class policy.Class, id, key string, left time.Duration) string {
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d,spread=%d,first=%d", class.Name, a.Plan, left.Milliseconds(),
 		c.cfg.Units[class.Name], a.Spread, a.First)
 	args := []string{"CALL.GET", a.Name, id, fields}
@@ -345,18 +345,18 @@
 	return b.String()
 }
 
-// sent records a try as sent now.
-func (c *Clients) sent(t *oracle.Request, left time.Duration) {
+// recordSent records a try as recordSent now.
+func (c *Clients) recordSent(t *oracle.Request, left time.Duration) {
 	t.SentAt = c.hist.Now()
 	t.Deadline = t.SentAt + left
 	c.hist.RequestSent(t)
 	c.mu.Lock()
-	c.last = t
+	c.lastRequest = t
 	c.mu.Unlock()
 }
 
-// result tells what an answer to a request means, and when to come back.
-func result(answer, id string) (oracle.Result, time.Duration) {
+// classifyReply tells what an answer to a request means, and when to come back.
+func classifyReply(answer, id string) (oracle.Result, time.Duration) {
 	switch {
 	case answer == "v:"+id:
 		return oracle.Served, 0
@@ -372,16 +372,16 @@
 // sendRequest sends one request and reads its answer. On a connection that the forwarder closed between requests, while the same
 // program still runs, it is sent once more on a new one.
 func (c *Clients) sendRequest(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (oracle.Result, time.Duration) {
-	command := c.command(a, class, id, key, left)
+	command := c.encodeCommand(a, class, id, key, left)
 	t := &oracle.Request{ID: id, OriginalID: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
 		Units: float64(c.cfg.Units[class.Name])}
-	c.sent(t, left)
+	c.recordSent(t, left)
 	hangUp := time.Duration(0)
-	if c.chance() < c.cfg.HangUps {
-		hangUp = seconds(c.chance() * class.LatencyObjectiveS)
+	if c.randFloat() < c.cfg.DisconnectFraction {
+		hangUp = seconds(c.randFloat() * class.LatencyObjectiveS)
 	}
 	for again := range 2 {
-		k, err := c.dial(f, again > 0)
+		k, err := c.acquire(f, again > 0)
 		if err != nil {
 			t.NotAccepted = true
 			break
@@ -395,7 +395,7 @@
 		asked := time.Now()
 		answer, err := k.roundTrip(command)
 		if err == nil {
-			r, hint := result(answer, id)
+			r, hint := classifyReply(answer, id)
 			c.hist.RequestAnswered(t, r)
 			c.release(f, k)
 			return r, hint
@@ -409,7 +409,7 @@
 			t.NotAccepted = true
 			break
 		}
-		if !k.used || !c.front.Continuous(f, k.incarnation, asked) || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !k.used || !c.front.SameIncarnation(f, k.incarnation, asked) || errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
 	}
@@ -417,10 +417,10 @@
 	return oracle.ConnectionLost, 0
 }
 
-// batch sends one request of each class at once on one connection and reads the answers, which must come in order.
-func (c *Clients) batch(a Account, key string) {
+// sendBatch sends one request of each class at once on one connection and reads the answers, which must come in order.
+func (c *Clients) sendBatch(a Account, key string) {
 	f := c.front.Pick(a)
-	k, err := c.dial(f, true)
+	k, err := c.acquire(f, true)
 	if err != nil {
 		return
 	}
@@ -429,13 +429,13 @@
 	var tries []*oracle.Request
 	most := time.Duration(0)
 	for i, class := range c.cfg.Classes {
-		id, left := c.newID(), seconds(class.DeadlineS)
+		id, left := c.newRequestID(), seconds(class.DeadlineS)
 		most = max(most, left)
-		commands.WriteString(c.command(a, class, id, key, left))
+		commands.WriteString(c.encodeCommand(a, class, id, key, left))
 		t := &oracle.Request{ID: id, OriginalID: id, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f, Units: float64(c.cfg.Units[class.Name]),
 			BatchIndex: i + 1}
 		tries = append(tries, t)
-		c.sent(t, left)
+		c.recordSent(t, left)
 	}
 	_ = k.SetDeadline(time.Now().Add(most + 2*time.Second))
 	k.setAwaiting(true)
@@ -443,14 +443,14 @@
 	for _, t := range tries {
 		var answer string
 		if err == nil {
-			answer, err = k.answer()
+			answer, err = k.readReply()
 		}
 		if err != nil {
 			t.NotAccepted = c.front.Unreached(k.LocalAddr().String())
 			c.hist.RequestAnswered(t, oracle.ConnectionLost)
 			continue
 		}
-		r, _ := result(answer, t.ID)
+		r, _ := classifyReply(answer, t.ID)
 		c.hist.RequestAnswered(t, r)
 	}
 }
@@ -461,11 +461,11 @@
 	if _, err := io.WriteString(k, command); err != nil {
 		return "", err
 	}
-	return k.answer()
+	return k.readReply()
 }
 
-// answer reads one answer.
-func (k *clientConn) answer() (string, error) {
+// readReply reads one readReply.
+func (k *clientConn) readReply() (string, error) {
 	line, err := k.reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "$") {
 		return strings.TrimRight(line, "\r\n"), err
--- a/internal/testbed/host.go
+++ b/internal/testbed/host.go
@@ -13,9 +13,9 @@
 var Host = "127.0.0.1"
 
 // OwnHost is an address on loopback by the laboratory's process.
-func OwnHost() string { return hostOf(os.Getpid()) }
+func OwnHost() string { return loopbackHost(os.Getpid()) }
 
-func hostOf(pid int) string {
+func loopbackHost(pid int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+(pid>>16)%254, (pid>>8)%256, 1+pid%254)
 }
 
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -56,8 +56,8 @@
 	return c
 }
 
-// testFleet has times that a slow machine keeps: here it is shown what happens, not how fast.
-func testFleet(t *testing.T, forwarders int) FleetConfig {
+// testFleetConfig has times that a slow machine keeps: here it is shown what happens, not how fast.
+func testFleetConfig(t *testing.T, forwarders int) FleetConfig {
 	return FleetConfig{Forwarders: forwarders, Planners: 3, Nodes: 4, Classes: LabClasses, Plans: LabPlans, Node: LabNode, Seed: 1,
 		Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1,
 		Params: topology.Params{LeaseS: 1.2, HeartbeatS: 0.15, LinkTimeoutS: 0.9, LeaderWaitS: 2, FailsafeDelayS: 0.2}}
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	_ = holder.Wait() // it was killed
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		if err != nil || strings.Contains(string(stat), ") Z ") {
 			return
@@ -92,8 +92,8 @@
 	}
 }
 
-// holds fails the test with the whole report where a rule was broken or not seen.
-func holds(t *testing.T, rep *oracle.Report, log *strings.Builder) {
+// requireRulesHold fails the test with the whole report where a rule was broken or not seen.
+func requireRulesHold(t *testing.T, rep *oracle.Report, log *strings.Builder) {
 	t.Helper()
 	if err := rep.Verdict(); err != nil {
 		var b strings.Builder
@@ -105,7 +105,7 @@
 // Operators at work on a fleet of one level, the short form: programs replaced beside themselves under load, and nodes held at
 // all of them, also while a program is replaced or killed.
 func TestOperators(t *testing.T) {
-	cfg := testFleet(t, 3)
+	cfg := testFleetConfig(t, 3)
 	cfg.Planners = 0
 	sc := Scenario{FleetConfig: cfg, Accounts: Accounts(6, 4, 2, 3, 2, 1), Length: 9 * time.Second}
 	if err := Make("operators", &sc, nil, 0); err != nil {
@@ -121,7 +121,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, rep, &log)
+	requireRulesHold(t, rep, &log)
 	if len(f.Hist.Replacements) != 4 {
 		t.Errorf("%d programs were replaced, want 4: %+v", len(f.Hist.Replacements), f.Hist.Faults)
 	}
@@ -133,7 +133,7 @@
 	if !topology.FencingEnabled {
 		t.Skip("a build without fencing")
 	}
-	cfg := testFleet(t, 3)
+	cfg := testFleetConfig(t, 3)
 	cfg.Params.LeaseS, cfg.Params.HeartbeatS, cfg.Params.LinkTimeoutS = 0.55, 0.1, 0.6
 	sc := Scenario{FleetConfig: cfg, Accounts: Accounts(6, 4, 2, 3, 2, 1), Length: 9 * time.Second}
 	if err := Make("hands", &sc, nil, 0); err != nil {
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, rep, &log)
+	requireRulesHold(t, rep, &log)
 }
 
 // The whole fleet as processes, with planners killed, paused, ended and cut off: the short form of the long run.
@@ -157,7 +157,7 @@
 	if !topology.FencingEnabled {
 		t.Skip("a build without fencing")
 	}
-	sc := Scenario{FleetConfig: testFleet(t, 5), Accounts: Accounts(6, 4, 2, 5, 3, 1), Length: 14 * time.Second}
+	sc := Scenario{FleetConfig: testFleetConfig(t, 5), Accounts: Accounts(6, 4, 2, 5, 3, 1), Length: 14 * time.Second}
 	if err := Make("storm", &sc, []string{"kill", "cut", "term", "drain", "sick", "node half cut", "flood"}, 800*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, rep, &log)
+	requireRulesHold(t, rep, &log)
 	if rep.Results[oracle.Served] < 100 || len(f.Hist.Faults) < 3 {
 		t.Errorf("%+v served under %d faults: the run shows nothing", rep.Results, len(f.Hist.Faults))
 	}
@@ -178,8 +178,8 @@
 	}
 }
 
-// askOne sends one request to a forwarder and returns the first line of the answer.
-func askOne(t *testing.T, f *Fleet, i int, id string) string {
+// sendRequestTo sends one request to a forwarder and returns the first line of the answer.
+func sendRequestTo(t *testing.T, f *Fleet, i int, id string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Forwarders[i].Listen)
 	if err != nil {
@@ -208,7 +208,7 @@
 	if !topology.FencingEnabled {
 		t.Skip("a build without fencing")
 	}
-	cfg := testFleet(t, 3)
+	cfg := testFleetConfig(t, 3)
 	// A plan without a window: those start empty where a leader can't know better, as at a fleet's start.
 	cfg.Plans = append(slices.Clone(cfg.Plans), policy.Plan{Name: "free", Weight: 1})
 	f, err := StartFleet(cfg)
@@ -216,15 +216,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.WaitLed(30 * time.Second); err != nil {
+	if err := f.WaitForLeaders(30 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if got := askOne(t, f, 0, "a"); got != "$3" {
+	if got := sendRequestTo(t, f, 0, "a"); got != "$3" {
 		t.Errorf("served with %q", got)
 	}
 	for p := range 2 { // one after the other leaves; what they led is led by the rest
 		f.Planners[p].Term()
-		if got := askOne(t, f, p, fmt.Sprint("b", p)); got != "$4" {
+		if got := sendRequestTo(t, f, p, fmt.Sprint("b", p)); got != "$4" {
 			t.Errorf("after planner %d left: %q", p, got)
 		}
 	}
@@ -232,16 +232,16 @@
 	if err := f.Planners[2].ReadStatus(context.Background(), &st); err != nil || st.Links != 3 {
 		t.Errorf("status %+v, %v", st, err)
 	}
-	if err := f.WaitLed(30 * time.Second); err != nil {
+	if err := f.WaitForLeaders(30 * time.Second); err != nil {
 		t.Error(err)
 	}
 	f.Planners[2].Kill()
-	got := askOne(t, f, 1, "c")
+	got := sendRequestTo(t, f, 1, "c")
 	if !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("without planners: %q", got)
 	}
 	var fs forwarder.Status
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // the link's end may be met before the fail-safe
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // the link's end may be met before the fail-safe
 		if err := f.Forwarders[1].ReadStatus(context.Background(), &fs); err == nil && fs.Cells[0].Failsafe {
 			break
 		}
@@ -249,7 +249,7 @@
 			t.Fatalf("no fail-safe: %+v", fs)
 		}
 	}
-	if got := askOne(t, f, 1, "e"); !strings.HasPrefix(got, "-BUSY ") {
+	if got := sendRequestTo(t, f, 1, "e"); !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("in the fail-safe: %q", got)
 	}
 	if err := f.Forwarders[1].ReadStatus(context.Background(), &fs); err != nil || fs.Stats.RejectedNoLeader == 0 {
@@ -260,10 +260,10 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.WaitLed(30 * time.Second); err != nil {
+	if err := f.WaitForLeaders(30 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if got := askOne(t, f, 1, "d"); got != "$3" {
+	if got := sendRequestTo(t, f, 1, "d"); got != "$3" {
 		t.Errorf("with planners again: %q", got)
 	}
 }
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -25,25 +25,25 @@
 	ForwarderCores, PlannerCores float64       // of a core, one program's mean
 }
 
-// snapshot is what counters stood at.
-type snapshot struct {
-	fwd, plan time.Duration
-	bytes     uint64
+// counters is what counters stood at.
+type counters struct {
+	forwarderCPU, plannerCPU time.Duration
+	linkBytes     uint64
 	datagrams float64
 	takenAt   time.Time
 }
 
-func (f *Fleet) snapshot() (s snapshot) {
+func (f *Fleet) readCounters() (s counters) {
 	s.takenAt = time.Now()
 	for _, p := range f.Forwarders {
-		s.fwd += p.CPU()
+		s.forwarderCPU += p.CPU()
 		var st forwarder.Status
 		if p.ReadStatus(context.Background(), &st) == nil {
-			s.bytes += st.BytesIn + st.BytesOut
+			s.linkBytes += st.BytesIn + st.BytesOut
 		}
 	}
 	for _, p := range f.Planners {
-		s.plan += p.CPU()
+		s.plannerCPU += p.CPU()
 	}
 	if f.Peers != nil {
 		s.datagrams = float64(f.Peers.Sent())
@@ -59,34 +59,34 @@
 	if err != nil {
 		return Cost{}, nil, err
 	}
-	if err := f.WaitLed(20 * time.Second); err != nil {
+	if err := f.WaitForLeaders(20 * time.Second); err != nil {
 		return Cost{}, nil, err
 	}
-	a := f.snapshot()
+	a := f.readCounters()
 	time.Sleep(idle)
-	b := f.snapshot()
+	b := f.readCounters()
 	ctx, end := context.WithTimeout(context.Background(), sc.Length)
 	defer end()
 	f.Hist.ResetClock()
 	NewClients(Traffic{Accounts: sc.Accounts, Classes: sc.Classes, ClassFractions: LabClassFractions, Units: LabUnits, Retries: 2, Seed: sc.Seed},
 		f.Hist, f.Front).Run(ctx)
-	c := f.snapshot()
+	c := f.readCounters()
 	rep := oracle.Check(f.Hist, f.Rules())
 	n := float64(max(rep.Requests, 1))
 	span, rest := c.takenAt.Sub(b.takenAt).Seconds(), b.takenAt.Sub(a.takenAt).Seconds()
 	share := func(d time.Duration, programs int, of float64) float64 {
 		return d.Seconds() / of / float64(max(programs, 1))
 	}
-	cost := Cost{Requests: rep.Requests, ForwarderCPU: time.Duration(float64(c.fwd-b.fwd) / n), PlannerCPU: time.Duration(float64(c.plan-b.plan) / n),
-		IdleForwarder: share(b.fwd-a.fwd, len(f.Forwarders), rest), IdlePlanner: share(b.plan-a.plan, len(f.Planners), rest),
-		LinkBytes: float64(c.bytes-b.bytes) / n, IdleLinkBytes: float64(b.bytes-a.bytes) / rest, Datagrams: (c.datagrams - b.datagrams) / n,
-		Service: rep.Service, Rate: n / sc.Length.Seconds(), ForwarderCores: share(c.fwd-b.fwd, len(f.Forwarders), span),
-		PlannerCores: share(c.plan-b.plan, len(f.Planners), span)}
-	cost.OverheadP50, cost.OverheadP99 = overheads(f.Hist)
+	cost := Cost{Requests: rep.Requests, ForwarderCPU: time.Duration(float64(c.forwarderCPU-b.forwarderCPU) / n), PlannerCPU: time.Duration(float64(c.plannerCPU-b.plannerCPU) / n),
+		IdleForwarder: share(b.forwarderCPU-a.forwarderCPU, len(f.Forwarders), rest), IdlePlanner: share(b.plannerCPU-a.plannerCPU, len(f.Planners), rest),
+		LinkBytes: float64(c.linkBytes-b.linkBytes) / n, IdleLinkBytes: float64(b.linkBytes-a.linkBytes) / rest, Datagrams: (c.datagrams - b.datagrams) / n,
+		Service: rep.Service, Rate: n / sc.Length.Seconds(), ForwarderCores: share(c.forwarderCPU-b.forwarderCPU, len(f.Forwarders), span),
+		PlannerCores: share(c.plannerCPU-b.plannerCPU, len(f.Planners), span)}
+	cost.OverheadP50, cost.OverheadP99 = overheadPercentiles(f.Hist)
 	return cost, rep, nil
 }
 
-func overheads(h *oracle.History) (p50, p99 time.Duration) {
+func overheadPercentiles(h *oracle.History) (p50, p99 time.Duration) {
 	defer h.Lock()()
 	one := map[string]*oracle.Attempt{}
 	for _, a := range h.Attempts {
@@ -127,13 +127,13 @@
 		return nil, err
 	}
 	for i := range n {
-		if err := f.WaitLed(20 * time.Second); err != nil {
+		if err := f.WaitForLeaders(20 * time.Second); err != nil {
 			return back, err
 		}
 		p := f.Planners[i%len(f.Planners)]
 		at := time.Now()
 		p.Kill()
-		if err := f.WaitLed(10 * time.Second); err != nil {
+		if err := f.WaitForLeaders(10 * time.Second); err != nil {
 			return back, err
 		}
 		back = append(back, time.Since(at))
@@ -165,7 +165,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := f.WaitLed(20 * time.Second); err != nil {
+	if err := f.WaitForLeaders(20 * time.Second); err != nil {
 		return nil, nil, err
 	}
 	failsafe := func() bool {
@@ -198,7 +198,7 @@
 		for _, p := range f.Planners {
 			p.Resume()
 		}
-		if err := f.WaitLed(10 * time.Second); err != nil {
+		if err := f.WaitForLeaders(10 * time.Second); err != nil {
 			return into, back, err
 		}
 		back = append(back, time.Since(at))
--- a/internal/testbed/misbehaving_clients.go
+++ b/internal/testbed/misbehaving_clients.go
@@ -56,7 +56,7 @@
 			}
 		case 4:
 			c.mu.Lock()
-			last := c.last
+			last := c.lastRequest
 			c.mu.Unlock()
 			if last != nil && last.Account != misbehavingAccount && c.hist.HasResult(last, oracle.Pending) {
 				a := Account{Name: misbehavingAccount, Plan: last.Plan, First: last.Forwarder, Spread: 1}
--- a/internal/testbed/net_test.go
+++ b/internal/testbed/net_test.go
@@ -15,7 +15,7 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // Guards the laboratory's cuts: if they let bytes through, the runs show nothing.
 func TestLinkCutsAndHeals(t *testing.T) {
@@ -44,7 +44,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Error(err)
 		}
 		return c
@@ -55,7 +55,7 @@
 		t.Error(err)
 	}
 	b := <-far
-	if err := b.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := b.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Error(err)
 	}
 	buf := make([]byte, 3)
@@ -79,7 +79,7 @@
 	}
 	for {
 		b = <-far
-		if err := b.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := b.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Error(err)
 		}
 		n, err := io.ReadFull(b, buf)
@@ -120,7 +120,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Error(err)
 		}
 		return c
@@ -131,7 +131,7 @@
 		t.Error(err)
 	}
 	b := <-far
-	if err := b.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := b.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Error(err)
 	}
 	buf := make([]byte, 3)
@@ -149,7 +149,7 @@
 	if n, err := b.Read(buf); err == nil {
 		t.Errorf("%q after the cut", buf[:n])
 	}
-	if !k.CutSince(time.Now().Add(-patience)) || k.CutSince(time.Now()) {
+	if !k.CutSince(time.Now().Add(-testTimeout)) || k.CutSince(time.Now()) {
 		t.Error("when it was cut is not known")
 	}
 	for _, refuse := range []bool{true, false} { // refused, and nobody there
@@ -164,7 +164,7 @@
 			}
 			<-unreached
 		}
-		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Error(err)
 		}
 		if n, err := c.Read(buf); err == nil {
@@ -208,7 +208,7 @@
 			if g != text {
 				t.Fatalf("told %q, want %q", g, text)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("never told %q", text)
 		}
 	}
@@ -249,7 +249,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Error(err)
 		}
 		own = append(own, c)
--- a/internal/testbed/oneingress.go
+++ b/internal/testbed/oneingress.go
@@ -19,10 +19,10 @@
 const (
 	envOperator  = "EDGE_OPERATOR"
 	envDialLate  = "LAB_DIAL_LATE"  // share of the connections to nodes that come up late, from 0 to 1
-	dialLateMost = 1.5              // seconds by which they do
+	maxDialDelayS = 1.5              // seconds by which they do
 	reloadSignal = syscall.SIGHUP   // has the configuration read again
 	endSignal    = syscall.SIGTERM  // begins the shutdown
-	lateDialTick = time.Millisecond // the least that a late one waits
+	minDialDelay = time.Millisecond // the least that a late one waits
 )
 
 // RunIngress is what cmd/eiderspread does, but for its limits on processors and memory, with the faults that the environment asks for. The product's
@@ -59,7 +59,7 @@
 		if rand.Float64() >= share {
 			return net.DialTimeout("tcp", addr, timeout)
 		}
-		late := max(time.Duration(rand.Float64()*dialLateMost*float64(time.Second)), lateDialTick)
+		late := max(time.Duration(rand.Float64()*maxDialDelayS*float64(time.Second)), minDialDelay)
 		if late >= timeout {
 			time.Sleep(timeout)
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
--- a/internal/testbed/overload_accounts.go
+++ b/internal/testbed/overload_accounts.go
@@ -18,8 +18,8 @@
 // overloadPlanFractions is how much of the use inside quotas each plan has, as the operators state it.
 var overloadPlanFractions = map[string]float64{"comptoir": 0.27, "resto": 0.24, "chaine": 0.49}
 
-// peakOf is the time of the peak in a run of some length.
-func peakOf(length time.Duration) oracle.Peak {
+// peakInterval is the time of the peak in a run of some length.
+func peakInterval(length time.Duration) oracle.Peak {
 	return oracle.Peak{From: min(peakFrom, length/4), To: length - min(peakEnd, length/3)}
 }
 
@@ -50,8 +50,8 @@
 	return list
 }
 
-// oneBusy has a quarter of all accounts come through the first ingress alone.
-func oneBusy(list []Account) {
+// concentrateOnFirstIngress has a quarter of all accounts come through the first ingress alone.
+func concentrateOnFirstIngress(list []Account) {
 	for i := range list {
 		if i%4 == 0 {
 			list[i].First, list[i].Spread = 0, 1
@@ -66,8 +66,8 @@
 	}
 }
 
-// once has all clients try once.
-func once(list []Account) {
+// disableRetries has all clients try disableRetries.
+func disableRetries(list []Account) {
 	for i := range list {
 		list[i].Once = true
 	}
@@ -88,15 +88,15 @@
 	}
 }
 
-// partOfThem is what is stated while many ingresses are down: what is asked of those is no fleet's to serve, and the level is learned anew.
-func partOfThem(s *oracle.LoadSheddingBounds) {
+// relaxBoundsForMassFailure is what is stated while many ingresses are down: what is asked of those is no fleet's to serve, and the level is learned anew.
+func relaxBoundsForMassFailure(s *oracle.LoadSheddingBounds) {
 	s.MinBoundFraction, s.MaxSwing, s.MaxSpread = 0.6, 1, 0.6
 }
 
-// comesAndGoes is what is stated where the cause lasts for a part of the peak.
-func comesAndGoes(s *oracle.LoadSheddingBounds) {
+// relaxBoundsForTransientSlowdown is what is stated where the cause lasts for a part of the peak.
+func relaxBoundsForTransientSlowdown(s *oracle.LoadSheddingBounds) {
 	s.MaxSwing, s.MinBoundFraction, s.MaxSpread = 1, 0.75, 0.6
 }
 
-// muchInVain is what is stated where most of what is asked for is refused, or most of it is cheap: tries that come late are many.
-func muchInVain(s *oracle.LoadSheddingBounds) { s.MaxWasted = 0.15 }
+// relaxWastedWorkBound is what is stated where most of what is asked for is refused, or most of it is cheap: tries that come late are many.
+func relaxWastedWorkBound(s *oracle.LoadSheddingBounds) { s.MaxWasted = 0.15 }
--- a/internal/testbed/overload_test.go
+++ b/internal/testbed/overload_test.go
@@ -13,7 +13,7 @@
 // Four ingresses that are asked for nearly three times what their nodes can do, split in halves in the middle of it: what is turned away is
 // turned away at the doors of all, and the rules hold. Without it no ingress turns anything away at its door.
 func TestOverloadWithASplit(t *testing.T) {
-	cfg := testFleet(t, 4)
+	cfg := testFleetConfig(t, 4)
 	cfg.Planners, cfg.Operator = 0, "[overload]\non = true\n"
 	cfg.Node.Cores = 1
 	sc := Scenario{FleetConfig: cfg, Length: 14 * time.Second}
@@ -26,7 +26,7 @@
 	sc.Stated = oracle.LoadSheddingBounds{MinBoundFraction: 0.5, MinFairness: 0.4, MaxRecoveryS: 60, MaxSpread: 1, MaxSwing: 1, MaxStarved: 0.6, MaxWasted: 0.5}
 	var log strings.Builder
 	doors := 0
-	_, rep, err := RunSeen(sc, &log, sc.Peak.To-500*time.Millisecond, func(f *Fleet) {
+	_, rep, err := RunAndInspect(sc, &log, sc.Peak.To-500*time.Millisecond, func(f *Fleet) {
 		for _, p := range f.Forwarders {
 			var st ingress.Status
 			if err := p.ReadStatus(context.Background(), &st); err != nil || st.Overload == nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, rep, &log)
+	requireRulesHold(t, rep, &log)
 	if doors < 4 {
 		t.Errorf("%d of 4 ingresses turn requests away at the door", doors)
 	}
@@ -58,7 +58,7 @@
 // verdict is lost by quotas; with words understood the same run holds.
 func TestJudgeOfQuotasOnSockets(t *testing.T) {
 	for kind, lost := range map[string]bool{"babel": true, "": false} {
-		cfg := testFleet(t, 4)
+		cfg := testFleetConfig(t, 4)
 		cfg.Planners, cfg.Exact, cfg.Nodes = 0, true, 8
 		sc := Scenario{FleetConfig: cfg, Length: 7 * time.Second}
 		for _, a := range Accounts(8, 0, 1, 4, 4, 1) {
--- a/internal/testbed/ports.go
+++ b/internal/testbed/ports.go
@@ -11,13 +11,13 @@
 // so that nobody takes an address before its program has started, and again after it was killed.
 var nextPort atomic.Uint32
 
-const portsFrom, ports = 20000, 12000
+const firstPort, portCount = 20000, 12000
 
 // freeAddr finds an address that nobody listens on.
 func freeAddr() (string, error) {
 	nextPort.CompareAndSwap(0, uint32(os.Getpid())*401+1)
-	for range ports {
-		addr := ownAddr(int(portsFrom + nextPort.Add(1)%ports))
+	for range portCount {
+		addr := ownAddr(int(firstPort + nextPort.Add(1)%portCount))
 		if l, err := net.Listen("tcp", addr); err == nil {
 			l.Close()
 			return addr, nil
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -36,8 +36,8 @@
 	LabUnits          = map[string]int{"zone-check": 1, "slot-hold": 2, "courier-send": 3}
 )
 
-// Bound are plans with ceilings under their quotas, so that the ceilings bind.
-func Bound(plans []policy.Plan) []policy.Plan {
+// TightenHardLimits are plans with ceilings under their quotas, so that the ceilings bind.
+func TightenHardLimits(plans []policy.Plan) []policy.Plan {
 	plans = slices.Clone(plans)
 	for i := range plans {
 		if p := &plans[i]; p.HardLimitRate > 0 {
@@ -102,11 +102,11 @@
 	return list
 }
 
-// Capped is a population as the operators' largest days have it: for each ingress four small accounts, one with a cap on open attempts, and for every
+// ConcurrencyLimitedAccounts is a population as the operators' largest days have it: for each ingress four small accounts, one with a cap on open attempts, and for every
 // second a large one. Each comes through a thirtieth to two thirds of many ingresses, one with a ceiling through no more than keep two of the largest
 // requests in its burst each. Most ask for a third to half of their quota, large ones for more, one in six for nearly all of it, one in twelve for
 // three times as much.
-func Capped(forwarders int, seed uint64) []Account {
+func ConcurrencyLimitedAccounts(forwarders int, seed uint64) []Account {
 	rng := rand.New(rand.NewPCG(seed, 15))
 	list := Accounts(forwarders*4, forwarders, max(forwarders/2, 1), forwarders, forwarders, seed)
 	for i := range list {
@@ -149,8 +149,8 @@
 	Faults    []Fault
 	Floors    map[string]int // see audit.Rules
 	NodeCount int            // in place of a scenario's own number of nodes; 0: as it says
-	seen      time.Duration
-	look      func(f *Fleet) // called when clients have asked for so long; nil: nothing is
+	inspectAfter      time.Duration
+	inspect      func(f *Fleet) // called when clients have asked for so long; nil: nothing is
 	Upgrades  int            // of the whole fleet, one after the other, in two levels
 }
 
@@ -159,9 +159,9 @@
 	return RunWith(sc, log, func() {})
 }
 
-// RunSeen is Run that calls look while the fleet runs, so long after clients began.
-func RunSeen(sc Scenario, log io.Writer, at time.Duration, look func(f *Fleet)) (*Fleet, *oracle.Report, error) {
-	sc.seen, sc.look = at, look
+// RunAndInspect is Run that calls look while the fleet runs, so long after clients began.
+func RunAndInspect(sc Scenario, log io.Writer, at time.Duration, look func(f *Fleet)) (*Fleet, *oracle.Report, error) {
+	sc.inspectAfter, sc.inspect = at, look
 	return Run(sc, log)
 }
 
@@ -176,7 +176,7 @@
 		return f, nil, err
 	}
 	defer f.Stop()
-	if err := f.WaitLed(20 * time.Second); err != nil {
+	if err := f.WaitForLeaders(20 * time.Second); err != nil {
 		return f, nil, err
 	}
 	ctx, end := context.WithTimeout(context.Background(), sc.Length)
@@ -185,19 +185,19 @@
 	faulty, mend := context.WithCancel(context.Background()) // until the last answers: what is mended all at once would meet requests under way
 	defer mend()
 	var beside sync.WaitGroup
-	beside.Go(func() { f.lateness(ctx) })
+	beside.Go(func() { f.measureLateness(ctx) })
 	beside.Go(func() { f.play(ctx, faulty, sc.Faults, log) })
 	beside.Go(func() { f.upgradeAndLog(ctx, sc.Upgrades, log) })
-	beside.Go(func() { sc.lookAt(ctx, f) })
+	beside.Go(func() { sc.runInspection(ctx, f) })
 	if sc.MeasureOverload && sc.Operator != "" {
-		beside.Go(func() { f.watchLevels(ctx) })
+		beside.Go(func() { f.recordLoadLevels(ctx) })
 	}
 	f.clients.Run(ctx)
 	mend()
 	beside.Wait()
 	ended()
 	time.Sleep(settleTime)
-	f.readCounts()
+	f.recordRuleViolations()
 	rules := f.Rules()
 	rules.MinOccasions = sc.Floors
 	return f, oracle.Check(f.Hist, rules), nil
@@ -223,22 +223,22 @@
 	}
 }
 
-// lookAt calls look when clients have asked for as long as the scenario says.
-func (sc Scenario) lookAt(ctx context.Context, f *Fleet) {
-	if sc.look == nil {
+// runInspection calls look when clients have asked for as long as the scenario says.
+func (sc Scenario) runInspection(ctx context.Context, f *Fleet) {
+	if sc.inspect == nil {
 		return
 	}
 	select {
-	case <-time.After(sc.seen):
-		sc.look(f)
+	case <-time.After(sc.inspectAfter):
+		sc.inspect(f)
 	case <-ctx.Done():
 	}
 }
 
-const lateEvery = 20 * time.Millisecond
+const latenessInterval = 20 * time.Millisecond
 
-// lateness measures for as long as ctx lasts how late the laboratory itself is: its timers, and its taking of connections.
-func (f *Fleet) lateness(ctx context.Context) {
+// measureLateness measures for as long as ctx lasts how late the laboratory itself is: its timers, and its taking of connections.
+func (f *Fleet) measureLateness(ctx context.Context) {
 	l, err := net.Listen("tcp", ownAddr(0))
 	if err != nil {
 		return
@@ -256,8 +256,8 @@
 		}
 	}()
 	for ctx.Err() == nil {
-		due := time.Now().Add(lateEvery)
-		time.Sleep(lateEvery)
+		due := time.Now().Add(latenessInterval)
+		time.Sleep(latenessInterval)
 		f.Hist.ObserveLateness(time.Since(due))
 		began := time.Now()
 		if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
@@ -268,21 +268,21 @@
 	}
 }
 
-// WaitLed waits until all forwarders follow a leader in all cells.
-func (f *Fleet) WaitLed(most time.Duration) error {
+// WaitForLeaders waits until all forwarders follow a leader in all cells.
+func (f *Fleet) WaitForLeaders(most time.Duration) error {
 	if len(f.Planners) == 0 {
 		return nil
 	}
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if f.Led() == len(f.Forwarders)*f.cfg.Params.Cells {
+		if f.LedCells() == len(f.Forwarders)*f.cfg.Params.Cells {
 			return nil
 		}
 	}
-	return fmt.Errorf("after %v %d of %d cells are led", most, f.Led(), len(f.Forwarders)*f.cfg.Params.Cells)
+	return fmt.Errorf("after %v %d of %d cells are led", most, f.LedCells(), len(f.Forwarders)*f.cfg.Params.Cells)
 }
 
-// Led counts the cells that forwarders see as led, over all forwarders.
-func (f *Fleet) Led() (n int) {
+// LedCells counts the cells that forwarders see as led, over all forwarders.
+func (f *Fleet) LedCells() (n int) {
 	for _, p := range f.Forwarders {
 		var st forwarder.Status
 		if p.ReadStatus(context.Background(), &st) == nil {
@@ -296,11 +296,11 @@
 	return n
 }
 
-const levelsEvery = 500 * time.Millisecond
+const loadLevelInterval = 500 * time.Millisecond
 
-// watchLevels records for as long as ctx lasts what programs hold of overload.
-func (f *Fleet) watchLevels(ctx context.Context) {
-	for tick := time.NewTicker(levelsEvery); ; {
+// recordLoadLevels records for as long as ctx lasts what programs hold of overload.
+func (f *Fleet) recordLoadLevels(ctx context.Context) {
+	for tick := time.NewTicker(loadLevelInterval); ; {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, rep, &log)
+	requireRulesHold(t, rep, &log)
 	if rep.Results[oracle.Served] < 50 {
 		t.Errorf("%+v", rep.Results)
 	}
@@ -60,7 +60,7 @@
 	}
 	for number := range uint64(50) {
 		sc, err := Soak(number, 10*time.Second, FleetConfig{})
-		if err != nil || sc.Forwarders < soakLeast || sc.Forwarders > soakMost {
+		if err != nil || sc.Forwarders < soakMinIngresses || sc.Forwarders > soakMaxIngresses {
 			t.Errorf("%v, %v", sc, err)
 		}
 	}
--- a/internal/testbed/soakfaults.go
+++ b/internal/testbed/soakfaults.go
@@ -18,18 +18,18 @@
 // Faults of the soak (docs/operating-laboratory.md): what operators and machines do to a process while it serves.
 
 const (
-	drainTime     = 4 * time.Second        // after which a drained ingress may hold no client
-	drainRecent   = 2 * time.Second        // but for those whose request is older
+	drainTimeout     = 4 * time.Second        // after which a drained ingress may hold no client
+	drainRequestAge   = 2 * time.Second        // but for those whose request is older
 	drainSlack    = 250 * time.Millisecond // until what is held at that moment has to be gone
-	activeMost    = 2 * time.Second        // for an ingress to take clients again
+	activateTimeout    = 2 * time.Second        // for an ingress to take clients again
 	minStall      = 40 * time.Millisecond  // a process stands still for so long
 	maxStall      = 150 * time.Millisecond // and at most, by the operators' page
 	stallInterval = 200 * time.Millisecond // between two times
-	brokenFor     = 100 * time.Millisecond // a configuration that can't be read stays so long
+	brokenConfigTime     = 100 * time.Millisecond // a configuration that can't be read stays so long
 )
 
-// drained has operators drain an ingress, hold it against what they are promised, and activate it. A deaf front goes on sending it clients.
-func (f *Fleet) drained(i int, deaf bool, stays time.Duration, wait func(time.Duration) bool) {
+// drainAndActivate has operators drain an ingress, hold it against what they are promised, and activate it. A deaf front goes on sending it clients.
+func (f *Fleet) drainAndActivate(i int, deaf bool, stays time.Duration, wait func(time.Duration) bool) {
 	p := f.Forwarders[i]
 	call := func(what string) (int, error) {
 		return p.Call(context.Background(), http.MethodPost, "/v1/ingress/"+what)
@@ -39,12 +39,12 @@
 		return
 	}
 	life := p.Incarnation()
-	f.Front.Drained(i, !deaf)
-	defer f.Front.Drained(i, false)
-	if wait(drainTime) {
-		held := f.clients.overdueConns(i, drainRecent)
+	f.Front.SetDrained(i, !deaf)
+	defer f.Front.SetDrained(i, false)
+	if wait(drainTimeout) {
+		held := f.clients.overdueConns(i, drainRequestAge)
 		wait(drainSlack)
-		still := f.clients.overdueConns(i, drainRecent+drainSlack)
+		still := f.clients.overdueConns(i, drainRequestAge+drainSlack)
 		e := oracle.DrainResult{Forwarder: i}
 		for k, how := range held {
 			if still[k] != "" {
@@ -60,7 +60,7 @@
 		f.Hist.AddFault(fmt.Sprintf("%s is not activated: status %d, %v", p.Name, status, err))
 		return
 	}
-	if err := p.Ready(activeMost); err != nil {
+	if err := p.Ready(activateTimeout); err != nil {
 		f.Hist.AddFault("after its drain " + err.Error())
 	}
 }
@@ -79,8 +79,8 @@
 	}
 }
 
-// reloaded has an ingress read its configuration again: first a broken one, then one with fewer attempts, then its own.
-func (f *Fleet) reloaded(i int, x Fault, wait func(time.Duration) bool) {
+// reloadConfigs has an ingress read its configuration again: first a broken one, then one with fewer attempts, then its own.
+func (f *Fleet) reloadConfigs(i int, x Fault, wait func(time.Duration) bool) {
 	p := f.Forwarders[i]
 	path := p.admin().file
 	own, err := os.ReadFile(path)
@@ -101,7 +101,7 @@
 	}
 	defer put(own)
 	put(own[:len(own)/2])
-	if !wait(brokenFor) {
+	if !wait(brokenConfigTime) {
 		return
 	}
 	var c map[string]any
@@ -116,8 +116,8 @@
 	wait(x.For)
 }
 
-// readCounts records what each ingress has logged of rules that it broke.
-func (f *Fleet) readCounts() {
+// recordRuleViolations records what each ingress has logged of rules that it broke.
+func (f *Fleet) recordRuleViolations() {
 	for _, p := range f.Forwarders {
 		text, err := os.ReadFile(p.log)
 		if err != nil {
@@ -143,16 +143,16 @@
 func init() {
 	kinds["drained"] = kind{"operators drain an ingress, whose front notices, and activate it", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-			f.drained(x.A%len(f.Forwarders), false, x.For/2, wait)
+			f.drainAndActivate(x.A%len(f.Forwarders), false, x.For/2, wait)
 		}}
 	kinds["drained-deaf"] = kind{"operators drain an ingress, whose front does not notice, and activate it", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-			f.drained(x.A%len(f.Forwarders), true, x.For/2, wait)
+			f.drainAndActivate(x.A%len(f.Forwarders), true, x.For/2, wait)
 		}}
 	kinds["held up"] = kind{"an ingress stands still for up to 0.15 s, again and again", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.stall(x.A%len(f.Forwarders), x, wait) }}
 	kinds["reloaded"] = kind{"an ingress reads a broken configuration, one with fewer attempts, and its own", 1, 4, onForwarder,
-		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.reloaded(x.A%len(f.Forwarders), x, wait) }}
+		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.reloadConfigs(x.A%len(f.Forwarders), x, wait) }}
 	kinds["node reset"] = kind{"all connections to a node are reset", 1, 5, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
 			for _, k := range f.linksOf(n) {
