--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -21,65 +21,66 @@
 	"eiderspread/policy"
 )
 
-// Account is one customer and how it asks.
+// Account is one customer and the traffic that its clients send.
 type Account struct {
 	Name, Plan    string
-	Rate          float64 // units a second that it asks for on the whole
-	FloodX        float64 // times that while it floods
-	FloodEvery    time.Duration
+	Rate          float64       // requested units per second, over all classes
+	FloodX        float64       // factor on Rate during a flood
+	FloodEvery    time.Duration // from the end of a flood to the start of the next; the first starts at a random time within it
 	FloodFor      time.Duration
-	First, Spread int           // the forwarders that it comes through
-	From, To      time.Duration // asks between these alone; To 0: to the end
-	Deaf          bool          // its clients pay no heed to when they are to come back
-	Once          bool          // its clients never try again
-	Only          string        // class of all its requests, "" for all classes in their shares
+	First, Spread int           // its requests arrive at the Spread forwarders from number First on
+	From, To      time.Duration // sends only between these times after the start; To 0: until the end
+	Deaf          bool          // its clients ignore the retry-after hint of a rejection
+	Once          bool          // its clients never retry
+	Only          string        // class of all its requests; "": all classes, by Traffic.ClassFractions
 }
 
-// Traffic is what Clients send.
+// Traffic configures what Clients send.
 type Traffic struct {
-	Accounts       []Account
-	Classes        []policy.Class
-	ClassFractions map[string]float64 // of the requests, by class
-	Units          map[string]int     // by class
-	Retries        int                // of a client, after its first try
-	DisconnectFraction        float64            // share of the tries whose client hangs up at a random moment
-	BatchFraction        float64            // share of the requests that go out in threes on one connection
-	MisbehavingClients    int                // clients that send what they should not
-	Seed           uint64
+	Accounts           []Account
+	Classes            []policy.Class
+	ClassFractions     map[string]float64 // fraction of the requests, by class
+	Units              map[string]int     // units of a request, by class
+	Retries            int                // client retries after the first request
+	DisconnectFraction float64            // fraction of the requests whose client disconnects at a random time within the latency objective
+	BatchFraction      float64            // fraction of the requests that are sent as a batch: one of each class, pipelined on one connection
+	MisbehavingClients int                // number of clients that send invalid or abusive input
+	Seed               uint64
 }
 
-// Clients stand in for restaurants' programs: each account asks by chance at its rate, each request on a connection
-// of its own for as long as it lasts, with as many tries as are allowed. Nothing waits for answers.
+// Clients generates open-loop load in place of the customers' programs: each account sends requests with exponentially
+// distributed gaps at its rate, whether or not earlier requests were answered. A request has a connection to itself until it
+// is answered, and is retried up to Traffic.Retries times.
 type Clients struct {
 	cfg   Traffic
 	hist  *oracle.History
 	front *Front
 
-	mu     sync.Mutex
-	idleConns   map[int][]*clientConn // by forwarder
-	openConns   map[*clientConn]bool  // all that are
-	rng    *rand.Rand
-	nextID   uint64
-	lastRequest   *oracle.Request
-	floodFactors map[string]float64 // factor by account
-	wg     sync.WaitGroup     // bounded by the run's length and rates
+	mu           sync.Mutex
+	idleConns    map[int][]*clientConn // pooled connections, by forwarder
+	openConns    map[*clientConn]bool  // all open connections
+	rng          *rand.Rand
+	nextID       uint64
+	lastRequest  *oracle.Request
+	floodFactors map[string]float64 // factor on the rate, by account
+	wg           sync.WaitGroup     // goroutines of requests; their number is bounded by the run's length and the rates
 }
 
 type clientConn struct {
 	net.Conn
 	reader      *bufio.Reader
-	idleSince      time.Time
-	incarnation int  // of the forwarder's program
-	used        bool // it has carried a request before
+	idleSince   time.Time
+	incarnation int  // of the forwarder's program when the connection was opened
+	used        bool // it has carried a request
 	forwarder   int
 	clients     *Clients
 
-	// Under the Clients' lock.
-	sentAt time.Time // the last request
-	awaitingReply bool      // its answer
+	// Guarded by Clients.mu.
+	sentAt        time.Time // when the last request was sent
+	awaitingReply bool      // that request has no reply yet
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (k *clientConn) Close() error {
 	k.clients.mu.Lock()
 	delete(k.clients.openConns, k)
@@ -87,7 +88,7 @@
 	return k.Conn.Close()
 }
 
-// setAwaiting notes that a request has gone out on it, or that all are answered.
+// setAwaiting records that a request is about to be sent on the connection, or that all its requests are answered.
 func (k *clientConn) setAwaiting(awaits bool) {
 	k.clients.mu.Lock()
 	defer k.clients.mu.Unlock()
@@ -96,7 +97,8 @@
 	}
 }
 
-// closedByPeer tells that the other side has closedByPeer the connection, whatever was read of it.
+// closedByPeer reports whether the peer has closed or reset the connection. It peeks at the socket, because data that was already
+// read ahead may hide the end.
 func (k *clientConn) closedByPeer() (ended bool) {
 	raw, err := k.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -110,7 +112,8 @@
 	return ended || err != nil
 }
 
-// overdueConns returns the connections to a forwarder that break what operators are promised of a drain: idle, or with a request that is younger than recent.
+// overdueConns returns the connections that a draining forwarder should have closed, each with a description: connections that
+// are idle, and connections whose pending request was sent less than recent ago.
 func (c *Clients) overdueConns(forwarder int, recent time.Duration) map[*clientConn]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +121,7 @@
 	for k := range c.openConns {
 		switch {
 		case k.forwarder != forwarder || k.closedByPeer():
-		case !k.awaitingReply && time.Since(k.idleSince) > recent/4: // else its end may be on its way
+		case !k.awaitingReply && time.Since(k.idleSince) > recent/4: // a connection that is idle for less may be closing right now
 			held[k] = "idle"
 		case k.awaitingReply && time.Since(k.sentAt) < recent:
 			held[k] = "with a request sent " + time.Since(k.sentAt).Round(time.Millisecond).String() + " ago"
@@ -127,13 +130,14 @@
 	return held
 }
 
-var errIngressLeaving = errors.New("no new connections go there any more")
+var errIngressLeaving = errors.New("the front opens no new connections to an ingress that is leaving")
 
-// maxConnIdle is how long a connection is kept: less than what a forwarder allows, so that none is closed while a
-// request crosses.
+// maxConnIdle is how long a connection may stay in the pool. It is shorter than the forwarders' idle timeout, so that a
+// forwarder doesn't close a connection while a request is on its way.
 const maxConnIdle = 4 * time.Second
 
-// reusable tells that the connection still stands.
+// reusable reports whether a pooled connection can carry another request: it was not idle for too long, the peer has not closed
+// it, and there is no unread data.
 func (k *clientConn) reusable() bool {
 	if time.Since(k.idleSince) > maxConnIdle {
 		return false
@@ -144,20 +148,20 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// NewClients makes clients; Run starts them.
+// NewClients returns clients that send nothing until Run is called.
 func NewClients(cfg Traffic, hist *oracle.History, front *Front) *Clients {
 	return &Clients{cfg: cfg, hist: hist, front: front, nextID: uint64(os.Getpid()) << requestIDBits, idleConns: map[int][]*clientConn{}, openConns: map[*clientConn]bool{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)),
 		floodFactors: map[string]float64{}}
 }
 
-// Flood has an account ask for x times what it does, until it is taken back with 1.
+// Flood multiplies an account's rate by x until the next call; 1 ends the flood.
 func (c *Clients) Flood(account string, x float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.floodFactors[account] = x
 }
 
-// Run asks until ctx ends and waits for the last answers.
+// Run sends requests until ctx ends and returns when the last one is answered.
 func (c *Clients) Run(ctx context.Context) {
 	for i, a := range c.cfg.Accounts {
 		c.wg.Add(1)
@@ -185,7 +189,7 @@
 	}
 }
 
-// sendAccountRequests draws the times of one sendAccountRequests's requests ahead of any answer.
+// sendAccountRequests sends one account's requests until ctx ends or Account.To is over, without waiting for the answers.
 func (c *Clients) sendAccountRequests(ctx context.Context, a Account, rng *rand.Rand) {
 	mean := 0.0
 	for class, share := range c.cfg.ClassFractions {
@@ -230,10 +234,11 @@
 	}
 }
 
-// requestIDBits of an id count the requests of a run; what stands before them tells one laboratory from another.
+// requestIDBits is the number of low bits of a request id that count the requests of a run. The bits above hold the testbed's
+// process id, so that testbeds that run at the same time use different ids.
 const requestIDBits = 24
 
-// newRequestID returns an id that no request has had.
+// newRequestID returns an unused request id.
 func (c *Clients) newRequestID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,14 +246,15 @@
 	return fmt.Sprintf("%016x", c.nextID)
 }
 
-// randFloat draws from 0 to 1.
+// randFloat returns a random number in [0, 1).
 func (c *Clients) randFloat() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.Float64()
 }
 
-// sendWithRetries makes a sendWithRetries's tries.
+// sendWithRetries sends a request and retries it until it is served, its client disconnects, it must not be repeated, Traffic.Retries
+// are used up, or less than 50 ms of its deadline are left. After the end of ctx it retries no more.
 func (c *Clients) sendWithRetries(ctx context.Context, a Account, class policy.Class, key string) {
 	began := time.Now()
 	first := ""
@@ -276,7 +282,7 @@
 	}
 }
 
-// ClassOf is the class of an account's next request, by a number drawn from 0 to 1.
+// ClassOf returns the class of an account's next request for x, a random number in [0, 1).
 func ClassOf(a Account, classes []policy.Class, shares map[string]float64, x float64) policy.Class {
 	for _, k := range classes {
 		if x -= shares[k.Name]; a.Only == "" && x < 0 || a.Only == k.Name {
@@ -286,7 +292,7 @@
 	return classes[0]
 }
 
-// acquire takes a connection out of the pool or makes one.
+// acquire takes a connection to forwarder f from the pool, or opens one if the pool has none or fresh is set.
 func (c *Clients) acquire(f int, fresh bool) (*clientConn, error) {
 	for !fresh {
 		c.mu.Lock()
@@ -298,12 +304,13 @@
 		k := list[len(list)-1]
 		c.idleConns[f] = list[:len(list)-1]
 		c.mu.Unlock()
-		if k.incarnation == c.front.Incarnation(f) && k.reusable() { // one to an earlier program has ended, whether or not that is seen here
+		// A connection to an earlier process is dead, even if its end has not arrived here.
+		if k.incarnation == c.front.Incarnation(f) && k.reusable() {
 			return k, nil
 		}
 		k.Close()
 	}
-	life := c.front.Incarnation(f)
+	incarnation := c.front.Incarnation(f)
 	if c.front.IsLeaving(f) {
 		return nil, errIngressLeaving
 	}
@@ -311,13 +318,14 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &clientConn{Conn: conn, reader: bufio.NewReader(conn), incarnation: life, forwarder: f, clients: c}
+	k := &clientConn{Conn: conn, reader: bufio.NewReader(conn), incarnation: incarnation, forwarder: f, clients: c}
 	c.mu.Lock()
 	c.openConns[k] = true
 	c.mu.Unlock()
 	return k, nil
 }
 
+// release returns an answered request's connection to the pool.
 func (c *Clients) release(f int, k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -325,7 +333,7 @@
 	c.idleConns[f] = append(c.idleConns[f], k)
 }
 
-// encodeCommand words a request.
+// encodeCommand returns a request in the wire format. left is the time until the deadline.
 func (c *Clients) encodeCommand(a Account, class policy.Class, id, key string, left time.Duration) string {
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,units=%d,spread=%d,first=%d", class.Name, a.Plan, left.Milliseconds(),
 		c.cfg.Units[class.Name], a.Spread, a.First)
@@ -345,7 +353,7 @@
 	return b.String()
 }
 
-// recordSent records a try as recordSent now.
+// recordSent records that a request is sent now, with a deadline after left.
 func (c *Clients) recordSent(t *oracle.Request, left time.Duration) {
 	t.SentAt = c.hist.Now()
 	t.Deadline = t.SentAt + left
@@ -355,7 +363,7 @@
 	c.mu.Unlock()
 }
 
-// classifyReply tells what an answer to a request means, and when to come back.
+// classifyReply returns the result that a reply to request id stands for, and the retry-after hint of a rejection.
 func classifyReply(answer, id string) (oracle.Result, time.Duration) {
 	switch {
 	case answer == "v:"+id:
@@ -369,8 +377,8 @@
 	return oracle.ForeignReply, 0
 }
 
-// sendRequest sends one request and reads its answer. On a connection that the forwarder closed between requests, while the same
-// program still runs, it is sent once more on a new one.
+// sendRequest sends one request, waits for its answer, and returns the result and the retry-after hint. If a reused connection
+// turns out to be closed by a forwarder whose process still runs, the request is sent once more on a new connection.
 func (c *Clients) sendRequest(a Account, class policy.Class, f int, id, first, key string, left time.Duration) (oracle.Result, time.Duration) {
 	command := c.encodeCommand(a, class, id, key, left)
 	t := &oracle.Request{ID: id, OriginalID: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
@@ -387,12 +395,12 @@
 			break
 		}
 		_ = k.SetDeadline(time.Now().Add(left + 2*time.Second))
-		var left atomic.Bool
+		var disconnected atomic.Bool
 		if hangUp > 0 {
-			timer := time.AfterFunc(hangUp, func() { left.Store(true); k.Close() })
+			timer := time.AfterFunc(hangUp, func() { disconnected.Store(true); k.Close() })
 			defer timer.Stop()
 		}
-		asked := time.Now()
+		sentAt := time.Now()
 		answer, err := k.roundTrip(command)
 		if err == nil {
 			r, hint := classifyReply(answer, id)
@@ -401,7 +409,7 @@
 			return r, hint
 		}
 		k.Close()
-		if left.Load() {
+		if disconnected.Load() {
 			c.hist.RequestAnswered(t, oracle.Disconnected)
 			return oracle.Disconnected, 0
 		}
@@ -409,7 +417,7 @@
 			t.NotAccepted = true
 			break
 		}
-		if !k.used || !c.front.SameIncarnation(f, k.incarnation, asked) || errors.Is(err, os.ErrDeadlineExceeded) {
+		if !k.used || !c.front.SameIncarnation(f, k.incarnation, sentAt) || errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
 	}
@@ -417,7 +425,7 @@
 	return oracle.ConnectionLost, 0
 }
 
-// sendBatch sends one request of each class at once on one connection and reads the answers, which must come in order.
+// sendBatch pipelines one request of each class on a new connection and reads the answers, which must come in the same order.
 func (c *Clients) sendBatch(a Account, key string) {
 	f := c.front.Pick(a)
 	k, err := c.acquire(f, true)
@@ -426,21 +434,21 @@
 	}
 	defer k.Close()
 	var commands strings.Builder
-	var tries []*oracle.Request
-	most := time.Duration(0)
+	var requests []*oracle.Request
+	maxDeadline := time.Duration(0)
 	for i, class := range c.cfg.Classes {
 		id, left := c.newRequestID(), seconds(class.DeadlineS)
-		most = max(most, left)
+		maxDeadline = max(maxDeadline, left)
 		commands.WriteString(c.encodeCommand(a, class, id, key, left))
 		t := &oracle.Request{ID: id, OriginalID: id, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f, Units: float64(c.cfg.Units[class.Name]),
 			BatchIndex: i + 1}
-		tries = append(tries, t)
+		requests = append(requests, t)
 		c.recordSent(t, left)
 	}
-	_ = k.SetDeadline(time.Now().Add(most + 2*time.Second))
+	_ = k.SetDeadline(time.Now().Add(maxDeadline + 2*time.Second))
 	k.setAwaiting(true)
 	_, err = io.WriteString(k, commands.String())
-	for _, t := range tries {
+	for _, t := range requests {
 		var answer string
 		if err == nil {
 			answer, err = k.readReply()
@@ -455,7 +463,7 @@
 	}
 }
 
-// roundTrip sends a command and returns the value, or the error's line.
+// roundTrip sends a command and returns the value of its reply, or the line of an error reply.
 func (k *clientConn) roundTrip(command string) (string, error) {
 	k.setAwaiting(true)
 	if _, err := io.WriteString(k, command); err != nil {
@@ -464,7 +472,7 @@
 	return k.readReply()
 }
 
-// readReply reads one readReply.
+// readReply reads one reply and returns its value, or the line of a reply that is not a bulk string.
 func (k *clientConn) readReply() (string, error) {
 	line, err := k.reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "$") {
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -8,56 +8,57 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Front deals out accounts' requests among the ingresses of their sets as the operators' front does: unevenly, with a
-// busiest one that changes, and to a dead one for some seconds more.
+// Front distributes the accounts' requests over ingresses as the operators' front does: unevenly, with a busiest ingress
+// that changes over time, and with a delay of some seconds until it stops sending to an ingress that is down.
 type Front struct {
 	hist        *oracle.History
 	addrs       []string
-	incarnation func(f int) int                   // of a forwarder's program: changes with each start; below 0 while it is down
-	leaves      func(f int) bool                  // whether it was told to end so long ago that no new connection goes there; nil: never
-	cut         func(f int, since time.Time) bool // whether the way to it was cut since then; nil: never
-
-	mu        sync.Mutex
-	rng       *rand.Rand
-	weights   map[string][]float64 // by account
-	weightsUntil     map[string]time.Time // when they change
-	downSince      map[int]time.Time    // since when a forwarder is down
-	detectionDelay    map[int]time.Duration
-	drainedSince   map[int]time.Time // forwarders that say no to PING, since when the front has known
-	unreached map[string]bool   // addresses of clients whose connection reached nobody; bounded by the run
+	incarnation func(f int) int                   // of a forwarder's program; changes with each start, below 0 while it is down
+	leaves      func(f int) bool                  // whether a forwarder was asked to terminate longer than leaveAfter ago; nil: never
+	cut         func(f int, since time.Time) bool // whether the link to a forwarder was cut at some time since then; nil: never
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	weights        map[string][]float64  // weight of each ingress of the account, by account
+	weightsUntil   map[string]time.Time  // when an account's weights are drawn again
+	downSince      map[int]time.Time     // when Pick first found a forwarder down
+	detectionDelay map[int]time.Duration // by forwarder: from downSince until the front notices
+	drainedSince   map[int]time.Time     // forwarders that refuse PING: when the front noticed
+	unreached      map[string]bool       // client addresses of connections that no ingress accepted; grows until the end of the run
 }
 
-// NewFront makes a front of ingresses at addrs.
-func NewFront(hist *oracle.History, addrs []string, life func(int) int, seed uint64) *Front {
-	return &Front{hist: hist, addrs: addrs, incarnation: life, rng: rand.New(rand.NewPCG(seed, 17)), weights: map[string][]float64{},
+// NewFront returns a front of the ingresses at addrs. incarnation returns the incarnation of an ingress's program.
+func NewFront(hist *oracle.History, addrs []string, incarnation func(int) int, seed uint64) *Front {
+	return &Front{hist: hist, addrs: addrs, incarnation: incarnation, rng: rand.New(rand.NewPCG(seed, 17)), weights: map[string][]float64{},
 		weightsUntil: map[string]time.Time{}, downSince: map[int]time.Time{}, detectionDelay: map[int]time.Duration{}, unreached: map[string]bool{}, drainedSince: map[int]time.Time{}}
 }
 
-// Addr is where clients reach a forwarder.
+// Addr returns the address at which clients connect to forwarder i.
 func (f *Front) Addr(i int) string { return f.addrs[i] }
 
-// Incarnation tells one life of a forwarder's program from another.
+// Incarnation identifies one run of a forwarder's program; it is below 0 while the program is down.
 func (f *Front) Incarnation(i int) int { return f.incarnation(i) }
 
-// SameIncarnation tells that a forwarder's program is still in the life given, and that the way to it was not cut since then: a
-// connection that ended was ended by it.
-func (f *Front) SameIncarnation(i, life int, since time.Time) bool {
-	return f.incarnation(i) == life && (f.cut == nil || !f.cut(i, since))
+// SameIncarnation reports whether a forwarder's program is still in the given incarnation and the link to it was not cut since.
+// If so, a connection that was closed since then was closed by that program.
+func (f *Front) SameIncarnation(i, incarnation int, since time.Time) bool {
+	return f.incarnation(i) == incarnation && (f.cut == nil || !f.cut(i, since))
 }
 
-// IsLeaving tells that a forwarder was told to end, or to drain, so long ago that the operators' front sends no new connection there.
+// IsLeaving reports whether a forwarder was asked to terminate or drain so long ago that the front opens no new connections to it.
 func (f *Front) IsLeaving(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.isLeavingLocked(i)
 }
 
+// isLeavingLocked is IsLeaving for callers that hold f.mu.
 func (f *Front) isLeavingLocked(i int) bool {
 	at, drained := f.drainedSince[i]
 	return drained && time.Since(at) > leaveAfter || f.leaves != nil && f.leaves(i)
 }
 
-// SetDrained has the front know from now on that a forwarder takes no clients, or that it does again.
+// SetDrained tells the front whether a forwarder is drained, so that it gets no new connections.
 func (f *Front) SetDrained(i int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,20 +67,21 @@
 	}
 }
 
-// Unreached tells whether a client's connection reached nobody.
+// Unreached reports whether no ingress accepted the connection from a client's address.
 func (f *Front) Unreached(client string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unreached[client]
 }
 
+// noteUnreached records that no ingress accepted the connection from a client's address.
 func (f *Front) noteUnreached(client string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unreached[client] = true
 }
 
-// skewedWeights draws weights of which one is far above the others.
+// skewedWeights draws n weights, one of which is far above the others.
 func skewedWeights(rng *rand.Rand, n int) []float64 {
 	w := make([]float64, n)
 	for i := range w {
@@ -89,7 +91,8 @@
 	return w
 }
 
-// Pick chooses the ingress for an account's next request.
+// Pick returns the ingress for an account's next request. If all its ingresses are known to be down, Pick chooses among all of
+// them.
 func (f *Front) Pick(a Account) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,21 +102,21 @@
 		f.weightsUntil[a.Name] = now.Add(time.Duration((5.7 + 18*f.rng.Float64()) * float64(time.Second)))
 	}
 	w, sum := f.weights[a.Name], 0.0
-	seen := make([]float64, len(w))
+	usable := make([]float64, len(w))
 	for i := range w {
 		if x := a.First + i; !f.detectedDown(x, now) {
-			seen[i] = w[i]
+			usable[i] = w[i]
 			sum += w[i]
 		}
 	}
 	if sum == 0 {
-		copy(seen, w)
+		copy(usable, w)
 		for _, x := range w {
 			sum += x
 		}
 	}
 	x := f.rng.Float64() * sum
-	for i, s := range seen {
+	for i, s := range usable {
 		if x -= s; x < 0 {
 			return a.First + i
 		}
@@ -121,7 +124,8 @@
 	return a.First
 }
 
-// detectedDown tells that a forwarder has been down for so long that the front has noticed; f.mu is held.
+// detectedDown reports whether the front sends nothing to a forwarder: it is leaving, or it has been down for longer than the
+// front needs to notice, which is 2.1 to 3.9 s. The caller holds f.mu.
 func (f *Front) detectedDown(i int, now time.Time) bool {
 	if f.isLeavingLocked(i) {
 		return true
@@ -137,7 +141,7 @@
 	return now.Sub(f.downSince[i]) > f.detectionDelay[i]
 }
 
-// Shift moves a share of the accounts to others of their ingresses at one stroke.
+// Shift draws new weights for a fraction of the accounts at once, so that their traffic moves to other ingresses.
 func (f *Front) Shift(share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -12,25 +12,25 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Cost is what a run used, for a request of a client.
+// Cost is what a run without faults used, most of it per client request.
 type Cost struct {
 	Requests                     int
-	ForwarderCPU, PlannerCPU     time.Duration // for a try, all programs of a kind together
-	IdleForwarder, IdlePlanner   float64       // cores that one program uses while nobody asks
-	LinkBytes                    float64       // for a try, both directions, liveness included
-	IdleLinkBytes                float64       // a second, of the whole fleet
-	Datagrams                    float64       // for a try
-	OverheadP50, OverheadP99     time.Duration // between client and node, beside the node's own time, of tries with one attempt
-	Service, Rate                float64       // Rate: tries a second
-	ForwarderCores, PlannerCores float64       // of a core, one program's mean
+	ForwarderCPU, PlannerCPU     time.Duration // per request, summed over all programs of the kind
+	IdleForwarder, IdlePlanner   float64       // cores that one program uses without load, mean over the programs
+	LinkBytes                    float64       // bytes per request on the links between forwarders and planners, both directions, with heartbeats
+	IdleLinkBytes                float64       // bytes per second without load, of the whole fleet
+	Datagrams                    float64       // between ingresses, per request
+	OverheadP50, OverheadP99     time.Duration // client latency without the node's processing time, of served requests with one attempt
+	Service, Rate                float64       // Service: see oracle.Report; Rate: requests per second
+	ForwarderCores, PlannerCores float64       // cores that one program uses under load, mean over the programs
 }
 
-// counters is what counters stood at.
+// counters holds the values of a fleet's resource counters at one time.
 type counters struct {
 	forwarderCPU, plannerCPU time.Duration
-	linkBytes     uint64
-	datagrams float64
-	takenAt   time.Time
+	linkBytes                uint64
+	datagrams                float64
+	takenAt                  time.Time
 }
 
 func (f *Fleet) readCounters() (s counters) {
@@ -51,7 +51,8 @@
 	return s
 }
 
-// MeasureCost runs a fleet without faults, first idle and then under load.
+// MeasureCost runs a fleet without faults, first without load for the time idle and then under load for sc.Length, and returns what
+// requests cost and the oracle's report.
 func MeasureCost(sc Scenario, idle time.Duration) (Cost, *oracle.Report, error) {
 	sc.Direct = true
 	f, err := StartFleet(sc.FleetConfig)
@@ -73,53 +74,56 @@
 	c := f.readCounters()
 	rep := oracle.Check(f.Hist, f.Rules())
 	n := float64(max(rep.Requests, 1))
-	span, rest := c.takenAt.Sub(b.takenAt).Seconds(), b.takenAt.Sub(a.takenAt).Seconds()
-	share := func(d time.Duration, programs int, of float64) float64 {
-		return d.Seconds() / of / float64(max(programs, 1))
+	loadedS, idleS := c.takenAt.Sub(b.takenAt).Seconds(), b.takenAt.Sub(a.takenAt).Seconds()
+	coresPerProgram := func(d time.Duration, programs int, elapsed float64) float64 {
+		return d.Seconds() / elapsed / float64(max(programs, 1))
 	}
 	cost := Cost{Requests: rep.Requests, ForwarderCPU: time.Duration(float64(c.forwarderCPU-b.forwarderCPU) / n), PlannerCPU: time.Duration(float64(c.plannerCPU-b.plannerCPU) / n),
-		IdleForwarder: share(b.forwarderCPU-a.forwarderCPU, len(f.Forwarders), rest), IdlePlanner: share(b.plannerCPU-a.plannerCPU, len(f.Planners), rest),
-		LinkBytes: float64(c.linkBytes-b.linkBytes) / n, IdleLinkBytes: float64(b.linkBytes-a.linkBytes) / rest, Datagrams: (c.datagrams - b.datagrams) / n,
-		Service: rep.Service, Rate: n / sc.Length.Seconds(), ForwarderCores: share(c.forwarderCPU-b.forwarderCPU, len(f.Forwarders), span),
-		PlannerCores: share(c.plannerCPU-b.plannerCPU, len(f.Planners), span)}
+		IdleForwarder: coresPerProgram(b.forwarderCPU-a.forwarderCPU, len(f.Forwarders), idleS),
+		IdlePlanner:   coresPerProgram(b.plannerCPU-a.plannerCPU, len(f.Planners), idleS),
+		LinkBytes:     float64(c.linkBytes-b.linkBytes) / n, IdleLinkBytes: float64(b.linkBytes-a.linkBytes) / idleS, Datagrams: (c.datagrams - b.datagrams) / n,
+		Service: rep.Service, Rate: n / sc.Length.Seconds(), ForwarderCores: coresPerProgram(c.forwarderCPU-b.forwarderCPU, len(f.Forwarders), loadedS),
+		PlannerCores: coresPerProgram(c.plannerCPU-b.plannerCPU, len(f.Planners), loadedS)}
 	cost.OverheadP50, cost.OverheadP99 = overheadPercentiles(f.Hist)
 	return cost, rep, nil
 }
 
+// overheadPercentiles returns the median and the 99th percentile of the client latency without the node's processing time, of served
+// requests with exactly one attempt.
 func overheadPercentiles(h *oracle.History) (p50, p99 time.Duration) {
 	defer h.Lock()()
-	one := map[string]*oracle.Attempt{}
+	attempts := map[string]*oracle.Attempt{} // by request; an empty one stands for more than one
 	for _, a := range h.Attempts {
-		if one[a.ID] != nil {
+		if attempts[a.ID] != nil {
 			a = &oracle.Attempt{}
 		}
-		one[a.ID] = a
+		attempts[a.ID] = a
 	}
-	var list []time.Duration
+	var overheads []time.Duration
 	for _, t := range h.Requests {
-		if a := one[t.ID]; t.Result == oracle.Served && a != nil && a.Outcome == "served" {
-			list = append(list, t.AnsweredAt-t.SentAt-(a.End-a.At))
+		if a := attempts[t.ID]; t.Result == oracle.Served && a != nil && a.Outcome == "served" {
+			overheads = append(overheads, t.AnsweredAt-t.SentAt-(a.End-a.At))
 		}
 	}
-	if len(list) == 0 {
+	if len(overheads) == 0 {
 		return 0, 0
 	}
-	slices.Sort(list)
-	return list[len(list)/2], list[len(list)*99/100]
+	slices.Sort(overheads)
+	return overheads[len(overheads)/2], overheads[len(overheads)*99/100]
 }
 
-// Print writes one row of a table.
+// Print writes one row of the table that CostHeader heads.
 func (c Cost) Print(w io.Writer, name string) {
 	fmt.Fprintf(w, "| %s | %.0f | %d | %d | %.1f%% | %.1f%% | %.0f | %.1f | %.2f | %.2f | %.2f | %.3f |\n", name, c.Rate, c.ForwarderCPU.Microseconds(),
 		c.PlannerCPU.Microseconds(), 100*c.IdleForwarder, 100*c.IdlePlanner, c.LinkBytes, c.IdleLinkBytes/1e3, c.Datagrams,
 		float64(c.OverheadP50.Microseconds())/1e3, float64(c.OverheadP99.Microseconds())/1e3, c.Service)
 }
 
-// CostHeader is the head of the table.
+// CostHeader is the header of the table of costs, in Markdown.
 const CostHeader = "| fleet | tries/s | forwarder us/try | planner us/try | idle forwarder | idle planner | link B/try | idle link kB/s | datagrams/try | overhead p50 ms | p99 ms | service |\n|---|---|---|---|---|---|---|---|---|---|---|---|"
 
-// Deaths kills one planner after the other, n times, and returns how long it took until all cells were led at all
-// forwarders again, in order.
+// Deaths kills one planner at a time, n times in all. It returns, in ascending order, how long each time it took until every forwarder
+// saw a leader in every cell again.
 func Deaths(cfg FleetConfig, n int) (back []time.Duration, err error) {
 	f, err := StartFleet(cfg)
 	defer f.Stop()
@@ -140,13 +144,13 @@
 		if err := p.Start(); err != nil {
 			return back, err
 		}
-		for had := 0; had < f.cfg.Params.Cells/len(f.Planners); { // until it has its cells back
+		for leading := 0; leading < f.cfg.Params.Cells/len(f.Planners); { // until the restarted planner leads its part of the cells
 			var st planner.Status
-			had = 0
+			leading = 0
 			if p.ReadStatus(context.Background(), &st) == nil {
 				for _, c := range st.Cells {
 					if c.Leading {
-						had++
+						leading++
 					}
 				}
 			}
@@ -157,8 +161,9 @@
 	return back, nil
 }
 
-// Failsafes stops all planners (without a word, as SIGSTOP does) and lets them go on, n times. It returns how long it took
-// until every forwarder was in the fail-safe in all cells, and until all cells were led everywhere again, in order.
+// Failsafes pauses all planners with SIGSTOP, so that their connections stay open, and resumes them, n times. It returns, each in
+// ascending order, the times from the pause until every forwarder was in the fail-safe in all cells, and from the resume until
+// every forwarder saw a leader in every cell again.
 func Failsafes(cfg FleetConfig, n int) (into, back []time.Duration, err error) {
 	f, err := StartFleet(cfg)
 	defer f.Stop()
@@ -189,7 +194,7 @@
 		}
 		for !failsafe() {
 			if time.Since(at) > 10*time.Second {
-				return into, back, fmt.Errorf("no fail-safe after 10 s")
+				return into, back, fmt.Errorf("after 10 s without planners some forwarders are not in the fail-safe in all cells")
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/testbed/misbehaving_clients.go
+++ b/internal/testbed/misbehaving_clients.go
@@ -11,11 +11,11 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// misbehavingAccount is the one that rude clients' whole requests name.
+// misbehavingAccount is the account of the complete requests that misbehaving clients send.
 const misbehavingAccount = "00000001fffffff0"
 
-// misbehave does, about five times a second, what no client should: half commands, junk, many connections, ids of requests
-// that are others' and still open. Each connection lasts 3 s at most.
+// misbehave sends invalid input about five times a second: half a command, garbage, unknown commands, a dozen idle connections, or
+// a request with the id of another account's open request. Each connection lasts 3 s at most.
 func (c *Clients) misbehave(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		select {
@@ -24,7 +24,7 @@
 			return
 		}
 		f := rng.IntN(len(c.front.addrs))
-		open := func() net.Conn {
+		dial := func() net.Conn {
 			conn, err := net.DialTimeout("tcp", c.front.Addr(f), time.Second)
 			if err != nil {
 				return nil
@@ -32,8 +32,8 @@
 			_ = conn.SetDeadline(time.Now().Add(3 * time.Second))
 			return conn
 		}
-		say := func(text string) {
-			if conn := open(); conn != nil {
+		send := func(text string) {
+			if conn := dial(); conn != nil {
 				_, _ = io.WriteString(conn, text)
 				c.wg.Add(1)
 				go func() {
@@ -45,14 +45,14 @@
 		}
 		switch rng.IntN(5) {
 		case 0:
-			say("*5\r\n$9\r\nCALL.POST\r\n$16\r\n0000")
+			send("*5\r\n$9\r\nCALL.POST\r\n$16\r\n0000")
 		case 1:
-			say(strings.Repeat("\x00junk\r\n", 20))
+			send(strings.Repeat("\x00junk\r\n", 20))
 		case 2:
-			say(strings.Repeat("*1\r\n$4\r\nWHAT\r\n", 20))
+			send(strings.Repeat("*1\r\n$4\r\nWHAT\r\n", 20))
 		case 3:
 			for range 12 {
-				say("")
+				send("")
 			}
 		case 4:
 			c.mu.Lock()
--- a/internal/testbed/oneingress.go
+++ b/internal/testbed/oneingress.go
@@ -15,18 +15,19 @@
 	"eiderspread/internal/dataplane/ingressconfig"
 )
 
-// Environment of an ingress that the laboratory runs.
+// Environment variables of an ingress under test, and constants of the faults and signals that RunIngress handles.
 const (
-	envOperator  = "EDGE_OPERATOR"
-	envDialLate  = "LAB_DIAL_LATE"  // share of the connections to nodes that come up late, from 0 to 1
-	maxDialDelayS = 1.5              // seconds by which they do
-	reloadSignal = syscall.SIGHUP   // has the configuration read again
-	endSignal    = syscall.SIGTERM  // begins the shutdown
-	minDialDelay = time.Millisecond // the least that a late one waits
+	envOperator   = "EDGE_OPERATOR"
+	envDialLate   = "LAB_DIAL_LATE"  // fraction of the connections to nodes that are established late, 0 to 1
+	maxDialDelayS = 1.5              // longest delay of a late connection, in seconds
+	reloadSignal  = syscall.SIGHUP   // makes the ingress read its configuration again
+	endSignal     = syscall.SIGTERM  // starts the shutdown
+	minDialDelay  = time.Millisecond // shortest delay of a late connection
 )
 
-// RunIngress is what cmd/eiderspread does, but for its limits on processors and memory, with the faults that the environment asks for. The product's
-// program holds none of them.
+// RunIngress runs an ingress with the configuration in file until it is told to end. It does the same as cmd/eiderspread, except
+// that it sets no limits on processors and memory and injects the faults that the environment variables ask for. The fault
+// injection is not compiled into the product's program.
 func RunIngress(file string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), endSignal, os.Interrupt)
 	defer stop()
@@ -53,7 +54,8 @@
 	return ingress.Run(ctx, cfg, reread, log)
 }
 
-// lateDialer makes connections of which a share comes up late, or not in time at all.
+// lateDialer returns a dial function that delays the given fraction of the connections by up to maxDialDelayS. A delay that reaches
+// the timeout makes the dial fail with a timeout.
 func lateDialer(share float64) func(addr string, timeout time.Duration) (net.Conn, error) {
 	return func(addr string, timeout time.Duration) (net.Conn, error) {
 		if rand.Float64() >= share {
--- a/internal/testbed/overload_accounts.go
+++ b/internal/testbed/overload_accounts.go
@@ -8,23 +8,24 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// When more is asked for than nodes can do, in a run under overload.
+// Times and size of the load in a run under overload, in which the demand exceeds the capacity of the nodes during a peak.
 const (
-	peakFrom         = 5 * time.Second // in a run of 20 s or more
-	peakEnd          = 7 * time.Second // before the end
-	baseLoadFraction = 0.55            // of what nodes can do, that is asked for at all other times
+	peakFrom         = 5 * time.Second // start of the peak, in a run of 20 s or more
+	peakEnd          = 7 * time.Second // the peak ends this long before the end of the run
+	baseLoadFraction = 0.55            // demand outside the peak, as a fraction of the nodes' capacity
 )
 
-// overloadPlanFractions is how much of the use inside quotas each plan has, as the operators state it.
+// overloadPlanFractions is each plan's fraction of the usage within quotas, as stated by the operators.
 var overloadPlanFractions = map[string]float64{"comptoir": 0.27, "resto": 0.24, "chaine": 0.49}
 
-// peakInterval is the time of the peak in a run of some length.
+// peakInterval returns the interval of the peak in a run of the given length. Short runs have shorter margins.
 func peakInterval(length time.Duration) oracle.Peak {
 	return oracle.Peak{From: min(peakFrom, length/4), To: length - min(peakEnd, length/3)}
 }
 
-// OverloadAccounts are accounts that ask for baseLoadFraction of what nodes of so many cores can do all the time and for x times that much in the peak. All stay inside their
-// quotas in the mean, a third to a half of them used. Each comes through two to four of the ingresses.
+// OverloadAccounts returns accounts whose demand is baseLoadFraction of the capacity of the given number of cores outside the peak
+// and x times that capacity during the peak. On average every account stays within its quota and uses a third to a half of it. The
+// requests of an account arrive at two to four ingresses.
 func OverloadAccounts(forwarders int, cores, x float64, peak oracle.Peak, seed uint64) (list []Account) {
 	rng := rand.New(rand.NewPCG(seed, 16))
 	work, units := 0.0, 0.0
@@ -32,16 +33,16 @@
 		work += share * labWork[class]
 		units += share * float64(LabUnits[class])
 	}
-	can := cores * units / work // units a second
+	capacity := cores * units / work // in units per second
 	for i, p := range LabPlans {
-		for asked, n := 0.0, 0; asked < x*can*overloadPlanFractions[p.Name]; n++ {
+		for demand, n := 0.0, 0; demand < x*capacity*overloadPlanFractions[p.Name]; n++ {
 			a := Account{Name: fmt.Sprintf("%016x", uint64(i+1)<<28|uint64(n)), Plan: p.Name, Rate: p.Rate * (0.33 + 0.2*rng.Float64()),
 				Spread: min(2+rng.IntN(3), forwarders)}
 			a.First = rng.IntN(forwarders - a.Spread + 1)
-			if rest := x*can*overloadPlanFractions[p.Name] - asked; a.Rate > rest && rest > a.Rate/3 {
+			if rest := x*capacity*overloadPlanFractions[p.Name] - demand; a.Rate > rest && rest > a.Rate/3 {
 				a.Rate = rest
 			}
-			if asked += a.Rate; asked > baseLoadFraction*can*overloadPlanFractions[p.Name] {
+			if demand += a.Rate; demand > baseLoadFraction*capacity*overloadPlanFractions[p.Name] {
 				a.From, a.To = peak.From, peak.To
 			}
 			list = append(list, a)
@@ -50,7 +51,7 @@
 	return list
 }
 
-// concentrateOnFirstIngress has a quarter of all accounts come through the first ingress alone.
+// concentrateOnFirstIngress makes the first ingress receive all requests of a quarter of the accounts.
 func concentrateOnFirstIngress(list []Account) {
 	for i := range list {
 		if i%4 == 0 {
@@ -59,44 +60,46 @@
 	}
 }
 
-// ignoreRetryAfter has every second account's clients come back without regard to hints.
+// ignoreRetryAfter makes the clients of every second account ignore retry-after hints.
 func ignoreRetryAfter(list []Account) {
 	for i := range list {
 		list[i].Deaf = i%2 == 0
 	}
 }
 
-// disableRetries has all clients try disableRetries.
+// disableRetries makes all clients send each request only once.
 func disableRetries(list []Account) {
 	for i := range list {
 		list[i].Once = true
 	}
 }
 
-// lowPriorityFlood has what comes in the peak ask for the cheapest class alone.
+// lowPriorityFlood makes all accounts that send only during the peak use the class with the lowest priority weight.
 func lowPriorityFlood(list []Account) {
-	cheap := LabClasses[0]
+	lowest := LabClasses[0]
 	for _, c := range LabClasses {
-		if c.PriorityWeight < cheap.PriorityWeight {
-			cheap = c
+		if c.PriorityWeight < lowest.PriorityWeight {
+			lowest = c
 		}
 	}
 	for i := range list {
 		if list[i].To > 0 {
-			list[i].Only = cheap.Name
+			list[i].Only = lowest.Name
 		}
 	}
 }
 
-// relaxBoundsForMassFailure is what is stated while many ingresses are down: what is asked of those is no fleet's to serve, and the level is learned anew.
+// relaxBoundsForMassFailure relaxes the bounds for runs in which many ingresses are down for a while: no fleet can serve the requests
+// that are sent to those, and restarted ingresses learn the load-shedding level anew.
 func relaxBoundsForMassFailure(s *oracle.LoadSheddingBounds) {
 	s.MinBoundFraction, s.MaxSwing, s.MaxSpread = 0.6, 1, 0.6
 }
 
-// relaxBoundsForTransientSlowdown is what is stated where the cause lasts for a part of the peak.
+// relaxBoundsForTransientSlowdown relaxes the bounds for runs in which the cause of the overload lasts for only a part of the peak.
 func relaxBoundsForTransientSlowdown(s *oracle.LoadSheddingBounds) {
 	s.MaxSwing, s.MinBoundFraction, s.MaxSpread = 1, 0.75, 0.6
 }
 
-// relaxWastedWorkBound is what is stated where most of what is asked for is refused, or most of it is cheap: tries that come late are many.
+// relaxWastedWorkBound relaxes the bound on wasted work for runs in which most requests are rejected or of low priority: many of
+// their retries come late.
 func relaxWastedWorkBound(s *oracle.LoadSheddingBounds) { s.MaxWasted = 0.15 }
--- a/internal/testbed/ports.go
+++ b/internal/testbed/ports.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 )
 
-// nextPort is where freeAddr looks next: below what the system gives to connections and to listeners without a port,
-// so that nobody takes an address before its program has started, and again after it was killed.
+// nextPort counts the ports that freeAddr has tried. The ports lie below the system's ephemeral range, so that the system gives a
+// program's port to no one else before the program has started or after it was killed.
 var nextPort atomic.Uint32
 
 const firstPort, portCount = 20000, 12000
 
-// freeAddr finds an address that nobody listens on.
+// freeAddr returns an address that has no listener.
 func freeAddr() (string, error) {
 	nextPort.CompareAndSwap(0, uint32(os.Getpid())*401+1)
 	for range portCount {
@@ -23,8 +23,8 @@
 			return addr, nil
 		}
 	}
-	return "", errors.New("no free address")
+	return "", errors.New("no free address: every port of the testbed's range has a listener")
 }
 
-// FreeAddr finds an address on loopback that nobody listens on, and that nobody is given.
+// FreeAddr returns an address of Host that has no listener and lies outside the system's ephemeral ports.
 func FreeAddr() (string, error) { return freeAddr() }
--- a/internal/testbed/rules.go
+++ b/internal/testbed/rules.go
@@ -8,25 +8,27 @@
 	"eiderspread/policy"
 )
 
-// What the settings state of nodes that have just started; nodes keep to it or do better.
+// Slow-start limits of nodes as the settings state them; the stand-in nodes keep to these limits or do better.
 const (
-	StatedSlowStartMinFraction = 0.26
-	StatedSlowStartS           = 10.0
-	StatedMultiple             = 3.0
-	StatedFallS                = 1.0
+	StatedSlowStartMinFraction = 0.26 // fraction of the full capacity right after the start
+	StatedSlowStartS           = 10.0 // seconds until the full capacity is reached
+	StatedMultiple             = 3.0  // a cold node fails under more than this multiple of its capacity (setting fallMultiple)
+	StatedFallS                = 1.0  // seconds over which that work is summed (setting fallS)
 )
 
-// MaxAttempts is how often a request may be sent to nodes.
+// MaxAttempts is the maximum number of attempts per request.
 const MaxAttempts = 5
 
-// SlowStartSlack is the share of a cold node's budget that chance and the network's delays may add.
+// SlowStartSlack is the fraction of a cold node's budget that chance and network delays may add to the work sent to it.
 const SlowStartSlack = 0.03
 
-// QuotaSlack is the stated slack of two levels, in units; docs/two-levels.md. One level states none.
+// QuotaSlack is how far an account may exceed its quota in a fleet of two levels, in units; see docs/two-levels.md. For fleets of
+// one level no slack is stated.
 const QuotaSlack = 6.0
 
-// QuotaSeconds of its rate may an account be beyond its quota on top: what the module has counted waits in it for a server,
-// for as long as the longest aim at most, while the window fills again.
+// QuotaSeconds returns how many seconds of its quota's rate an account may exceed the quota by, in addition to QuotaSlack: a
+// request that is already counted may queue for a backend for up to the longest latency objective, and the account's window
+// refills meanwhile. With exact it is 0.
 func QuotaSeconds(exact bool, classes []policy.Class) (s float64) {
 	for _, c := range classes {
 		if !exact {
@@ -36,22 +38,22 @@
 	return s
 }
 
-// Rules are those that the fleet's history is judged by.
+// Rules returns the configuration with which the oracle checks the fleet's history.
 func (f *Fleet) Rules() oracle.Config {
-	quota, caps := 0.0, 0.0
+	quota, concurrency := 0.0, 0.0
 	if len(f.Planners) > 0 {
-		quota, caps = QuotaSlack, 2
+		quota, concurrency = QuotaSlack, 2
 	}
-	quota, caps = cmp.Or(f.cfg.Quota, quota), cmp.Or(f.cfg.CapX, caps)
+	quota, concurrency = cmp.Or(f.cfg.Quota, quota), cmp.Or(f.cfg.CapX, concurrency)
 	var homes map[string]oracle.GatewayRange
 	if len(f.Planners) == 0 && f.cfg.Quota >= 0 {
 		homes = Homes(f.accounts)
 	}
-	var stated *oracle.LoadSheddingBounds
+	var bounds *oracle.LoadSheddingBounds
 	if f.cfg.MeasureOverload && f.cfg.Operator != "" {
-		stated = &f.cfg.Stated
+		bounds = &f.cfg.Stated
 	}
-	return oracle.Config{LoadShedding: stated, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.MeasureOverload, Peak: f.cfg.Peak, QuotaSlack: quota, QuotaSlackS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainGraceS: 0.25 + f.cfg.SlowS, AnswerGraceS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
-		LateRejectionS: 0.03 + f.cfg.SlowS + f.cfg.StallS, MaxOverlapS: 0.1 + f.cfg.SlowS + f.cfg.StallS, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: MaxAttempts, SlowStartFactor: f.cfg.Node.FallMultiple, SlowStartWindowS: f.cfg.Node.FallS,
+	return oracle.Config{LoadShedding: bounds, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.MeasureOverload, Peak: f.cfg.Peak, QuotaSlack: quota, QuotaSlackS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainGraceS: 0.25 + f.cfg.SlowS, AnswerGraceS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
+		LateRejectionS: 0.03 + f.cfg.SlowS + f.cfg.StallS, MaxOverlapS: 0.1 + f.cfg.SlowS + f.cfg.StallS, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: concurrency, MaxAttempts: MaxAttempts, SlowStartFactor: f.cfg.Node.FallMultiple, SlowStartWindowS: f.cfg.Node.FallS,
 		SlowStartSlack: SlowStartSlack, SlowStartChance: f.cfg.StallS > 0, MembershipTTLS: f.cfg.StaleS, MaxLateness: 90*time.Millisecond + seconds(f.cfg.SlowS)}
 }
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -19,7 +19,7 @@
 	"eiderspread/policy"
 )
 
-// Classes and plans of the laboratory: the middle of what the operators state for rayon-quebec.
+// Classes and plans of the testbed's runs: the middle of the values that the operators state for rayon-quebec.
 var (
 	LabClasses = []policy.Class{
 		{Name: "zone-check", LatencyObjectiveS: 0.5, DeadlineS: 2, PriorityWeight: 1, Idempotency: policy.Idempotent},
@@ -31,12 +31,16 @@
 		{Name: "resto", Rate: 9, Burst: 18, Weight: 1.1, MaxConcurrency: 6},
 		{Name: "chaine", Rate: 38, Burst: 76, Weight: 1.6, OverQuotaCostFraction: 0.8, HardLimitRate: 68, HardLimitBurst: 137, HardLimitSlack: 14},
 	}
-	labWork           = map[string]float64{"zone-check": 0.03, "slot-hold": 0.06, "courier-send": 0.1}
+	// labWork is the work of a request, in core seconds, by class.
+	labWork = map[string]float64{"zone-check": 0.03, "slot-hold": 0.06, "courier-send": 0.1}
+	// LabClassFractions is the fraction of the requests, by class.
 	LabClassFractions = map[string]float64{"zone-check": 0.37, "slot-hold": 0.34, "courier-send": 0.29}
-	LabUnits          = map[string]int{"zone-check": 1, "slot-hold": 2, "courier-send": 3}
+	// LabUnits is the number of units of a request, by class.
+	LabUnits = map[string]int{"zone-check": 1, "slot-hold": 2, "courier-send": 3}
 )
 
-// TightenHardLimits are plans with ceilings under their quotas, so that the ceilings bind.
+// TightenHardLimits returns copies of plans whose hard limits, where they have one, are below their quotas, so that the hard limits
+// take effect.
 func TightenHardLimits(plans []policy.Plan) []policy.Plan {
 	plans = slices.Clone(plans)
 	for i := range plans {
@@ -47,13 +51,14 @@
 	return plans
 }
 
-// LabNode is the stand-in node of the laboratory's runs: as cold at its start and as easily pushed over as the operators say.
+// LabNode configures the stand-in nodes of the testbed's runs. Their slow start and the overload that makes them fail are as the
+// operators state.
 var LabNode = node.Config{Cores: 3, Queue: 30, Speed: 1, KeyedS: 4, SlowStartS: 8, SlowStartMinFraction: 0.26, FallMultiple: StatedMultiple, FallS: StatedFallS,
 	Work: labWork, Conns: 200, IdleS: 15}
 
-// Accounts makes a population: of each plan so many accounts, most of them well under their quotas, one in five near
-// it, one in eight far beyond it now and then, the first of chaine always far beyond it. Each comes through spread
-// forwarders.
+// Accounts returns accounts of each plan in the given numbers. Most request well below their quotas, one in five close to its
+// quota, one in eight far above it during floods, and the first one of chaine always far above it. The requests of an account
+// arrive at spread forwarders.
 func Accounts(comptoir, resto, chaine, forwarders, spread int, seed uint64) []Account {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var list []Account
@@ -77,8 +82,9 @@
 	return list
 }
 
-// ManyAccounts are accounts of many ingresses: a third come through all of them, the others through a quarter. One in ten asks for three to six times its
-// quota all the time, one in five for nearly all of it, and one in seven floods now and then.
+// ManyAccounts returns accounts for fleets of many ingresses: the requests of a third of the accounts arrive at all ingresses, those
+// of the others at a quarter of them. One account in ten always requests three to six times its quota, one in five nearly its
+// whole quota, and one in seven floods at times.
 func ManyAccounts(forwarders int, seed uint64) []Account {
 	rng := rand.New(rand.NewPCG(seed, 14))
 	list := Accounts(60, 40, 16, forwarders, forwarders, seed)
@@ -102,10 +108,11 @@
 	return list
 }
 
-// ConcurrencyLimitedAccounts is a population as the operators' largest days have it: for each ingress four small accounts, one with a cap on open attempts, and for every
-// second a large one. Each comes through a thirtieth to two thirds of many ingresses, one with a ceiling through no more than keep two of the largest
-// requests in its burst each. Most ask for a third to half of their quota, large ones for more, one in six for nearly all of it, one in twelve for
-// three times as much.
+// ConcurrencyLimitedAccounts returns accounts as on the operators' days of highest load: four small accounts and one with a
+// concurrency limit for each ingress, and a large one for every second ingress. The requests of an account arrive at a thirtieth to two
+// thirds of the ingresses; those of an account with a hard limit at so few that each one's part of the burst holds two of the
+// largest requests. Most accounts request a third to half of their quota, large ones more, one in six nearly its whole quota, one
+// in twelve three times its quota.
 func ConcurrencyLimitedAccounts(forwarders int, seed uint64) []Account {
 	rng := rand.New(rand.NewPCG(seed, 15))
 	list := Accounts(forwarders*4, forwarders, max(forwarders/2, 1), forwarders, forwarders, seed)
@@ -130,7 +137,7 @@
 	return list
 }
 
-// Homes is where accounts come in.
+// Homes returns the range of gateways at which each account's requests arrive.
 func Homes(list []Account) map[string]oracle.GatewayRange {
 	homes := map[string]oracle.GatewayRange{}
 	for _, a := range list {
@@ -139,36 +146,37 @@
 	return homes
 }
 
-// Scenario is one run of a fleet under faults.
+// Scenario describes one run of a fleet under faults.
 type Scenario struct {
 	FleetConfig
-	Name      string
-	Traffic   Traffic // classes, shares and units are filled in
-	Accounts  []Account
-	Length    time.Duration
-	Faults    []Fault
-	Floors    map[string]int // see audit.Rules
-	NodeCount int            // in place of a scenario's own number of nodes; 0: as it says
-	inspectAfter      time.Duration
-	inspect      func(f *Fleet) // called when clients have asked for so long; nil: nothing is
-	Upgrades  int            // of the whole fleet, one after the other, in two levels
+	Name         string
+	Traffic      Traffic // accounts, classes, fractions, units, retries and seed are filled in by the run
+	Accounts     []Account
+	Length       time.Duration
+	Faults       []Fault
+	Floors       map[string]int // see oracle.Config.MinOccasions
+	NodeCount    int            // overrides the named scenario's number of nodes; 0: not overridden
+	inspectAfter time.Duration  // after the clients' start, when inspect is called
+	inspect      func(f *Fleet) // called once during the run; nil: no call
+	Upgrades     int            // number of upgrades of the whole fleet, one after the other; for fleets of two levels
 }
 
-// Run starts a fleet, lets clients and faults loose on it and has the auditor judge.
+// Run starts a fleet, runs clients and faults against it, and returns the stopped fleet and the oracle's report. It writes the
+// injected faults and upgrades to log.
 func Run(sc Scenario, log io.Writer) (*Fleet, *oracle.Report, error) {
 	return RunWith(sc, log, func() {})
 }
 
-// RunAndInspect is Run that calls look while the fleet runs, so long after clients began.
-func RunAndInspect(sc Scenario, log io.Writer, at time.Duration, look func(f *Fleet)) (*Fleet, *oracle.Report, error) {
-	sc.inspectAfter, sc.inspect = at, look
+// RunAndInspect is Run, and calls inspect while the fleet runs, at the given time after the clients' start.
+func RunAndInspect(sc Scenario, log io.Writer, at time.Duration, inspect func(f *Fleet)) (*Fleet, *oracle.Report, error) {
+	sc.inspectAfter, sc.inspect = at, inspect
 	return Run(sc, log)
 }
 
-// settleTime is how long backends have to notice what was given up, after the last answer.
+// settleTime is how long backends have after the last answer to notice that attempts were cancelled.
 const settleTime = 500 * time.Millisecond
 
-// RunWith is Run that calls ended while the fleet still runs, when clients and faults have come to their end.
+// RunWith is Run, and calls ended after the clients and faults have ended, while the fleet still runs.
 func RunWith(sc Scenario, log io.Writer, ended func()) (*Fleet, *oracle.Report, error) {
 	f, err := StartFleet(sc.FleetConfig)
 	if err != nil {
@@ -182,19 +190,20 @@
 	ctx, end := context.WithTimeout(context.Background(), sc.Length)
 	defer end()
 	f.addClients(sc)
-	faulty, mend := context.WithCancel(context.Background()) // until the last answers: what is mended all at once would meet requests under way
-	defer mend()
-	var beside sync.WaitGroup
-	beside.Go(func() { f.measureLateness(ctx) })
-	beside.Go(func() { f.play(ctx, faulty, sc.Faults, log) })
-	beside.Go(func() { f.upgradeAndLog(ctx, sc.Upgrades, log) })
-	beside.Go(func() { sc.runInspection(ctx, f) })
+	// Faults last until the last answer: their common end before it would disturb requests that are in flight.
+	faulty, endFaults := context.WithCancel(context.Background())
+	defer endFaults()
+	var background sync.WaitGroup
+	background.Go(func() { f.measureLateness(ctx) })
+	background.Go(func() { f.play(ctx, faulty, sc.Faults, log) })
+	background.Go(func() { f.upgradeAndLog(ctx, sc.Upgrades, log) })
+	background.Go(func() { sc.runInspection(ctx, f) })
 	if sc.MeasureOverload && sc.Operator != "" {
-		beside.Go(func() { f.recordLoadLevels(ctx) })
+		background.Go(func() { f.recordLoadLevels(ctx) })
 	}
 	f.clients.Run(ctx)
-	mend()
-	beside.Wait()
+	endFaults()
+	background.Wait()
 	ended()
 	time.Sleep(settleTime)
 	f.recordRuleViolations()
@@ -203,7 +212,8 @@
 	return f, oracle.Check(f.Hist, rules), nil
 }
 
-// addClients makes the scenario's clients. Its peak counts from now on, by the history's clock, which runs since the fleet's start.
+// addClients creates the scenario's clients. The scenario's peak is relative to this call; the history's clock has run since the
+// fleet's start.
 func (f *Fleet) addClients(sc Scenario) {
 	if sc.Peak.To > 0 {
 		began := f.Hist.Now()
@@ -215,15 +225,15 @@
 	f.clients = NewClients(t, f.Hist, f.Front)
 }
 
-// upgradeAndLog upgrades the whole fleet so many times.
+// upgradeAndLog upgrades the whole fleet the given number of times and logs how long each upgrade took.
 func (f *Fleet) upgradeAndLog(ctx context.Context, times int, log io.Writer) {
 	if times > 0 {
 		took, err := f.UpgradeAll(ctx, times)
-		fmt.Fprintf(log, "upgraded whole %d times, in %v; %v\n", len(took), took, err)
+		fmt.Fprintf(log, "fleet upgraded %d times, in %v; error: %v\n", len(took), took, err)
 	}
 }
 
-// runInspection calls look when clients have asked for as long as the scenario says.
+// runInspection calls the scenario's inspect function at its time.
 func (sc Scenario) runInspection(ctx context.Context, f *Fleet) {
 	if sc.inspect == nil {
 		return
@@ -235,9 +245,11 @@
 	}
 }
 
+// latenessInterval is the time between two measurements of the testbed's own lateness.
 const latenessInterval = 20 * time.Millisecond
 
-// measureLateness measures for as long as ctx lasts how late the laboratory itself is: its timers, and its taking of connections.
+// measureLateness records until ctx ends how late the testbed's own process is: how late its timers fire and how long it takes to
+// accept a connection.
 func (f *Fleet) measureLateness(ctx context.Context) {
 	l, err := net.Listen("tcp", ownAddr(0))
 	if err != nil {
@@ -268,20 +280,20 @@
 	}
 }
 
-// WaitForLeaders waits until all forwarders follow a leader in all cells.
-func (f *Fleet) WaitForLeaders(most time.Duration) error {
+// WaitForLeaders waits until every forwarder sees a leader in every cell. It returns nil at once for a fleet without planners.
+func (f *Fleet) WaitForLeaders(timeout time.Duration) error {
 	if len(f.Planners) == 0 {
 		return nil
 	}
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if f.LedCells() == len(f.Forwarders)*f.cfg.Params.Cells {
 			return nil
 		}
 	}
-	return fmt.Errorf("after %v %d of %d cells are led", most, f.LedCells(), len(f.Forwarders)*f.cfg.Params.Cells)
+	return fmt.Errorf("after %v forwarders see a leader in %d of %d cells, summed over all forwarders", timeout, f.LedCells(), len(f.Forwarders)*f.cfg.Params.Cells)
 }
 
-// LedCells counts the cells that forwarders see as led, over all forwarders.
+// LedCells returns the number of cells in which forwarders see a leader, summed over all forwarders.
 func (f *Fleet) LedCells() (n int) {
 	for _, p := range f.Forwarders {
 		var st forwarder.Status
@@ -296,9 +308,10 @@
 	return n
 }
 
+// loadLevelInterval is the time between two records of the load-shedding levels.
 const loadLevelInterval = 500 * time.Millisecond
 
-// recordLoadLevels records for as long as ctx lasts what programs hold of overload.
+// recordLoadLevels records until ctx ends the load-shedding levels of all ingresses, or of all cells of all planners.
 func (f *Fleet) recordLoadLevels(ctx context.Context) {
 	for tick := time.NewTicker(loadLevelInterval); ; {
 		select {
@@ -307,11 +320,11 @@
 			tick.Stop()
 			return
 		}
-		var of []float64
+		var levels []float64
 		for _, p := range f.Forwarders {
 			var st ingress.Status
 			if len(f.Planners) == 0 && p.ReadStatus(ctx, &st) == nil && st.Overload != nil {
-				of = append(of, st.Overload.Level)
+				levels = append(levels, st.Overload.Level)
 			}
 		}
 		for _, p := range f.Planners {
@@ -319,11 +332,11 @@
 			if p.ReadStatus(ctx, &st) == nil {
 				for _, c := range st.Cells {
 					if c.Overload != nil {
-						of = append(of, c.Overload.Level)
+						levels = append(levels, c.Overload.Level)
 					}
 				}
 			}
 		}
-		f.Hist.AddLoadLevels(of)
+		f.Hist.AddLoadLevels(levels)
 	}
 }
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -15,34 +15,34 @@
 // scenario is a named kind of run: what goes wrong, how often, and how many occasions for which rules it must bring, a
 // minute.
 type scenario struct {
-	what           string
-	kinds          []string // of faults; none: all that fit the shape
-	every          time.Duration
-	faultyFraction float64 // share of all attempts that go wrong at their node, in all ways
-	tightHardLimits          bool    // ceilings under what quotas let in
-	loadFactor           float64 // factor on what accounts ask for; 0 stands for 1
-	hangUps        float64
-	batches        float64
-	misbehaving    int
-	nodes          int                                         // 0: as asked
-	workFactor           float64                                     // factor on what requests cost nodes; 0 stands for 1
-	accounts       func(forwarders int, seed uint64) []Account // its accounts; nil: as asked
-	zones          int                                         // see FleetConfig
-	adjustPlans          func([]policy.Plan)
-	peerLoss           float64                          // of messages between ingresses in virtual time; 0 stands for 3%
-	exact          bool                             // see FleetConfig
-	quota          float64                          // see FleetConfig; below 0: not judged
-	capX           float64                          // see FleetConfig
-	adjustClasses        func([]policy.Class)             // changes them; nil: as they are
-	keyedS         float64                          // for which nodes drop repeats; 0: as asked
-	faultStrength       float64                          // strength of its faults; 0: as drawn
-	faultDuration          time.Duration                    // of each; 0: as drawn
-	fixedFaults          []Fault                          // at fixed times, beside what is drawn
-	reportS        float64                          // see node.Config
-	peakLoad           float64                          // times what nodes can do, that is asked for from peakFrom until peakEnd before the end
-	adjustBounds         func(*oracle.LoadSheddingBounds) // changes what is stated of a fleet that sheds as one
-	adjustAccounts          func([]Account)                  // changes the accounts of a peak
-	floors         map[string]int                   // occasions a minute
+	what            string
+	kinds           []string // of faults; none: all that fit the shape
+	every           time.Duration
+	faultyFraction  float64 // share of all attempts that go wrong at their node, in all ways
+	tightHardLimits bool    // ceilings under what quotas let in
+	loadFactor      float64 // factor on what accounts ask for; 0 stands for 1
+	hangUps         float64
+	batches         float64
+	misbehaving     int
+	nodes           int                                         // 0: as asked
+	workFactor      float64                                     // factor on what requests cost nodes; 0 stands for 1
+	accounts        func(forwarders int, seed uint64) []Account // its accounts; nil: as asked
+	zones           int                                         // see FleetConfig
+	adjustPlans     func([]policy.Plan)
+	peerLoss        float64                          // of messages between ingresses in virtual time; 0 stands for 3%
+	exact           bool                             // see FleetConfig
+	quota           float64                          // see FleetConfig; below 0: not judged
+	capX            float64                          // see FleetConfig
+	adjustClasses   func([]policy.Class)             // changes them; nil: as they are
+	keyedS          float64                          // for which nodes drop repeats; 0: as asked
+	faultStrength   float64                          // strength of its faults; 0: as drawn
+	faultDuration   time.Duration                    // of each; 0: as drawn
+	fixedFaults     []Fault                          // at fixed times, beside what is drawn
+	reportS         float64                          // see node.Config
+	peakLoad        float64                          // times what nodes can do, that is asked for from peakFrom until peakEnd before the end
+	adjustBounds    func(*oracle.LoadSheddingBounds) // changes what is stated of a fleet that sheds as one
+	adjustAccounts  func([]Account)                  // changes the accounts of a peak
+	floors          map[string]int                   // occasions a minute
 }
 
 var faultFloors = map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleOneAnswer: 20, oracle.RuleOneOpenAttempt: 20, oracle.RuleNoDuplicateEffect: 20}
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -11,18 +11,18 @@
 
 // The soak: ten to forty processes under faults that overlap in time, all of it drawn from one number, judged by the rules that must never break.
 const (
-	soakMinIngresses, soakMaxIngresses       = 10, 40 // ingresses
-	soakMinNodes, soakNodeCounts = 6, 8   // nodes, and as many more at most, less one
-	soakStallS                = 0.2    // that a process which is held up may be late: the most that it stands still, and some
-	soakAccountUnitIngresses             = 6      // for which there are 33 accounts
-	soakMinFaultIntervalMS          = 120.0  // between two faults in the mean, each of which lasts 0.5 to 3 s and some longer
-	soakMaxFaultIntervalMS           = 400.0
-	soakFaultyFraction        = 0.06
-	soakLateDialFraction             = 0.3 // of the connections to nodes, in every second run
-	soakMinKeyTTLS            = 0.5 // for which nodes remember keys: less than a request may last
-	soakMaxKeyTTLS             = 2.0
-	soakMaxDeadlineFactor             = 3  // times as long as usual, at most
-	soakStream                  = 53 // of what is drawn here, beside the faults' own draws
+	soakMinIngresses, soakMaxIngresses = 10, 40 // ingresses
+	soakMinNodes, soakNodeCounts       = 6, 8   // nodes, and as many more at most, less one
+	soakStallS                         = 0.2    // that a process which is held up may be late: the most that it stands still, and some
+	soakIngressesPerAccountGroup       = 6      // for which there are 33 accounts
+	soakMinFaultIntervalMS             = 120.0  // between two faults in the mean, each of which lasts 0.5 to 3 s and some longer
+	soakMaxFaultIntervalMS             = 400.0
+	soakFaultyFraction                 = 0.06
+	soakLateDialFraction               = 0.3 // of the connections to nodes, in every second run
+	soakMinKeyTTLS                     = 0.5 // for which nodes remember keys: less than a request may last
+	soakMaxKeyTTLS                     = 2.0
+	soakMaxDeadlineFactor              = 3  // times as long as usual, at most
+	soakStream                         = 53 // of what is drawn here, beside the faults' own draws
 )
 
 // soakFaultKinds are the faults of a soak of one level, the more often a kind stands here the more often it is drawn.
@@ -49,7 +49,7 @@
 		sc.LateDials = soakLateDialFraction
 	}
 	sc.StallS = soakStallS
-	k := max(1, sc.Forwarders/soakAccountUnitIngresses)
+	k := max(1, sc.Forwarders/soakIngressesPerAccountGroup)
 	sc.Accounts = Accounts(20*k, 10*k, 3*k, sc.Forwarders, min(4, sc.Forwarders), number)
 	every := time.Duration((soakMinFaultIntervalMS + rng.Float64()*(soakMaxFaultIntervalMS-soakMinFaultIntervalMS)) * float64(time.Millisecond))
 	if err := Make("soak", &sc, nil, every); err != nil {
--- a/internal/testbed/soakfaults.go
+++ b/internal/testbed/soakfaults.go
@@ -19,13 +19,13 @@
 
 const (
 	drainTimeout     = 4 * time.Second        // after which a drained ingress may hold no client
-	drainRequestAge   = 2 * time.Second        // but for those whose request is older
-	drainSlack    = 250 * time.Millisecond // until what is held at that moment has to be gone
-	activateTimeout    = 2 * time.Second        // for an ingress to take clients again
-	minStall      = 40 * time.Millisecond  // a process stands still for so long
-	maxStall      = 150 * time.Millisecond // and at most, by the operators' page
-	stallInterval = 200 * time.Millisecond // between two times
-	brokenConfigTime     = 100 * time.Millisecond // a configuration that can't be read stays so long
+	drainRequestAge  = 2 * time.Second        // but for those whose request is older
+	drainSlack       = 250 * time.Millisecond // until what is held at that moment has to be gone
+	activateTimeout  = 2 * time.Second        // for an ingress to take clients again
+	minStall         = 40 * time.Millisecond  // a process stands still for so long
+	maxStall         = 150 * time.Millisecond // and at most, by the operators' page
+	stallInterval    = 200 * time.Millisecond // between two times
+	brokenConfigTime = 100 * time.Millisecond // a configuration that can't be read stays so long
 )
 
 // drainAndActivate has operators drain an ingress, hold it against what they are promised, and activate it. A deaf front goes on sending it clients.
@@ -152,7 +152,9 @@
 	kinds["held up"] = kind{"an ingress stands still for up to 0.15 s, again and again", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.stall(x.A%len(f.Forwarders), x, wait) }}
 	kinds["reloaded"] = kind{"an ingress reads a broken configuration, one with fewer attempts, and its own", 1, 4, onForwarder,
-		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.reloadConfigs(x.A%len(f.Forwarders), x, wait) }}
+		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+			f.reloadConfigs(x.A%len(f.Forwarders), x, wait)
+		}}
 	kinds["node reset"] = kind{"all connections to a node are reset", 1, 5, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
 			for _, k := range f.linksOf(n) {
