--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -22,9 +22,9 @@
 	"eiderspread/policy"
 )
 
-// The test binary is also the programs under test, so that they run with the race detector.
+// The test binary is also the programs under test, so that these run with the race detector too.
 func TestMain(m *testing.M) {
-	if os.Getenv("LAB_KIND") == "holder" { // a laboratory that starts a program and is killed
+	if os.Getenv("LAB_KIND") == "holder" { // a testbed that starts a program and is killed
 		c := exec.Command("sleep", "600")
 		if err := spawned(c); err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -56,15 +56,15 @@
 	return c
 }
 
-// testFleetConfig has times that a slow machine keeps: here it is shown what happens, not how fast.
+// testFleetConfig returns a fleet with timeouts that a slow machine keeps too: these tests check what happens, not how fast.
 func testFleetConfig(t *testing.T, forwarders int) FleetConfig {
 	return FleetConfig{Forwarders: forwarders, Planners: 3, Nodes: 4, Classes: LabClasses, Plans: LabPlans, Node: LabNode, Seed: 1,
 		Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1,
 		Params: topology.Params{LeaseS: 1.2, HeartbeatS: 0.15, LinkTimeoutS: 0.9, LeaderWaitS: 2, FailsafeDelayS: 0.2}}
 }
 
-// Guards against programs that are left behind: they end with the laboratory that started them, also when it is killed.
-func TestProgramsEndWithTheLaboratory(t *testing.T) {
+// Guards against leaked processes: a program under test ends when the testbed that started it is killed.
+func TestProgramsEndWithTheTestbed(t *testing.T) {
 	holder := spawn("holder", "")
 	out, err := holder.StdoutPipe()
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	var pid int
 	if _, err := fmt.Fscan(out, &pid); err != nil || pid == 0 {
-		t.Fatal(pid, err)
+		t.Fatalf("process id of the started program: got %d, error %v; want a number above 0", pid, err)
 	}
 	if err := holder.Process.Kill(); err != nil {
 		t.Fatal(err)
@@ -87,12 +87,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the program runs on: %s", stat)
+			t.Fatalf("the program still runs %v after its testbed was killed: %s", testTimeout, stat)
 		}
 	}
 }
 
-// requireRulesHold fails the test with the whole report where a rule was broken or not seen.
+// requireRulesHold fails the test and prints the report and the run's log if a rule was violated or had too few occasions.
 func requireRulesHold(t *testing.T, rep *oracle.Report, log *strings.Builder) {
 	t.Helper()
 	if err := rep.Verdict(); err != nil {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Operators at work on a fleet of one level, the short form: programs replaced beside themselves under load, and nodes held at
-// all of them, also while a program is replaced or killed.
+// Guards the hot restart and the cordon of a fleet of one level: ingresses are replaced under load, and nodes are cordoned at all
+// ingresses while some of these are replaced or killed. It is a short run of the scenario "operators".
 func TestOperators(t *testing.T) {
 	cfg := testFleetConfig(t, 3)
 	cfg.Planners = 0
@@ -123,15 +123,15 @@
 	}
 	requireRulesHold(t, rep, &log)
 	if len(f.Hist.Replacements) != 4 {
-		t.Errorf("%d programs were replaced, want 4: %+v", len(f.Hist.Replacements), f.Hist.Faults)
+		t.Errorf("%d programs were replaced, want 4; faults: %+v", len(f.Hist.Replacements), f.Hist.Faults)
 	}
 }
 
-// Operators at work on a fleet of two levels, the short form: nodes held by one planner's yes, while that planner is sent away, killed or
-// cut off, and called back at another.
+// Guards the cordon of a fleet of two levels: a node is cordoned at one planner and uncordoned at another, while planners are
+// drained and killed and a forwarder is killed. It is a short run of the scenario "hands".
 func TestOperatorsOfTwoLevels(t *testing.T) {
 	if !topology.FencingEnabled {
-		t.Skip("a build without fencing")
+		t.Skip("needs a build with fencing")
 	}
 	cfg := testFleetConfig(t, 3)
 	cfg.Params.LeaseS, cfg.Params.HeartbeatS, cfg.Params.LinkTimeoutS = 0.55, 0.1, 0.6
@@ -152,16 +152,18 @@
 	requireRulesHold(t, rep, &log)
 }
 
-// The whole fleet as processes, with planners killed, paused, ended and cut off: the short form of the long run.
+// Guards a fleet of two levels on sockets: planners are killed, terminated and cut off, nodes drain, fail and are half cut off,
+// and an account floods. It is a short run of the scenario "storm".
 func TestFleetOfProcesses(t *testing.T) {
 	if !topology.FencingEnabled {
-		t.Skip("a build without fencing")
+		t.Skip("needs a build with fencing")
 	}
 	sc := Scenario{FleetConfig: testFleetConfig(t, 5), Accounts: Accounts(6, 4, 2, 5, 3, 1), Length: 14 * time.Second}
 	if err := Make("storm", &sc, []string{"kill", "cut", "term", "drain", "sick", "node half cut", "flood"}, 800*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	sc.Floors = map[string]int{oracle.RuleNoRequestLost: 10, oracle.RuleOneOpenAttempt: 3, oracle.RuleNoDuplicateEffect: 2, oracle.RuleHardLimit: 3, oracle.RuleQuota: 10} // a slow machine sees a part of what a quick one does
+	// Low floors, because a slow machine has fewer occasions than a fast one.
+	sc.Floors = map[string]int{oracle.RuleNoRequestLost: 10, oracle.RuleOneOpenAttempt: 3, oracle.RuleNoDuplicateEffect: 2, oracle.RuleHardLimit: 3, oracle.RuleQuota: 10}
 	var log strings.Builder
 	f, rep, err := Run(sc, &log)
 	if err != nil {
@@ -169,16 +171,16 @@
 	}
 	requireRulesHold(t, rep, &log)
 	if rep.Results[oracle.Served] < 100 || len(f.Hist.Faults) < 3 {
-		t.Errorf("%+v served under %d faults: the run shows nothing", rep.Results, len(f.Hist.Faults))
+		t.Errorf("results %+v with %d faults, want at least 100 served and 3 faults", rep.Results, len(f.Hist.Faults))
 	}
 	for _, o := range rep.Overshoots {
 		if o.Units > 6 { // one of the largest requests
-			t.Errorf("%+v\n%s", o, log.String())
+			t.Errorf("overshoot %+v, want at most 6 units\n%s", o, log.String())
 		}
 	}
 }
 
-// sendRequestTo sends one request to a forwarder and returns the first line of the answer.
+// sendRequestTo sends one request to forwarder i and returns the first line of the reply.
 func sendRequestTo(t *testing.T, f *Fleet, i int, id string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Forwarders[i].Listen)
@@ -189,8 +191,8 @@
 	if err := c.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		t.Error(err)
 	}
-	list := fmt.Sprintf("c=courier-send,t=free,d=4000,units=1,spread=%d,first=0", len(f.Forwarders))
-	args := []string{"CALL.POST", "00000000b4d65521", id, list, "body"}
+	fields := fmt.Sprintf("c=courier-send,t=free,d=4000,units=1,spread=%d,first=0", len(f.Forwarders))
+	args := []string{"CALL.POST", "00000000b4d65521", id, fields, "body"}
 	fmt.Fprintf(c, "*%d\r\n", len(args))
 	for _, a := range args {
 		fmt.Fprintf(c, "$%d\r\n%s\r\n", len(a), a)
@@ -202,14 +204,15 @@
 	return strings.TrimSpace(line)
 }
 
-// Guards the operator's promises: a planner that ends hands over, nothing is refused for it; without planners a
-// request is refused with a hint; and a forwarder that is no member is turned away.
+// Guards the takeover between planners: a planner that terminates hands its cells over and no request is rejected for it; without
+// planners requests are rejected with a retry-after hint, and are served again once planners are back.
 func TestFleetOperations(t *testing.T) {
 	if !topology.FencingEnabled {
-		t.Skip("a build without fencing")
+		t.Skip("needs a build with fencing")
 	}
 	cfg := testFleetConfig(t, 3)
-	// A plan without a window: those start empty where a leader can't know better, as at a fleet's start.
+	// A plan without a quota. Quota windows start empty if the leader doesn't know the usage, as at the start of a fleet, so requests
+	// of other plans could be rejected.
 	cfg.Plans = append(slices.Clone(cfg.Plans), policy.Plan{Name: "free", Weight: 1})
 	f, err := StartFleet(cfg)
 	defer f.Stop()
@@ -220,17 +223,17 @@
 		t.Fatal(err)
 	}
 	if got := sendRequestTo(t, f, 0, "a"); got != "$3" {
-		t.Errorf("served with %q", got)
+		t.Errorf("reply with all planners: got %q, want %q", got, "$3")
 	}
-	for p := range 2 { // one after the other leaves; what they led is led by the rest
+	for p := range 2 { // planners terminate one after the other; the rest take over their cells
 		f.Planners[p].Term()
 		if got := sendRequestTo(t, f, p, fmt.Sprint("b", p)); got != "$4" {
-			t.Errorf("after planner %d left: %q", p, got)
+			t.Errorf("reply after planner %d terminated: got %q, want %q", p, got, "$4")
 		}
 	}
 	var st planner.Status
 	if err := f.Planners[2].ReadStatus(context.Background(), &st); err != nil || st.Links != 3 {
-		t.Errorf("status %+v, %v", st, err)
+		t.Errorf("status of planner 2: %+v, error %v; want 3 links", st, err)
 	}
 	if err := f.WaitForLeaders(30 * time.Second); err != nil {
 		t.Error(err)
@@ -238,22 +241,22 @@
 	f.Planners[2].Kill()
 	got := sendRequestTo(t, f, 1, "c")
 	if !strings.HasPrefix(got, "-BUSY ") {
-		t.Errorf("without planners: %q", got)
+		t.Errorf("reply without planners: got %q, want -BUSY", got)
 	}
 	var fs forwarder.Status
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // the link's end may be met before the fail-safe
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // the forwarder may see the end of the link before it enters the fail-safe
 		if err := f.Forwarders[1].ReadStatus(context.Background(), &fs); err == nil && fs.Cells[0].Failsafe {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no fail-safe: %+v", fs)
+			t.Fatalf("forwarder 1 is not in the fail-safe in cell 0 after %v: %+v", testTimeout, fs)
 		}
 	}
 	if got := sendRequestTo(t, f, 1, "e"); !strings.HasPrefix(got, "-BUSY ") {
-		t.Errorf("in the fail-safe: %q", got)
+		t.Errorf("reply in the fail-safe: got %q, want -BUSY", got)
 	}
 	if err := f.Forwarders[1].ReadStatus(context.Background(), &fs); err != nil || fs.Stats.RejectedNoLeader == 0 {
-		t.Errorf("status %+v, %v", fs, err)
+		t.Errorf("status of forwarder 1: %+v, error %v; want requests rejected for lack of a leader", fs, err)
 	}
 	for _, p := range f.Planners {
 		if err := p.Start(); err != nil {
@@ -264,6 +267,6 @@
 		t.Fatal(err)
 	}
 	if got := sendRequestTo(t, f, 1, "d"); got != "$3" {
-		t.Errorf("with planners again: %q", got)
+		t.Errorf("reply after the planners restarted: got %q, want %q", got, "$3")
 	}
 }
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -20,7 +20,7 @@
 	LinkBytes                    float64       // bytes per request on the links between forwarders and planners, both directions, with heartbeats
 	IdleLinkBytes                float64       // bytes per second without load, of the whole fleet
 	Datagrams                    float64       // between ingresses, per request
-	OverheadP50, OverheadP99     time.Duration // client latency without the node's processing time, of served requests with one attempt
+	OverheadP50, OverheadP99     time.Duration // client latency minus the node's time, of served requests with one attempt
 	Service, Rate                float64       // Service: see oracle.Report; Rate: requests per second
 	ForwarderCores, PlannerCores float64       // cores that one program uses under load, mean over the programs
 }
--- a/internal/testbed/net_test.go
+++ b/internal/testbed/net_test.go
@@ -17,7 +17,7 @@
 
 const testTimeout = 20 * time.Second
 
-// Guards the laboratory's cuts: if they let bytes through, the runs show nothing.
+// Guards the testbed's cuts of links: if a cut lets bytes through, runs with such faults prove nothing.
 func TestLinkCutsAndHeals(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,17 +60,17 @@
 	}
 	buf := make([]byte, 3)
 	if _, err := io.ReadFull(b, buf); err != nil || string(buf) != "one" {
-		t.Fatalf("%q, %v", buf, err)
+		t.Fatalf("before the cut the far end read %q, error %v; want %q", buf, err, "one")
 	}
 	k.Cut()
-	_, _ = io.WriteString(a, "two") // it may meet the cut
+	_, _ = io.WriteString(a, "two") // may fail, as the link is cut
 	dial().Close()
-	k.Heal() // what the cut met is reset, and what was in it never comes
+	k.Heal() // resets the connections that were open during the cut; bytes sent during the cut are lost
 	if n, err := b.Read(buf); err == nil {
-		t.Errorf("%q came through a cut", buf[:n])
+		t.Errorf("the far end read %q through a cut link, want an error", buf[:n])
 	}
 	if _, err := a.Read(buf); err == nil {
-		t.Error("the near end goes on after a cut")
+		t.Error("the near end can still read after a cut was healed, want a reset connection")
 	}
 	c := dial()
 	defer c.Close()
@@ -84,17 +84,18 @@
 		}
 		n, err := io.ReadFull(b, buf)
 		if n == 0 && err == io.EOF {
-			continue // the one that was dialled in the cut, and closed
+			continue // the connection that was opened and closed during the cut
 		}
 		if err != nil || string(buf) != "new" {
-			t.Errorf("after the cut: %q, %v", buf, err)
+			t.Errorf("after the cut the far end read %q, error %v; want %q", buf, err, "new")
 		}
 		break
 	}
 }
 
-// Guards the other ways that a link can go: one-way, refused, and what it tells of both ends.
-func TestLinkWays(t *testing.T) {
+// Guards a link that is cut in one direction, that refuses connections, or whose target is down, and the hooks that report the end of
+// a connection and connections that reached no one.
+func TestLinkOneWayCutAndRefusal(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -136,29 +137,29 @@
 	}
 	buf := make([]byte, 3)
 	if _, err := io.ReadFull(b, buf); err != nil || string(buf) != "one" {
-		t.Errorf("forth: %q, %v", buf, err)
+		t.Errorf("in the direction that is not cut the far end read %q, error %v; want %q", buf, err, "one")
 	}
 	if _, err := io.WriteString(b, "two"); err != nil {
 		t.Error(err)
 	}
-	a.Close() // the far end does not see that, but the laboratory does
+	a.Close() // the far end does not see this, but the link's hook is called
 	if got := <-ended; got != b.RemoteAddr().String() {
-		t.Errorf("%s has ended, want %s", got, b.RemoteAddr())
+		t.Errorf("the hook reported the end of connection %s, want %s", got, b.RemoteAddr())
 	}
 	k.Heal()
 	if n, err := b.Read(buf); err == nil {
-		t.Errorf("%q after the cut", buf[:n])
+		t.Errorf("the far end read %q after the cut was healed, want an error", buf[:n])
 	}
 	if !k.CutSince(time.Now().Add(-testTimeout)) || k.CutSince(time.Now()) {
-		t.Error("when it was cut is not known")
+		t.Error("CutSince must be true for a time before the cut and false for now")
 	}
-	for _, refuse := range []bool{true, false} { // refused, and nobody there
+	for _, refuse := range []bool{true, false} { // false: nobody listens at the target
 		k.Set(Way{Refuse: refuse})
 		if !refuse {
 			l.Close()
 		}
 		c, err := net.Dial("tcp", k.Addr())
-		for ; err != nil; c, err = net.Dial("tcp", k.Addr()) { // the reset can come before the dial is over
+		for ; err != nil; c, err = net.Dial("tcp", k.Addr()) { // the reset can arrive before the dial returns
 			if !errors.Is(err, syscall.ECONNRESET) {
 				t.Fatal(err)
 			}
@@ -168,17 +169,18 @@
 			t.Error(err)
 		}
 		if n, err := c.Read(buf); err == nil {
-			t.Errorf("%q from nobody", buf[:n])
+			t.Errorf("read %q from a connection that reached no one, want an error", buf[:n])
 		}
 		if got := <-unreached; got != c.LocalAddr().String() {
-			t.Errorf("%s reached nobody, want %s", got, c.LocalAddr())
+			t.Errorf("the hook reported the unreached connection of %s, want %s", got, c.LocalAddr())
 		}
 		c.Close()
 	}
 }
 
-// Guards the roster's ways: late, broken and whole lists, and that what a party is told is known no later than it can act.
-func TestRosterWays(t *testing.T) {
+// Guards the stand-in discovery: delayed changes, full lists after its watches break, and that the history records what an observer
+// was told before the observer can act on it.
+func TestDiscoveryDelaysAndBrokenWatches(t *testing.T) {
 	hist := oracle.NewHistory()
 	r := NewDiscovery(hist)
 	defer r.Close()
@@ -206,10 +208,10 @@
 		select {
 		case g := <-got:
 			if g != text {
-				t.Fatalf("told %q, want %q", g, text)
+				t.Fatalf("discovery sent %q, want %q", g, text)
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("never told %q", text)
+			t.Fatalf("discovery sent nothing within %v, want %q", testTimeout, text)
 		}
 	}
 	set := func(id, state string) { r.Set(discovery.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state}) }
@@ -220,7 +222,7 @@
 	set("a", "terminating")
 	want("a terminating")
 	if time.Since(at) < 50*time.Millisecond {
-		t.Error("told too early")
+		t.Errorf("discovery sent a change %v after it was made, want a delay of at least 50 ms", time.Since(at))
 	}
 	r.Late(0)
 	set("b", "in_service")
@@ -229,17 +231,17 @@
 	want("a terminated")
 	r.Break()
 	set("c", "in_service")
-	for g := range got { // as a change or with the whole list
+	for g := range got { // as a change or in the full list
 		if g == "c in_service" {
 			break
 		}
 	}
 	if list := slices.Collect(maps.Keys(hist.KnownNodes("f0"))); !slices.Contains(list, "c") || slices.Contains(list, "a") {
-		t.Errorf("told of %v", list)
+		t.Errorf("the history has the nodes %v as known to f0, want c and not a", list)
 	}
 }
 
-// Guards the same for datagrams: by direction, and lost, doubled and late as asked.
+// Guards the faults of datagrams between peers: cuts by direction, loss, duplicates and delay.
 func TestPeerNet(t *testing.T) {
 	var own []*net.UDPConn
 	var to []string
@@ -271,17 +273,17 @@
 		buf := make([]byte, 100)
 		n, from, err := own[j].ReadFromUDP(buf)
 		if err != nil || string(buf[:n]) != want || from.String() != p.Peers(j)[1-j] {
-			t.Fatalf("got %q from %v, %v; want %q", buf[:n], from, err, want)
+			t.Fatalf("got %q from %v, error %v; want %q from %v", buf[:n], from, err, want, p.Peers(j)[1-j])
 		}
 	}
 	send(0, 1, "a")
 	got(1, "a")
 	p.Set(0, 1, PacketConditions{Cut: true})
 	send(0, 1, "b")
-	send(1, 0, "c") // the other direction stands
+	send(1, 0, "c") // the other direction is not cut
 	got(0, "c")
 	for p.Sent() < 3 {
-		time.Sleep(time.Millisecond) // until the cut one has been met
+		time.Sleep(time.Millisecond) // until the datagram in the cut direction has been dropped
 	}
 	p.Set(0, 1, PacketConditions{Double: 1, Delay: time.Millisecond})
 	send(0, 1, "d")
--- a/internal/testbed/overload_test.go
+++ b/internal/testbed/overload_test.go
@@ -10,8 +10,9 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Four ingresses that are asked for nearly three times what their nodes can do, split in halves in the middle of it: what is turned away is
-// turned away at the doors of all, and the rules hold. Without it no ingress turns anything away at its door.
+// Guards load shedding by the fleet as a whole: four ingresses receive nearly three times their nodes' capacity and are split into
+// halves in the middle of the peak. Every ingress must reject requests at admission, and the rules hold. Without fleet-wide load
+// shedding no ingress rejects at admission.
 func TestOverloadWithASplit(t *testing.T) {
 	cfg := testFleetConfig(t, 4)
 	cfg.Planners, cfg.Operator = 0, "[overload]\non = true\n"
@@ -22,15 +23,16 @@
 	}
 	sc.Faults = []Fault{{At: 5 * time.Second, For: 2 * time.Second, Kind: "peers"}}
 	sc.Floors = map[string]int{oracle.RuleNoRequestLost: 1}
-	// A peak of five seconds and a handful of large accounts: lots alone move the worst plan by a third. The full figures are testbed overload's.
+	// The bounds are wide because the peak lasts only five seconds and there are few large accounts: chance alone moves the worst plan
+	// by a third. The full figures come from testbed overload.
 	sc.Stated = oracle.LoadSheddingBounds{MinBoundFraction: 0.5, MinFairness: 0.4, MaxRecoveryS: 60, MaxSpread: 1, MaxSwing: 1, MaxStarved: 0.6, MaxWasted: 0.5}
 	var log strings.Builder
-	doors := 0
+	rejecting := 0
 	_, rep, err := RunAndInspect(sc, &log, sc.Peak.To-500*time.Millisecond, func(f *Fleet) {
 		for _, p := range f.Forwarders {
 			var st ingress.Status
 			if err := p.ReadStatus(context.Background(), &st); err != nil || st.Overload == nil {
-				t.Errorf("%s: %v, status %+v", p.Name, err, st)
+				t.Errorf("status of %s: %+v, error %v; want its load-shedding state", p.Name, st, err)
 				continue
 			}
 			sum := 0
@@ -38,7 +40,7 @@
 				sum += n
 			}
 			if sum > 0 {
-				doors++
+				rejecting++
 			}
 		}
 	})
@@ -46,18 +48,18 @@
 		t.Fatal(err)
 	}
 	requireRulesHold(t, rep, &log)
-	if doors < 4 {
-		t.Errorf("%d of 4 ingresses turn requests away at the door", doors)
+	if rejecting < 4 {
+		t.Errorf("%d ingresses reject requests at admission, want all 4", rejecting)
 	}
 	if l := rep.Load; l == nil || l.Demand < 1.8 || l.Goal > l.UpperBound {
-		t.Errorf("%+v", rep.Load)
+		t.Errorf("load %+v, want a demand of at least 1.8 and a goal of at most the upper bound", rep.Load)
 	}
 }
 
-// The judge of shared counts on sockets: where half of the ingresses can't read the others' words, and nobody told the auditor, the
-// verdict is lost by quotas; with words understood the same run holds.
-func TestJudgeOfQuotasOnSockets(t *testing.T) {
-	for kind, lost := range map[string]bool{"babel": true, "": false} {
+// Guards the oracle's quota check on sockets: if half of the ingresses can't decode the others' messages and the oracle is not told, it
+// must report quota violations; the same run without this fault must have none.
+func TestQuotaCheckOnSockets(t *testing.T) {
+	for kind, violated := range map[string]bool{"babel": true, "": false} {
 		cfg := testFleetConfig(t, 4)
 		cfg.Planners, cfg.Exact, cfg.Nodes = 0, true, 8
 		sc := Scenario{FleetConfig: cfg, Length: 7 * time.Second}
@@ -75,8 +77,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := rep.ViolationCounts[oracle.RuleQuota] > 0; got != lost {
-			t.Errorf("%q: %d breaches of quotas (%v)", kind, rep.ViolationCounts[oracle.RuleQuota], rep.Violations)
+		if got := rep.ViolationCounts[oracle.RuleQuota] > 0; got != violated {
+			t.Errorf("fault %q: %d quota violations, want violations: %v; all violations: %v", kind, rep.ViolationCounts[oracle.RuleQuota], violated, rep.Violations)
 		}
 	}
 }
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -9,28 +9,31 @@
 	"eiderspread/policy"
 )
 
-// The soak: ten to forty processes under faults that overlap in time, all of it drawn from one number, judged by the rules that must never break.
+// The soak runs ten to forty processes under faults that overlap in time. One number determines the whole run. The oracle checks the
+// rules that must always hold.
 const (
-	soakMinIngresses, soakMaxIngresses = 10, 40 // ingresses
-	soakMinNodes, soakNodeCounts       = 6, 8   // nodes, and as many more at most, less one
-	soakStallS                         = 0.2    // that a process which is held up may be late: the most that it stands still, and some
-	soakIngressesPerAccountGroup       = 6      // for which there are 33 accounts
-	soakMinFaultIntervalMS             = 120.0  // between two faults in the mean, each of which lasts 0.5 to 3 s and some longer
+	soakMinIngresses, soakMaxIngresses = 10, 40 // number of ingresses
+	soakMinNodes, soakNodeCounts       = 6, 8   // lowest number of nodes, and how many different numbers are possible: 6 to 13 nodes
+	soakStallS                         = 0.2    // how late a stalled process may answer, in seconds: maxStall and a margin
+	soakIngressesPerAccountGroup       = 6      // the accounts are scaled to 33 per this many ingresses
+	soakMinFaultIntervalMS             = 120.0  // range of the mean time between two faults; most faults last 0.5 to 3 s, some longer
 	soakMaxFaultIntervalMS             = 400.0
 	soakFaultyFraction                 = 0.06
-	soakLateDialFraction               = 0.3 // of the connections to nodes, in every second run
-	soakMinKeyTTLS                     = 0.5 // for which nodes remember keys: less than a request may last
+	soakLateDialFraction               = 0.3 // fraction of the connections to nodes that are established late, in every second run
+	soakMinKeyTTLS                     = 0.5 // range of the time for which nodes remember keys; shorter than a request may take
 	soakMaxKeyTTLS                     = 2.0
-	soakMaxDeadlineFactor              = 3  // times as long as usual, at most
-	soakStream                         = 53 // of what is drawn here, beside the faults' own draws
+	soakMaxDeadlineFactor              = 3  // largest factor on deadlines and latency objectives
+	soakStream                         = 53 // random stream of the draws here; the faults use a stream of their own
 )
 
-// soakFaultKinds are the faults of a soak of one level, the more often a kind stands here the more often it is drawn.
+// soakFaultKinds are the kinds of faults of a soak, which runs a fleet of one level. A kind that is listed several times is drawn that
+// much more often.
 var soakFaultKinds = []string{"drained", "drained-deaf", "drained-deaf", "held up", "held up", "reloaded", "replaced", "held", "restart", "roll", "forwarder", "blink",
 	"peers", "fog", "lost client", "drain", "drain", "crash", "replace", "node pause", "slow", "sick", "node cut", "node half cut", "one way",
 	"refused", "far", "node reset", "late roster", "silent roster", "broken roster", "shift", "flood"}
 
-// Soak draws a run by its number, for a length of time. What stands in base (how programs are started, where files go) is kept.
+// Soak returns the run that number determines. It keeps what base sets: how programs are started, where files go, and the number of
+// ingresses unless that is 0.
 func Soak(number uint64, length time.Duration, base FleetConfig) (Scenario, error) {
 	rng := rand.New(rand.NewPCG(number, soakStream))
 	sc := Scenario{Length: length, FleetConfig: base}
@@ -49,8 +52,8 @@
 		sc.LateDials = soakLateDialFraction
 	}
 	sc.StallS = soakStallS
-	k := max(1, sc.Forwarders/soakIngressesPerAccountGroup)
-	sc.Accounts = Accounts(20*k, 10*k, 3*k, sc.Forwarders, min(4, sc.Forwarders), number)
+	groups := max(1, sc.Forwarders/soakIngressesPerAccountGroup)
+	sc.Accounts = Accounts(20*groups, 10*groups, 3*groups, sc.Forwarders, min(4, sc.Forwarders), number)
 	every := time.Duration((soakMinFaultIntervalMS + rng.Float64()*(soakMaxFaultIntervalMS-soakMinFaultIntervalMS)) * float64(time.Millisecond))
 	if err := Make("soak", &sc, nil, every); err != nil {
 		return sc, err
@@ -58,14 +61,14 @@
 	return sc, nil
 }
 
-// soakClasses are the laboratory's classes with deadlines and windows of their own.
+// soakClasses returns the testbed's classes with random deadlines, latency objectives and key lifetimes.
 func soakClasses(rng *rand.Rand) []policy.Class {
-	longer := 1 + rng.Float64()*(soakMaxDeadlineFactor-1)
+	factor := 1 + rng.Float64()*(soakMaxDeadlineFactor-1)
 	list := append([]policy.Class(nil), LabClasses...)
 	for i := range list {
 		c := &list[i]
-		c.LatencyObjectiveS *= longer
-		c.DeadlineS *= longer
+		c.LatencyObjectiveS *= factor
+		c.DeadlineS *= factor
 		if c.Idempotency == policy.KeyedIdempotent {
 			c.KeyTTLS = soakMinKeyTTLS + rng.Float64()*(soakMaxKeyTTLS-soakMinKeyTTLS)
 		}
@@ -74,19 +77,19 @@
 }
 
 func init() {
-	scenarios["soak"] = scenario{what: "operators drain, reload, replace and hold, processes stand still and die, nodes, ways and the roster fail, all at once; testbed soak draws it",
+	scenarios["soak"] = scenario{what: "operators drain, reload and replace ingresses and cordon nodes; processes stall and die; nodes, links and discovery fail; testbed soak draws it",
 		kinds: soakFaultKinds, every: 400 * time.Millisecond, faultyFraction: soakFaultyFraction, hangUps: 0.05, batches: 0.2, misbehaving: 2, quota: -1,
 		floors: map[string]int{oracle.RuleNoRequestLost: 50, oracle.RuleOneAnswer: 20, oracle.RuleOneOpenAttempt: 20, oracle.RuleNoDuplicateEffect: 10, oracle.RuleDrain: 2, oracle.RuleDrainEnd: 1, oracle.RuleIngressSelfCheck: 1, oracle.RuleDisconnectedClient: 1}}
 }
 
-// String tells what was drawn, in a line.
+// String describes the run in one line.
 func (sc Scenario) String() string {
-	keyed := 0.0
+	keyTTLS := 0.0
 	for _, c := range sc.Classes {
 		if c.Idempotency == policy.KeyedIdempotent {
-			keyed = c.KeyTTLS
+			keyTTLS = c.KeyTTLS
 		}
 	}
 	return fmt.Sprintf("seed %d: %d ingresses, %d nodes, %d accounts, deadline %.1f s, keys %.1f s, late dials %.0f%%, %d faults", sc.Seed, sc.Forwarders, sc.Nodes,
-		len(sc.Accounts), sc.Classes[0].DeadlineS, keyed, 100*sc.LateDials, len(sc.Faults))
+		len(sc.Accounts), sc.Classes[0].DeadlineS, keyTTLS, 100*sc.LateDials, len(sc.Faults))
 }
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -8,15 +8,15 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// A short soak of processes: operators drain ingresses behind a front that does not notice, have one read its configuration again and replace
-// another, while processes stand still, one is killed, connections come up late and are reset. The long form is testbed soak.
+// Guards the soak on real processes in a short run: ingresses are drained behind a front that does not notice, reload their
+// configuration, are replaced, stall and are killed, and connections are established late and reset. The long form is testbed soak.
 func TestSoak(t *testing.T) {
 	sc, err := Soak(2, 7*time.Second, FleetConfig{Forwarders: 5, Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if sc.LateDials == 0 || len(sc.Faults) < 5 {
-		t.Fatalf("%v: no occasion", sc)
+		t.Fatalf("%v: want late dials and at least 5 faults", sc)
 	}
 	const ms = time.Millisecond
 	sc.Faults = []Fault{
@@ -38,12 +38,12 @@
 	}
 	requireRulesHold(t, rep, &log)
 	if rep.Results[oracle.Served] < 50 {
-		t.Errorf("%+v", rep.Results)
+		t.Errorf("results %+v, want at least 50 served", rep.Results)
 	}
 }
 
-// Guards what a soak is: one number draws one run, another number another.
-func TestSoakIsDrawnFromItsNumber(t *testing.T) {
+// Guards that a soak can be repeated: the same number gives the same run, another number another run.
+func TestSoakIsDeterminedByItsNumber(t *testing.T) {
 	draw := func(number uint64) string {
 		sc, err := Soak(number, 10*time.Second, FleetConfig{})
 		if err != nil {
@@ -56,12 +56,12 @@
 		return text
 	}
 	if first, again, other := draw(7), draw(7), draw(8); first != again || first == other {
-		t.Errorf("7: %s\n7 again: %s\n8: %s", first, again, other)
+		t.Errorf("two draws of number 7 must be equal and number 8 must differ\n7: %s\n7 again: %s\n8: %s", first, again, other)
 	}
 	for number := range uint64(50) {
 		sc, err := Soak(number, 10*time.Second, FleetConfig{})
 		if err != nil || sc.Forwarders < soakMinIngresses || sc.Forwarders > soakMaxIngresses {
-			t.Errorf("%v, %v", sc, err)
+			t.Errorf("number %d: %v, error %v; want %d to %d ingresses", number, sc, err, soakMinIngresses, soakMaxIngresses)
 		}
 	}
 }
--- a/internal/testbed/soakfaults.go
+++ b/internal/testbed/soakfaults.go
@@ -15,77 +15,79 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Faults of the soak (docs/operating-laboratory.md): what operators and machines do to a process while it serves.
+// Faults of the soak (docs/operating-laboratory.md): what operators and machines do to a process while it serves requests.
 
 const (
-	drainTimeout     = 4 * time.Second        // after which a drained ingress may hold no client
-	drainRequestAge  = 2 * time.Second        // but for those whose request is older
-	drainSlack       = 250 * time.Millisecond // until what is held at that moment has to be gone
-	activateTimeout  = 2 * time.Second        // for an ingress to take clients again
-	minStall         = 40 * time.Millisecond  // a process stands still for so long
-	maxStall         = 150 * time.Millisecond // and at most, by the operators' page
-	stallInterval    = 200 * time.Millisecond // between two times
-	brokenConfigTime = 100 * time.Millisecond // a configuration that can't be read stays so long
+	drainTimeout     = 4 * time.Second        // after this time a drained ingress may hold no client connection,
+	drainRequestAge  = 2 * time.Second        // except those with a pending request that is older than this
+	drainSlack       = 250 * time.Millisecond // grace until connections that violate this must be closed
+	activateTimeout  = 2 * time.Second        // for an ingress to accept clients again after its activation
+	minStall         = 40 * time.Millisecond  // shortest time for which a process is stopped
+	maxStall         = 150 * time.Millisecond // longest time, as stated on the operators' page
+	stallInterval    = 200 * time.Millisecond // time between two stops
+	brokenConfigTime = 100 * time.Millisecond // for which an invalid configuration file stays in place
 )
 
-// drainAndActivate has operators drain an ingress, hold it against what they are promised, and activate it. A deaf front goes on sending it clients.
-func (f *Fleet) drainAndActivate(i int, deaf bool, stays time.Duration, wait func(time.Duration) bool) {
+// drainAndActivate drains an ingress through its admin interface, checks after drainTimeout that it has closed its client
+// connections, and activates it again. With a deaf front, clients still connect to the drained ingress.
+func (f *Fleet) drainAndActivate(i int, deaf bool, drainedFor time.Duration, wait func(time.Duration) bool) {
 	p := f.Forwarders[i]
-	call := func(what string) (int, error) {
-		return p.Call(context.Background(), http.MethodPost, "/v1/ingress/"+what)
+	call := func(action string) (int, error) {
+		return p.Call(context.Background(), http.MethodPost, "/v1/ingress/"+action)
 	}
 	if status, err := call("drain"); err != nil || status != http.StatusOK {
-		f.Hist.AddFault(fmt.Sprintf("%s is not drained: status %d, %v", p.Name, status, err))
+		f.Hist.AddFault(fmt.Sprintf("drain of %s failed: status %d, want 200, error %v", p.Name, status, err))
 		return
 	}
-	life := p.Incarnation()
+	incarnation := p.Incarnation()
 	f.Front.SetDrained(i, !deaf)
 	defer f.Front.SetDrained(i, false)
 	if wait(drainTimeout) {
-		held := f.clients.overdueConns(i, drainRequestAge)
+		overdue := f.clients.overdueConns(i, drainRequestAge)
 		wait(drainSlack)
 		still := f.clients.overdueConns(i, drainRequestAge+drainSlack)
-		e := oracle.DrainResult{Forwarder: i}
-		for k, how := range held {
+		result := oracle.DrainResult{Forwarder: i}
+		for k, how := range overdue {
 			if still[k] != "" {
-				e.OpenConnections = append(e.OpenConnections, how)
+				result.OpenConnections = append(result.OpenConnections, how)
 			}
 		}
-		if life >= 0 && p.Incarnation() == life {
-			f.Hist.AddDrainResult(e)
+		if incarnation >= 0 && p.Incarnation() == incarnation {
+			f.Hist.AddDrainResult(result)
 		}
-		wait(stays)
+		wait(drainedFor)
 	}
 	if status, err := call("activate"); err != nil || status != http.StatusOK {
-		f.Hist.AddFault(fmt.Sprintf("%s is not activated: status %d, %v", p.Name, status, err))
+		f.Hist.AddFault(fmt.Sprintf("activation of %s failed: status %d, want 200, error %v", p.Name, status, err))
 		return
 	}
 	if err := p.Ready(activateTimeout); err != nil {
-		f.Hist.AddFault("after its drain " + err.Error())
+		f.Hist.AddFault("after drain and activation: " + err.Error())
 	}
 }
 
-// stall has a process stand still again and again, each time for as long as operators allow at most.
+// stall stops a process again and again, each time for minStall to maxStall, by the fault's strength.
 func (f *Fleet) stall(i int, x Fault, wait func(time.Duration) bool) {
 	p := f.Forwarders[i]
-	still := minStall + time.Duration(x.X*float64(maxStall-minStall))
+	stopTime := minStall + time.Duration(x.X*float64(maxStall-minStall))
 	for end := time.Now().Add(x.For); time.Now().Before(end); {
 		p.signal(syscall.SIGSTOP)
-		goesOn := wait(still)
+		running := wait(stopTime)
 		p.signal(syscall.SIGCONT)
-		if !goesOn || !wait(stallInterval) {
+		if !running || !wait(stallInterval) {
 			return
 		}
 	}
 }
 
-// reloadConfigs has an ingress read its configuration again: first a broken one, then one with fewer attempts, then its own.
+// reloadConfigs makes an ingress reload its configuration three times: a truncated file, a valid one with another limit of
+// attempts, which is at most its own, and its own.
 func (f *Fleet) reloadConfigs(i int, x Fault, wait func(time.Duration) bool) {
 	p := f.Forwarders[i]
 	path := p.admin().file
 	own, err := os.ReadFile(path)
 	if err != nil {
-		f.Hist.AddFault("not reloaded: " + err.Error())
+		f.Hist.AddFault("configuration not read: " + err.Error())
 		return
 	}
 	put := func(text []byte) {
@@ -95,7 +97,7 @@
 			err = os.Rename(next, path)
 		}
 		if err != nil {
-			f.Hist.AddFault("not reloaded: " + err.Error())
+			f.Hist.AddFault("configuration not written: " + err.Error())
 		}
 		p.HUP()
 	}
@@ -106,7 +108,7 @@
 	}
 	var c map[string]any
 	if err := json.Unmarshal(own, &c); err != nil {
-		f.Hist.AddFault("not reloaded: " + err.Error())
+		f.Hist.AddFault("configuration not decoded: " + err.Error())
 		return
 	}
 	c["settings"].(map[string]any)["limits"].(map[string]any)["maxAttempts"] = 2 + x.B%(MaxAttempts-1)
@@ -116,7 +118,7 @@
 	wait(x.For)
 }
 
-// recordRuleViolations records what each ingress has logged of rules that it broke.
+// recordRuleViolations reads the ingresses' logs and records the rule violations that they report.
 func (f *Fleet) recordRuleViolations() {
 	for _, p := range f.Forwarders {
 		text, err := os.ReadFile(p.log)
@@ -134,24 +136,24 @@
 	}
 }
 
-// Logs are the logs of all ingresses.
+// Logs returns the paths of the log files of all programs.
 func (f *Fleet) Logs() []string {
 	list, _ := filepath.Glob(filepath.Join(f.cfg.Dir, "*.log"))
 	return list
 }
 
 func init() {
-	kinds["drained"] = kind{"operators drain an ingress, whose front notices, and activate it", 1, 4, onForwarder,
+	kinds["drained"] = kind{"an ingress is drained, the front notices, and it is activated again", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			f.drainAndActivate(x.A%len(f.Forwarders), false, x.For/2, wait)
 		}}
-	kinds["drained-deaf"] = kind{"operators drain an ingress, whose front does not notice, and activate it", 1, 4, onForwarder,
+	kinds["drained-deaf"] = kind{"an ingress is drained, the front does not notice, and it is activated again", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			f.drainAndActivate(x.A%len(f.Forwarders), true, x.For/2, wait)
 		}}
-	kinds["held up"] = kind{"an ingress stands still for up to 0.15 s, again and again", 1, 4, onForwarder,
+	kinds["held up"] = kind{"an ingress is stopped for up to 0.15 s, again and again", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) { f.stall(x.A%len(f.Forwarders), x, wait) }}
-	kinds["reloaded"] = kind{"an ingress reads a broken configuration, one with fewer attempts, and its own", 1, 4, onForwarder,
+	kinds["reloaded"] = kind{"an ingress reloads an invalid configuration, one with another limit of attempts, and its own", 1, 4, onForwarder,
 		func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 			f.reloadConfigs(x.A%len(f.Forwarders), x, wait)
 		}}
