--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -66,12 +66,13 @@
 	wg           sync.WaitGroup     // goroutines of requests; their number is bounded by the run's length and the rates
 }
 
+// clientConn is a client's connection to a forwarder.
 type clientConn struct {
 	net.Conn
 	reader      *bufio.Reader
-	idleSince   time.Time
-	incarnation int  // of the forwarder's program when the connection was opened
-	used        bool // it has carried a request
+	idleSince   time.Time // when it was returned to the pool
+	incarnation int       // of the forwarder's program when the connection was opened
+	used        bool      // it has carried a request
 	forwarder   int
 	clients     *Clients
 
@@ -89,16 +90,16 @@
 }
 
 // setAwaiting records that a request is about to be sent on the connection, or that all its requests are answered.
-func (k *clientConn) setAwaiting(awaits bool) {
+func (k *clientConn) setAwaiting(awaiting bool) {
 	k.clients.mu.Lock()
 	defer k.clients.mu.Unlock()
-	if k.awaitingReply = awaits; awaits {
+	if k.awaitingReply = awaiting; awaiting {
 		k.sentAt = time.Now()
 	}
 }
 
-// closedByPeer reports whether the peer has closed or reset the connection. It peeks at the socket, because data that was already
-// read ahead may hide the end.
+// closedByPeer reports whether the peer has closed or reset the connection. It peeks at the socket, so it consumes no data and doesn't
+// depend on what the reader has buffered.
 func (k *clientConn) closedByPeer() (ended bool) {
 	raw, err := k.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -117,17 +118,17 @@
 func (c *Clients) overdueConns(forwarder int, recent time.Duration) map[*clientConn]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := map[*clientConn]string{}
+	overdue := map[*clientConn]string{}
 	for k := range c.openConns {
 		switch {
 		case k.forwarder != forwarder || k.closedByPeer():
 		case !k.awaitingReply && time.Since(k.idleSince) > recent/4: // a connection that is idle for less may be closing right now
-			held[k] = "idle"
+			overdue[k] = "idle"
 		case k.awaitingReply && time.Since(k.sentAt) < recent:
-			held[k] = "with a request sent " + time.Since(k.sentAt).Round(time.Millisecond).String() + " ago"
+			overdue[k] = "with a request sent " + time.Since(k.sentAt).Round(time.Millisecond).String() + " ago"
 		}
 	}
-	return held
+	return overdue
 }
 
 var errIngressLeaving = errors.New("the front opens no new connections to an ingress that is leaving")
@@ -191,21 +192,21 @@
 
 // sendAccountRequests sends one account's requests until ctx ends or Account.To is over, without waiting for the answers.
 func (c *Clients) sendAccountRequests(ctx context.Context, a Account, rng *rand.Rand) {
-	mean := 0.0
+	meanUnits := 0.0
 	for class, share := range c.cfg.ClassFractions {
-		mean += share * float64(c.cfg.Units[class])
+		meanUnits += share * float64(c.cfg.Units[class])
 	}
 	began := time.Now()
 	next := began.Add(a.From)
-	flood := time.Now().Add(time.Duration(rng.Float64() * float64(a.FloodEvery)))
+	floodStart := time.Now().Add(time.Duration(rng.Float64() * float64(a.FloodEvery)))
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		rate := a.Rate / mean * cmp.Or(c.floodFactors[a.Name], 1)
+		rate := a.Rate / meanUnits * cmp.Or(c.floodFactors[a.Name], 1)
 		c.mu.Unlock()
-		if now := time.Now(); a.FloodX > 0 && now.After(flood) {
+		if now := time.Now(); a.FloodX > 0 && now.After(floodStart) {
 			rate *= a.FloodX
-			if now.After(flood.Add(a.FloodFor)) {
-				flood = now.Add(a.FloodEvery)
+			if now.After(floodStart.Add(a.FloodFor)) {
+				floodStart = now.Add(a.FloodEvery)
 			}
 		}
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
@@ -253,8 +254,8 @@
 	return c.rng.Float64()
 }
 
-// sendWithRetries sends a request and retries it until it is served, its client disconnects, it must not be repeated, Traffic.Retries
-// are used up, or less than 50 ms of its deadline are left. After the end of ctx it retries no more.
+// sendWithRetries sends a request and retries it after a rejection, and after a failure if the class may be repeated. It stops when
+// Traffic.Retries are used up, less than 50 ms of the deadline are left, or ctx has ended.
 func (c *Clients) sendWithRetries(ctx context.Context, a Account, class policy.Class, key string) {
 	began := time.Now()
 	first := ""
@@ -384,9 +385,9 @@
 	t := &oracle.Request{ID: id, OriginalID: first, Account: a.Name, Class: class.Name, Plan: a.Plan, Forwarder: f,
 		Units: float64(c.cfg.Units[class.Name])}
 	c.recordSent(t, left)
-	hangUp := time.Duration(0)
+	disconnectAfter := time.Duration(0)
 	if c.randFloat() < c.cfg.DisconnectFraction {
-		hangUp = seconds(c.randFloat() * class.LatencyObjectiveS)
+		disconnectAfter = seconds(c.randFloat() * class.LatencyObjectiveS)
 	}
 	for again := range 2 {
 		k, err := c.acquire(f, again > 0)
@@ -396,8 +397,8 @@
 		}
 		_ = k.SetDeadline(time.Now().Add(left + 2*time.Second))
 		var disconnected atomic.Bool
-		if hangUp > 0 {
-			timer := time.AfterFunc(hangUp, func() { disconnected.Store(true); k.Close() })
+		if disconnectAfter > 0 {
+			timer := time.AfterFunc(disconnectAfter, func() { disconnected.Store(true); k.Close() })
 			defer timer.Stop()
 		}
 		sentAt := time.Now()
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -45,7 +45,8 @@
 	return f.incarnation(i) == incarnation && (f.cut == nil || !f.cut(i, since))
 }
 
-// IsLeaving reports whether a forwarder was asked to terminate or drain so long ago that the front opens no new connections to it.
+// IsLeaving reports whether a forwarder was asked to terminate or drain longer than leaveAfter ago. The front opens no new connections
+// to it.
 func (f *Front) IsLeaving(i int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +59,7 @@
 	return drained && time.Since(at) > leaveAfter || f.leaves != nil && f.leaves(i)
 }
 
-// SetDrained tells the front whether a forwarder is drained, so that it gets no new connections.
+// SetDrained tells the front whether a forwarder is drained. A drained forwarder gets no new connections after leaveAfter.
 func (f *Front) SetDrained(i int, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -244,7 +244,8 @@
 		t.Errorf("reply without planners: got %q, want -BUSY", got)
 	}
 	var fs forwarder.Status
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // the forwarder may see the end of the link before it enters the fail-safe
+	// The forwarder may see the end of the link before it enters the fail-safe.
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if err := f.Forwarders[1].ReadStatus(context.Background(), &fs); err == nil && fs.Cells[0].Failsafe {
 			break
 		}
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -17,7 +17,7 @@
 	Requests                     int
 	ForwarderCPU, PlannerCPU     time.Duration // per request, summed over all programs of the kind
 	IdleForwarder, IdlePlanner   float64       // cores that one program uses without load, mean over the programs
-	LinkBytes                    float64       // bytes per request on the links between forwarders and planners, both directions, with heartbeats
+	LinkBytes                    float64       // bytes per request between forwarders and planners, both directions, with heartbeats
 	IdleLinkBytes                float64       // bytes per second without load, of the whole fleet
 	Datagrams                    float64       // between ingresses, per request
 	OverheadP50, OverheadP99     time.Duration // client latency minus the node's time, of served requests with one attempt
