--- a/internal/testbed/simulation/erring_test.go
+++ b/internal/testbed/simulation/erring_test.go
@@ -6,9 +6,9 @@
 	"eiderspread/internal/testbed/node"
 )
 
-// erring plays a calm fleet in which one of six nodes errs on two of three from 4 s on, and returns its share of what was sent from 6 s on, the
+// runWithFailingNode plays a calm fleet in which one of six nodes errs on two of three from 4 s on, and returns its share of what was sent from 6 s on, the
 // share of unsafe requests that failed, and the service.
-func erring(t *testing.T, two bool, seed uint64, load float64) (share, failed, service float64) {
+func runWithFailingNode(t *testing.T, two bool, seed uint64, load float64) (share, failed, service float64) {
 	t.Helper()
 	cfg, err := Make("calm", two, seed, 20)
 	if err != nil {
@@ -17,11 +17,11 @@
 	for i := range cfg.Accounts {
 		cfg.Accounts[i].Rate *= load
 	}
-	cfg.Quota = -1 // under load what is counted waits for long
+	cfg.QuotaSlack = -1 // under load what is counted waits for long
 	s := New(cfg)
 	s.after(4, func() {
 		n := s.nodes[int(seed)%len(s.nodes)]
-		n.do(func(m *node.Model) {
+		n.withModel(func(m *node.Model) {
 			m.Advance(s.now)
 			w := node.Conditions{}
 			w.Fractions[node.Error] = 0.65
@@ -61,7 +61,7 @@
 		var share, failed, service float64
 		const seeds = 6
 		for seed := range uint64(seeds) {
-			a, b, c := erring(t, tc.two, seed+1, tc.load)
+			a, b, c := runWithFailingNode(t, tc.two, seed+1, tc.load)
 			share, failed, service = share+a/seeds, failed+b/seeds, service+c/seeds
 		}
 		t.Logf("two levels %v, load %v: %.3f of what was sent came to it, %.4f of unsafe requests failed, service %.4f", tc.two, tc.load, share, failed, service)
--- a/internal/testbed/simulation/event_queue.go
+++ b/internal/testbed/simulation/event_queue.go
@@ -4,8 +4,8 @@
 	"container/heap"
 )
 
-// Drift is what the fastest clock makes of a second.
-const Drift = 1.02
+// MaxClockRate is what the fastest clock makes of a second.
+const MaxClockRate = 1.02
 
 type event struct {
 	at  float64
--- a/internal/testbed/simulation/failures.go
+++ b/internal/testbed/simulation/failures.go
@@ -15,9 +15,9 @@
 // CountFailures are the failures of a shared count that can be played by themselves, in order.
 var CountFailures = []string{"none", "owner dies", "owner blinks", "owner moves and comes back", "member dies", "split in two", "12% lost", "50% lost"}
 
-// CountRun is a run of one account alone, whose quota is asked for six times over through all ingresses, with one failure of its count at 15 s. What
+// CountFailureConfig is a run of one account alone, whose quota is asked for six times over through all ingresses, with one failure of its count at 15 s. What
 // is let in beyond, and what is withheld, is that failure's. Nodes have room for all of it and go by the clock; no ceiling holds it back.
-func CountRun(failure string, ingresses int, seed uint64) (Config, error) {
+func CountFailureConfig(failure string, ingresses int, seed uint64) (Config, error) {
 	cfg, err := MakeOf("calm", false, ingresses, seed, 60)
 	if err != nil {
 		return Config{}, err
@@ -55,7 +55,7 @@
 func CountWorst(failure string, ingresses, seeds int) (beyond, short map[int]oracle.Margin, err error) {
 	beyond, short = map[int]oracle.Margin{}, map[int]oracle.Margin{}
 	for seed := range uint64(seeds) {
-		cfg, err := CountRun(failure, ingresses, seed+1)
+		cfg, err := CountFailureConfig(failure, ingresses, seed+1)
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -11,14 +11,14 @@
 
 func (s *Sim) killPlanner(n int, down float64) {
 	planner := s.planners[n]
-	if planner.host == nil {
+	if planner.core == nil {
 		return
 	}
-	planner.host, planner.paused, planner.inbox = nil, false, nil
+	planner.core, planner.paused, planner.inbox = nil, false, nil
 	planner.incarnation++
-	for f := range s.fwds {
+	for f := range s.forwarders {
 		k := s.links[n][f]
-		k.pUp = false
+		k.plannerUp = false
 		if !k.cut {
 			session := k.session
 			s.after(0.001, func() {
@@ -29,7 +29,7 @@
 		}
 	}
 	s.after(down, func() {
-		if planner.host == nil {
+		if planner.core == nil {
 			planner.start()
 		}
 	})
@@ -37,7 +37,7 @@
 
 func (s *Sim) pausePlanner(n int, down float64) {
 	planner := s.planners[n]
-	if planner.host == nil || planner.paused {
+	if planner.core == nil || planner.paused {
 		return
 	}
 	planner.paused = true
@@ -50,23 +50,23 @@
 		inbox := planner.inbox
 		planner.inbox = nil
 		for _, do := range inbox {
-			planner.do(do)
+			planner.runEvent(do)
 		}
 	})
 }
 
 func (s *Sim) killForwarder(n int, down float64) {
-	forwarder := s.fwds[n]
-	if !forwarder.runs() {
+	forwarder := s.forwarders[n]
+	if !forwarder.running() {
 		return
 	}
 	forwarder.core, forwarder.module, forwarder.busy, forwarder.pending, forwarder.cordonedByIncarnation = nil, nil, false, nil, nil
 	forwarder.succession = succession{}
-	forwarder.run++
+	forwarder.startCount++
 	forwarder.downAt = s.now
 	for p := range s.planners {
 		k := s.links[p][n]
-		k.fUp = false
+		k.forwarderUp = false
 		if !k.cut {
 			session := k.session
 			s.after(0.001, func() {
@@ -76,11 +76,11 @@
 			})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(forwarder.open)) { // its connections end with it
-		for _, attempt := range forwarder.open[id].attempts {
+	for _, id := range slices.Sorted(maps.Keys(forwarder.openRequests)) { // its connections end with it
+		for _, attempt := range forwarder.openRequests[id].attempts {
 			if !attempt.done {
 				attempt.done = true
-				attempt.leave()
+				attempt.disconnect()
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 
 func (s *Sim) cutLinks(down float64, which func(p, f int) bool) {
 	for p := range s.planners {
-		for f := range s.fwds {
+		for f := range s.forwarders {
 			if which(p, f) {
 				s.links[p][f].cut = true
 			}
@@ -101,13 +101,13 @@
 	}
 	s.after(down, func() {
 		for p := range s.planners {
-			for f := range s.fwds {
+			for f := range s.forwarders {
 				k := s.links[p][f]
 				if !which(p, f) {
 					continue
 				}
 				k.cut = false
-				if k.lost {
+				if k.messageLost {
 					k.endForwarder()
 					k.endPlanner()
 				}
@@ -116,8 +116,8 @@
 	})
 }
 
-// pick chooses a node that runs and does not drain; nil if there are too few for one to be missed.
-func (s *Sim) pick(n int) *simNode {
+// pickNode chooses a node that runs and does not drain; nil if there are too few for one to be missed.
+func (s *Sim) pickNode(n int) *simNode {
 	var list []*simNode
 	for _, x := range s.nodes {
 		if x.listed && x.model != nil && !x.model.Fallen() {
@@ -155,18 +155,18 @@
 	w := s.cfg.NodeConditions
 	change(&w)
 	for _, n := range list {
-		n.do(func(m *node.Model) { m.Advance(s.now); m.SetConditions(w) })
+		n.withModel(func(m *node.Model) { m.Advance(s.now); m.SetConditions(w) })
 	}
 	s.after(2*x.For.Seconds(), func() {
 		for _, n := range list {
-			n.do(func(m *node.Model) { m.Advance(s.now); m.SetConditions(s.cfg.NodeConditions) })
+			n.withModel(func(m *node.Model) { m.Advance(s.now); m.SetConditions(s.cfg.NodeConditions) })
 		}
 	})
 }
 
-// wayTo cuts the way to a node from forwarders of one side, or of both with -1.
-func (s *Sim) wayTo(x testbed.Fault, side int) {
-	n := s.pick(x.A)
+// cutNode cuts the way to a node from forwarders of one side, or of both with -1.
+func (s *Sim) cutNode(x testbed.Fault, side int) {
+	n := s.pickNode(x.A)
 	if n == nil {
 		return
 	}
@@ -177,12 +177,12 @@
 		n.cut[i] = true
 		s.after(x.For.Seconds(), func() {
 			n.cut[i] = false
-			for _, h := range slices.Sorted(maps.Keys(n.open)) { // what the cut met is reset
-				if attempt := n.open[h]; attempt.forwarder.number%2 == i {
-					s.after(s.hop(), func() {
+			for _, h := range slices.Sorted(maps.Keys(n.openAttempts)) { // what the cut met is reset
+				if attempt := n.openAttempts[h]; attempt.forwarder.number%2 == i {
+					s.after(s.networkDelay(), func() {
 						attempt.forwarder.finish(attempt, 5)
-						if n.open[attempt.Handle] == attempt {
-							n.do(func(m *node.Model) { m.Leave(s.now, &attempt.Attempt) })
+						if n.openAttempts[attempt.Handle] == attempt {
+							n.withModel(func(m *node.Model) { m.Leave(s.now, &attempt.Attempt) })
 						}
 					})
 				}
@@ -191,8 +191,8 @@
 	}
 }
 
-// kinds are the faults that there are in virtual time, under the names that they have on sockets.
-var kinds = map[string]func(s *Sim, x testbed.Fault){
+// faultKinds are the faults that there are in virtual time, under the names that they have on sockets.
+var faultKinds = map[string]func(s *Sim, x testbed.Fault){
 	"kill":  func(s *Sim, x testbed.Fault) { s.killPlanner(x.A%len(s.planners), x.For.Seconds()) },
 	"pause": func(s *Sim, x testbed.Fault) { s.pausePlanner(x.A%len(s.planners), 2*x.For.Seconds()) },
 	"all": func(s *Sim, x testbed.Fault) {
@@ -202,8 +202,8 @@
 	},
 	"term": func(s *Sim, x testbed.Fault) {
 		n := x.A % len(s.planners)
-		if planner := s.planners[n]; planner.host != nil && !planner.paused {
-			planner.host.Drain(planner.now())
+		if planner := s.planners[n]; planner.core != nil && !planner.paused {
+			planner.core.Drain(planner.now())
 			s.after(0.3, func() { s.killPlanner(n, x.For.Seconds()) })
 		}
 	},
@@ -217,12 +217,12 @@
 		s.cutLinks(x.For.Seconds(), func(p, f int) bool { return (p+f)%2 == x.B%2 })
 	},
 	"lone": func(s *Sim, x testbed.Fault) {
-		s.cutLinks(x.For.Seconds(), func(_, f int) bool { return f == x.A%len(s.fwds) })
+		s.cutLinks(x.For.Seconds(), func(_, f int) bool { return f == x.A%len(s.forwarders) })
 	},
 	"peers": func(s *Sim, x testbed.Fault) {
-		s.peerWay.Cut = true
+		s.peerPartition.Cut = true
 		end := s.Hist.BeginPeerFault(2, 0)
-		s.after(x.For.Seconds(), func() { s.peerWay.Cut = false; end() })
+		s.after(x.For.Seconds(), func() { s.peerPartition.Cut = false; end() })
 	},
 	"fog": func(s *Sim, x testbed.Fault) {
 		s.packetConditions = testbed.PacketConditions{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}
@@ -230,8 +230,8 @@
 		s.after(x.For.Seconds(), func() { s.packetConditions = testbed.PacketConditions{}; end() })
 	},
 	"liar": func(s *Sim, x testbed.Fault) {
-		s.liar = 1 + x.A%len(s.fwds)
-		s.after(x.For.Seconds(), func() { s.liar = 0 })
+		s.misreportingIngress = 1 + x.A%len(s.forwarders)
+		s.after(x.For.Seconds(), func() { s.misreportingIngress = 0 })
 	},
 	"half heavy": func(s *Sim, x testbed.Fault) {
 		var half []*simNode
@@ -249,7 +249,7 @@
 		s.after(x.For.Seconds(), func() { s.packetConditions = testbed.PacketConditions{}; end() })
 	},
 	"mass kill": func(s *Sim, x testbed.Fault) {
-		for i := range s.fwds {
+		for i := range s.forwarders {
 			if i%10 < 7 {
 				s.killForwarder(i, x.For.Seconds())
 			}
@@ -261,17 +261,17 @@
 		s.changeConditions(x, s.nodes, func(w *node.Conditions) { w.Slow = 3 })
 		s.after(2*x.For.Seconds(), end)
 	},
-	"forwarder": func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.fwds), x.For.Seconds()) },
-	"blink":     func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.fwds), 0.02+0.05*x.X) },
+	"forwarder": func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.forwarders), x.For.Seconds()) },
+	"blink":     func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.forwarders), 0.02+0.05*x.X) },
 	"drain": func(s *Sim, x testbed.Fault) {
-		if n := s.pick(x.A); n != nil {
+		if n := s.pickNode(x.A); n != nil {
 			s.addNode(true)
 			n.listed = false
 			n.notify(1)
 			s.after(2, func() { n.notify(2); n.stop("crash") })
 		}
 	},
-	"crash": func(s *Sim, x testbed.Fault) { s.crash(s.pick(x.A), x) },
+	"crash": func(s *Sim, x testbed.Fault) { s.crash(s.pickNode(x.A), x) },
 	"lone crash": func(s *Sim, x testbed.Fault) {
 		for _, n := range s.nodes {
 			if n.listed && n.model != nil && !n.model.Fallen() && n.id == "z1" {
@@ -287,13 +287,13 @@
 		}
 	},
 	"node pause": func(s *Sim, x testbed.Fault) {
-		if n := s.pick(x.A); n != nil {
-			n.do(func(m *node.Model) { m.Pause(s.now) })
-			s.after(x.For.Seconds(), func() { n.do(func(m *node.Model) { m.Resume(s.now) }) })
+		if n := s.pickNode(x.A); n != nil {
+			n.withModel(func(m *node.Model) { m.Pause(s.now) })
+			s.after(x.For.Seconds(), func() { n.withModel(func(m *node.Model) { m.Resume(s.now) }) })
 		}
 	},
 	"slow": func(s *Sim, x testbed.Fault) {
-		if n := s.pick(x.A); n != nil {
+		if n := s.pickNode(x.A); n != nil {
 			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { w.Slow = 2 + 4*x.X })
 		}
 	},
@@ -301,12 +301,12 @@
 		s.changeConditions(x, s.nodes, func(w *node.Conditions) { w.Slow = 1.4 + 1.4*x.X })
 	},
 	"sick": func(s *Sim, x testbed.Fault) {
-		if n := s.pick(x.A); n != nil {
+		if n := s.pickNode(x.A); n != nil {
 			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { *w = node.Rough(0.4 + 0.6*x.X) })
 		}
 	},
-	"node cut":      func(s *Sim, x testbed.Fault) { s.wayTo(x, -1) },
-	"node half cut": func(s *Sim, x testbed.Fault) { s.wayTo(x, x.B%2) },
+	"node cut":      func(s *Sim, x testbed.Fault) { s.cutNode(x, -1) },
+	"node half cut": func(s *Sim, x testbed.Fault) { s.cutNode(x, x.B%2) },
 	"fleet held":    func(s *Sim, x testbed.Fault) { s.cordonByOperator(x) },
 	"torn": func(s *Sim, x testbed.Fault) { // a leader is left to half of the forwarders, and operators call at a planner that has the others
 		a := x.A % len(s.planners)
@@ -316,29 +316,29 @@
 	},
 	"away": func(s *Sim, x testbed.Fault) {
 		planner := s.planners[x.A%len(s.planners)]
-		if host := planner.host; host != nil && !planner.paused {
+		if host := planner.core; host != nil && !planner.paused {
 			host.Drain(planner.now())
 			s.after(x.For.Seconds(), func() {
-				if planner.host == host {
-					planner.do(func() { host.Activate(planner.now()) })
+				if planner.core == host {
+					planner.runEvent(func() { host.Activate(planner.now()) })
 				}
 			})
 		}
 	},
 	"late roster": func(s *Sim, x testbed.Fault) {
-		s.lateS = 1 + 4*x.X
-		s.after(x.For.Seconds(), func() { s.lateS = 0 })
+		s.discoveryDelayS = 1 + 4*x.X
+		s.after(x.For.Seconds(), func() { s.discoveryDelayS = 0 })
 	},
 	"flood": func(s *Sim, x testbed.Fault) {
 		a := s.cfg.Accounts[len(s.cfg.Accounts)-1-x.A%min(3, len(s.cfg.Accounts))].Name
-		s.floods[a] = 3 + 5*x.X
-		s.after(2*x.For.Seconds(), func() { delete(s.floods, a) })
+		s.floodFactors[a] = 3 + 5*x.X
+		s.after(2*x.For.Seconds(), func() { delete(s.floodFactors, a) })
 	},
 }
 
-// KindNames are the faults of a shape, in order.
-func KindNames(two bool) (list []string) {
-	for _, name := range slices.Sorted(maps.Keys(kinds)) {
+// FaultKindNames are the faults of a shape, in order.
+func FaultKindNames(two bool) (list []string) {
+	for _, name := range slices.Sorted(maps.Keys(faultKinds)) {
 		if testbed.Fits(name, two) {
 			list = append(list, name)
 		}
@@ -346,9 +346,9 @@
 	return list
 }
 
-// fault does one thing, if the shape has what it is done to.
-func (s *Sim) fault(x testbed.Fault) {
-	if do := kinds[x.Kind]; do != nil && testbed.Plays(x.Kind, len(s.planners) > 0) {
+// injectFault does one thing, if the shape has what it is done to.
+func (s *Sim) injectFault(x testbed.Fault) {
+	if do := faultKinds[x.Kind]; do != nil && testbed.Plays(x.Kind, len(s.planners) > 0) {
 		s.Hist.AddFault(x.String())
 		do(s, x)
 	}
--- a/internal/testbed/simulation/handover_test.go
+++ b/internal/testbed/simulation/handover_test.go
@@ -8,9 +8,9 @@
 	"eiderspread/internal/controlplane/topology"
 )
 
-// unled plays a calm fleet in which a planner leads no more from 5 s on, by do, and returns how long some forwarder was without a leader
+// leaderlessTime plays a calm fleet in which a planner leads no more from 5 s on, by do, and returns how long some forwarder was without a leader
 // in some cell, in seconds.
-func unled(t *testing.T, seed uint64, do func(s *Sim, planner *simPlanner)) float64 {
+func leaderlessTime(t *testing.T, seed uint64, do func(s *Sim, planner *simPlanner)) float64 {
 	t.Helper()
 	cfg, err := MakeOf("calm", true, 20, seed, 8)
 	if err != nil {
@@ -18,11 +18,11 @@
 	}
 	s := New(cfg)
 	for _, a := range cfg.Accounts {
-		s.account(a)
+		s.startAccount(a)
 	}
 	const at = 5.0
 	led := func() bool {
-		for _, forwarder := range s.fwds {
+		for _, forwarder := range s.forwarders {
 			if n, _ := forwarder.core.CellCounts(); n != s.params.Cells {
 				return false
 			}
@@ -34,7 +34,7 @@
 		if !led() {
 			t.Errorf("seed %d: not led before", seed)
 		}
-		planner.do(func() { do(s, planner) })
+		planner.runEvent(func() { do(s, planner) })
 	})
 	from, longest := 0.0, 0.0
 	for len(s.queue) > 0 {
@@ -65,8 +65,8 @@
 	}
 	var left, killed []float64
 	for seed := range uint64(20) {
-		left = append(left, unled(t, seed+1, func(_ *Sim, planner *simPlanner) { planner.host.Drain(planner.now()) }))
-		killed = append(killed, unled(t, seed+1, func(s *Sim, planner *simPlanner) { s.killPlanner(planner.number, 60) }))
+		left = append(left, leaderlessTime(t, seed+1, func(_ *Sim, planner *simPlanner) { planner.core.Drain(planner.now()) }))
+		killed = append(killed, leaderlessTime(t, seed+1, func(s *Sim, planner *simPlanner) { s.killPlanner(planner.number, 60) }))
 	}
 	slices.Sort(left)
 	slices.Sort(killed)
--- a/internal/testbed/simulation/links.go
+++ b/internal/testbed/simulation/links.go
@@ -4,7 +4,7 @@
 	"eiderspread/internal/controlplane/transport"
 )
 
-const simSilence = 0.25
+const linkTimeoutS = 0.25
 
 // simLink is one link; a new session after each end. Bytes of a session come in order, or not at all.
 type simLink struct {
@@ -12,17 +12,17 @@
 	plannerIndex, forwarderIndex int
 	session                      int
 	connected                    bool // between the two ends, as far as each has noticed
-	pUp, fUp                     bool
+	plannerUp, forwarderUp       bool
 	cut                          bool
-	heardP                       float64 // when the planner's end last heard something
-	heardF                       float64
-	lastP                        float64 // when the latest message in each direction comes
-	lastF                        float64
-	lost                         bool // something was, so the session can't go on
+	plannerHeardAt               float64 // when the planner's end last heard something
+	forwarderHeardAt             float64
+	lastToPlannerAt              float64 // when the latest message in each direction comes
+	lastToForwarderAt            float64
+	messageLost                  bool // something was, so the session can't go on
 }
 
 func (k *simLink) planner() *simPlanner     { return k.sim.planners[k.plannerIndex] }
-func (k *simLink) forwarder() *simForwarder { return k.sim.fwds[k.forwarderIndex] }
+func (k *simLink) forwarder() *simForwarder { return k.sim.forwarders[k.forwarderIndex] }
 
 // dial makes a session, if both ends live and nothing is cut.
 func (k *simLink) dial() {
@@ -30,29 +30,29 @@
 		return
 	}
 	planner, forwarder := k.planner(), k.forwarder()
-	if k.cut || planner.host == nil || planner.paused || forwarder.core == nil || forwarder.moving {
+	if k.cut || planner.core == nil || planner.paused || forwarder.core == nil || forwarder.migrating {
 		k.sim.after(0.03+0.05*k.sim.rng.Float64(), k.dial)
 		return
 	}
 	k.session++
-	k.connected, k.pUp, k.fUp, k.lost = true, true, true, false
-	k.heardP, k.heardF, k.lastP, k.lastF = k.sim.now, k.sim.now, k.sim.now, k.sim.now
+	k.connected, k.plannerUp, k.forwarderUp, k.messageLost = true, true, true, false
+	k.plannerHeardAt, k.forwarderHeardAt, k.lastToPlannerAt, k.lastToForwarderAt = k.sim.now, k.sim.now, k.sim.now, k.sim.now
 	session := k.session
-	life := forwarder.known
-	planner.do(func() { planner.host.LinkUp(planner.now(), k.forwarderIndex, life) })
-	forwarder.do(func() { forwarder.core.LinkUp(forwarder.now(), k.plannerIndex, planner.incarnation) })
+	life := forwarder.advertisedIncarnation
+	planner.runEvent(func() { planner.core.LinkUp(planner.now(), k.forwarderIndex, life) })
+	forwarder.runEvent(func() { forwarder.core.LinkUp(forwarder.now(), k.plannerIndex, planner.incarnation) })
 	var watch func()
 	watch = func() {
 		if k.session != session {
 			return
 		}
-		if k.fUp && k.sim.now > k.heardF+simSilence {
+		if k.forwarderUp && k.sim.now > k.forwarderHeardAt+linkTimeoutS {
 			k.endForwarder()
 		}
-		if k.pUp && !planner.paused && k.sim.now > k.heardP+simSilence {
+		if k.plannerUp && !planner.paused && k.sim.now > k.plannerHeardAt+linkTimeoutS {
 			k.endPlanner()
 		}
-		if !k.fUp && !k.pUp {
+		if !k.forwarderUp && !k.plannerUp {
 			k.connected = false
 			k.session++
 			k.sim.after(0.03+0.05*k.sim.rng.Float64(), k.dial)
@@ -65,13 +65,13 @@
 
 // Each end, when it ends, ends the other as a reset would, unless the link is cut.
 func (k *simLink) endForwarder() {
-	if !k.fUp {
+	if !k.forwarderUp {
 		return
 	}
-	k.fUp = false
+	k.forwarderUp = false
 	forwarder := k.forwarder()
 	if forwarder.core != nil {
-		forwarder.do(func() { forwarder.core.LinkDown(forwarder.now(), k.plannerIndex) })
+		forwarder.runEvent(func() { forwarder.core.LinkDown(forwarder.now(), k.plannerIndex) })
 	}
 	if !k.cut {
 		session := k.session
@@ -84,20 +84,20 @@
 }
 
 func (k *simLink) endPlanner() {
-	if !k.pUp {
+	if !k.plannerUp {
 		return
 	}
 	planner := k.planner()
-	session, host := k.session, planner.host
+	session, host := k.session, planner.core
 	if host != nil {
-		planner.do(func() {
-			if planner.host == host && k.session == session {
-				k.pUp = false
+		planner.runEvent(func() {
+			if planner.core == host && k.session == session {
+				k.plannerUp = false
 				host.LinkDown(planner.now(), k.forwarderIndex)
 			}
 		})
 	} else {
-		k.pUp = false
+		k.plannerUp = false
 	}
 	if !k.cut {
 		k.sim.after(0.001, func() {
@@ -110,7 +110,7 @@
 
 // send carries messages in the order in which they were sent.
 func (k *simLink) send(toForwarder bool, msgs []transport.Message) {
-	if toForwarder && !k.pUp || !toForwarder && !k.fUp {
+	if toForwarder && !k.plannerUp || !toForwarder && !k.forwarderUp {
 		return
 	}
 	var b []byte
@@ -123,9 +123,9 @@
 	}
 	s, session := k.sim, k.session
 	at := s.now + 0.0002 + 0.002*s.rng.Float64()
-	last := &k.lastP
+	last := &k.lastToPlannerAt
 	if toForwarder {
-		last = &k.lastF
+		last = &k.lastToForwarderAt
 	}
 	at = max(at, *last)
 	*last = at
@@ -135,13 +135,13 @@
 			return
 		}
 		if k.cut { // a cut loses what is under way; the session ends by silence, or with the cut
-			k.lost = true
+			k.messageLost = true
 			return
 		}
 		if toForwarder {
-			if k.fUp && forwarder.core != nil {
-				k.heardF = s.now
-				forwarder.do(func() {
+			if k.forwarderUp && forwarder.core != nil {
+				k.forwarderHeardAt = s.now
+				forwarder.runEvent(func() {
 					for i := range got {
 						forwarder.core.HandleMessage(forwarder.now(), k.plannerIndex, &got[i])
 					}
@@ -149,13 +149,13 @@
 			}
 			return
 		}
-		if !k.pUp || planner.host == nil {
+		if !k.plannerUp || planner.core == nil {
 			return
 		}
-		k.heardP = s.now
-		host := planner.host
-		planner.do(func() {
-			if planner.host == host && k.pUp && k.session == session {
+		k.plannerHeardAt = s.now
+		host := planner.core
+		planner.runEvent(func() {
+			if planner.core == host && k.plannerUp && k.session == session {
 				for i := range got {
 					host.HandleMessage(planner.now(), k.forwarderIndex, &got[i])
 				}
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -13,8 +13,8 @@
 	"eiderspread/policy"
 )
 
-// account draws the times of one account's requests.
-func (s *Sim) account(a testbed.Account) {
+// startAccount draws the times of one startAccount's requests.
+func (s *Sim) startAccount(a testbed.Account) {
 	mean := 0.0
 	for _, c := range s.cfg.Classes {
 		mean += s.cfg.ClassFractions[c.Name] * float64(s.cfg.Units[c.Name])
@@ -22,7 +22,7 @@
 	flood := 1 + s.rng.Float64()*a.FloodEvery.Seconds()
 	var ask func()
 	next := func() {
-		rate := a.Rate / mean * cmp.Or(s.floods[a.Name], 1)
+		rate := a.Rate / mean * cmp.Or(s.floodFactors[a.Name], 1)
 		if a.FloodX > 0 && s.now > flood {
 			rate *= a.FloodX
 			if s.now > flood+a.FloodFor.Seconds() {
@@ -48,7 +48,7 @@
 	id := fmt.Sprint("r", s.nextID)
 	first = cmp.Or(first, id)
 	if s.clientRequests[first] == nil {
-		s.clientRequests[first] = &clientRequest{sent: s.Hist.Now()}
+		s.clientRequests[first] = &clientRequest{firstSentAt: s.Hist.Now()}
 	}
 	s.clientRequests[first].tries++
 	busy := int(peerprotocol.HashPoint(a.Name)%1e6) + int(s.now/7) // another one for each account
@@ -56,31 +56,31 @@
 	if s.rng.Float64() < 0.4 {
 		i = a.First + s.rng.IntN(a.Spread)
 	}
-	forwarder := s.fwds[i]
-	if !forwarder.runs() && s.now > forwarder.downAt+2.5 { // the front has noticed
-		forwarder = s.fwds[a.First+(i-a.First+1)%a.Spread]
+	forwarder := s.forwarders[i]
+	if !forwarder.running() && s.now > forwarder.downAt+2.5 { // the front has noticed
+		forwarder = s.forwarders[a.First+(i-a.First+1)%a.Spread]
 	}
-	forwarder.request(policy.Request{ID: id, Class: class.Name, Plan: a.Plan, Account: a.Name, FirstGateway: a.First, GatewayCount: a.Spread,
+	forwarder.handleRequest(policy.Request{ID: id, Class: class.Name, Plan: a.Plan, Account: a.Name, FirstGateway: a.First, GatewayCount: a.Spread,
 		Units: float64(s.cfg.Units[class.Name])}, first, left)
 }
 
-const retries = 2
+const maxRetries = 2
 
 // clientRequest is what a client knows of something that it asks for: when it first did, and how often.
 type clientRequest struct {
-	sent  time.Duration
-	tries int
+	firstSentAt time.Duration
+	tries       int
 }
 
 // retryLater has the client of a refused try come once more, if it has time left.
 func (s *Sim) retryLater(t *oracle.Request) {
 	class := s.class(t.Class)
 	x := s.clientRequests[t.OriginalID]
-	if x == nil || x.tries > retries {
+	if x == nil || x.tries > maxRetries {
 		delete(s.clientRequests, t.OriginalID)
 		return
 	}
-	left := class.DeadlineS - (s.Hist.Now() - x.sent).Seconds()
+	left := class.DeadlineS - (s.Hist.Now() - x.firstSentAt).Seconds()
 	if left < 0.05 {
 		return
 	}
@@ -92,13 +92,13 @@
 // Run plays the whole run, and some seconds more for all to be led again, and has the auditor judge.
 func (s *Sim) Run() *oracle.Report {
 	for _, a := range s.cfg.Accounts {
-		s.account(a)
+		s.startAccount(a)
 	}
 	for _, x := range s.cfg.Faults {
-		s.after(x.At.Seconds(), func() { s.fault(x) })
+		s.after(x.At.Seconds(), func() { s.injectFault(x) })
 	}
 	if s.cfg.Overload.Enabled {
-		s.watchLevels()
+		s.recordLoadLevels()
 	}
 	for len(s.queue) > 0 {
 		e := heap.Pop(&s.queue).(event)
@@ -108,33 +108,33 @@
 		e.do()
 	}
 	if s.cfg.Planners > 0 {
-		for _, forwarder := range s.fwds { // long after the last fault
+		for _, forwarder := range s.forwarders { // long after the last fault
 			if led, _ := forwarder.core.CellCounts(); led != s.params.Cells {
-				s.breaks("everybody is led", "forwarder %d follows a leader in %d cells", forwarder.number, led)
+				s.addViolation("everybody is led", "forwarder %d follows a leader in %d cells", forwarder.number, led)
 			}
 		}
 	}
-	rep := oracle.Check(s.Hist, s.Rules())
-	rep.PeerMessages, rep.DroppedPeerMessages, rep.PeerMessageKinds = s.Messages, s.Drowned, s.Kinds
+	rep := oracle.Check(s.Hist, s.OracleConfig())
+	rep.PeerMessages, rep.DroppedPeerMessages, rep.PeerMessageKinds = s.PeerMessages, s.DroppedPeerMessages, s.PeerMessageKinds
 	rep.Handshakes = s.Handshakes
-	for rule, n := range s.breach {
+	for rule, n := range s.violationCounts {
 		rep.ViolationCounts[rule] += n
 	}
-	if s.first != "" {
-		rep.Violations = append(rep.Violations, oracle.Violation{Rule: strings.SplitN(s.first, ":", 2)[0], Detail: s.first})
+	if s.firstViolation != "" {
+		rep.Violations = append(rep.Violations, oracle.Violation{Rule: strings.SplitN(s.firstViolation, ":", 2)[0], Detail: s.firstViolation})
 	}
 	return rep
 }
 
-// Rules are those that a run is judged by. Of one level no slack of quotas is stated.
-func (s *Sim) Rules() oracle.Config {
+// OracleConfig are those that a run is judged by. Of one level no slack of quotas is stated.
+func (s *Sim) OracleConfig() oracle.Config {
 	quota, caps := 0.0, 0.0
 	if s.cfg.Planners > 0 {
 		quota, caps = testbed.QuotaSlack, 2
 	}
-	quota, caps = cmp.Or(s.cfg.Quota, quota), cmp.Or(s.cfg.CapX, caps)
+	quota, caps = cmp.Or(s.cfg.QuotaSlack, quota), cmp.Or(s.cfg.ConcurrencyFactor, caps)
 	var homes map[string]oracle.GatewayRange
-	if s.cfg.Planners == 0 && s.cfg.Quota >= 0 {
+	if s.cfg.Planners == 0 && s.cfg.QuotaSlack >= 0 {
 		homes = testbed.Homes(s.cfg.Accounts)
 	}
 	peak := s.cfg.Peak
@@ -143,29 +143,29 @@
 	}
 	var stated *oracle.LoadSheddingBounds
 	if s.cfg.MeasureOverload && s.cfg.Overload.Enabled && s.cfg.Peak.To > 0 {
-		stated = &s.cfg.Stated
+		stated = &s.cfg.LoadSheddingBounds
 	}
 	return oracle.Config{LoadShedding: stated, Overload: s.cfg.MeasureOverload, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
-		ClockRate: Drift, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.SlowStartSlack, MinOccasions: s.cfg.Floors}
+		ClockRate: MaxClockRate, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.SlowStartSlack, MinOccasions: s.cfg.MinOccasions}
 }
 
-const levelsEveryS = 0.25
+const loadLevelIntervalS = 0.25
 
-// watchLevels records what ingresses, or cells, hold of overload, until the run ends.
-func (s *Sim) watchLevels() {
+// recordLoadLevels records what ingresses, or cells, hold of overload, until the run ends.
+func (s *Sim) recordLoadLevels() {
 	var of []float64
-	for _, forwarder := range s.fwds {
+	for _, forwarder := range s.forwarders {
 		if forwarder.module != nil {
 			of = append(of, forwarder.module.Shedder().Level())
 		}
 	}
 	for _, planner := range s.planners {
-		if planner.host != nil && !planner.paused {
-			of = append(of, planner.host.ShedLevels(planner.now())...)
+		if planner.core != nil && !planner.paused {
+			of = append(of, planner.core.ShedLevels(planner.now())...)
 		}
 	}
 	s.Hist.AddLoadLevels(of)
 	if s.now < s.cfg.LengthS {
-		s.after(levelsEveryS, s.watchLevels)
+		s.after(loadLevelIntervalS, s.recordLoadLevels)
 	}
 }
--- a/internal/testbed/simulation/scenario.go
+++ b/internal/testbed/simulation/scenario.go
@@ -29,7 +29,7 @@
 		sc.Forwarders = forwarders
 	}
 	sc.Accounts = testbed.Accounts(16, 10, 3, sc.Forwarders, 3, seed)
-	known := KindNames(two)
+	known := FaultKindNames(two)
 	chosen := known
 	if of := testbed.KindsOf(name); len(of) > 0 {
 		chosen = slices.DeleteFunc(slices.Clone(of), func(k string) bool { return !slices.Contains(known, k) })
@@ -38,7 +38,7 @@
 		return Config{}, err
 	}
 	return Config{Forwarders: sc.Forwarders, Planners: sc.Planners, Cells: 4, Nodes: sc.Nodes, Zones: sc.Zones, Classes: sc.Classes, Plans: sc.Plans, Node: sc.Node,
-		NodeConditions: sc.NodeConditions, Accounts: sc.Accounts, ClassFractions: testbed.LabClassFractions, Units: testbed.LabUnits, LengthS: lengthS, Faults: sc.Faults, Exact: sc.Exact, MeasureOverload: sc.MeasureOverload, Peak: sc.Peak, Stated: sc.Stated, Quota: sc.Quota, CapX: sc.CapX, PeerLoss: sc.PeerLoss, Seed: seed}, nil
+		NodeConditions: sc.NodeConditions, Accounts: sc.Accounts, ClassFractions: testbed.LabClassFractions, Units: testbed.LabUnits, LengthS: lengthS, Faults: sc.Faults, Exact: sc.Exact, MeasureOverload: sc.MeasureOverload, Peak: sc.Peak, LoadSheddingBounds: sc.Stated, QuotaSlack: sc.Quota, ConcurrencyFactor: sc.CapX, PeerLoss: sc.PeerLoss, Seed: seed}, nil
 }
 
 // Shrink cuts the faults of a failing run down to those that matter: with any one of what is left taken out, fails no
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -31,62 +31,62 @@
 	Units                              map[string]int
 	LengthS                            float64
 	Faults                             []testbed.Fault
-	Floors                             map[string]int // see audit.Rules
+	MinOccasions                       map[string]int // see audit.Rules
 	PeerLoss                           float64        // of messages between ingresses, at all times; 0 stands for 3%
 	Exact                              bool           // see lab.FleetConfig
-	Quota                              float64        // of the rule on quotas; 0: lab.QuotaSlack in two levels, not judged in one
-	CapX                               float64        // of the rule on caps; 0: 2 in two levels, not judged in one
+	QuotaSlack                         float64        // of the rule on quotas; 0: lab.QuotaSlack in two levels, not judged in one
+	ConcurrencyFactor                  float64        // of the rule on caps; 0: 2 in two levels, not judged in one
 	Seed                               uint64
 	Overload                           loadshed.Config // of ingresses
 	MeasureOverload                    bool            // see lab.FleetConfig
 	Peak                               oracle.Peak
-	Stated                             oracle.LoadSheddingBounds
+	LoadSheddingBounds                 oracle.LoadSheddingBounds
 	Trace                              func(decider int, d reason.Decision) // told of each decision of an ingress, in two levels of a planner, if not nil; true times
 }
 
 // Sim is the world. True time is t; each party has its own clock.
 type Sim struct {
-	cfg              Config
-	Hist             *oracle.History
-	rng              *rand.Rand
-	now              float64
-	seq              int
-	queue            queue
-	params           topology.Params
-	planners         []*simPlanner
-	fwds             []*simForwarder
-	links            [][]*simLink // by planner and forwarder
-	nodes            []*simNode   // in the order of their first start
-	keys             *node.Keys
-	nextNode         int
-	nextID           int
-	peerWay          testbed.PacketConditions // of datagrams between ingresses of different halves
-	packetConditions testbed.PacketConditions // of all
-	liar             int                      // an ingress that lies of overload, from 1; 0: none
-	lateS            float64                  // how late the roster tells
-	floods           map[string]float64
-	accounts         map[string]testbed.Account
-	clientRequests   map[string]*clientRequest // by first try; as many as the run has
-	breach           map[string]int
-	first            string
-	Leads            int             // moments at which a cell was found led: that fencing was looked at
-	byHand           map[string]bool // nodes on which operators are at work
-	Messages         int             // between ingresses that came, and of these, beyond what one takes in
-	Drowned          int
-	Handshakes       int            // connections to nodes that were opened
-	Kinds            map[string]int // of messages sent between ingresses
-	Cordoned         int            // nodes that operators took out with a yes
+	cfg                 Config
+	Hist                *oracle.History
+	rng                 *rand.Rand
+	now                 float64
+	seq                 int
+	queue               queue
+	params              topology.Params
+	planners            []*simPlanner
+	forwarders          []*simForwarder
+	links               [][]*simLink // by planner and forwarder
+	nodes               []*simNode   // in the order of their first start
+	keys                *node.Keys
+	nextNode            int
+	nextID              int
+	peerPartition       testbed.PacketConditions // of datagrams between ingresses of different halves
+	packetConditions    testbed.PacketConditions // of all
+	misreportingIngress int                      // an ingress that lies of overload, from 1; 0: none
+	discoveryDelayS     float64                  // how late the roster tells
+	floodFactors        map[string]float64
+	accounts            map[string]testbed.Account
+	clientRequests      map[string]*clientRequest // by first try; as many as the run has
+	violationCounts     map[string]int
+	firstViolation      string
+	LeaderObservations  int             // moments at which a cell was found led: that fencing was looked at
+	operatorNodes       map[string]bool // nodes on which operators are at work
+	PeerMessages        int             // between ingresses that came, and of these, beyond what one takes in
+	DroppedPeerMessages int
+	Handshakes          int            // connections to nodes that were opened
+	PeerMessageKinds    map[string]int // of messages sent between ingresses
+	Cordoned            int            // nodes that operators took out with a yes
 }
 
-func (s *Sim) breaks(rule, format string, args ...any) {
-	if s.breach[rule]++; s.first == "" {
-		s.first = fmt.Sprintf("%.3f %s: ", s.now, rule) + fmt.Sprintf(format, args...)
+func (s *Sim) addViolation(rule, format string, args ...any) {
+	if s.violationCounts[rule]++; s.firstViolation == "" {
+		s.firstViolation = fmt.Sprintf("%.3f %s: ", s.now, rule) + fmt.Sprintf(format, args...)
 	}
 }
 
 // New makes a fleet that has just been started.
 func New(cfg Config) *Sim {
-	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), breach: map[string]int{}, keys: node.NewKeys(), floods: map[string]float64{}, clientRequests: map[string]*clientRequest{}, byHand: map[string]bool{}, Kinds: map[string]int{}, accounts: map[string]testbed.Account{}}
+	s := &Sim{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), violationCounts: map[string]int{}, keys: node.NewKeys(), floodFactors: map[string]float64{}, clientRequests: map[string]*clientRequest{}, operatorNodes: map[string]bool{}, PeerMessageKinds: map[string]int{}, accounts: map[string]testbed.Account{}}
 	for _, a := range cfg.Accounts {
 		s.accounts[a.Name] = a
 	}
@@ -112,7 +112,7 @@
 	}
 	for n := range cfg.Forwarders {
 		forwarder := &simForwarder{sim: s, number: n, clock: clocks()}
-		s.fwds = append(s.fwds, forwarder)
+		s.forwarders = append(s.forwarders, forwarder)
 		forwarder.start()
 	}
 	for n := range cfg.Planners {
@@ -125,24 +125,24 @@
 
 // settings are the module's, for gateway me of so many.
 func (s *Sim) settings(me, gateways int, peers bool) policy.Settings {
-	return policy.Settings{Self: me, Gateways: gateways, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRequestUnits: 6, PeerMessages: peers, PeerMessageRate: peerIntake,
+	return policy.Settings{Self: me, Gateways: gateways, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRequestUnits: 6, PeerMessages: peers, PeerMessageRate: peerMessagesPerS,
 		LoadShedding: s.cfg.Overload, CancelAllowed: true, RetryAfterAllowed: true, MaxAttempts: testbed.MaxAttempts, MaxRetryAfterS: 1, LoadReportInResponse: true, ResponseSlackS: 0.02, SlowStartMinFraction: testbed.StatedSlowStartMinFraction,
 		SlowStartS: testbed.StatedSlowStartS, CollapseMultiple: testbed.StatedMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
 }
 
-// check is the heart of fencing: no cell has two planners that may decide now.
-func (s *Sim) check() {
+// checkLeaders is the heart of fencing: no cell has two planners that may decide now.
+func (s *Sim) checkLeaders() {
 	for c := range s.params.Cells {
 		n := 0
 		for _, planner := range s.planners {
-			if !planner.paused && planner.host != nil && planner.host.IsLeader(planner.now(), c) {
+			if !planner.paused && planner.core != nil && planner.core.IsLeader(planner.now(), c) {
 				n++
 			}
 		}
 		if n > 1 {
-			s.breaks("one leader", "cell %d has %d", c, n)
+			s.addViolation("one leader", "cell %d has %d", c, n)
 		}
-		s.Leads += n
+		s.LeaderObservations += n
 	}
 }
 
@@ -157,8 +157,8 @@
 	return policy.Class{}
 }
 
-// sort counts what messages between ingresses are for, by the first record that says most.
-func (s *Sim) sort(data []byte) {
+// countPeerMessage counts what messages between ingresses are for, by the first record that says most.
+func (s *Sim) countPeerMessage(data []byte) {
 	_, _, recs, _, ok := peerprotocol.Parse(data, 0)
 	kind := "items"
 	for _, r := range recs {
@@ -181,5 +181,5 @@
 	if !ok {
 		kind = "other"
 	}
-	s.Kinds[kind]++
+	s.PeerMessageKinds[kind]++
 }
--- a/internal/testbed/simulation/sim_forwarder.go
+++ b/internal/testbed/simulation/sim_forwarder.go
@@ -20,56 +20,56 @@
 	core                  *forwarder.Core // of two levels; nil while nothing runs, as gate
 	module                *policy.Gateway // of one level
 	clock                 clock
-	run                   int                     // from one start to the next, over replacements
+	startCount            int                     // from one start to the next, over replacements
 	incarnation           int                     // of the process that decides
 	cordonedByIncarnation map[int]map[string]bool // of processes that hold requests: the nodes that operators hold, as each has heard
-	last                  int                     // life given out
-	known                 uint64                  // the life that planners are told
+	lastIncarnation       int                     // life given out
+	advertisedIncarnation uint64                  // the life that planners are told
 	succession
-	open          map[string]*simRequest
-	backendStates map[string]policy.BackendState // of nodes, as told
-	pending       []func()                       // outcomes that an action yielded, for when its event has returned
-	busy          bool
-	downAt        float64
-	intake        intake
-	conns         map[string][]float64 // to nodes, idle since then, by node and life
+	openRequests      map[string]*simRequest
+	backendStates     map[string]policy.BackendState // of nodes, as told
+	pending           []func()                       // outcomes that an action yielded, for when its event has returned
+	busy              bool
+	downAt            float64
+	peerMessageBucket tokenBucket
+	idleConns         map[string][]float64 // to nodes, idle since then, by node and life
 }
 
-// peerIntake is how many messages of others an ingress takes in a second, as on the platform; what comes beyond is lost.
-const peerIntake = 40
+// peerMessagesPerS is how many messages of others an ingress takes in a second, as on the platform; what comes beyond is lost.
+const peerMessagesPerS = 40
 
-type intake struct{ left, at float64 }
+type tokenBucket struct{ tokens, refilledAt float64 }
 
-func (i *intake) take(now float64) bool {
-	i.left = min(i.left+peerIntake*(now-i.at), peerIntake/4)
-	if i.at = now; i.left < 1 {
+func (i *tokenBucket) take(now float64) bool {
+	i.tokens = min(i.tokens+peerMessagesPerS*(now-i.refilledAt), peerMessagesPerS/4)
+	if i.refilledAt = now; i.tokens < 1 {
 		return false
 	}
-	i.left--
+	i.tokens--
 	return true
 }
 
 // simRequest is one try that a forwarder has taken.
 type simRequest struct {
 	policy.Request
-	attempt     *oracle.Request
+	record      *oracle.Request
 	incarnation int // of the process that holds it
 	attempts    []*simAttempt
-	over        bool
+	done        bool
 }
 
 func (f *simForwarder) now() float64 { return f.clock.at(f.sim.now) }
 
-func (f *simForwarder) runs() bool { return f.core != nil || f.module != nil }
+func (f *simForwarder) running() bool { return f.core != nil || f.module != nil }
 
 func (f *simForwarder) start() {
 	s := f.sim
-	f.run++
-	run := f.run
+	f.startCount++
+	run := f.startCount
 	f.cordonedByIncarnation, f.succession = map[int]map[string]bool{}, succession{}
-	f.incarnation = f.begin()
-	f.known = uint64(f.incarnation)
-	f.open, f.backendStates, f.pending, f.conns = map[string]*simRequest{}, map[string]policy.BackendState{}, nil, map[string][]float64{}
+	f.incarnation = f.newIncarnation()
+	f.advertisedIncarnation = uint64(f.incarnation)
+	f.openRequests, f.backendStates, f.pending, f.idleConns = map[string]*simRequest{}, map[string]policy.BackendState{}, nil, map[string][]float64{}
 	for _, n := range s.nodes {
 		if n.listed {
 			f.backendStates[n.id] = policy.Up
@@ -79,9 +79,9 @@
 		f.core = f.newCore()
 		var tick func()
 		tick = func() {
-			if f.run == run {
-				if !f.moving {
-					f.do(func() { f.core.Tick(f.now()) })
+			if f.startCount == run {
+				if !f.migrating {
+					f.runEvent(func() { f.core.Tick(f.now()) })
 				}
 				s.after(forwarder.TickIntervalS, tick)
 			}
@@ -94,17 +94,17 @@
 		panic(err)
 	}
 	f.module.SetTracer(func(d reason.Decision) {
-		if request := f.open[d.ID]; request != nil {
-			request.attempt.Queued = request.attempt.Queued || d.Step == reason.StepQueued
+		if request := f.openRequests[d.ID]; request != nil {
+			request.record.Queued = request.record.Queued || d.Step == reason.StepQueued
 			if d.Step == reason.StepRejected {
-				request.attempt.Reason = int(d.Reason)
+				request.record.Reason = int(d.Reason)
 			}
 		}
 		if d.At = s.now; s.cfg.Trace != nil {
 			s.cfg.Trace(f.number, d)
 		}
 	})
-	f.module.UpdateBackends(f.now(), s.list(f.clock), true)
+	f.module.UpdateBackends(f.now(), s.backends(f.clock), true)
 }
 
 func (f *simForwarder) newCore() *forwarder.Core {
@@ -113,16 +113,16 @@
 		MaxAttempts: testbed.MaxAttempts, Seed: s.rng.Uint64()}, f.now(), f)
 }
 
-// begin gives a process its life.
-func (f *simForwarder) begin() int {
-	f.last++
-	f.cordonedByIncarnation[f.last] = map[string]bool{}
-	return f.last
+// newIncarnation gives a process its life.
+func (f *simForwarder) newIncarnation() int {
+	f.lastIncarnation++
+	f.cordonedByIncarnation[f.lastIncarnation] = map[string]bool{}
+	return f.lastIncarnation
 }
 
-// do runs one event on the forwarder's loop, and what it left to do.
-func (f *simForwarder) do(event func()) {
-	if !f.runs() {
+// runEvent runs one event on the forwarder's loop, and what it left to runEvent.
+func (f *simForwarder) runEvent(event func()) {
+	if !f.running() {
 		return
 	}
 	if f.busy {
@@ -131,7 +131,7 @@
 	}
 	f.busy = true
 	event()
-	for len(f.pending) > 0 && f.runs() {
+	for len(f.pending) > 0 && f.running() {
 		next := f.pending[0]
 		f.pending = f.pending[1:]
 		next()
@@ -141,13 +141,13 @@
 
 // handleEndpoint takes the roster's word on a node.
 func (f *simForwarder) handleEndpoint(n *simNode, state policy.BackendState) {
-	if !f.runs() {
+	if !f.running() {
 		return
 	}
 	f.sim.Hist.NodeNotified(oracle.IngressName(f.number), n.id, stateNames[state])
 	f.backendStates[n.id] = state
 	if f.module != nil {
-		f.do(func() { f.module.UpdateBackends(f.now(), []policy.Backend{n.entry(f.clock, state)}, false) })
+		f.runEvent(func() { f.module.UpdateBackends(f.now(), []policy.Backend{n.backend(f.clock, state)}, false) })
 	}
 }
 
@@ -157,35 +157,35 @@
 }
 
 // PlannerWritable implements forwarder.Output.
-func (f *simForwarder) PlannerWritable(p int) bool { return f.sim.links[p][f.number].fUp }
+func (f *simForwarder) PlannerWritable(p int) bool { return f.sim.links[p][f.number].forwarderUp }
 
 // answer gives a client its answer; the first of a request stands, as in the ingress.
 func (f *simForwarder) answer(id string, how oracle.Result) {
-	request := f.open[id]
+	request := f.openRequests[id]
 	if request == nil {
-		f.sim.breaks(oracle.RuleOneAnswer, "%v for %s, which is not open", how, id)
+		f.sim.addViolation(oracle.RuleOneAnswer, "%v for %s, which is not open", how, id)
 		return
 	}
-	if request.over && how == oracle.Served {
+	if request.done && how == oracle.Served {
 		return
 	}
-	if request.over {
-		f.sim.breaks(oracle.RuleOneAnswer, "%s has a second answer", id)
+	if request.done {
+		f.sim.addViolation(oracle.RuleOneAnswer, "%s has a second answer", id)
 	}
-	request.over = true
-	f.sim.Hist.RequestAnswered(request.attempt, how)
+	request.done = true
+	f.sim.Hist.RequestAnswered(request.record, how)
 }
 
 // Reject implements policy.Actions.
 func (f *simForwarder) Reject(id string, retryS float64) {
-	if !f.order(id, snapshot.Order{Kind: snapshot.OrderReject, ID: id, DelayS: retryS}) {
-		f.refuse(id, retryS)
+	if !f.forwardOrder(id, snapshot.Order{Kind: snapshot.OrderReject, ID: id, DelayS: retryS}) {
+		f.reject(id, retryS)
 	}
 }
 
-func (f *simForwarder) refuse(id string, retryS float64) {
-	if request := f.open[id]; request != nil && !request.over {
-		try, s := request.attempt, f.sim
+func (f *simForwarder) reject(id string, retryS float64) {
+	if request := f.openRequests[id]; request != nil && !request.done {
+		try, s := request.record, f.sim
 		wait := max(retryS, 0.1) + 0.2*s.rng.Float64()
 		if s.accounts[try.Account].Deaf {
 			wait = 0.1 + 0.2*s.rng.Float64()
@@ -197,17 +197,17 @@
 
 // Fail implements policy.Actions.
 func (f *simForwarder) Fail(id string) {
-	if !f.order(id, snapshot.Order{Kind: snapshot.OrderFail, ID: id}) {
+	if !f.forwardOrder(id, snapshot.Order{Kind: snapshot.OrderFail, ID: id}) {
 		f.answer(id, oracle.Failed)
 	}
 }
 
 // SetTimer implements policy.Actions.
 func (f *simForwarder) SetTimer(token uint64, d float64) {
-	run := f.run
+	run := f.startCount
 	f.sim.after(max(d, 0), func() {
-		if f.run == run && f.module != nil {
-			f.do(func() { f.module.HandleTimer(f.now(), token) })
+		if f.startCount == run && f.module != nil {
+			f.runEvent(func() { f.module.HandleTimer(f.now(), token) })
 		}
 	})
 }
@@ -215,8 +215,8 @@
 // SetCordoned implements forwarder.Output.
 func (f *simForwarder) SetCordoned(server string, held bool) {
 	f.cordonedByIncarnation[f.incarnation][server] = held
-	if f.old != nil {
-		f.send(snapshot.Order{Kind: snapshot.OrderCordon, ID: server, Cordoned: held})
+	if f.predecessor != nil {
+		f.sendOrder(snapshot.Order{Kind: snapshot.OrderCordon, ID: server, Cordoned: held})
 	}
 }
 
@@ -229,22 +229,22 @@
 // SendPeerMessage implements policy.Actions: a datagram, that may be lost, late and doubled.
 func (f *simForwarder) SendPeerMessage(to int, data []byte) {
 	s := f.sim
-	s.sort(data)
-	if s.liar == f.number+1 {
+	s.countPeerMessage(data)
+	if s.misreportingIngress == f.number+1 {
 		testbed.Lie(data, s.now)
 	}
-	for g := range s.fwds {
+	for g := range s.forwarders {
 		if g == f.number || to != policy.Broadcast && g != to {
 			continue
 		}
-		if s.peerWay.Cut && g%2 != f.number%2 || s.rng.Float64() < s.packetConditions.Loss+cmp.Or(s.cfg.PeerLoss, 0.03) {
+		if s.peerPartition.Cut && g%2 != f.number%2 || s.rng.Float64() < s.packetConditions.Loss+cmp.Or(s.cfg.PeerLoss, 0.03) {
 			continue
 		}
 		for range 1 + boolInt(s.rng.Float64() < s.packetConditions.Double) {
 			d := 0.0023 + 0.01*s.rng.Float64() + s.packetConditions.Delay.Seconds() + s.rng.Float64()*s.packetConditions.Jitter.Seconds()
 			s.after(d, func() {
-				if x := s.fwds[g]; x.module != nil && x.hear() {
-					x.do(func() { x.module.HandlePeerMessage(x.now(), f.number, data) })
+				if x := s.forwarders[g]; x.module != nil && x.acceptPeerMessage() {
+					x.runEvent(func() { x.module.HandlePeerMessage(x.now(), f.number, data) })
 				}
 			})
 		}
@@ -258,45 +258,45 @@
 	return 0
 }
 
-// request has a forwarder take a try.
-func (f *simForwarder) request(q policy.Request, first string, left float64) {
+// handleRequest has a forwarder take a try.
+func (f *simForwarder) handleRequest(q policy.Request, first string, left float64) {
 	s := f.sim
 	try := &oracle.Request{ID: q.ID, OriginalID: first, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.number, Units: q.Units,
 		SentAt: s.Hist.Now(), Deadline: s.Hist.Now() + time.Duration(left*float64(time.Second))}
 	s.Hist.RequestSent(try)
-	if !f.runs() {
+	if !f.running() {
 		try.NotAccepted = true
 		s.Hist.RequestAnswered(try, oracle.ConnectionLost)
 		return
 	}
 	q.DeadlineAt = f.clock.at(s.now + left)
-	request := &simRequest{Request: q, attempt: try, incarnation: f.incarnation}
-	f.open[q.ID] = request
-	run := f.run
-	f.happen(request, func(g gateway) { g.HandleRequest(f.now(), q) })
+	request := &simRequest{Request: q, record: try, incarnation: f.incarnation}
+	f.openRequests[q.ID] = request
+	run := f.startCount
+	f.notify(request, func(g gateway) { g.HandleRequest(f.now(), q) })
 	s.after(left+0.05, func() {
-		if f.run != run || f.cordonedByIncarnation[request.incarnation] == nil {
+		if f.startCount != run || f.cordonedByIncarnation[request.incarnation] == nil {
 			return
 		}
-		if !request.over {
-			request.over = true
+		if !request.done {
+			request.done = true
 			s.Hist.RequestAnswered(try, oracle.ConnectionLost)
-			f.happen(request, func(g gateway) { g.HandleDisconnect(f.now(), q.ID) })
+			f.notify(request, func(g gateway) { g.HandleDisconnect(f.now(), q.ID) })
 		}
 		s.after(6, func() {
-			if f.run == run {
-				delete(f.open, q.ID)
+			if f.startCount == run {
+				delete(f.openRequests, q.ID)
 			}
 		})
 	})
 }
 
-// hear tells whether an ingress takes in a message of another one.
-func (f *simForwarder) hear() bool {
-	f.sim.Messages++
-	if f.intake.take(f.sim.now) {
+// acceptPeerMessage tells whether an ingress takes in a message of another one.
+func (f *simForwarder) acceptPeerMessage() bool {
+	f.sim.PeerMessages++
+	if f.peerMessageBucket.take(f.sim.now) {
 		return true
 	}
-	f.sim.Drowned++
+	f.sim.DroppedPeerMessages++
 	return false
 }
--- a/internal/testbed/simulation/sim_planner.go
+++ b/internal/testbed/simulation/sim_planner.go
@@ -9,7 +9,7 @@
 type simPlanner struct {
 	sim         *Sim
 	number      int
-	host        *planner.Core
+	core        *planner.Core
 	clock       clock
 	incarnation uint64
 	paused      bool
@@ -25,33 +25,33 @@
 	if err != nil {
 		panic(err)
 	}
-	p.host = host
+	p.core = host
 	if p.sim.cfg.Trace != nil {
 		host.SetTracer(func(d reason.Decision) {
 			d.At = p.sim.now
 			p.sim.cfg.Trace(p.number, d)
 		})
 	}
-	host.UpdateBackends(p.now(), p.sim.list(p.clock), true)
+	host.UpdateBackends(p.now(), p.sim.backends(p.clock), true)
 	var tick func()
 	tick = func() {
 		if p.incarnation != life {
 			return
 		}
-		p.do(func() { p.host.Tick(p.now()) })
+		p.runEvent(func() { p.core.Tick(p.now()) })
 		p.sim.after(planner.TickIntervalS, tick)
 	}
 	p.sim.after(p.sim.rng.Float64()*planner.TickIntervalS, tick)
 }
 
-// do runs something on the planner's loop: once it runs again, if it is paused.
-func (p *simPlanner) do(f func()) {
+// runEvent runs something on the planner's loop: once it runs again, if it is paused.
+func (p *simPlanner) runEvent(f func()) {
 	if p.paused {
 		p.inbox = append(p.inbox, f)
 		return
 	}
 	f()
-	p.sim.check()
+	p.sim.checkLeaders()
 }
 
 // SendToForwarder implements planner.Output.
--- a/internal/testbed/simulation/sim_test.go
+++ b/internal/testbed/simulation/sim_test.go
@@ -14,7 +14,7 @@
 
 var schedules = flag.Int("schedules", 2, "how many schedules of each scenario and shape are played")
 
-func play(t *testing.T, name string, two bool, seed uint64, length float64) (*Sim, *oracle.Report) {
+func runScenario(t *testing.T, name string, two bool, seed uint64, length float64) (*Sim, *oracle.Report) {
 	t.Helper()
 	cfg, err := Make(name, two, seed, length)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return s, s.Run()
 }
 
-func words(r *oracle.Report) string {
+func reportText(r *oracle.Report) string {
 	var b strings.Builder
 	r.Print(&b)
 	return b.String()
@@ -54,14 +54,14 @@
 			t.Parallel()
 			seen, leads := map[string]int{}, 0
 			for seed := range uint64(*schedules) {
-				s, r := play(t, tc.name, tc.two, seed+1, 12)
+				s, r := runScenario(t, tc.name, tc.two, seed+1, 12)
 				if len(r.ViolationCounts) > 0 {
-					t.Errorf("seed %d: %v\n%s%v", seed+1, r.ViolationCounts, words(r), s.cfg.Faults)
+					t.Errorf("seed %d: %v\n%s%v", seed+1, r.ViolationCounts, reportText(r), s.cfg.Faults)
 				}
 				for rule, n := range r.Occasions {
 					seen[rule] += n
 				}
-				leads += s.Leads
+				leads += s.LeaderObservations
 			}
 			for _, rule := range tc.seen {
 				if seen[rule] < *schedules {
@@ -80,8 +80,8 @@
 	for _, two := range []bool{true, false} {
 		var was string
 		for range 2 {
-			s, r := play(t, "storm", two, 7, 8)
-			got := fmt.Sprint(s.Leads, s.seq, r.Requests, r.Attempts, r.Results, r.Service, r.Utilization, r.Occasions)
+			s, r := runScenario(t, "storm", two, 7, 8)
+			got := fmt.Sprint(s.LeaderObservations, s.seq, r.Requests, r.Attempts, r.Results, r.Service, r.Utilization, r.Occasions)
 			if was != "" && got != was {
 				t.Fatalf("one seed, two runs:\n%s\n%s", was, got)
 			}
@@ -93,9 +93,9 @@
 // Without faults nothing may be lost: what fits a quota is served.
 func TestCalm(t *testing.T) {
 	for _, two := range []bool{true, false} {
-		_, r := play(t, "calm", two, 1, 20)
+		_, r := runScenario(t, "calm", two, 1, 20)
 		if len(r.ViolationCounts) > 0 || r.Requests < 500 || r.Service < 0.9 || r.Results[oracle.Failed] > r.Requests/50 {
-			t.Errorf("two levels %v:\n%s", two, words(r))
+			t.Errorf("two levels %v:\n%s", two, reportText(r))
 		}
 	}
 }
