--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -9,115 +9,119 @@
 	"eiderspread/internal/testbed/node"
 )
 
-func (s *Sim) killPlanner(n int, down float64) {
+// killPlanner kills planner n and starts it again after downS seconds.
+func (s *Sim) killPlanner(n int, downS float64) {
 	planner := s.planners[n]
-	if planner.host == nil {
+	if planner.core == nil {
 		return
 	}
-	planner.host, planner.paused, planner.inbox = nil, false, nil
+	planner.core, planner.paused, planner.inbox = nil, false, nil
 	planner.incarnation++
-	for f := range s.fwds {
-		k := s.links[n][f]
-		k.pUp = false
-		if !k.cut {
-			session := k.session
+	for f := range s.forwarders {
+		link := s.links[n][f]
+		link.plannerUp = false
+		if !link.cut {
+			session := link.session
 			s.after(0.001, func() {
-				if k.session == session {
-					k.endForwarder()
+				if link.session == session {
+					link.endForwarder()
 				}
 			})
 		}
 	}
-	s.after(down, func() {
-		if planner.host == nil {
+	s.after(downS, func() {
+		if planner.core == nil {
 			planner.start()
 		}
 	})
 }
 
-func (s *Sim) pausePlanner(n int, down float64) {
+// pausePlanner pauses planner n for downS seconds, as a stopped process.
+func (s *Sim) pausePlanner(n int, downS float64) {
 	planner := s.planners[n]
-	if planner.host == nil || planner.paused {
+	if planner.core == nil || planner.paused {
 		return
 	}
 	planner.paused = true
-	life := planner.incarnation
-	s.after(down, func() {
-		if planner.incarnation != life {
+	incarnation := planner.incarnation
+	s.after(downS, func() {
+		if planner.incarnation != incarnation {
 			return
 		}
 		planner.paused = false
 		inbox := planner.inbox
 		planner.inbox = nil
 		for _, do := range inbox {
-			planner.do(do)
+			planner.runEvent(do)
 		}
 	})
 }
 
-func (s *Sim) killForwarder(n int, down float64) {
-	forwarder := s.fwds[n]
-	if !forwarder.runs() {
+// killForwarder kills forwarder n, and the old process of a hot restart with it, and starts it again after downS seconds.
+func (s *Sim) killForwarder(n int, downS float64) {
+	forwarder := s.forwarders[n]
+	if !forwarder.running() {
 		return
 	}
 	forwarder.core, forwarder.module, forwarder.busy, forwarder.pending, forwarder.cordonedByIncarnation = nil, nil, false, nil, nil
 	forwarder.succession = succession{}
-	forwarder.run++
+	forwarder.startCount++
 	forwarder.downAt = s.now
 	for p := range s.planners {
-		k := s.links[p][n]
-		k.fUp = false
-		if !k.cut {
-			session := k.session
+		link := s.links[p][n]
+		link.forwarderUp = false
+		if !link.cut {
+			session := link.session
 			s.after(0.001, func() {
-				if k.session == session {
-					k.endPlanner()
+				if link.session == session {
+					link.endPlanner()
 				}
 			})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(forwarder.open)) { // its connections end with it
-		for _, attempt := range forwarder.open[id].attempts {
+	for _, id := range slices.Sorted(maps.Keys(forwarder.openRequests)) { // its connections to nodes end with it
+		for _, attempt := range forwarder.openRequests[id].attempts {
 			if !attempt.done {
 				attempt.done = true
-				attempt.leave()
+				attempt.disconnect()
 			}
 		}
 	}
 	from := s.Hist.Now()
-	s.after(down, func() {
+	s.after(downS, func() {
 		forwarder.start()
 		s.Hist.AddOutage(n, from, s.Hist.Now())
 	})
 }
 
-func (s *Sim) cutLinks(down float64, which func(p, f int) bool) {
+// cutLinks cuts the links of the planners p and forwarders f that which selects, for downS seconds.
+func (s *Sim) cutLinks(downS float64, which func(p, f int) bool) {
 	for p := range s.planners {
-		for f := range s.fwds {
+		for f := range s.forwarders {
 			if which(p, f) {
 				s.links[p][f].cut = true
 			}
 		}
 	}
-	s.after(down, func() {
+	s.after(downS, func() {
 		for p := range s.planners {
-			for f := range s.fwds {
-				k := s.links[p][f]
+			for f := range s.forwarders {
+				link := s.links[p][f]
 				if !which(p, f) {
 					continue
 				}
-				k.cut = false
-				if k.lost {
-					k.endForwarder()
-					k.endPlanner()
+				link.cut = false
+				if link.messageLost {
+					link.endForwarder()
+					link.endPlanner()
 				}
 			}
 		}
 	})
 }
 
-// pick chooses a node that runs and does not drain; nil if there are too few for one to be missed.
-func (s *Sim) pick(n int) *simNode {
+// pickNode returns one of the nodes that run and do not drain, by number n; nil if there are fewer than 3, as a fault then leaves too few.
+func (s *Sim) pickNode(n int) *simNode {
 	var list []*simNode
 	for _, x := range s.nodes {
 		if x.listed && x.model != nil && !x.model.Fallen() {
@@ -130,15 +134,15 @@
 	return list[n%len(list)]
 }
 
-// crash ends a node; the roster knows later, and of its return too.
+// crash crashes a node for x.For. Discovery reports the crash after 1 to 4 s if the node is still down then, and reports its return.
 func (s *Sim) crash(n *simNode, x testbed.Fault) {
 	if n == nil {
 		return
 	}
 	n.stop("crash")
-	notice := 1 + 3*x.X
-	if x.For.Seconds() > notice {
-		s.after(notice, func() {
+	noticeS := 1 + 3*x.X
+	if x.For.Seconds() > noticeS {
+		s.after(noticeS, func() {
 			if n.model == nil {
 				n.notify(2)
 			}
@@ -151,22 +155,23 @@
 	})
 }
 
+// changeConditions changes the run's conditions for nodes during twice x.For.
 func (s *Sim) changeConditions(x testbed.Fault, list []*simNode, change func(*node.Conditions)) {
-	w := s.cfg.NodeConditions
-	change(&w)
+	conditions := s.cfg.NodeConditions
+	change(&conditions)
 	for _, n := range list {
-		n.do(func(m *node.Model) { m.Advance(s.now); m.SetConditions(w) })
+		n.withModel(func(m *node.Model) { m.Advance(s.now); m.SetConditions(conditions) })
 	}
 	s.after(2*x.For.Seconds(), func() {
 		for _, n := range list {
-			n.do(func(m *node.Model) { m.Advance(s.now); m.SetConditions(s.cfg.NodeConditions) })
+			n.withModel(func(m *node.Model) { m.Advance(s.now); m.SetConditions(s.cfg.NodeConditions) })
 		}
 	})
 }
 
-// wayTo cuts the way to a node from forwarders of one side, or of both with -1.
-func (s *Sim) wayTo(x testbed.Fault, side int) {
-	n := s.pick(x.A)
+// cutNode cuts the network between a node and the forwarders of even (side 0) or odd (1) numbers, or all of them (-1), for x.For.
+func (s *Sim) cutNode(x testbed.Fault, side int) {
+	n := s.pickNode(x.A)
 	if n == nil {
 		return
 	}
@@ -177,12 +182,12 @@
 		n.cut[i] = true
 		s.after(x.For.Seconds(), func() {
 			n.cut[i] = false
-			for _, h := range slices.Sorted(maps.Keys(n.open)) { // what the cut met is reset
-				if attempt := n.open[h]; attempt.forwarder.number%2 == i {
-					s.after(s.hop(), func() {
+			for _, h := range slices.Sorted(maps.Keys(n.openAttempts)) { // attempts that are still open when the cut ends are reset
+				if attempt := n.openAttempts[h]; attempt.forwarder.number%2 == i {
+					s.after(s.networkDelay(), func() {
 						attempt.forwarder.finish(attempt, 5)
-						if n.open[attempt.Handle] == attempt {
-							n.do(func(m *node.Model) { m.Leave(s.now, &attempt.Attempt) })
+						if n.openAttempts[attempt.Handle] == attempt {
+							n.withModel(func(m *node.Model) { m.Leave(s.now, &attempt.Attempt) })
 						}
 					})
 				}
@@ -191,8 +196,8 @@
 	}
 }
 
-// kinds are the faults that there are in virtual time, under the names that they have on sockets.
-var kinds = map[string]func(s *Sim, x testbed.Fault){
+// faultKinds are the faults that can be injected in virtual time, by the names that they have on sockets.
+var faultKinds = map[string]func(s *Sim, x testbed.Fault){
 	"kill":  func(s *Sim, x testbed.Fault) { s.killPlanner(x.A%len(s.planners), x.For.Seconds()) },
 	"pause": func(s *Sim, x testbed.Fault) { s.pausePlanner(x.A%len(s.planners), 2*x.For.Seconds()) },
 	"all": func(s *Sim, x testbed.Fault) {
@@ -202,8 +207,8 @@
 	},
 	"term": func(s *Sim, x testbed.Fault) {
 		n := x.A % len(s.planners)
-		if planner := s.planners[n]; planner.host != nil && !planner.paused {
-			planner.host.Drain(planner.now())
+		if planner := s.planners[n]; planner.core != nil && !planner.paused {
+			planner.core.Drain(planner.now())
 			s.after(0.3, func() { s.killPlanner(n, x.For.Seconds()) })
 		}
 	},
@@ -217,12 +222,12 @@
 		s.cutLinks(x.For.Seconds(), func(p, f int) bool { return (p+f)%2 == x.B%2 })
 	},
 	"lone": func(s *Sim, x testbed.Fault) {
-		s.cutLinks(x.For.Seconds(), func(_, f int) bool { return f == x.A%len(s.fwds) })
+		s.cutLinks(x.For.Seconds(), func(_, f int) bool { return f == x.A%len(s.forwarders) })
 	},
 	"peers": func(s *Sim, x testbed.Fault) {
-		s.peerWay.Cut = true
+		s.peerPartition.Cut = true
 		end := s.Hist.BeginPeerFault(2, 0)
-		s.after(x.For.Seconds(), func() { s.peerWay.Cut = false; end() })
+		s.after(x.For.Seconds(), func() { s.peerPartition.Cut = false; end() })
 	},
 	"fog": func(s *Sim, x testbed.Fault) {
 		s.packetConditions = testbed.PacketConditions{Loss: 0.3 * x.X, Double: 0.2, Delay: 20 * time.Millisecond, Jitter: 60 * time.Millisecond}
@@ -230,8 +235,8 @@
 		s.after(x.For.Seconds(), func() { s.packetConditions = testbed.PacketConditions{}; end() })
 	},
 	"liar": func(s *Sim, x testbed.Fault) {
-		s.liar = 1 + x.A%len(s.fwds)
-		s.after(x.For.Seconds(), func() { s.liar = 0 })
+		s.misreportingIngress = 1 + x.A%len(s.forwarders)
+		s.after(x.For.Seconds(), func() { s.misreportingIngress = 0 })
 	},
 	"half heavy": func(s *Sim, x testbed.Fault) {
 		var half []*simNode
@@ -249,7 +254,7 @@
 		s.after(x.For.Seconds(), func() { s.packetConditions = testbed.PacketConditions{}; end() })
 	},
 	"mass kill": func(s *Sim, x testbed.Fault) {
-		for i := range s.fwds {
+		for i := range s.forwarders {
 			if i%10 < 7 {
 				s.killForwarder(i, x.For.Seconds())
 			}
@@ -261,17 +266,17 @@
 		s.changeConditions(x, s.nodes, func(w *node.Conditions) { w.Slow = 3 })
 		s.after(2*x.For.Seconds(), end)
 	},
-	"forwarder": func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.fwds), x.For.Seconds()) },
-	"blink":     func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.fwds), 0.02+0.05*x.X) },
+	"forwarder": func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.forwarders), x.For.Seconds()) },
+	"blink":     func(s *Sim, x testbed.Fault) { s.killForwarder(x.A%len(s.forwarders), 0.02+0.05*x.X) },
 	"drain": func(s *Sim, x testbed.Fault) {
-		if n := s.pick(x.A); n != nil {
+		if n := s.pickNode(x.A); n != nil {
 			s.addNode(true)
 			n.listed = false
 			n.notify(1)
 			s.after(2, func() { n.notify(2); n.stop("crash") })
 		}
 	},
-	"crash": func(s *Sim, x testbed.Fault) { s.crash(s.pick(x.A), x) },
+	"crash": func(s *Sim, x testbed.Fault) { s.crash(s.pickNode(x.A), x) },
 	"lone crash": func(s *Sim, x testbed.Fault) {
 		for _, n := range s.nodes {
 			if n.listed && n.model != nil && !n.model.Fallen() && n.id == "z1" {
@@ -287,13 +292,13 @@
 		}
 	},
 	"node pause": func(s *Sim, x testbed.Fault) {
-		if n := s.pick(x.A); n != nil {
-			n.do(func(m *node.Model) { m.Pause(s.now) })
-			s.after(x.For.Seconds(), func() { n.do(func(m *node.Model) { m.Resume(s.now) }) })
+		if n := s.pickNode(x.A); n != nil {
+			n.withModel(func(m *node.Model) { m.Pause(s.now) })
+			s.after(x.For.Seconds(), func() { n.withModel(func(m *node.Model) { m.Resume(s.now) }) })
 		}
 	},
 	"slow": func(s *Sim, x testbed.Fault) {
-		if n := s.pick(x.A); n != nil {
+		if n := s.pickNode(x.A); n != nil {
 			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { w.Slow = 2 + 4*x.X })
 		}
 	},
@@ -301,14 +306,15 @@
 		s.changeConditions(x, s.nodes, func(w *node.Conditions) { w.Slow = 1.4 + 1.4*x.X })
 	},
 	"sick": func(s *Sim, x testbed.Fault) {
-		if n := s.pick(x.A); n != nil {
+		if n := s.pickNode(x.A); n != nil {
 			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { *w = node.Rough(0.4 + 0.6*x.X) })
 		}
 	},
-	"node cut":      func(s *Sim, x testbed.Fault) { s.wayTo(x, -1) },
-	"node half cut": func(s *Sim, x testbed.Fault) { s.wayTo(x, x.B%2) },
+	"node cut":      func(s *Sim, x testbed.Fault) { s.cutNode(x, -1) },
+	"node half cut": func(s *Sim, x testbed.Fault) { s.cutNode(x, x.B%2) },
 	"fleet held":    func(s *Sim, x testbed.Fault) { s.cordonByOperator(x) },
-	"torn": func(s *Sim, x testbed.Fault) { // a leader is left to half of the forwarders, and operators call at a planner that has the others
+	// A planner, which may lead, keeps the links to half of the forwarders, and an operator calls a planner that keeps the links to the others.
+	"torn": func(s *Sim, x testbed.Fault) {
 		a := x.A % len(s.planners)
 		b := (a + 1) % len(s.planners)
 		s.cutLinks(x.For.Seconds(), func(p, f int) bool { return p == a && f%2 == 0 || p == b && f%2 == 1 })
@@ -316,29 +322,29 @@
 	},
 	"away": func(s *Sim, x testbed.Fault) {
 		planner := s.planners[x.A%len(s.planners)]
-		if host := planner.host; host != nil && !planner.paused {
-			host.Drain(planner.now())
+		if core := planner.core; core != nil && !planner.paused {
+			core.Drain(planner.now())
 			s.after(x.For.Seconds(), func() {
-				if planner.host == host {
-					planner.do(func() { host.Activate(planner.now()) })
+				if planner.core == core {
+					planner.runEvent(func() { core.Activate(planner.now()) })
 				}
 			})
 		}
 	},
 	"late roster": func(s *Sim, x testbed.Fault) {
-		s.lateS = 1 + 4*x.X
-		s.after(x.For.Seconds(), func() { s.lateS = 0 })
+		s.discoveryDelayS = 1 + 4*x.X
+		s.after(x.For.Seconds(), func() { s.discoveryDelayS = 0 })
 	},
 	"flood": func(s *Sim, x testbed.Fault) {
 		a := s.cfg.Accounts[len(s.cfg.Accounts)-1-x.A%min(3, len(s.cfg.Accounts))].Name
-		s.floods[a] = 3 + 5*x.X
-		s.after(2*x.For.Seconds(), func() { delete(s.floods, a) })
+		s.floodFactors[a] = 3 + 5*x.X
+		s.after(2*x.For.Seconds(), func() { delete(s.floodFactors, a) })
 	},
 }
 
-// KindNames are the faults of a shape, in order.
-func KindNames(two bool) (list []string) {
-	for _, name := range slices.Sorted(maps.Keys(kinds)) {
+// FaultKindNames returns the names of the faults for a fleet of two levels, or of one, in alphabetical order.
+func FaultKindNames(two bool) (list []string) {
+	for _, name := range slices.Sorted(maps.Keys(faultKinds)) {
 		if testbed.Fits(name, two) {
 			list = append(list, name)
 		}
@@ -346,9 +352,9 @@
 	return list
 }
 
-// fault does one thing, if the shape has what it is done to.
-func (s *Sim) fault(x testbed.Fault) {
-	if do := kinds[x.Kind]; do != nil && testbed.Plays(x.Kind, len(s.planners) > 0) {
+// injectFault injects a fault, if it applies to a fleet of as many levels.
+func (s *Sim) injectFault(x testbed.Fault) {
+	if do := faultKinds[x.Kind]; do != nil && testbed.Plays(x.Kind, len(s.planners) > 0) {
 		s.Hist.AddFault(x.String())
 		do(s, x)
 	}
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -5,62 +5,63 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// callWithin is how long an operator's call at a planner may take, as at its door.
-const callWithin = 0.85
+// operatorCallTimeoutS is how long an operator's call to a planner may take, in seconds, as at its admin interface.
+const operatorCallTimeoutS = 0.85
 
-// cordonByOperator has operators take a node out at one planner, and call it back at the next one. From the yes to the call back nothing may
-// reach the node, whoever leads; a no binds nobody.
+// cordonByOperator has an operator cordon a node at one planner, and uncordon it at the next one after twice x.For. From the success of the
+// first call to the start of the second no attempt may reach the node, whichever planner leads. A failed cordon promises nothing.
 func (s *Sim) cordonByOperator(x testbed.Fault) {
-	n := s.pick(x.A)
-	if n == nil || s.byHand[n.id] {
+	n := s.pickNode(x.A)
+	if n == nil || s.operatorNodes[n.id] {
 		return
 	}
-	s.byHand[n.id] = true
-	s.atPlanner(x.B, n.id, true, func(yes bool) {
-		if yes {
+	s.operatorNodes[n.id] = true
+	s.callPlanner(x.B, n.id, true, func(ok bool) {
+		if ok {
 			s.Cordoned++
-			for f := range s.fwds {
+			for f := range s.forwarders {
 				s.Hist.SetCordon(oracle.IngressName(f), n.id, true)
 			}
 		}
 		s.after(2*x.For.Seconds(), func() {
-			if yes {
-				for f := range s.fwds {
+			if ok {
+				for f := range s.forwarders {
 					s.Hist.SetCordon(oracle.IngressName(f), n.id, false)
 				}
 			}
-			s.release(x.B+1, n.id)
+			s.uncordon(x.B+1, n.id)
 		})
 	})
 }
 
-// release calls a node back, at one planner after the other until one says yes.
-func (s *Sim) release(planner int, id string) {
-	s.atPlanner(planner, id, false, func(yes bool) {
-		if yes {
-			delete(s.byHand, id)
+// uncordon uncordons a node. It calls one planner after the other until a call succeeds.
+func (s *Sim) uncordon(planner int, id string) {
+	s.callPlanner(planner, id, false, func(ok bool) {
+		if ok {
+			delete(s.operatorNodes, id)
 			return
 		}
-		s.after(0.2, func() { s.release(planner+1, id) })
+		s.after(0.2, func() { s.uncordon(planner+1, id) })
 	})
 }
 
-// atPlanner makes an operator's call. A planner that is not there, or that ends with the call, gives no answer: that is a no.
-func (s *Sim) atPlanner(n int, id string, held bool, done func(yes bool)) {
+// callPlanner calls planner n, modulo the number of planners, to cordon or uncordon a node. A planner that is down or paused, or that ends
+// during the call, does not answer: the call fails. done is called once.
+func (s *Sim) callPlanner(n int, id string, cordoned bool, done func(ok bool)) {
 	planner := s.planners[n%len(s.planners)]
-	if planner.host == nil || planner.paused {
+	if planner.core == nil || planner.paused {
 		s.after(0.1, func() { done(false) })
 		return
 	}
-	answered, host := false, planner.host
-	once := func(yes bool) {
+	answered, core := false, planner.core
+	once := func(ok bool) {
 		if !answered {
 			answered = true
-			done(yes)
+			done(ok)
 		}
 	}
-	planner.do(func() {
-		if err := host.SetCordoned(planner.now(), callWithin, id, held, func(err error) { once(err == nil) }); err != nil {
+	planner.runEvent(func() {
+		if err := core.SetCordoned(planner.now(), operatorCallTimeoutS, id, cordoned, func(err error) { once(err == nil) }); err != nil {
 			s.after(0, func() { once(false) })
 		}
 	})
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -13,92 +13,95 @@
 	"eiderspread/policy"
 )
 
-// account draws the times of one account's requests.
-func (s *Sim) account(a testbed.Account) {
-	mean := 0.0
+// startAccount schedules the requests of an account at exponentially distributed intervals, the first at the earliest 1 s into the run.
+func (s *Sim) startAccount(a testbed.Account) {
+	meanUnits := 0.0
 	for _, c := range s.cfg.Classes {
-		mean += s.cfg.ClassFractions[c.Name] * float64(s.cfg.Units[c.Name])
+		meanUnits += s.cfg.ClassFractions[c.Name] * float64(s.cfg.Units[c.Name])
 	}
-	flood := 1 + s.rng.Float64()*a.FloodEvery.Seconds()
-	var ask func()
-	next := func() {
-		rate := a.Rate / mean * cmp.Or(s.floods[a.Name], 1)
-		if a.FloodX > 0 && s.now > flood {
+	floodAt := 1 + s.rng.Float64()*a.FloodEvery.Seconds()
+	var send func()
+	scheduleNext := func() {
+		rate := a.Rate / meanUnits * cmp.Or(s.floodFactors[a.Name], 1)
+		if a.FloodX > 0 && s.now > floodAt {
 			rate *= a.FloodX
-			if s.now > flood+a.FloodFor.Seconds() {
-				flood = s.now + a.FloodEvery.Seconds()
+			if s.now > floodAt+a.FloodFor.Seconds() {
+				floodAt = s.now + a.FloodEvery.Seconds()
 			}
 		}
-		s.after(s.rng.ExpFloat64()/rate, ask)
+		s.after(s.rng.ExpFloat64()/rate, send)
 	}
-	ask = func() {
+	send = func() {
 		if s.now > s.cfg.LengthS || a.To > 0 && s.now > 1+a.To.Seconds() {
 			return
 		}
 		class := testbed.ClassOf(a, s.cfg.Classes, s.cfg.ClassFractions, s.rng.Float64())
 		s.sendRequest(a, class, "", class.DeadlineS)
-		next()
+		scheduleNext()
 	}
-	s.after(1+a.From.Seconds()+s.rng.ExpFloat64()*mean/a.Rate, ask)
+	s.after(1+a.From.Seconds()+s.rng.ExpFloat64()*meanUnits/a.Rate, send)
 }
 
-// sendRequest sends a try of an account through one of its ingresses: most of them through the same one for some seconds.
-func (s *Sim) sendRequest(a testbed.Account, class policy.Class, first string, left float64) {
-	s.nextID++
-	id := fmt.Sprint("r", s.nextID)
-	first = cmp.Or(first, id)
-	if s.clientRequests[first] == nil {
-		s.clientRequests[first] = &clientRequest{sent: s.Hist.Now()}
-	}
-	s.clientRequests[first].tries++
-	busy := int(peerprotocol.HashPoint(a.Name)%1e6) + int(s.now/7) // another one for each account
-	i := a.First + busy%a.Spread
+// sendRequest sends a try of an account's request through one of its ingresses: 60% through the same one for 7 s, the others through a random
+// one. originalID is the ID of the first try, "" for the first try itself; leftS is the time to the deadline in seconds.
+func (s *Sim) sendRequest(a testbed.Account, class policy.Class, originalID string, leftS float64) {
+	s.lastRequestNumber++
+	id := fmt.Sprint("r", s.lastRequestNumber)
+	originalID = cmp.Or(originalID, id)
+	if s.clientRequests[originalID] == nil {
+		s.clientRequests[originalID] = &clientRequest{firstSentAt: s.Hist.Now()}
+	}
+	s.clientRequests[originalID].tries++
+	preferred := int(peerprotocol.HashPoint(a.Name)%1e6) + int(s.now/7) // differs between accounts
+	i := a.First + preferred%a.Spread
 	if s.rng.Float64() < 0.4 {
 		i = a.First + s.rng.IntN(a.Spread)
 	}
-	forwarder := s.fwds[i]
-	if !forwarder.runs() && s.now > forwarder.downAt+2.5 { // the front has noticed
-		forwarder = s.fwds[a.First+(i-a.First+1)%a.Spread]
+	forwarder := s.forwarders[i]
+	if !forwarder.running() && s.now > forwarder.downAt+2.5 { // the clients' load balancer has noticed
+		forwarder = s.forwarders[a.First+(i-a.First+1)%a.Spread]
 	}
-	forwarder.request(policy.Request{ID: id, Class: class.Name, Plan: a.Plan, Account: a.Name, FirstGateway: a.First, GatewayCount: a.Spread,
-		Units: float64(s.cfg.Units[class.Name])}, first, left)
+	forwarder.handleRequest(policy.Request{ID: id, Class: class.Name, Plan: a.Plan, Account: a.Name, FirstGateway: a.First, GatewayCount: a.Spread,
+		Units: float64(s.cfg.Units[class.Name])}, originalID, leftS)
 }
 
-const retries = 2
+// maxRetries is how often a client retries a rejected request.
+const maxRetries = 2
 
-// clientRequest is what a client knows of something that it asks for: when it first did, and how often.
+// clientRequest is the state of a request at its client: when the first try was sent, and how many tries there were.
 type clientRequest struct {
-	sent  time.Duration
-	tries int
+	firstSentAt time.Duration
+	tries       int
 }
 
-// retryLater has the client of a refused try come once more, if it has time left.
+// retryLater retries a rejected try for its client, if it has retries and at least 50 ms left.
 func (s *Sim) retryLater(t *oracle.Request) {
 	class := s.class(t.Class)
-	x := s.clientRequests[t.OriginalID]
-	if x == nil || x.tries > retries {
+	request := s.clientRequests[t.OriginalID]
+	if request == nil || request.tries > maxRetries {
 		delete(s.clientRequests, t.OriginalID)
 		return
 	}
-	left := class.DeadlineS - (s.Hist.Now() - x.sent).Seconds()
-	if left < 0.05 {
+	leftS := class.DeadlineS - (s.Hist.Now() - request.firstSentAt).Seconds()
+	if leftS < 0.05 {
 		return
 	}
 	if a, ok := s.accounts[t.Account]; ok && !a.Once {
-		s.sendRequest(a, class, t.OriginalID, left)
+		s.sendRequest(a, class, t.OriginalID, leftS)
 	}
 }
 
-// Run plays the whole run, and some seconds more for all to be led again, and has the auditor judge.
+// Run simulates the whole run, and then 12 s in which every cell has to get a leader again, and returns the oracle's report with the violations
+// that the simulation itself has found.
 func (s *Sim) Run() *oracle.Report {
 	for _, a := range s.cfg.Accounts {
-		s.account(a)
+		s.startAccount(a)
 	}
-	for _, x := range s.cfg.Faults {
-		s.after(x.At.Seconds(), func() { s.fault(x) })
+	for _, fault := range s.cfg.Faults {
+		s.after(fault.At.Seconds(), func() { s.injectFault(fault) })
 	}
 	if s.cfg.Overload.Enabled {
-		s.watchLevels()
+		s.recordLoadLevels()
 	}
 	for len(s.queue) > 0 {
 		e := heap.Pop(&s.queue).(event)
@@ -108,64 +111,65 @@
 		e.do()
 	}
 	if s.cfg.Planners > 0 {
-		for _, forwarder := range s.fwds { // long after the last fault
+		for _, forwarder := range s.forwarders { // long after the last fault
 			if led, _ := forwarder.core.CellCounts(); led != s.params.Cells {
-				s.breaks("everybody is led", "forwarder %d follows a leader in %d cells", forwarder.number, led)
+				s.addViolation("everybody is led", "forwarder %d follows a leader in %d cells", forwarder.number, led)
 			}
 		}
 	}
-	rep := oracle.Check(s.Hist, s.Rules())
-	rep.PeerMessages, rep.DroppedPeerMessages, rep.PeerMessageKinds = s.Messages, s.Drowned, s.Kinds
-	rep.Handshakes = s.Handshakes
-	for rule, n := range s.breach {
-		rep.ViolationCounts[rule] += n
+	report := oracle.Check(s.Hist, s.OracleConfig())
+	report.PeerMessages, report.DroppedPeerMessages, report.PeerMessageKinds = s.PeerMessages, s.DroppedPeerMessages, s.PeerMessageKinds
+	report.Handshakes = s.Handshakes
+	for rule, n := range s.violationCounts {
+		report.ViolationCounts[rule] += n
 	}
-	if s.first != "" {
-		rep.Violations = append(rep.Violations, oracle.Violation{Rule: strings.SplitN(s.first, ":", 2)[0], Detail: s.first})
+	if s.firstViolation != "" {
+		report.Violations = append(report.Violations, oracle.Violation{Rule: strings.SplitN(s.firstViolation, ":", 2)[0], Detail: s.firstViolation})
 	}
-	return rep
+	return report
 }
 
-// Rules are those that a run is judged by. Of one level no slack of quotas is stated.
-func (s *Sim) Rules() oracle.Config {
+// OracleConfig returns the bounds that the oracle checks the run against. For one level no quota slack is stated.
+func (s *Sim) OracleConfig() oracle.Config {
 	quota, caps := 0.0, 0.0
 	if s.cfg.Planners > 0 {
 		quota, caps = testbed.QuotaSlack, 2
 	}
-	quota, caps = cmp.Or(s.cfg.Quota, quota), cmp.Or(s.cfg.CapX, caps)
+	quota, caps = cmp.Or(s.cfg.QuotaSlack, quota), cmp.Or(s.cfg.ConcurrencyFactor, caps)
 	var homes map[string]oracle.GatewayRange
-	if s.cfg.Planners == 0 && s.cfg.Quota >= 0 {
+	if s.cfg.Planners == 0 && s.cfg.QuotaSlack >= 0 {
 		homes = testbed.Homes(s.cfg.Accounts)
 	}
 	peak := s.cfg.Peak
-	if peak.To > 0 { // clients begin after a second
+	if peak.To > 0 { // clients start after one second
 		peak.From, peak.To = peak.From+time.Second, peak.To+time.Second
 	}
 	var stated *oracle.LoadSheddingBounds
 	if s.cfg.MeasureOverload && s.cfg.Overload.Enabled && s.cfg.Peak.To > 0 {
-		stated = &s.cfg.Stated
+		stated = &s.cfg.LoadSheddingBounds
 	}
 	return oracle.Config{LoadShedding: stated, Overload: s.cfg.MeasureOverload, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
-		ClockRate: Drift, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.SlowStartSlack, MinOccasions: s.cfg.Floors}
+		ClockRate: MaxClockRate, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.SlowStartSlack, MinOccasions: s.cfg.MinOccasions}
 }
 
-const levelsEveryS = 0.25
+// loadLevelIntervalS is the interval of recordLoadLevels, in seconds.
+const loadLevelIntervalS = 0.25
 
-// watchLevels records what ingresses, or cells, hold of overload, until the run ends.
-func (s *Sim) watchLevels() {
-	var of []float64
-	for _, forwarder := range s.fwds {
+// recordLoadLevels records the load-shedding levels of ingresses, or of cells, again and again until the run ends.
+func (s *Sim) recordLoadLevels() {
+	var levels []float64
+	for _, forwarder := range s.forwarders {
 		if forwarder.module != nil {
-			of = append(of, forwarder.module.Shedder().Level())
+			levels = append(levels, forwarder.module.Shedder().Level())
 		}
 	}
 	for _, planner := range s.planners {
-		if planner.host != nil && !planner.paused {
-			of = append(of, planner.host.ShedLevels(planner.now())...)
+		if planner.core != nil && !planner.paused {
+			levels = append(levels, planner.core.ShedLevels(planner.now())...)
 		}
 	}
-	s.Hist.AddLoadLevels(of)
+	s.Hist.AddLoadLevels(levels)
 	if s.now < s.cfg.LengthS {
-		s.after(levelsEveryS, s.watchLevels)
+		s.after(loadLevelIntervalS, s.recordLoadLevels)
 	}
 }
--- a/internal/testbed/simulation/sim_node.go
+++ b/internal/testbed/simulation/sim_node.go
@@ -13,60 +13,62 @@
 	"eiderspread/policy"
 )
 
-// simNode is one node under its id, through all its lives.
+// simNode is a node with one ID over all its restarts.
 type simNode struct {
-	sim         *Sim
-	id          string
-	model       *node.Model // nil while it is down
-	incarnation int
-	startedAt   float64 // true time; 0: long ago
-	cut         [2]bool // from forwarders of even and of odd numbers
-	open        map[uint64]*simAttempt
-	handles     uint64
-	listed      bool // runs, and does not drain
-	wakeAt      float64
+	sim          *Sim
+	id           string
+	model        *node.Model // nil while it is down
+	incarnation  int
+	startedAt    float64                // true time; 0: long before the run
+	cut          [2]bool                // network cut from forwarders of even and of odd numbers
+	openAttempts map[uint64]*simAttempt // by handle
+	lastHandle   uint64
+	listed       bool    // running and not draining
+	wakeAt       float64 // true time of the next call of the model; infinite: none is scheduled
 }
 
+// addNode adds a node and starts it.
 func (s *Sim) addNode(cold bool) *simNode {
-	s.nextNode++
-	n := &simNode{sim: s, id: fmt.Sprint("z", s.nextNode)}
+	s.lastNodeNumber++
+	n := &simNode{sim: s, id: fmt.Sprint("z", s.lastNodeNumber)}
 	s.nodes = append(s.nodes, n)
 	n.start(cold)
 	return n
 }
 
+// start starts the node: cold, or warm, as one that has been running for long.
 func (n *simNode) start(cold bool) {
 	s := n.sim
-	born, started := -1e6, -1e6*time.Second
+	startedAt, historyStart := -1e6, -1e6*time.Second
 	if n.startedAt = 0; cold {
-		born, started = s.now, s.Hist.Now()
+		startedAt, historyStart = s.now, s.Hist.Now()
 		n.startedAt = s.now
 	}
 	cfg := s.cfg.Node
 	cfg.Zone = testbed.ZoneOf(n.id, s.cfg.Zones)
-	n.incarnation = s.Hist.AddIncarnation(oracle.Incarnation{Node: n.id, StartedAt: started, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.SlowStartMinFraction, WarmUpS: cfg.SlowStartS})
-	n.open, n.wakeAt, n.listed = map[uint64]*simAttempt{}, math.Inf(1), true
-	n.model = node.New(cfg, s.keys, s.rng.Uint64(), born, n)
+	n.incarnation = s.Hist.AddIncarnation(oracle.Incarnation{Node: n.id, StartedAt: historyStart, Capacity: float64(cfg.Cores) * cfg.Speed, WarmUpFrom: cfg.SlowStartMinFraction, WarmUpS: cfg.SlowStartS})
+	n.openAttempts, n.wakeAt, n.listed = map[uint64]*simAttempt{}, math.Inf(1), true
+	n.model = node.New(cfg, s.keys, s.rng.Uint64(), startedAt, n)
 	n.model.SetConditions(s.cfg.NodeConditions)
 	n.notify(policy.Up)
 }
 
-// stop ends the node as a crash would.
+// stop ends the node as a crash does. how names the cause in the history.
 func (n *simNode) stop(how string) {
 	if n.model == nil {
 		return
 	}
 	n.model, n.listed = nil, false
-	for _, h := range slices.Sorted(maps.Keys(n.open)) {
-		attempt := n.open[h]
-		delete(n.open, h)
-		n.sim.Hist.AttemptEnded(attempt.rec, how)
-		n.sim.after(n.sim.hop(), func() { attempt.forwarder.finish(attempt, policy.Reset) })
+	for _, h := range slices.Sorted(maps.Keys(n.openAttempts)) {
+		attempt := n.openAttempts[h]
+		delete(n.openAttempts, h)
+		n.sim.Hist.AttemptEnded(attempt.record, how)
+		n.sim.after(n.sim.networkDelay(), func() { attempt.forwarder.finish(attempt, policy.Reset) })
 	}
 }
 
-// do runs something on the model and sees to it that it is woken in time.
-func (n *simNode) do(f func(m *node.Model)) {
+// withModel calls f with the model, if the node is up, and schedules the time at which the model has to advance next.
+func (n *simNode) withModel(f func(m *node.Model)) {
 	if n.model == nil {
 		return
 	}
@@ -80,7 +82,7 @@
 		n.sim.after(max(next-n.sim.now, 0), func() {
 			if n.model == m && n.wakeAt <= n.sim.now {
 				n.wakeAt = math.Inf(1)
-				n.do(func(m *node.Model) { m.Advance(n.sim.now) })
+				n.withModel(func(m *node.Model) { m.Advance(n.sim.now) })
 			}
 		})
 	}
@@ -88,39 +90,39 @@
 
 // Began implements node.Out.
 func (n *simNode) Began(_ float64, a *node.Attempt, work float64, repeat bool) {
-	n.sim.Hist.AttemptStarted(n.open[a.Handle].rec, work, repeat)
+	n.sim.Hist.AttemptStarted(n.openAttempts[a.Handle].record, work, repeat)
 }
 
 // Answer implements node.Out.
 func (n *simNode) Answer(_ float64, a *node.Attempt, f node.Fate, load float64) {
-	x := n.open[a.Handle]
+	attempt := n.openAttempts[a.Handle]
 	status := policy.Error
 	switch f {
 	case node.Served, node.Late, node.Copy, node.AbsurdLoad:
 		status = policy.OK
-		n.sim.Hist.AttemptAnswered(x.rec)
+		n.sim.Hist.AttemptAnswered(attempt.record)
 	case node.Full:
 		status = policy.Rejected
 	case node.ResetUnrun, node.ResetRan, node.ResetMid:
 		status = policy.Reset
 	}
-	x.load = &policy.Load{InFlight: -1, Queue: -1, Utilization: load, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
-	if n.isCut(x.forwarder.number) {
+	attempt.load = &policy.Load{InFlight: -1, Queue: -1, Utilization: load, ServiceMS: -1, ServedPerS: -1, FailedPerS: -1}
+	if n.isCut(attempt.forwarder.number) {
 		return
 	}
-	n.sim.after(n.sim.hop(), func() { x.forwarder.finish(x, status) })
+	n.sim.after(n.sim.networkDelay(), func() { attempt.forwarder.finish(attempt, status) })
 }
 
 // Ended implements node.Out.
 func (n *simNode) Ended(_ float64, a *node.Attempt, how string) {
-	x := n.open[a.Handle]
-	if x == nil {
+	attempt := n.openAttempts[a.Handle]
+	if attempt == nil {
 		return
 	}
-	delete(n.open, a.Handle)
-	n.sim.Hist.AttemptEnded(x.rec, how)
+	delete(n.openAttempts, a.Handle)
+	n.sim.Hist.AttemptEnded(attempt.record, how)
 	if how == "down" {
-		n.sim.after(n.sim.hop(), func() { x.forwarder.finish(x, policy.Reset) })
+		n.sim.after(n.sim.networkDelay(), func() { attempt.forwarder.finish(attempt, policy.Reset) })
 	}
 }
 
@@ -133,23 +135,24 @@
 	s.after(2, func() { n.notify(policy.Removed) })
 }
 
+// isCut reports whether the network between forwarder f and the node is cut.
 func (n *simNode) isCut(f int) bool { return n.cut[f%2] }
 
-// hop is how long a message takes.
-func (s *Sim) hop() float64 { return 0.0002 + 0.002*s.rng.Float64() }
+// networkDelay draws the delay of a message: 0.2 to 2.2 ms, in seconds.
+func (s *Sim) networkDelay() float64 { return 0.0002 + 0.002*s.rng.Float64() }
 
-// notify has the roster tell all parties of a node, each at a time of its own.
+// notify reports a state of the node to all forwarders and planners through discovery, to each after a delay of its own.
 func (n *simNode) notify(state policy.BackendState) {
 	s := n.sim
-	for _, forwarder := range s.fwds {
-		s.after(s.lateS+0.05*s.rng.Float64(), func() { forwarder.handleEndpoint(n, state) })
+	for _, forwarder := range s.forwarders {
+		s.after(s.discoveryDelayS+0.05*s.rng.Float64(), func() { forwarder.handleEndpoint(n, state) })
 	}
 	for _, planner := range s.planners {
-		s.after(s.lateS+0.05*s.rng.Float64(), func() {
-			if host := planner.host; host != nil {
-				planner.do(func() {
-					if planner.host == host {
-						host.UpdateBackends(planner.now(), []policy.Backend{n.entry(planner.clock, state)}, false)
+		s.after(s.discoveryDelayS+0.05*s.rng.Float64(), func() {
+			if core := planner.core; core != nil {
+				planner.runEvent(func() {
+					if planner.core == core {
+						core.UpdateBackends(planner.now(), []policy.Backend{n.backend(planner.clock, state)}, false)
 					}
 				})
 			}
@@ -159,8 +162,8 @@
 
 var stateNames = map[policy.BackendState]string{policy.Up: "in_service", policy.Draining: "terminating", policy.Removed: "terminated"}
 
-// entry is a node as a party sees it: times by its own clock.
-func (n *simNode) entry(c clock, state policy.BackendState) policy.Backend {
+// backend returns the node as an entry of the endpoint list, with times by clock c.
+func (n *simNode) backend(c clock, state policy.BackendState) policy.Backend {
 	e := policy.Backend{ID: n.id, Zone: testbed.ZoneOf(n.id, n.sim.cfg.Zones), State: state, Weight: 1}
 	if n.startedAt > 0 {
 		e.StartedAt = c.at(n.startedAt)
@@ -168,16 +171,17 @@
 	return e
 }
 
-// list is the whole list by a clock, those that drain not in it.
-func (s *Sim) list(c clock) (list []policy.Backend) {
+// backends returns the endpoint list, with times by clock c. Nodes that are down or draining are not in it.
+func (s *Sim) backends(c clock) (list []policy.Backend) {
 	for _, n := range s.nodes {
 		if n.listed {
-			list = append(list, n.entry(c, policy.Up))
+			list = append(list, n.backend(c, policy.Up))
 		}
 	}
 	return list
 }
 
+// node returns the node with an ID, nil if there is none.
 func (s *Sim) node(id string) *simNode {
 	for _, n := range s.nodes {
 		if n.id == id {
@@ -187,7 +191,8 @@
 	return nil
 }
 
-func (n *simNode) idOr() string {
+// idOrEmpty returns the ID of the node, "" for nil.
+func (n *simNode) idOrEmpty() string {
 	if n == nil {
 		return ""
 	}
--- a/internal/testbed/simulation/sim_planner.go
+++ b/internal/testbed/simulation/sim_planner.go
@@ -6,52 +6,53 @@
 	"eiderspread/internal/decision/reason"
 )
 
+// simPlanner runs a planner's core.
 type simPlanner struct {
 	sim         *Sim
 	number      int
-	host        *planner.Core
+	core        *planner.Core // nil while it is down
 	clock       clock
-	incarnation uint64
+	incarnation uint64 // starts and kills
 	paused      bool
-	inbox       []func() // what came while it was paused
+	inbox       []func() // events that came while it was paused
 }
 
 func (p *simPlanner) now() float64 { return p.clock.at(p.sim.now) }
 
 func (p *simPlanner) start() {
 	p.incarnation++
-	life := p.incarnation
-	host, err := planner.NewCore(planner.Config{Params: p.sim.params, Number: p.number, Seed: p.sim.rng.Uint64(), Settings: p.sim.settings(0, 1, false)}, p.now(), p)
+	incarnation := p.incarnation
+	core, err := planner.NewCore(planner.Config{Params: p.sim.params, Number: p.number, Seed: p.sim.rng.Uint64(), Settings: p.sim.settings(0, 1, false)}, p.now(), p)
 	if err != nil {
 		panic(err)
 	}
-	p.host = host
+	p.core = core
 	if p.sim.cfg.Trace != nil {
-		host.SetTracer(func(d reason.Decision) {
+		core.SetTracer(func(d reason.Decision) {
 			d.At = p.sim.now
 			p.sim.cfg.Trace(p.number, d)
 		})
 	}
-	host.UpdateBackends(p.now(), p.sim.list(p.clock), true)
+	core.UpdateBackends(p.now(), p.sim.backends(p.clock), true)
 	var tick func()
 	tick = func() {
-		if p.incarnation != life {
+		if p.incarnation != incarnation {
 			return
 		}
-		p.do(func() { p.host.Tick(p.now()) })
+		p.runEvent(func() { p.core.Tick(p.now()) })
 		p.sim.after(planner.TickIntervalS, tick)
 	}
 	p.sim.after(p.sim.rng.Float64()*planner.TickIntervalS, tick)
 }
 
-// do runs something on the planner's loop: once it runs again, if it is paused.
-func (p *simPlanner) do(f func()) {
+// runEvent runs an event on the planner's event loop. While the planner is paused, events wait in its inbox.
+func (p *simPlanner) runEvent(event func()) {
 	if p.paused {
-		p.inbox = append(p.inbox, f)
+		p.inbox = append(p.inbox, event)
 		return
 	}
-	f()
-	p.sim.check()
+	event()
+	p.sim.checkLeaders()
 }
 
 // SendToForwarder implements planner.Output.
