--- a/cmd/membershipagent/lab.go
+++ b/cmd/membershipagent/lab.go
@@ -48,7 +48,7 @@
 	flags.Uint64Var(&f.seed, "seed", 1, "seed of accounts, traffic and faults")
 	flags.Float64Var(&f.scale, "scale", 1, "factor on the number of accounts")
 	flags.StringVar(&f.dir, "dir", "", "new directory for files and logs; empty: a temporary one")
-	flags.StringVar(&f.faults, "troubles", "", "faults of etcd to choose from, separated by commas; empty: all of "+strings.Join(etcdfleet.Troubles(), ", "))
+	flags.StringVar(&f.faults, "troubles", "", "faults of etcd to choose from, separated by commas; empty: all of "+strings.Join(etcdfleet.FaultNames(), ", "))
 	flags.StringVar(&f.sizes, "sizes", "", "instead of a run, measure agent and ingress for -for at each of these numbers of nodes, separated by commas")
 	flags.BoolVar(&f.quiet, "quiet", false, "do not print each fault")
 	return f, flags.Parse(args)
@@ -78,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		return etcdfleet.Sizes(sizes, f.length, f.seed, f.dir, spawner(self), out)
+		return etcdfleet.MeasureSizes(sizes, f.length, f.seed, f.dir, spawner(self), out)
 	}
 	scenario, err := f.scenario(self)
 	if err != nil {
@@ -92,8 +92,8 @@
 	if err := selectFaults(rig, f.faults); err != nil {
 		return err
 	}
-	rig.Use(&scenario.FleetConfig)
-	etcdfleet.Play(rig)
+	rig.ConfigureFleet(&scenario.FleetConfig)
+	etcdfleet.SetRig(rig)
 	fmt.Fprintf(out, "etcd: %d cores, %d members, %d forwarders, %d planners, %d nodes, %d accounts, %v, seed %d, %d faults; logs in %s\n",
 		runtime.NumCPU(), f.members, f.forwarders, f.planners, scenario.Nodes, len(scenario.Accounts), f.length, f.seed, len(scenario.Faults), f.dir)
 	log := out
@@ -116,7 +116,7 @@
 		Accounts: testbed.Accounts(scaled(smallAccounts), scaled(mediumAccounts), scaled(largeAccounts), f.forwarders, gatewaysPerAccount, f.seed),
 		FleetConfig: testbed.FleetConfig{Forwarders: f.forwarders, Planners: f.planners, Nodes: f.nodes, Classes: testbed.LabClasses,
 			Plans: testbed.LabPlans, Node: testbed.LabNode, Seed: f.seed, Dir: f.dir, Spawn: spawner(self)}}
-	return scenario, testbed.Make("etcd", &scenario, etcdfleet.Kinds, f.every)
+	return scenario, testbed.ApplyScenario("etcd", &scenario, etcdfleet.Kinds, f.every)
 }
 
 // parseSizes parses numbers of nodes that are separated by commas.
@@ -137,10 +137,10 @@
 	if names == "" {
 		return nil
 	}
-	rig.Only = strings.Split(names, ",")
-	for _, name := range rig.Only {
-		if !slices.Contains(etcdfleet.Troubles(), name) {
-			return fmt.Errorf("troubles: unknown fault %q, want one of %s", name, strings.Join(etcdfleet.Troubles(), ", "))
+	rig.SelectedFaults = strings.Split(names, ",")
+	for _, name := range rig.SelectedFaults {
+		if !slices.Contains(etcdfleet.FaultNames(), name) {
+			return fmt.Errorf("troubles: unknown fault %q, want one of %s", name, strings.Join(etcdfleet.FaultNames(), ", "))
 		}
 	}
 	return nil
--- a/cmd/testbed/counts.go
+++ b/cmd/testbed/counts.go
@@ -44,7 +44,7 @@
 	for _, c := range cells {
 		all.Go(func() {
 			slots <- struct{}{}
-			c.excess, c.shortfall, c.err = simulation.CountWorst(c.failure, c.n, *seeds)
+			c.excess, c.shortfall, c.err = simulation.WorstCountErrors(c.failure, c.n, *seeds)
 			<-slots
 		})
 	}
--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -159,7 +159,7 @@
 }
 
 func (o *labOptions) measureFailsafes(sc testbed.Scenario, out io.Writer) error {
-	into, back, err := testbed.Failsafes(sc.FleetConfig, o.failsafes)
+	into, back, err := testbed.MeasureFailsafes(sc.FleetConfig, o.failsafes)
 	if err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 }
 
 func (o *labOptions) measureDeaths(sc testbed.Scenario, out io.Writer) error {
-	back, err := testbed.Deaths(sc.FleetConfig, o.deaths)
+	back, err := testbed.MeasureTakeovers(sc.FleetConfig, o.deaths)
 	if err != nil {
 		return err
 	}
@@ -249,7 +249,7 @@
 	if o.shedding {
 		sc.Operator = "[overload]\non = true\n"
 	}
-	if err := testbed.Make(o.scenario, sc, kinds, o.every); err != nil {
+	if err := testbed.ApplyScenario(o.scenario, sc, kinds, o.every); err != nil {
 		return err
 	}
 	if o.replayFile == "" {
--- a/cmd/testbed/overload.go
+++ b/cmd/testbed/overload.go
@@ -95,7 +95,7 @@
 
 // simulate runs the scenario in virtual time.
 func (p overloadRun) simulate(seed uint64) (*oracle.Report, error) {
-	cfg, err := simulation.Sized(p.name, p.planners > 0, p.ingresses, p.nodes, seed, p.length.Seconds())
+	cfg, err := simulation.MakeWithSizes(p.name, p.planners > 0, p.ingresses, p.nodes, seed, p.length.Seconds())
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 	if p.cfg.Enabled {
 		sc.Operator = "[overload]\non = true\n"
 	}
-	if err := testbed.Make(p.name, &sc, nil, 0); err != nil {
+	if err := testbed.ApplyScenario(p.name, &sc, nil, 0); err != nil {
 		return nil, err
 	}
 	_, report, err := testbed.Run(sc, io.Discard)
--- a/cmd/testbed/runs.go
+++ b/cmd/testbed/runs.go
@@ -44,7 +44,7 @@
 	}
 	defer out.Close()
 	rules := f.Rules()
-	rules.MinOccasions = sc.Floors
+	rules.MinOccasions = sc.MinOccasions
 	return oracle.WriteHistory(out, f.Hist, rules)
 }
 
--- a/internal/membership/agent/moves_test.go
+++ b/internal/membership/agent/moves_test.go
@@ -135,19 +135,19 @@
 	forgotten := 0
 	c.SetScript(standin.Script{AfterRead: func() {
 		if forgotten++; forgotten < 4 {
-			c.Forget()
+			c.InvalidateTokens()
 		}
 	}, OnWatch: func(pb.Watch_WatchServer, int64) {}})
 	link.Cut()
 	c.Set("/t/drain/a", "{}")
 	c.Set("/t/nodes/b", nodeValue(2))
 	c.CompactAll()
-	c.Forget()
+	c.InvalidateTokens()
 	link.Heal()
 	waitFor(t, a, "after the compaction", func(l discovery.List) bool {
 		return stateOf(l, "a") == "terminating" && stateOf(l, "b") == "in_service"
 	})
-	c.Jump(time.Hour) // all tokens expire
+	c.AdvanceClock(time.Hour) // all tokens expire
 	link.Break()
 	c.Delete("/t/drain/a")
 	waitFor(t, a, "after the hour", func(l discovery.List) bool { return stateOf(l, "a") == "in_service" })
--- a/internal/membership/etcdsource/cluster_test.go
+++ b/internal/membership/etcdsource/cluster_test.go
@@ -64,7 +64,7 @@
 	src, r := startSourceAt(t, s.Addrs()[:1]) // the source knows only this member
 	receive(t, r.full)
 	receive(t, r.resumed)
-	s.Cut(0, true)
+	s.Isolate(0, true)
 	s.Set("/p/drain/a", "{}")
 	if got := receive(t, r.interruptions); !strings.Contains(got, "no leader") {
 		t.Errorf("the watch ended with %q, want a \"no leader\" error", got)
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -23,16 +23,16 @@
 
 // Account is one customer and the traffic that its clients send.
 type Account struct {
-	Name, Plan    string
-	Rate          float64       // requested units per second, over all classes
-	FloodX        float64       // factor on Rate during a flood
-	FloodEvery    time.Duration // from the end of a flood to the start of the next; the first starts at a random time within it
-	FloodFor      time.Duration
-	First, Spread int           // its requests arrive at the Spread forwarders from number First on
-	From, To      time.Duration // sends only between these times after the start; To 0: until the end
-	Deaf          bool          // its clients ignore the retry-after hint of a rejection
-	Once          bool          // its clients never retry
-	Only          string        // class of all its requests; "": all classes, by Traffic.ClassFractions
+	Name, Plan        string
+	Rate              float64       // requested units per second, over all classes
+	FloodX            float64       // factor on Rate during a flood
+	FloodEvery        time.Duration // from the end of a flood to the start of the next; the first starts at a random time within it
+	FloodFor          time.Duration
+	First, Spread     int           // its requests arrive at the Spread forwarders from number First on
+	From, To          time.Duration // sends only between these times after the start; To 0: until the end
+	IgnoresRetryAfter bool          // its clients ignore the retry-after hint of a rejection
+	NoRetries         bool          // its clients never retry
+	OnlyClass         string        // class of all its requests; "": all classes, by Traffic.ClassFractions
 }
 
 // Traffic configures what Clients send.
@@ -273,10 +273,10 @@
 		if r == oracle.Served || r == oracle.ForeignReply || r == oracle.Disconnected || (r == oracle.Failed || r == oracle.ConnectionLost) && class.Idempotency == policy.NonIdempotent {
 			return
 		}
-		if a.Once {
+		if a.NoRetries {
 			return
 		}
-		if a.Deaf {
+		if a.IgnoresRetryAfter {
 			hint = 0
 		}
 		time.Sleep(max(hint, wait))
@@ -286,7 +286,7 @@
 // ClassOf returns the class of an account's next request for x, a random number in [0, 1).
 func ClassOf(a Account, classes []policy.Class, shares map[string]float64, x float64) policy.Class {
 	for _, k := range classes {
-		if x -= shares[k.Name]; a.Only == "" && x < 0 || a.Only == k.Name {
+		if x -= shares[k.Name]; a.OnlyClass == "" && x < 0 || a.OnlyClass == k.Name {
 			return k
 		}
 	}
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -23,7 +23,7 @@
 	mu         sync.Mutex
 	version    int64                         // of the list; increases with each change
 	list       map[string]discovery.Endpoint // nodes that are not terminated, by ID
-	changes    []change                      // since the last Break, by version
+	changes    []change                      // since the last EndWatches, by version
 	changed    chan struct{}                 // closed and replaced with each change
 	delay      time.Duration                 // of new changes
 	silent     bool                          // send nothing, not even heartbeats
@@ -60,23 +60,23 @@
 	r.changed = make(chan struct{})
 }
 
-// Late delays the changes that are announced from now on by d.
-func (r *Discovery) Late(d time.Duration) {
+// SetDelay delays the changes that are announced from now on by d.
+func (r *Discovery) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Silent makes the stand-in send nothing, not even heartbeats, until it is called with false.
-func (r *Discovery) Silent(on bool) {
+// SetSilent makes the stand-in send nothing, not even heartbeats, until it is called with false.
+func (r *Discovery) SetSilent(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.silent = on
 	r.notifyWatches()
 }
 
-// Break ends all watches and forgets the changes, so that a watch that has missed some of them gets the full list.
-func (r *Discovery) Break() {
+// EndWatches ends all watches and forgets the changes, so that a watch that has missed some of them gets the full list.
+func (r *Discovery) EndWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.changes = nil
@@ -104,7 +104,7 @@
 
 // For opens a listener for a party and returns its address.
 func (r *Discovery) For(party string) (addr string, err error) {
-	l, err := net.Listen("tcp", ownAddr(0))
+	l, err := net.Listen("tcp", hostAddr(0))
 	if err != nil {
 		return "", err
 	}
--- a/internal/testbed/etcdfleet/etcdfleet_test.go
+++ b/internal/testbed/etcdfleet/etcdfleet_test.go
@@ -81,11 +81,11 @@
 		t.Fatal(err)
 	}
 	defer rig.Close()
-	Play(rig)
+	SetRig(rig)
 	cfg := testbed.FleetConfig{Forwarders: 2, Nodes: 4, Classes: testbed.LabClasses, Plans: testbed.LabPlans, Seed: 1, Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1,
 		Node: node.Config{Cores: 8, Queue: 100, Speed: 1, KeyedS: 4, Work: map[string]float64{"zone-check": 0.005, "slot-hold": 0.005, "courier-send": 0.005}}}
-	rig.Use(&cfg)
-	sc := testbed.Scenario{FleetConfig: cfg, Length: 16 * time.Second, Accounts: testbed.Accounts(4, 3, 1, 2, 2, 1), Floors: map[string]int{oracle.RuleDrain: 1, oracle.RuleFreshMembership: 4}}
+	rig.ConfigureFleet(&cfg)
+	sc := testbed.Scenario{FleetConfig: cfg, Length: 16 * time.Second, Accounts: testbed.Accounts(4, 3, 1, 2, 2, 1), MinOccasions: map[string]int{oracle.RuleDrain: 1, oracle.RuleFreshMembership: 4}}
 	// "next trouble" injects the next fault of etcd once the previous one is repaired; "mark" sets and removes drain marks.
 	for i := range 400 {
 		kind := "mark"
--- a/internal/testbed/etcdfleet/faults.go
+++ b/internal/testbed/etcdfleet/faults.go
@@ -24,8 +24,8 @@
 	inject faultFunc
 }
 
-// Troubles returns the names of all etcd faults, with hyphens as flags take them.
-func Troubles() (list []string) {
+// FaultNames returns the names of all etcd faults, with hyphens as flags take them.
+func FaultNames() (list []string) {
 	for _, t := range etcdFaults {
 		list = append(list, strings.ReplaceAll(t.name, " ", "-"))
 	}
@@ -44,8 +44,8 @@
 	{"leader changed", func(r *Rig, _ testbed.Fault) func() { r.Etcd.ChangeLeader(); return func() {} }},
 	{"member in a minority", func(r *Rig, x testbed.Fault) func() {
 		i := x.B % len(r.Etcd.Addrs())
-		r.Etcd.Cut(i, true)
-		return func() { r.Etcd.Cut(i, false) }
+		r.Etcd.Isolate(i, true)
+		return func() { r.Etcd.Isolate(i, false) }
 	}},
 	{"member lags", func(r *Rig, x testbed.Fault) func() {
 		i := x.B % len(r.Etcd.Addrs())
@@ -94,13 +94,13 @@
 		r.breakAll()
 		return func() { r.Etcd.ServeStale(i, 0, 0) }
 	}},
-	{"tokens forgotten", func(r *Rig, x testbed.Fault) func() { r.Etcd.Forget(); r.breakAll(); return func() {} }},
-	{"clock ahead by an hour", func(r *Rig, x testbed.Fault) func() { r.Etcd.Jump(time.Hour); return func() {} }},
-	{"clock back by an hour", func(r *Rig, x testbed.Fault) func() { r.Etcd.Jump(-time.Hour); return func() {} }},
+	{"tokens forgotten", func(r *Rig, x testbed.Fault) func() { r.Etcd.InvalidateTokens(); r.breakAll(); return func() {} }},
+	{"clock ahead by an hour", func(r *Rig, x testbed.Fault) func() { r.Etcd.AdvanceClock(time.Hour); return func() {} }},
+	{"clock back by an hour", func(r *Rig, x testbed.Fault) func() { r.Etcd.AdvanceClock(-time.Hour); return func() {} }},
 	{"slow", func(r *Rig, x testbed.Fault) func() {
 		for _, side := range r.links {
 			for _, k := range side {
-				k.Set(testbed.Way{Delay: time.Duration(20+100*x.X) * time.Millisecond})
+				k.Set(testbed.LinkState{Delay: time.Duration(20+100*x.X) * time.Millisecond})
 			}
 		}
 		return func() {
@@ -161,15 +161,17 @@
 // rig is the rig that the registered fault kinds act on: one at a time, as a test fleet is one program.
 var rig *Rig
 
-// Play makes the fault kinds of this package act on r.
-func Play(r *Rig) { rig = r }
+// SetRig makes the fault kinds of this package act on r.
+func SetRig(r *Rig) { rig = r }
 
 // injectPair injects two faults of etcd at once, or one if both are the same or both exclusive, repairs them, and waits until
 // the lists of all agents equal what the sources hold.
 func (r *Rig) injectPair(x testbed.Fault, wait func(time.Duration) bool) {
 	list := etcdFaults
-	if len(r.Only) > 0 {
-		list = slices.DeleteFunc(slices.Clone(list), func(t namedFault) bool { return !slices.Contains(r.Only, strings.ReplaceAll(t.name, " ", "-")) })
+	if len(r.SelectedFaults) > 0 {
+		list = slices.DeleteFunc(slices.Clone(list), func(t namedFault) bool {
+			return !slices.Contains(r.SelectedFaults, strings.ReplaceAll(t.name, " ", "-"))
+		})
 	}
 	one, two := list[x.A%len(list)], list[x.B%len(list)]
 	names := one.name
--- a/internal/testbed/etcdfleet/rig.go
+++ b/internal/testbed/etcdfleet/rig.go
@@ -38,8 +38,8 @@
 
 // Rig is the membership source of one fleet. It is safe for concurrent use.
 type Rig struct {
-	Etcd *etcdstandin.Cluster
-	Only []string // etcd faults to choose from, as in Troubles; empty: all. Set before a run
+	Etcd           *etcdstandin.Cluster
+	SelectedFaults []string // etcd faults to choose from, see FaultNames; empty: all. Set before a run
 
 	hist      *oracle.History
 	links     [2][]*testbed.Link // a link to each member, for agents with even and with odd numbers
@@ -101,8 +101,8 @@
 	return r, nil
 }
 
-// Use makes the rig the membership source of a fleet.
-func (r *Rig) Use(cfg *testbed.FleetConfig) {
+// ConfigureFleet makes the rig the membership source of a fleet.
+func (r *Rig) ConfigureFleet(cfg *testbed.FleetConfig) {
 	cfg.OneAddr, cfg.Discovery, cfg.Source, cfg.StaleS = true, r.discovery, r.source, 2.5
 }
 
--- a/internal/testbed/etcdfleet/sizes.go
+++ b/internal/testbed/etcdfleet/sizes.go
@@ -15,9 +15,9 @@
 	"eiderspread/internal/testbed/etcdstandin"
 )
 
-// Sizes measures the cost of an agent and its ingress for each number of nodes, without traffic: the time from the agent's start
+// MeasureSizes measures the cost of an agent and its ingress for each number of nodes, without traffic: the time from the agent's start
 // until it serves all nodes, its memory when idle, and CPU and memory of both while 1% of the nodes change per second.
-func Sizes(sizes []int, length time.Duration, seed uint64, dir string, spawn testbed.Spawn, w io.Writer) error {
+func MeasureSizes(sizes []int, length time.Duration, seed uint64, dir string, spawn testbed.Spawn, w io.Writer) error {
 	fmt.Fprintf(w, "%d cores, one etcd member, %v per size, 1%% of the nodes changed per second in ten transactions, seed %d\n", runtime.NumCPU(), length, seed)
 	fmt.Fprintln(w, "| nodes | all served after | agent memory, idle | agent CPU, of one core | agent memory | ingress CPU, of one core | ingress memory | changes |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- |")
--- a/internal/testbed/etcdstandin/cluster_test.go
+++ b/internal/testbed/etcdstandin/cluster_test.go
@@ -39,7 +39,7 @@
 	withLeader := m[0].Watch(clientv3.WithRequireLeader(a.ctx), "a", clientv3.WithRev(2))
 	a.events(plain, 1)
 	a.events(withLeader, 1)
-	a.c.Cut(0, true) // the leader
+	a.c.Isolate(0, true) // the leader
 	_, err := m[0].Get(a.ctx, "a")
 	a.fails(err, rpctypes.ErrTimeout)
 	_, err = m[0].Put(a.ctx, "a", "lost")
@@ -59,7 +59,7 @@
 	if r := <-plain; !r.IsProgressNotify() || r.Header.Revision != 2 {
 		t.Errorf("got %+v, want a progress notification at revision 2", r)
 	}
-	a.c.Cut(0, false)
+	a.c.Isolate(0, false)
 	a.eq(a.events(plain, 1), "PUT a=2@3")
 	now, err := m[0].Get(a.ctx, "a")
 	a.ok(err)
@@ -122,7 +122,7 @@
 	l, err := a.cli.Grant(a.ctx, 1000)
 	a.ok(err)
 	a.put("a", "1", clientv3.WithLease(l.ID))
-	a.c.Jump(999 * time.Second)
+	a.c.AdvanceClock(999 * time.Second)
 	was := a.c.Counts().LeaderChanges
 	a.c.ChangeLeader()
 	for a.c.Counts().LeaderChanges == was {
@@ -131,7 +131,7 @@
 	r, err := m[2].Get(a.ctx, "a")
 	a.ok(err)
 	a.eq(r.Header.RaftTerm, uint64(3))
-	a.c.Jump(999 * time.Second)
+	a.c.AdvanceClock(999 * time.Second)
 	a.eq(a.get("a").Count, int64(1))
 	st, err := m[2].Status(a.ctx, a.c.Addrs()[2])
 	a.ok(err)
@@ -184,9 +184,9 @@
 	if _, err := clientv3.New(clientv3.Config{Endpoints: c.Addrs(), Username: "u", Password: "wrong", DialTimeout: testTimeout}); err == nil {
 		t.Error("a wrong password was accepted")
 	}
-	c.Jump(2 * time.Minute)
+	c.AdvanceClock(2 * time.Minute)
 	a.put("a", "2")
-	c.Forget()
+	c.InvalidateTokens()
 	w := a.cli.Watch(ctx, "a", clientv3.WithRev(2))
 	a.eq(a.events(w, 2), "PUT a=1@2, PUT a=2@3")
 	_, err = client(t, clientv3.Config{Endpoints: c.Addrs()}).Grant(ctx, 5)
--- a/internal/testbed/etcdstandin/conformance_test.go
+++ b/internal/testbed/etcdstandin/conformance_test.go
@@ -513,19 +513,19 @@
 		l, err := a.cli.Grant(a.ctx, 1000)
 		a.ok(err)
 		a.put("a", "1", clientv3.WithLease(l.ID))
-		a.c.Jump(999 * time.Second)
+		a.c.AdvanceClock(999 * time.Second)
 		a.eq(a.get("a").Count, int64(1))
-		a.c.Jump(2 * time.Second)
+		a.c.AdvanceClock(2 * time.Second)
 		a.eq(a.get("a").Count, int64(0))
 	}},
 	{"a keepalive renews a lease for its full TTL", func(a *clusterTest) {
 		l, err := a.cli.Grant(a.ctx, 1000)
 		a.ok(err)
 		a.put("a", "1", clientv3.WithLease(l.ID))
-		a.c.Jump(999 * time.Second)
+		a.c.AdvanceClock(999 * time.Second)
 		k, err := a.cli.KeepAliveOnce(a.ctx, l.ID)
 		a.ok(err)
-		a.c.Jump(999 * time.Second)
+		a.c.AdvanceClock(999 * time.Second)
 		a.eq([]int64{k.TTL, a.get("a").Count}, []int64{1000, 1})
 	}},
 	{"a put without the lease detaches the key", func(a *clusterTest) {
--- a/internal/testbed/etcdstandin/etcd.go
+++ b/internal/testbed/etcdstandin/etcd.go
@@ -74,7 +74,7 @@
 	elections     int           // incremented by each election, so that the timer of an earlier election has no effect
 	changed       chan struct{} // closed and replaced by applyCommits
 	start         time.Time
-	skew          time.Duration // offset of the cluster's clock, see Jump
+	skew          time.Duration // offset of the cluster's clock, see AdvanceClock
 	expiryTimer   *time.Timer
 	tokens        map[string]token // at most maxTokens; expire removes expired ones
 	lastToken     int
@@ -156,11 +156,11 @@
 	return c, nil
 }
 
-// now returns the cluster's time since its start, including the offset set by Jump. The caller holds c.mu.
+// now returns the cluster's time since its start, including the offset set by AdvanceClock. The caller holds c.mu.
 func (c *Cluster) now() time.Duration { return time.Since(c.start) + c.skew }
 
-// Jump moves the cluster's clock by d, which may be negative. Leases and tokens expire by this clock.
-func (c *Cluster) Jump(d time.Duration) {
+// AdvanceClock moves the cluster's clock by d, which may be negative. Leases and tokens expire by this clock.
+func (c *Cluster) AdvanceClock(d time.Duration) {
 	c.mu.Lock()
 	c.skew += d
 	c.mu.Unlock()
@@ -355,8 +355,8 @@
 	}
 }
 
-// Cut isolates member i from the other members, or ends the isolation. Clients still reach the member.
-func (c *Cluster) Cut(i int, on bool) {
+// Isolate isolates member i from the other members, or ends the isolation. Clients still reach the member.
+func (c *Cluster) Isolate(i int, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.members[i].cut = on
--- a/internal/testbed/etcdstandin/services.go
+++ b/internal/testbed/etcdstandin/services.go
@@ -334,8 +334,8 @@
 	return &pb.AuthenticateResponse{Header: m.header(), Token: id}, nil
 }
 
-// Forget invalidates all tokens.
-func (c *Cluster) Forget() {
+// InvalidateTokens invalidates all tokens.
+func (c *Cluster) InvalidateTokens() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.tokens)
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -65,12 +65,12 @@
 		f.Peers.All(PacketConditions{}, nil)
 	}},
 	"babel": {"two halves of the ingresses can't decode each other's messages, and the oracle is not told: a planted violation", 0, 4, fixedTarget("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Peers.All(PacketConditions{Alien: true}, func(i, j int) bool { return i%2 != j%2 })
+		f.Peers.All(PacketConditions{UnknownVersion: true}, func(i, j int) bool { return i%2 != j%2 })
 		wait(x.For)
 		f.Peers.All(PacketConditions{}, nil)
 	}},
 	"liar": {"an ingress reports false load-shedding levels to the others, none and full in turn", 0, 4, fixedTarget("peers"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Peers.All(PacketConditions{Lies: true}, func(i, _ int) bool { return i == x.A%len(f.Forwarders) })
+		f.Peers.All(PacketConditions{FalseLoadShedState: true}, func(i, _ int) bool { return i == x.A%len(f.Forwarders) })
 		wait(x.For)
 		f.Peers.All(PacketConditions{}, nil)
 	}},
@@ -177,36 +177,36 @@
 	}},
 	"sick": {"a node returns errors, resets connections, does not answer and sends malformed answers", 2, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		if n := f.pick(x.A); n != nil {
-			f.changeConditions(x, wait, []*Node{n}, func(w *node.Conditions) { *w = node.Rough(0.4 + 0.6*x.X) })
+			f.changeConditions(x, wait, []*Node{n}, func(w *node.Conditions) { *w = node.FailingConditions(0.4 + 0.6*x.X) })
 		}
 	}},
 	"node cut": {"a node is cut off; connections stay open", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.changeLinks(x, wait, Way{Cut: true}, true)
+		f.changeLinks(x, wait, LinkState{Cut: true}, true)
 	}},
 	"node half cut": {"a node is cut off from half of the ingresses; connections stay open", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.changeLinks(x, wait, Way{Cut: true}, false)
+		f.changeLinks(x, wait, LinkState{Cut: true}, false)
 	}},
 	"one way": {"the answers of a node are lost; connections stay open", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.changeLinks(x, wait, Way{Cut: true, Back: true}, true)
+		f.changeLinks(x, wait, LinkState{Cut: true, Back: true}, true)
 	}},
 	"refused": {"new connections to a node are reset at once", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.changeLinks(x, wait, Way{Refuse: true}, true)
+		f.changeLinks(x, wait, LinkState{Refuse: true}, true)
 	}},
 	"far": {"the link to a node has a delay of 10 to 90 ms in each direction", 1, 0, nil, func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.changeLinks(x, wait, Way{Delay: time.Duration(10+80*x.X) * time.Millisecond}, true)
+		f.changeLinks(x, wait, LinkState{Delay: time.Duration(10+80*x.X) * time.Millisecond}, true)
 	}},
 	"late roster": {"discovery sends changes 1 to 5 s late", 1, 0, fixedTarget("roster"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Discovery.Late(time.Duration((1 + 4*x.X) * float64(time.Second)))
+		f.Discovery.SetDelay(time.Duration((1 + 4*x.X) * float64(time.Second)))
 		wait(x.For)
-		f.Discovery.Late(0)
+		f.Discovery.SetDelay(0)
 	}},
 	"silent roster": {"discovery sends nothing, not even heartbeats", 1, 0, fixedTarget("roster"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
-		f.Discovery.Silent(true)
+		f.Discovery.SetSilent(true)
 		wait(2 * x.For)
-		f.Discovery.Silent(false)
+		f.Discovery.SetSilent(false)
 	}},
 	"broken roster": {"discovery ends all watches and forgets the changes that it has sent", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
-		f.Discovery.Break()
+		f.Discovery.EndWatches()
 	}},
 	"shift": {"accounts shift their load to others of their ingresses at the same time", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		f.Front.Shift(0.11 + 0.48*x.X)
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -79,16 +79,16 @@
 	return list
 }
 
-// Fits tells whether a kind of fault is drawn by default for fleets of two levels, or of one. Unknown names, that is, kinds that only the
-// simulation has, fit two levels.
-func Fits(name string, two bool) bool {
+// DrawnByDefault tells whether a kind of fault is drawn by default for fleets of two levels, or of one. Unknown names, that is, kinds that
+// only the simulation has, are drawn for two levels.
+func DrawnByDefault(name string, two bool) bool {
 	k, ok := kinds[name]
 	return !ok && two || ok && (k.level == 0 || k.level < 3 && (k.level == 2) == two)
 }
 
-// Plays tells whether a kind of fault can be injected into fleets of two levels, or of one, by default or when named.
-func Plays(name string, two bool) bool {
-	return Fits(name, two) || kinds[name].level == 5 || kinds[name].level == 4 && !two
+// CanInject tells whether a kind of fault can be injected into fleets of two levels, or of one, by default or when named.
+func CanInject(name string, two bool) bool {
+	return DrawnByDefault(name, two) || kinds[name].level == 5 || kinds[name].level == 4 && !two
 }
 
 // Schedule draws the faults of a run. The mean interval between them is every, and each lasts 0.5 to 3 s, so that they overlap. Without names
@@ -101,7 +101,7 @@
 	}
 	var draws []string
 	for _, name := range names {
-		if Fits(name, two) || named && (kinds[name].level == 3 || kinds[name].level == 4 && !two || kinds[name].level == 5) {
+		if DrawnByDefault(name, two) || named && (kinds[name].level == 3 || kinds[name].level == 4 && !two || kinds[name].level == 5) {
 			for range max(kinds[name].weight, 1) {
 				draws = append(draws, name)
 			}
@@ -289,7 +289,7 @@
 
 // changeLinks changes the links to a node from all ingresses, or from those with even or odd numbers, and heals them after one to three times
 // the length of the fault.
-func (f *Fleet) changeLinks(x Fault, wait func(time.Duration) bool, w Way, all bool) {
+func (f *Fleet) changeLinks(x Fault, wait func(time.Duration) bool, w LinkState, all bool) {
 	n := f.pick(x.A)
 	if n == nil {
 		return
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -36,13 +36,13 @@
 	LateDials            float64 // fraction of connections to nodes that are established late; needs programs that call RunIngress
 	SlowS                float64 // seconds added to the oracle's time limits, for tests that must also pass on a slow machine
 	Exact                bool    // the quota rule allows only its slack, without QuotaSeconds: for runs in which no node is slow
-	Quota                float64 // slack of the quota rule, in units; 0: QuotaSlack in two levels, not checked in one
-	CapX                 float64 // factor of the rule on concurrency limits; 0: 2 in two levels, not checked in one
+	QuotaSlack           float64 // slack of the quota rule, in units; 0: the constant QuotaSlack in two levels, not checked in one
+	ConcurrencyFactor    float64 // factor of the rule on concurrency limits; 0: 2 in two levels, not checked in one
 	PeerLoss             float64 // fraction of messages between ingresses that is lost in virtual time; 0: 3%
 	Operator             string  // lines added to the operator's file of one-level ingresses, or of planners
 	MeasureOverload      bool    // the demand exceeds the capacity of the nodes: the oracle measures the result
 	Peak                 oracle.Peak
-	Stated               oracle.LoadSheddingBounds // with MeasureOverload and Operator: the bounds on load shedding that the oracle checks
+	LoadSheddingBounds   oracle.LoadSheddingBounds // with MeasureOverload and Operator: the bounds on load shedding that the oracle checks
 	Zones                int                       // zones, assigned to nodes in turn, each with its own memory of keys; 0: one zone
 	Direct               bool                      // no links between clients, ingresses and nodes: for measurements of cost
 	// Discovery, if set, returns the address at which a party queries discovery, in place of the stand-in.
--- a/internal/testbed/fleet_layout.go
+++ b/internal/testbed/fleet_layout.go
@@ -33,7 +33,7 @@
 		"limits": map[string]any{"cancel": true, "connIdleS": 15.0, "dialTimeoutS": 0.25, "maxAttempts": MaxAttempts,
 			"maxRetryAfterS": 1.0, "mostHeld": 20000, "peerMessages": peers, "retryAfter": true},
 		"profiles": profiles, "packages": packages, "tickS": 0.004,
-		"rules": map[string]any{"answerSlackS": 0.05, "coldFrom": StatedSlowStartMinFraction, "coldS": StatedSlowStartS, "fallMultiple": StatedMultiple,
+		"rules": map[string]any{"answerSlackS": 0.05, "coldFrom": StatedSlowStartMinFraction, "coldS": StatedSlowStartS, "fallMultiple": StatedFallMultiple,
 			"fallS": StatedFallS}}
 }
 
@@ -70,7 +70,7 @@
 func (f *Fleet) addOneLevelPrograms() error {
 	var peers []string
 	for range f.cfg.Forwarders {
-		c, err := net.ListenPacket("udp", ownAddr(0))
+		c, err := net.ListenPacket("udp", hostAddr(0))
 		if err != nil {
 			return err
 		}
--- a/internal/testbed/host.go
+++ b/internal/testbed/host.go
@@ -19,5 +19,5 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+(pid>>16)%254, (pid>>8)%256, 1+pid%254)
 }
 
-// ownAddr returns the address of a port of Host; port 0 lets the system choose a free one.
-func ownAddr(port int) string { return net.JoinHostPort(Host, strconv.Itoa(port)) }
+// hostAddr returns the address of a port of Host; port 0 lets the system choose a free one.
+func hostAddr(port int) string { return net.JoinHostPort(Host, strconv.Itoa(port)) }
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -26,7 +26,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv("LAB_KIND") == "holder" { // a testbed that starts a program and is killed
 		c := exec.Command("sleep", "600")
-		if err := spawned(c); err != nil {
+		if err := startOnThread(c); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -108,22 +108,22 @@
 	cfg := testFleetConfig(t, 3)
 	cfg.Planners = 0
 	sc := Scenario{FleetConfig: cfg, Accounts: Accounts(6, 4, 2, 3, 2, 1), Length: 9 * time.Second}
-	if err := Make("operators", &sc, nil, 0); err != nil {
+	if err := ApplyScenario("operators", &sc, nil, 0); err != nil {
 		t.Fatal(err)
 	}
 	ms := time.Millisecond
 	sc.Faults = []Fault{{At: 900 * ms, For: 3 * time.Second, Kind: "held", A: 1}, {At: 1500 * ms, Kind: "replaced", A: 0}, {At: 2000 * ms, Kind: "replaced", A: 1},
 		{At: 2200 * ms, For: 300 * ms, Kind: "forwarder", A: 2}, {At: 2500 * ms, Kind: "broken roster"}, {At: 4500 * ms, Kind: "replaced", A: 0},
 		{At: 5000 * ms, For: 2 * time.Second, Kind: "held", A: 2}, {At: 5500 * ms, Kind: "replaced", A: 2}}
-	sc.Floors = map[string]int{oracle.RuleCordon: 1, oracle.RuleReplacement: 3, oracle.RuleNoRequestLost: 5}
+	sc.MinOccasions = map[string]int{oracle.RuleCordon: 1, oracle.RuleHotRestart: 3, oracle.RuleNoRequestLost: 5}
 	var log strings.Builder
 	f, rep, err := Run(sc, &log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	requireRulesHold(t, rep, &log)
-	if len(f.Hist.Replacements) != 4 {
-		t.Errorf("%d programs were replaced, want 4; faults: %+v", len(f.Hist.Replacements), f.Hist.Faults)
+	if len(f.Hist.HotRestarts) != 4 {
+		t.Errorf("%d programs were replaced, want 4; faults: %+v", len(f.Hist.HotRestarts), f.Hist.Faults)
 	}
 }
 
@@ -136,14 +136,14 @@
 	cfg := testFleetConfig(t, 3)
 	cfg.Params.LeaseS, cfg.Params.HeartbeatS, cfg.Params.LinkTimeoutS = 0.55, 0.1, 0.6
 	sc := Scenario{FleetConfig: cfg, Accounts: Accounts(6, 4, 2, 3, 2, 1), Length: 9 * time.Second}
-	if err := Make("hands", &sc, nil, 0); err != nil {
+	if err := ApplyScenario("hands", &sc, nil, 0); err != nil {
 		t.Fatal(err)
 	}
 	ms := time.Millisecond
 	sc.Faults = []Fault{{At: 900 * ms, For: 2500 * ms, Kind: "fleet held", A: 1, B: 0}, {At: 2000 * ms, For: time.Second, Kind: "kill", A: 0},
 		{At: 2300 * ms, For: 400 * ms, Kind: "away", A: 1}, {At: 4600 * ms, For: 2 * time.Second, Kind: "fleet held", A: 2, B: 1},
 		{At: 5600 * ms, For: 400 * ms, Kind: "forwarder", A: 2}, {At: 6000 * ms, For: 500 * ms, Kind: "away", A: 2}}
-	sc.Floors = map[string]int{oracle.RuleCordon: 1}
+	sc.MinOccasions = map[string]int{oracle.RuleCordon: 1}
 	var log strings.Builder
 	_, rep, err := Run(sc, &log)
 	if err != nil {
@@ -159,11 +159,11 @@
 		t.Skip("needs a build with fencing")
 	}
 	sc := Scenario{FleetConfig: testFleetConfig(t, 5), Accounts: Accounts(6, 4, 2, 5, 3, 1), Length: 14 * time.Second}
-	if err := Make("storm", &sc, []string{"kill", "cut", "term", "drain", "sick", "node half cut", "flood"}, 800*time.Millisecond); err != nil {
+	if err := ApplyScenario("storm", &sc, []string{"kill", "cut", "term", "drain", "sick", "node half cut", "flood"}, 800*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	// Low floors, because a slow machine has fewer occasions than a fast one.
-	sc.Floors = map[string]int{oracle.RuleNoRequestLost: 10, oracle.RuleOneOpenAttempt: 3, oracle.RuleNoDuplicateEffect: 2, oracle.RuleHardLimit: 3, oracle.RuleQuota: 10}
+	sc.MinOccasions = map[string]int{oracle.RuleNoRequestLost: 10, oracle.RuleOneOpenAttempt: 3, oracle.RuleNoDuplicateEffect: 2, oracle.RuleHardLimit: 3, oracle.RuleQuota: 10}
 	var log strings.Builder
 	f, rep, err := Run(sc, &log)
 	if err != nil {
--- a/internal/testbed/links.go
+++ b/internal/testbed/links.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Way is the state of a link.
-type Way struct {
+// LinkState is the state of a link.
+type LinkState struct {
 	Cut    bool          // drop all bytes; open connections stay open, new ones are accepted and carry nothing
 	Back   bool          // with Cut: drop only the bytes from the far end
 	Refuse bool          // reset new connections at once
@@ -27,7 +27,7 @@
 
 	mu       sync.Mutex
 	target   string // address of the far end
-	way      Way
+	way      LinkState
 	conns    map[net.Conn]bool // open connections of both ends
 	healed   chan struct{}     // closed and replaced when a cut ends
 	healedAt time.Time         // when the last cut ended
@@ -45,7 +45,7 @@
 
 // NewLinkWith opens a link with callbacks to an address.
 func NewLinkWith(to string, hooks Hooks) (*Link, error) {
-	l, err := net.Listen("tcp", ownAddr(0))
+	l, err := net.Listen("tcp", hostAddr(0))
 	if err != nil {
 		return nil, err
 	}
@@ -69,13 +69,13 @@
 }
 
 // Cut drops all bytes from now on, in both directions.
-func (k *Link) Cut() { k.Set(Way{Cut: true}) }
+func (k *Link) Cut() { k.Set(LinkState{Cut: true}) }
 
 // Heal ends the effect of Set. If the link was cut, all open connections are reset.
-func (k *Link) Heal() { k.Set(Way{}) }
+func (k *Link) Heal() { k.Set(LinkState{}) }
 
 // Set changes the state of the link. At the end of a cut all open connections are reset.
-func (k *Link) Set(w Way) {
+func (k *Link) Set(w LinkState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	endsCut := k.way.Cut && !w.Cut
@@ -91,7 +91,7 @@
 	k.healed = make(chan struct{})
 }
 
-func (k *Link) state() (way Way, healed chan struct{}) {
+func (k *Link) state() (way LinkState, healed chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.way, k.healed
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -122,9 +122,9 @@
 // CostHeader is the header of the table of costs, in Markdown.
 const CostHeader = "| fleet | tries/s | forwarder us/try | planner us/try | idle forwarder | idle planner | link B/try | idle link kB/s | datagrams/try | overhead p50 ms | p99 ms | service |\n|---|---|---|---|---|---|---|---|---|---|---|---|"
 
-// Deaths kills one planner at a time, n times in all. It returns, in ascending order, how long each time it took until every forwarder
-// saw a leader in every cell again.
-func Deaths(cfg FleetConfig, n int) (back []time.Duration, err error) {
+// MeasureTakeovers kills one planner at a time, n times in all. It returns, in ascending order, how long each time it took until every
+// forwarder saw a leader in every cell again.
+func MeasureTakeovers(cfg FleetConfig, n int) (back []time.Duration, err error) {
 	f, err := StartFleet(cfg)
 	defer f.Stop()
 	if err != nil {
@@ -161,10 +161,10 @@
 	return back, nil
 }
 
-// Failsafes pauses all planners with SIGSTOP, so that their connections stay open, and resumes them, n times. It returns, each in
+// MeasureFailsafes pauses all planners with SIGSTOP, so that their connections stay open, and resumes them, n times. It returns, each in
 // ascending order, the times from the pause until every forwarder was in the fail-safe in all cells, and from the resume until
 // every forwarder saw a leader in every cell again.
-func Failsafes(cfg FleetConfig, n int) (into, back []time.Duration, err error) {
+func MeasureFailsafes(cfg FleetConfig, n int) (into, back []time.Duration, err error) {
 	f, err := StartFleet(cfg)
 	defer f.Stop()
 	if err != nil {
--- a/internal/testbed/net_test.go
+++ b/internal/testbed/net_test.go
@@ -126,7 +126,7 @@
 		}
 		return c
 	}
-	k.Set(Way{Cut: true, Back: true})
+	k.Set(LinkState{Cut: true, Back: true})
 	a := dial()
 	if _, err := io.WriteString(a, "one"); err != nil {
 		t.Error(err)
@@ -154,7 +154,7 @@
 		t.Error("CutSince must be true for a time before the cut and false for now")
 	}
 	for _, refuse := range []bool{true, false} { // false: nobody listens at the target
-		k.Set(Way{Refuse: refuse})
+		k.Set(LinkState{Refuse: refuse})
 		if !refuse {
 			l.Close()
 		}
@@ -217,19 +217,19 @@
 	set := func(id, state string) { r.Set(discovery.Endpoint{ID: id, Addr: "127.0.0.1:1", State: state}) }
 	set("a", "in_service")
 	want("a in_service")
-	r.Late(50 * time.Millisecond)
+	r.SetDelay(50 * time.Millisecond)
 	at := time.Now()
 	set("a", "terminating")
 	want("a terminating")
 	if time.Since(at) < 50*time.Millisecond {
 		t.Errorf("discovery sent a change %v after it was made, want a delay of at least 50 ms", time.Since(at))
 	}
-	r.Late(0)
+	r.SetDelay(0)
 	set("b", "in_service")
 	want("b in_service")
 	set("a", "terminated")
 	want("a terminated")
-	r.Break()
+	r.EndWatches()
 	set("c", "in_service")
 	for g := range got { // as a change or in the full list
 		if g == "c in_service" {
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -69,7 +69,7 @@
 // Start starts a node at addr, or at an address of its own if addr is empty. A cold node starts now, any other counts as started 1e6 s ago.
 func (w *NodeNet) Start(id, addr string, cfg node.Config, cold bool, seed uint64) (*Node, error) {
 	if addr == "" {
-		addr = ownAddr(0)
+		addr = hostAddr(0)
 	}
 	var l net.Listener
 	var err error
@@ -132,26 +132,26 @@
 // Resume ends a pause.
 func (n *Node) Resume() { n.do(func(m *node.Model, now float64) { m.Resume(now) }) }
 
-// Fallen tells whether the node has failed because it was sent too much work while cold.
-func (n *Node) Fallen() bool {
+// IsCollapsed tells whether the node has failed because it was sent too much work while cold.
+func (n *Node) IsCollapsed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.model.Fallen()
+	return n.model.IsCollapsed()
 }
 
-// Began implements node.Out.
+// Began implements node.Observer.
 func (n *Node) Began(_ float64, a *node.Attempt, work float64, repeat bool) {
 	n.hist.AttemptStarted(n.attempts[a.Handle].rec, work, repeat)
 }
 
-// Answer implements node.Out.
+// Answer implements node.Observer.
 func (n *Node) Answer(_ float64, a *node.Attempt, f node.Fate, load float64) {
 	x := n.attempts[a.Handle]
 	x.load = load
 	x.reply <- f
 }
 
-// Ended implements node.Out.
+// Ended implements node.Observer.
 func (n *Node) Ended(_ float64, a *node.Attempt, how string) {
 	x := n.attempts[a.Handle]
 	if x == nil {
@@ -162,8 +162,8 @@
 	close(x.reply)
 }
 
-// Fell implements node.Out.
-func (n *Node) Fell(float64) {
+// Collapsed implements node.Observer.
+func (n *Node) Collapsed(float64) {
 	n.hist.IncarnationCrashed(n.incarnation)
 	n.hist.AddFault("node " + n.ID + " fell over")
 	n.stop()
@@ -357,7 +357,7 @@
 		n.hist.ConnectionEnded(x.rec.Conn)
 		n.do(func(m *node.Model, now float64) {
 			if n.attempts[x.Handle] == x {
-				m.Leave(now, &x.Attempt)
+				m.Abandon(now, &x.Attempt)
 			}
 		})
 		return false
--- a/internal/testbed/node/model.go
+++ b/internal/testbed/node/model.go
@@ -66,8 +66,8 @@
 	Slow      float64 // factor on the execution time; below 1 counts as 1
 }
 
-// Rough returns conditions in which fraction x of all attempts fails, spread over all fates by fixed weights.
-func Rough(x float64) (w Conditions) {
+// FailingConditions returns conditions in which fraction x of all attempts fails, spread over all fates by fixed weights.
+func FailingConditions(x float64) (w Conditions) {
 	for f, part := range map[Fate]float64{Error: 1, Full: 2, ResetUnrun: 2, SilentUnrun: 0.5, ErrorRan: 1, ResetRan: 2, ResetMid: 1, SilentRan: 0.5,
 		Late: 0.5, Garbage: 0.5, Lying: 0.5, Endless: 0.5, Valueless: 0.5, Copy: 1, AbsurdLoad: 1, Broken: 1.5} {
 		w.Fractions[f] = x * part / 16
@@ -84,12 +84,12 @@
 	began, abandoned, repeat     bool
 }
 
-// Out receives the events of a Model, in order, during the calls of the Model's methods.
-type Out interface {
+// Observer receives the events of a Model, in order, during the calls of the Model's methods.
+type Observer interface {
 	Began(at float64, a *Attempt, work float64, repeat bool) // execution starts; repeat: its key was used within KeyedS, so it has no effect
 	Answer(at float64, a *Attempt, f Fate, load float64)     // the answer to write, in the form of fate f; Ended follows
 	Ended(at float64, a *Attempt, how string)                // the attempt is finished, no further event follows
-	Fell(at float64)                                         // the node crashed: connections are reset, new ones refused
+	Collapsed(at float64)                                    // the node crashed: connections are reset, new ones refused
 }
 
 // Keys is the memory of idempotency keys that all nodes share. It is not safe for concurrent use.
@@ -127,11 +127,11 @@
 	cfg           Config
 	rng           *rand.Rand
 	keys          *Keys
-	out           Out
+	out           Observer
 	startedAt     float64
 	conditions    Conditions
 	paused        bool
-	fallen        bool
+	collapsed     bool
 	waiting       []*Attempt
 	working       []*Attempt // at most Cores
 	silent        []*Attempt // to be answered late or never
@@ -144,15 +144,15 @@
 type sentWork struct{ at, work float64 }
 
 // New returns a node that started at time born. A node that started at least SlowStartS ago is warm.
-func New(cfg Config, keys *Keys, seed uint64, born float64, out Out) *Model {
+func New(cfg Config, keys *Keys, seed uint64, born float64, out Observer) *Model {
 	return &Model{cfg: cfg, keys: keys, rng: rand.New(rand.NewPCG(seed, 7)), startedAt: born, out: out}
 }
 
 // SetConditions replaces the conditions.
 func (m *Model) SetConditions(w Conditions) { m.conditions = w }
 
-// Fallen reports whether the node crashed.
-func (m *Model) Fallen() bool { return m.fallen }
+// IsCollapsed reports whether the node crashed.
+func (m *Model) IsCollapsed() bool { return m.collapsed }
 
 // WarmFraction returns the fraction of its capacity that a node has at an age in seconds.
 func (c Config) WarmFraction(age float64) float64 {
@@ -187,7 +187,7 @@
 	mean := m.cfg.Work[a.Class]
 	a.repeat = a.Key != "" && m.keys.known(now, m.cfg.Zone+"/"+a.Account+"/"+a.Key, m.cfg.KeyedS) // it has no effect, however long it waits
 	a.work = min(mean*math.Exp(0.5*m.rng.NormFloat64()-0.125), 6*mean)
-	if m.fallen {
+	if m.collapsed {
 		m.out.Ended(now, a, "down")
 		return a.work
 	}
@@ -226,8 +226,8 @@
 
 // Fall crashes the node for good.
 func (m *Model) Fall(now float64) {
-	m.fallen = true
-	m.out.Fell(now)
+	m.collapsed = true
+	m.out.Collapsed(now)
 	for _, list := range [][]*Attempt{m.working, m.waiting, m.silent} {
 		for _, a := range list {
 			m.out.Ended(now, a, "down")
@@ -313,8 +313,8 @@
 	return false
 }
 
-// Leave handles the end of the connection of an attempt: the client abandoned it.
-func (m *Model) Leave(now float64, a *Attempt) {
+// Abandon handles the end of the connection of an attempt: the client abandoned it.
+func (m *Model) Abandon(now float64, a *Attempt) {
 	m.Advance(now)
 	switch {
 	case remove(&m.waiting, a), remove(&m.silent, a):
--- a/internal/testbed/node/model_test.go
+++ b/internal/testbed/node/model_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// recorder implements Out. It records the events as text and checks their order per attempt.
+// recorder implements Observer. It records the events as text and checks their order per attempt.
 type recorder struct {
-	events  []string
-	open    map[*Attempt]string
-	effects int
-	fell    bool
-	t       *testing.T
+	events    []string
+	open      map[*Attempt]string
+	effects   int
+	collapsed bool
+	t         *testing.T
 }
 
 func (r *recorder) record(at float64, format string, args ...any) {
@@ -39,7 +39,7 @@
 	delete(r.open, a)
 	r.record(at, "%s ended: %s", a.Request, how)
 }
-func (r *recorder) Fell(float64) { r.fell = true }
+func (r *recorder) Collapsed(float64) { r.collapsed = true }
 
 func testModel(t *testing.T, cfg Config, born float64) (*Model, *recorder) {
 	r := &recorder{t: t, open: map[*Attempt]string{}}
@@ -62,7 +62,7 @@
 		cfg.WorksOn = seed%2 == 0
 		r := &recorder{t: t, open: map[*Attempt]string{}}
 		m := New(cfg, NewKeys(), seed, 0, r)
-		m.SetConditions(Rough(0.8))
+		m.SetConditions(FailingConditions(0.8))
 		now := 0.0
 		var all []*Attempt
 		for i := range 200 {
@@ -74,7 +74,7 @@
 				r.arrive(m, now, a)
 			case x < 8 && len(all) > 0:
 				if a := all[rng.IntN(len(all))]; r.open[a] != "" {
-					m.Leave(now, a)
+					m.Abandon(now, a)
 				}
 			case x == 8:
 				m.Pause(now)
@@ -91,7 +91,7 @@
 		}
 		for _, a := range all {
 			if r.open[a] != "" {
-				m.Leave(now+1000, a)
+				m.Abandon(now+1000, a)
 			}
 			if a.began && (a.fate == Full || a.fate == ResetUnrun || a.fate == Error || a.fate == SilentUnrun) {
 				t.Errorf("seed %d: attempt with fate %v ran, want not run", seed, a.fate)
@@ -111,18 +111,18 @@
 	for _, age := range []float64{0, 5, 9.9, 10} {
 		m, r := testModel(t, cfg, 0)
 		sum := 0.0
-		for i := 0; !r.fell && i < 200; i++ {
+		for i := 0; !r.collapsed && i < 200; i++ {
 			a := &Attempt{Request: fmt.Sprint(i), Class: "x"}
 			r.open[a] = "came"
 			sum += m.Arrive(age, a)
-			if over := sum > 3*4*(0.25+0.75*age/10); age < 10 && over != r.fell {
-				t.Fatalf("age %v s: crashed %v after %v s of work, want %v", age, r.fell, sum, over)
+			if over := sum > 3*4*(0.25+0.75*age/10); age < 10 && over != r.collapsed {
+				t.Fatalf("age %v s: crashed %v after %v s of work, want %v", age, r.collapsed, sum, over)
 			}
 		}
-		if r.fell != (age < 10) || m.Fallen() != r.fell {
-			t.Errorf("age %v s: crashed %v (Fallen %v), want %v", age, r.fell, m.Fallen(), age < 10)
+		if r.collapsed != (age < 10) || m.IsCollapsed() != r.collapsed {
+			t.Errorf("age %v s: crashed %v (IsCollapsed %v), want %v", age, r.collapsed, m.IsCollapsed(), age < 10)
 		}
-		if r.fell && len(r.open) > 0 {
+		if r.collapsed && len(r.open) > 0 {
 			t.Errorf("age %v s: %d attempts open after the crash, want 0", age, len(r.open))
 		}
 	}
@@ -130,7 +130,7 @@
 	for i := range 300 {
 		r.arrive(m, float64(i)*0.7, &Attempt{Request: fmt.Sprint(i), Class: "x"})
 	}
-	if r.fell {
+	if r.collapsed {
 		t.Error("node crashed under a load within its budget")
 	}
 }
@@ -147,10 +147,10 @@
 	}
 }
 
-// Guards the draw of fates: under Rough(1) each fate but Served is drawn at least once in 2000 attempts.
+// Guards the draw of fates: under FailingConditions(1) each fate but Served is drawn at least once in 2000 attempts.
 func TestFates(t *testing.T) {
 	m, r := testModel(t, Config{Cores: 1000, Queue: 1, Speed: 1, Work: map[string]float64{"x": 0.001}}, 0)
-	m.SetConditions(Rough(1))
+	m.SetConditions(FailingConditions(1))
 	seen := map[Fate]bool{}
 	for i := range 2000 {
 		a := &Attempt{Request: fmt.Sprint(i), Class: "x"}
--- a/internal/testbed/operators.go
+++ b/internal/testbed/operators.go
@@ -252,7 +252,7 @@
 				f.Hist.AddFault("hot restart failed: " + err.Error())
 				return
 			}
-			f.Hist.AddReplacement(i, from, f.Hist.Now())
+			f.Hist.AddHotRestart(i, from, f.Hist.Now())
 		}}
 	kinds["fleet replaced"] = kind{"operators hot-restart a forwarder", 2, 2, onForwarder, kinds["replaced"].inject}
 	kinds["successor dies"] = kind{"operators hot-restart a forwarder, and the successor is killed", 1, 2, onForwarder,
@@ -280,5 +280,5 @@
 	scenarios["operators"] = scenario{what: "hot restarts of programs and cordons and restarts of nodes, while nodes fail, drain and crash and programs are killed",
 		kinds: []string{"replaced", "replaced", "replaced", "held", "held", "held", "drain", "crash", "sick", "forwarder", "broken roster", "silent roster", "late roster"},
 		every: 400 * time.Millisecond, faultyFraction: 0.05, hangUps: 0.03, batches: 0.2, misbehaving: 1,
-		floors: map[string]int{oracle.RuleCordon: 20, oracle.RuleReplacement: 20, oracle.RuleNoRequestLost: 50}}
+		floors: map[string]int{oracle.RuleCordon: 20, oracle.RuleHotRestart: 20, oracle.RuleNoRequestLost: 50}}
 }
--- a/internal/testbed/oracle/check_test.go
+++ b/internal/testbed/oracle/check_test.go
@@ -315,7 +315,7 @@
 // start of the restart, neither sooner nor later. A cordon binds after the usual grace, and across restarts.
 func TestReport_CheckCordons(t *testing.T) {
 	h := NewHistory()
-	h.Replacements = []Outage{{Forwarder: 1, From: 10 * time.Second, To: 10200 * time.Millisecond}}
+	h.HotRestarts = []Outage{{Forwarder: 1, From: 10 * time.Second, To: 10200 * time.Millisecond}}
 	for notified, want := range map[time.Duration]time.Duration{9 * time.Second: 9 * time.Second, 10 * time.Second: 12 * time.Second,
 		11900 * time.Millisecond: 12 * time.Second, 12 * time.Second: 12 * time.Second, 13 * time.Second: 13 * time.Second} {
 		if got := h.bindingFrom(1, notified); got != want {
--- a/internal/testbed/oracle/concurrency.go
+++ b/internal/testbed/oracle/concurrency.go
@@ -16,7 +16,7 @@
 }
 
 // checkMaxConcurrency checks the open attempts of each account against its plan's concurrency limit: within the error bound if
-// cfg.Homes is set, and within cfg.ConcurrencyFactor if that is set.
+// cfg.AccountGateways is set, and within cfg.ConcurrencyFactor if that is set.
 func (r *Report) checkMaxConcurrency(h *History, cfg Config, plans map[string]policy.Plan) {
 	changes, limits := map[string][]concurrencyChange{}, map[string]int{} // by account
 	for _, attempt := range h.Attempts {
@@ -31,7 +31,7 @@
 	}
 	var ring hashring.Ring
 	requested := map[string][]sample{} // requests by account
-	if len(cfg.Homes) > 0 {
+	if len(cfg.AccountGateways) > 0 {
 		ring = hashring.New(cfg.Gateways, hashring.PointsPerGateway(cfg.Gateways))
 		for _, request := range h.Requests {
 			requested[request.Account] = append(requested[request.Account], sample{request.SentAt.Seconds(), 1})
@@ -42,8 +42,8 @@
 			return list[i].at < list[j].at || list[i].at == list[j].at && list[i].by < list[j].by
 		})
 		var allowed func(at time.Duration) (slots float64, faults []errorbound.Fault)
-		if len(cfg.Homes) > 0 {
-			bounds := errorbound.Account{Gateways: cfg.Homes[account].Count, MaxConcurrent: limits[account], RequestRate: peakRate(requested[account])}
+		if len(cfg.AccountGateways) > 0 {
+			bounds := errorbound.Account{Gateways: cfg.AccountGateways[account].Count, MaxConcurrent: limits[account], RequestRate: peakRate(requested[account])}
 			faults := faultsOf(h, cfg, ring, account)
 			allowed = func(at time.Duration) (float64, []errorbound.Fault) {
 				return errorbound.SlotExcessWithin(bounds, faults, at.Seconds())
--- a/internal/testbed/oracle/config.go
+++ b/internal/testbed/oracle/config.go
@@ -16,7 +16,7 @@
 	RuleNoDuplicateEffect  = "no effect twice"
 	RuleDrain              = "drains kept"
 	RuleCordon             = "nodes that operators hold left alone"    // cordoned nodes receive no attempts
-	RuleReplacement        = "nothing lost when a program is replaced" // counts occasions only: a lost request breaks another rule
+	RuleHotRestart         = "nothing lost when a program is replaced" // counts occasions only: a lost request breaks another rule
 	RuleSlowStart          = "cold nodes stand"                        // starting backends receive no more than their slow-start budget
 	RuleQuota              = "quotas kept"
 	RuleQuotaUsable        = "quotas can be used" // rejections because of a quota stay within the error bound
@@ -34,36 +34,36 @@
 var RuleNames = []string{
 	RuleNoRequestLost, RuleOneAnswer, RuleAnswerOrder, RuleOneOpenAttempt, RuleAttemptLimit, RuleNoDuplicateEffect, RuleDrain,
 	RuleSlowStart, RuleQuota, RuleQuotaUsable, RuleMaxConcurrency, RuleHardLimit, RuleFreshMembership, RuleViewsAgree, RuleCordon,
-	RuleReplacement, RuleLoadShedding, RuleDisconnectedClient, RuleDrainEnd, RuleIngressSelfCheck,
+	RuleHotRestart, RuleLoadShedding, RuleDisconnectedClient, RuleDrainEnd, RuleIngressSelfCheck,
 }
 
 // Config holds the bounds that Check applies. Fields that end in S are seconds.
 type Config struct {
-	Classes           []policy.Class
-	Plans             []policy.Plan
-	DrainGraceS       float64                 `json:"DrainS"`    // for sends after a drain notice, in addition to deliveryGrace
-	AnswerGraceS      float64                 `json:"AnswerS"`   // for answers after the deadline
-	LateRejectionS    float64                 `json:"HeldS"`     // after the deadline, in which a rejection with no attempt in flight may still come; 0: not checked
-	MaxAttempts       int                     `json:"Attempts"`  // most attempts of a request that may reach backends; 0: not checked
-	MaxOverlapS       float64                 `json:"OverlapS"`  // allowed overlap of two attempts of a request, as backends notice the end of one late
-	HardLimitSlackS   float64                 `json:"CeilingS"`  // seconds of the hard limit's rate that are added to its slack
-	LargestRequest    float64                 `json:"SlackUnit"` // units
-	QuotaSlack        float64                 `json:"Quota"`     // units beyond a quota that are allowed; 0: not checked
-	QuotaSlackS       float64                 `json:"QuotaS"`    // seconds of the quota's rate that are added, as admitted requests may be queued for a backend
-	Homes             map[string]GatewayRange // by account: its gateways, for the checks against the error bound; empty: not checked
-	Gateways          int                     // number of gateways that Homes refers to
-	ConcurrencyFactor float64                 `json:"CapX"`         // most open attempts, as a multiple of the concurrency limit; 0: not checked
-	ClockRate         float64                 `json:"Drift"`        // rate of the fastest clock, seconds per second; 0 means 1
-	SlowStartFactor   float64                 `json:"FallMultiple"` // work that may be sent to a starting backend, as a multiple of its capacity at that moment; 0: not checked
-	SlowStartWindowS  float64                 `json:"FallS"`        // window over which that work is summed
-	MembershipTTLS    float64                 `json:"StaleS"`       // how long membership data counts as fresh; 0: not checked
-	SlowStartChance   bool                    `json:"ColdChance"`   // withChanceSlack applies in place of SlowStartSlack
-	SlowStartSlack    float64                 `json:"ColdSlack"`    // fraction of the slow-start budget that is allowed beyond it
-	MinOccasions      map[string]int          `json:"Floors"`       // by rule; a run with fewer does not show that the rule holds
-	Overload          bool                    // whether Report.Load is measured
-	LoadShedding      *LoadSheddingBounds     `json:"Shed"` // nil: not checked
-	Peak              Peak                    // time of the overload; zero: not known
-	MaxLateness       time.Duration           `json:"LateMost"` // of the testbed, beyond which a run is void; 0: no bound
+	Classes              []policy.Class
+	Plans                []policy.Plan
+	DrainGraceS          float64                 `json:"DrainS"`    // for sends after a drain notice, in addition to deliveryGrace
+	AnswerGraceS         float64                 `json:"AnswerS"`   // for answers after the deadline
+	LateRejectionS       float64                 `json:"HeldS"`     // after the deadline, in which a rejection with no attempt in flight may still come; 0: not checked
+	MaxAttempts          int                     `json:"Attempts"`  // most attempts of a request that may reach backends; 0: not checked
+	MaxOverlapS          float64                 `json:"OverlapS"`  // allowed overlap of two attempts of a request, as backends notice the end of one late
+	HardLimitSlackS      float64                 `json:"CeilingS"`  // seconds of the hard limit's rate that are added to its slack
+	LargestRequest       float64                 `json:"SlackUnit"` // units
+	QuotaSlack           float64                 `json:"Quota"`     // units beyond a quota that are allowed; 0: not checked
+	QuotaSlackS          float64                 `json:"QuotaS"`    // seconds of the quota's rate that are added, as admitted requests may be queued for a backend
+	AccountGateways      map[string]GatewayRange `json:"Homes"`     // by account: its gateways, for the checks against the error bound; empty: not checked
+	Gateways             int                     // number of gateways that AccountGateways refers to
+	ConcurrencyFactor    float64                 `json:"CapX"`         // most open attempts, as a multiple of the concurrency limit; 0: not checked
+	ClockRate            float64                 `json:"Drift"`        // rate of the fastest clock, seconds per second; 0 means 1
+	SlowStartFactor      float64                 `json:"FallMultiple"` // work that may be sent to a starting backend, as a multiple of its capacity at that moment; 0: not checked
+	SlowStartWindowS     float64                 `json:"FallS"`        // window over which that work is summed
+	MembershipTTLS       float64                 `json:"StaleS"`       // how long membership data counts as fresh; 0: not checked
+	SlowStartRandomSlack bool                    `json:"ColdChance"`   // withChanceSlack applies in place of SlowStartSlack
+	SlowStartSlack       float64                 `json:"ColdSlack"`    // fraction of the slow-start budget that is allowed beyond it
+	MinOccasions         map[string]int          `json:"Floors"`       // by rule; a run with fewer does not show that the rule holds
+	Overload             bool                    // whether Report.Load is measured
+	LoadShedding         *LoadSheddingBounds     `json:"Shed"` // nil: not checked
+	Peak                 Peak                    // time of the overload; zero: not known
+	MaxLateness          time.Duration           `json:"LateMost"` // of the testbed, beyond which a run is void; 0: no bound
 }
 
 // GatewayRange is the gateways that receive an account's requests: Count gateways from index First on, modulo Config.Gateways.
--- a/internal/testbed/oracle/counts.go
+++ b/internal/testbed/oracle/counts.go
@@ -67,7 +67,7 @@
 // the units sent to backends are checked against what rate, burst and the faults in effect allow. The units rejected although
 // the quota held them are checked too, if the testbed knows the reasons of rejections.
 func (r *Report) checkSharedCounts(h *History, cfg Config) {
-	if len(cfg.Homes) == 0 {
+	if len(cfg.AccountGateways) == 0 {
 		return
 	}
 	r.Reasons, r.QuotaExcess, r.QuotaShortfall = map[int]int{}, map[int]Margin{}, map[int]Margin{}
@@ -88,7 +88,7 @@
 			if len(count.admitted) == 0 || count.plan != plan.Name {
 				continue
 			}
-			account := errorbound.Account{Gateways: cfg.Homes[name].Count, Rate: plan.Rate * max(cfg.ClockRate, 1), Burst: plan.Burst,
+			account := errorbound.Account{Gateways: cfg.AccountGateways[name].Count, Rate: plan.Rate * max(cfg.ClockRate, 1), Burst: plan.Burst,
 				LargestRequest: count.largest, Demand: peakRate(count.requested)}
 			faults := faultsOf(h, cfg, ring, name)
 			r.checkExcess(cfg, name, account, count.admitted, faults)
@@ -114,7 +114,7 @@
 // faultsOf returns the faults that affected an account's count: outages and restarts of its gateways, which depend on their
 // position on the ring for the account, and lost messages between ingresses.
 func faultsOf(h *History, cfg Config, ring hashring.Ring, account string) (faults []errorbound.Fault) {
-	home := cfg.Homes[account]
+	home := cfg.AccountGateways[account]
 	order := ring.Successors(peerprotocol.HashPoint(account), func(gateway int) bool {
 		return (gateway-home.First+cfg.Gateways)%cfg.Gateways < home.Count
 	})
--- a/internal/testbed/oracle/counts_test.go
+++ b/internal/testbed/oracle/counts_test.go
@@ -76,7 +76,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rep := Check(tc.h(), Config{Plans: []policy.Plan{plan}, Homes: map[string]GatewayRange{"a": {0, 4}}, Gateways: 4})
+			rep := Check(tc.h(), Config{Plans: []policy.Plan{plan}, AccountGateways: map[string]GatewayRange{"a": {0, 4}}, Gateways: 4})
 			if tc.rule != "" && rep.ViolationCounts[tc.rule] == 0 || tc.rule == "" && rep.ViolationCounts[RuleQuota]+rep.ViolationCounts[RuleQuotaUsable] > 0 {
 				t.Errorf("got violations %v (%v), want one of %q, or none if that is empty", rep.ViolationCounts, rep.Violations, tc.rule)
 			}
--- a/internal/testbed/oracle/drains.go
+++ b/internal/testbed/oracle/drains.go
@@ -68,7 +68,7 @@
 // bindingFrom returns the time from which a forwarder has to comply with a notice that arrived at notified.
 func (h *History) bindingFrom(forwarder int, notified time.Duration) time.Duration {
 	from := notified
-	for _, o := range h.Replacements {
+	for _, o := range h.HotRestarts {
 		if o.Forwarder == forwarder && notified >= o.From && notified < o.From+hotRestartGrace {
 			from = max(from, o.From+hotRestartGrace)
 		}
@@ -77,7 +77,7 @@
 }
 
 // checkCordons reports attempts that reached a cordoned node. Neither discovery nor a new process of the ingress may lift a
-// cordon. It also counts the requests in flight during hot restarts, as occasions of RuleReplacement.
+// cordon. It also counts the requests in flight during hot restarts, as occasions of RuleHotRestart.
 func (r *Report) checkCordons(h *History, cfg Config, requests map[string]*Request) {
 	sent := map[link][]*Attempt{}
 	for _, attempt := range h.Attempts {
@@ -99,10 +99,10 @@
 			r.occasion(RuleCordon, "cordoned within a second after an attempt")
 		}
 	}
-	for _, o := range h.Replacements {
+	for _, o := range h.HotRestarts {
 		for _, request := range h.Requests {
 			if request.Forwarder == o.Forwarder && request.SentAt < o.To && request.AnsweredAt > o.From {
-				r.occasion(RuleReplacement, "requests in flight during a hot restart")
+				r.occasion(RuleHotRestart, "requests in flight during a hot restart")
 			}
 		}
 	}
--- a/internal/testbed/oracle/history.go
+++ b/internal/testbed/oracle/history.go
@@ -25,7 +25,7 @@
 	Outages           []Outage
 	Restarts          []Outage    // orderly restarts of forwarders, from the shutdown until they were back
 	PeerFaults        []PeerFault `json:"Peers"`
-	Replacements      []Outage    `json:"Replaced"` // hot restarts: nothing may be lost
+	HotRestarts       []Outage    `json:"Replaced"` // hot restarts: nothing may be lost
 	Cordons           []Cordon    `json:"HeldNodes"`
 	Faults            []Fault
 	Incarnations      []Incarnation              `json:"Lives"`
@@ -235,9 +235,9 @@
 	})
 }
 
-// AddReplacement records a hot restart of a forwarder.
-func (h *History) AddReplacement(forwarder int, from, to time.Duration) {
-	h.locked(func() { h.Replacements = append(h.Replacements, Outage{forwarder, from, to}) })
+// AddHotRestart records a hot restart of a forwarder.
+func (h *History) AddHotRestart(forwarder int, from, to time.Duration) {
+	h.locked(func() { h.HotRestarts = append(h.HotRestarts, Outage{forwarder, from, to}) })
 }
 
 // AddRestart records an orderly restart of a forwarder. The forwarder has to answer all requests that it had accepted, and is
--- a/internal/testbed/oracle/records.go
+++ b/internal/testbed/oracle/records.go
@@ -84,7 +84,7 @@
 }
 
 // Outage is a time in which a forwarder was killed or paused, so that clients have to retry its open requests. Also used for
-// History.Restarts and History.Replacements, in which no request may be lost.
+// History.Restarts and History.HotRestarts, in which no request may be lost.
 type Outage struct {
 	Forwarder int
 	From, To  time.Duration
--- a/internal/testbed/oracle/report.go
+++ b/internal/testbed/oracle/report.go
@@ -40,7 +40,7 @@
 	ServiceByPlan                     map[string]float64 // -1: no request
 	ServiceByClass                    map[string]float64 // in units, of accounts that stay inside their quotas; -1: no request
 	Retries                           map[string]int     // by class and outcome of the attempt before
-	IdealUnits                        float64            // that an exact count would have admitted, of accounts in Config.Homes
+	IdealUnits                        float64            // that an exact count would have admitted, of accounts in Config.AccountGateways
 	QuotaExcess                       map[int]Margin     // by window in seconds: the most that an account was admitted beyond rate and burst
 	QuotaShortfall                    map[int]Margin     // by window in seconds: the most that an account was denied of its quota
 	WithheldUnits                     float64            // of IdealUnits, not admitted
--- a/internal/testbed/oracle/slowstart.go
+++ b/internal/testbed/oracle/slowstart.go
@@ -53,7 +53,7 @@
 		age := attempt.At - incarnation.StartedAt
 		budget := cfg.SlowStartFactor * incarnation.Capacity * incarnation.warmUpFraction(age.Seconds()) * cfg.SlowStartWindowS
 		allowed := budget * (1 + cfg.SlowStartSlack)
-		if cfg.SlowStartChance {
+		if cfg.SlowStartRandomSlack {
 			allowed = withChanceSlack(budget, mean)
 		}
 		r.utilization("backend's slow-start budget", sum/budget)
--- a/internal/testbed/overload_accounts.go
+++ b/internal/testbed/overload_accounts.go
@@ -63,14 +63,14 @@
 // ignoreRetryAfter makes the clients of every second account ignore retry-after hints.
 func ignoreRetryAfter(list []Account) {
 	for i := range list {
-		list[i].Deaf = i%2 == 0
+		list[i].IgnoresRetryAfter = i%2 == 0
 	}
 }
 
 // disableRetries makes all clients send each request only once.
 func disableRetries(list []Account) {
 	for i := range list {
-		list[i].Once = true
+		list[i].NoRetries = true
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	for i := range list {
 		if list[i].To > 0 {
-			list[i].Only = lowest.Name
+			list[i].OnlyClass = lowest.Name
 		}
 	}
 }
--- a/internal/testbed/overload_test.go
+++ b/internal/testbed/overload_test.go
@@ -18,14 +18,14 @@
 	cfg.Planners, cfg.Operator = 0, "[overload]\non = true\n"
 	cfg.Node.Cores = 1
 	sc := Scenario{FleetConfig: cfg, Length: 14 * time.Second}
-	if err := Make("overload", &sc, nil, 0); err != nil {
+	if err := ApplyScenario("overload", &sc, nil, 0); err != nil {
 		t.Fatal(err)
 	}
 	sc.Faults = []Fault{{At: 5 * time.Second, For: 2 * time.Second, Kind: "peers"}}
-	sc.Floors = map[string]int{oracle.RuleNoRequestLost: 1}
+	sc.MinOccasions = map[string]int{oracle.RuleNoRequestLost: 1}
 	// The bounds are wide because the peak lasts only five seconds and there are few large accounts: chance alone moves the worst plan
 	// by a third. The full figures come from testbed overload.
-	sc.Stated = oracle.LoadSheddingBounds{MinBoundFraction: 0.5, MinFairness: 0.4, MaxRecoveryS: 60, MaxSpread: 1, MaxSwing: 1, MaxStarved: 0.6, MaxWasted: 0.5}
+	sc.LoadSheddingBounds = oracle.LoadSheddingBounds{MinBoundFraction: 0.5, MinFairness: 0.4, MaxRecoveryS: 60, MaxSpread: 1, MaxSwing: 1, MaxStarved: 0.6, MaxWasted: 0.5}
 	var log strings.Builder
 	rejecting := 0
 	_, rep, err := RunAndInspect(sc, &log, sc.Peak.To-500*time.Millisecond, func(f *Fleet) {
--- a/internal/testbed/peernet.go
+++ b/internal/testbed/peernet.go
@@ -24,13 +24,13 @@
 
 // PacketConditions is the treatment of datagrams in one direction.
 type PacketConditions struct {
-	Cut    bool
-	Alien  bool    // with a protocol version that no receiver accepts
-	Lies   bool    // with a false load-shedding state, see Lie
-	Loss   float64 // fraction that is lost
-	Double float64 // fraction that is duplicated
-	Delay  time.Duration
-	Jitter time.Duration // maximum of the random part of the delay, added to Delay
+	Cut                bool
+	UnknownVersion     bool    // with a protocol version that no receiver accepts
+	FalseLoadShedState bool    // with a false load-shedding state, see FalsifyLoadShedState
+	Loss               float64 // fraction that is lost
+	Double             float64 // fraction that is duplicated
+	Delay              time.Duration
+	Jitter             time.Duration // maximum of the random part of the delay, added to Delay
 }
 
 // NewPeerNet returns the network between the ingresses with the addresses to.
@@ -124,9 +124,9 @@
 	return delays, w
 }
 
-// Lie overwrites the load-shedding state in message b with a false one. at is the time in seconds: the level alternates each second between 0
-// and 1, and the phase runs ten times too fast.
-func Lie(b []byte, at float64) {
+// FalsifyLoadShedState overwrites the load-shedding state in message b with a false one. at is the time in seconds: the level alternates
+// each second between 0 and 1, and the phase runs ten times too fast.
+func FalsifyLoadShedState(b []byte, at float64) {
 	peerprotocol.OverwriteLoadShedState(b, float64(int(at)%2), uint8(int(at*20)))
 }
 
@@ -140,10 +140,10 @@
 		}
 		delays, w := p.drawDelays(i, j)
 		switch {
-		case w.Alien && n > 0:
+		case w.UnknownVersion && n > 0:
 			buf[0]++ // the first byte of a message is its version
-		case w.Lies:
-			Lie(buf[:n], time.Since(p.began).Seconds())
+		case w.FalseLoadShedState:
+			FalsifyLoadShedState(buf[:n], time.Since(p.began).Seconds())
 		}
 		for _, d := range delays {
 			if d == 0 {
--- a/internal/testbed/ports.go
+++ b/internal/testbed/ports.go
@@ -17,7 +17,7 @@
 func freeAddr() (string, error) {
 	nextPort.CompareAndSwap(0, uint32(os.Getpid())*401+1)
 	for range portCount {
-		addr := ownAddr(int(firstPort + nextPort.Add(1)%portCount))
+		addr := hostAddr(int(firstPort + nextPort.Add(1)%portCount))
 		if l, err := net.Listen("tcp", addr); err == nil {
 			l.Close()
 			return addr, nil
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -47,7 +47,7 @@
 	defer out.Close()
 	c := p.cmd()
 	c.Stdout, c.Stderr = out, out
-	if err := spawned(c); err != nil {
+	if err := startOnThread(c); err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
 	exited := make(chan struct{})
@@ -90,8 +90,8 @@
 	return calls
 })
 
-// spawned starts a command on the thread of startThread.
-func spawned(c *exec.Cmd) error {
+// startOnThread starts a command on the thread of startThread.
+func startOnThread(c *exec.Cmd) error {
 	if c.SysProcAttr == nil {
 		c.SysProcAttr = &syscall.SysProcAttr{}
 	}
--- a/internal/testbed/rules.go
+++ b/internal/testbed/rules.go
@@ -12,7 +12,7 @@
 const (
 	StatedSlowStartMinFraction = 0.26 // fraction of the full capacity right after the start
 	StatedSlowStartS           = 10.0 // seconds until the full capacity is reached
-	StatedMultiple             = 3.0  // a cold node fails under more than this multiple of its capacity (setting fallMultiple)
+	StatedFallMultiple         = 3.0  // a cold node fails under more than this multiple of its capacity (setting fallMultiple)
 	StatedFallS                = 1.0  // seconds over which that work is summed (setting fallS)
 )
 
@@ -44,16 +44,16 @@
 	if len(f.Planners) > 0 {
 		quota, concurrency = QuotaSlack, 2
 	}
-	quota, concurrency = cmp.Or(f.cfg.Quota, quota), cmp.Or(f.cfg.CapX, concurrency)
-	var homes map[string]oracle.GatewayRange
-	if len(f.Planners) == 0 && f.cfg.Quota >= 0 {
-		homes = Homes(f.accounts)
+	quota, concurrency = cmp.Or(f.cfg.QuotaSlack, quota), cmp.Or(f.cfg.ConcurrencyFactor, concurrency)
+	var gateways map[string]oracle.GatewayRange
+	if len(f.Planners) == 0 && f.cfg.QuotaSlack >= 0 {
+		gateways = AccountGateways(f.accounts)
 	}
 	var bounds *oracle.LoadSheddingBounds
 	if f.cfg.MeasureOverload && f.cfg.Operator != "" {
-		bounds = &f.cfg.Stated
+		bounds = &f.cfg.LoadSheddingBounds
 	}
-	return oracle.Config{LoadShedding: bounds, Homes: homes, Gateways: f.cfg.Forwarders, Overload: f.cfg.MeasureOverload, Peak: f.cfg.Peak, QuotaSlack: quota, QuotaSlackS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainGraceS: 0.25 + f.cfg.SlowS, AnswerGraceS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
+	return oracle.Config{LoadShedding: bounds, AccountGateways: gateways, Gateways: f.cfg.Forwarders, Overload: f.cfg.MeasureOverload, Peak: f.cfg.Peak, QuotaSlack: quota, QuotaSlackS: QuotaSeconds(f.cfg.Exact, f.cfg.Classes), Classes: f.cfg.Classes, Plans: f.cfg.Plans, DrainGraceS: 0.25 + f.cfg.SlowS, AnswerGraceS: 0.25 + f.cfg.SlowS + f.cfg.StallS,
 		LateRejectionS: 0.03 + f.cfg.SlowS + f.cfg.StallS, MaxOverlapS: 0.1 + f.cfg.SlowS + f.cfg.StallS, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: concurrency, MaxAttempts: MaxAttempts, SlowStartFactor: f.cfg.Node.FallMultiple, SlowStartWindowS: f.cfg.Node.FallS,
-		SlowStartSlack: SlowStartSlack, SlowStartChance: f.cfg.StallS > 0, MembershipTTLS: f.cfg.StaleS, MaxLateness: 90*time.Millisecond + seconds(f.cfg.SlowS)}
+		SlowStartSlack: SlowStartSlack, SlowStartRandomSlack: f.cfg.StallS > 0, MembershipTTLS: f.cfg.StaleS, MaxLateness: 90*time.Millisecond + seconds(f.cfg.SlowS)}
 }
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -53,7 +53,7 @@
 
 // LabNode configures the stand-in nodes of the testbed's runs. Their slow start and the overload that makes them fail are as the
 // operators state.
-var LabNode = node.Config{Cores: 3, Queue: 30, Speed: 1, KeyedS: 4, SlowStartS: 8, SlowStartMinFraction: 0.26, FallMultiple: StatedMultiple, FallS: StatedFallS,
+var LabNode = node.Config{Cores: 3, Queue: 30, Speed: 1, KeyedS: 4, SlowStartS: 8, SlowStartMinFraction: 0.26, FallMultiple: StatedFallMultiple, FallS: StatedFallS,
 	Work: labWork, Conns: 200, IdleS: 15}
 
 // Accounts returns accounts of each plan in the given numbers. Most request well below their quotas, one in five close to its
@@ -137,13 +137,13 @@
 	return list
 }
 
-// Homes returns the range of gateways at which each account's requests arrive.
-func Homes(list []Account) map[string]oracle.GatewayRange {
-	homes := map[string]oracle.GatewayRange{}
+// AccountGateways returns the range of gateways at which each account's requests arrive.
+func AccountGateways(list []Account) map[string]oracle.GatewayRange {
+	gateways := map[string]oracle.GatewayRange{}
 	for _, a := range list {
-		homes[a.Name] = oracle.GatewayRange{First: a.First, Count: a.Spread}
+		gateways[a.Name] = oracle.GatewayRange{First: a.First, Count: a.Spread}
 	}
-	return homes
+	return gateways
 }
 
 // Scenario describes one run of a fleet under faults.
@@ -154,7 +154,7 @@
 	Accounts     []Account
 	Length       time.Duration
 	Faults       []Fault
-	Floors       map[string]int // see oracle.Config.MinOccasions
+	MinOccasions map[string]int // see oracle.Config.MinOccasions
 	NodeCount    int            // overrides the named scenario's number of nodes; 0: not overridden
 	inspectAfter time.Duration  // after the clients' start, when inspect is called
 	inspect      func(f *Fleet) // called once during the run; nil: no call
@@ -208,7 +208,7 @@
 	time.Sleep(settleTime)
 	f.recordRuleViolations()
 	rules := f.Rules()
-	rules.MinOccasions = sc.Floors
+	rules.MinOccasions = sc.MinOccasions
 	return f, oracle.Check(f.Hist, rules), nil
 }
 
@@ -228,7 +228,7 @@
 // upgradeAndLog upgrades the whole fleet the given number of times and logs how long each upgrade took.
 func (f *Fleet) upgradeAndLog(ctx context.Context, times int, log io.Writer) {
 	if times > 0 {
-		took, err := f.UpgradeAll(ctx, times)
+		took, err := f.UpgradeRepeatedly(ctx, times)
 		fmt.Fprintf(log, "fleet upgraded %d times, in %v; error: %v\n", len(took), took, err)
 	}
 }
@@ -251,7 +251,7 @@
 // measureLateness records until ctx ends how late the testbed's own process is: how late its timers fire and how long it takes to
 // accept a connection.
 func (f *Fleet) measureLateness(ctx context.Context) {
-	l, err := net.Listen("tcp", ownAddr(0))
+	l, err := net.Listen("tcp", hostAddr(0))
 	if err != nil {
 		return
 	}
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -126,15 +126,15 @@
 		every: 500 * time.Millisecond, floors: map[string]int{oracle.RuleCordon: 20}},
 	"upgrades": {what: "hot restarts of forwarders of two levels, in which either process may die, while planners are killed, drained and cut off",
 		kinds: []string{"fleet replaced", "fleet replaced", "fleet replaced", "successor dies", "successor dies", "predecessor dies", "torn succession", "torn succession", "all replaced", "torn", "away", "kill", "pause", "cut", "split", "odd", "lone", "forwarder"},
-		every: 250 * time.Millisecond, faultyFraction: 0.08, exact: true, floors: map[string]int{oracle.RuleReplacement: 100, oracle.RuleNoRequestLost: 50, oracle.RuleNoDuplicateEffect: 20}},
+		every: 250 * time.Millisecond, faultyFraction: 0.08, exact: true, floors: map[string]int{oracle.RuleHotRestart: 100, oracle.RuleNoRequestLost: 50, oracle.RuleNoDuplicateEffect: 20}},
 	"handed": {what: "hot restarts of all forwarders of two levels, at times all successors and a leader die, while accounts are far above their quotas",
 		kinds: []string{"all replaced", "all successors die", "flood", "flood", "kill"}, every: 700 * time.Millisecond, exact: true,
-		floors: map[string]int{oracle.RuleQuota: 300, oracle.RuleReplacement: 100}},
+		floors: map[string]int{oracle.RuleQuota: 300, oracle.RuleHotRestart: 100}},
 	"handed-torn": {what: "a forwarder's successor dies while two planners need its promise and the third gives up its cells",
-		kinds: []string{"torn succession"}, every: 2500 * time.Millisecond, exact: true, floors: map[string]int{oracle.RuleReplacement: 5}},
+		kinds: []string{"torn succession"}, every: 2500 * time.Millisecond, exact: true, floors: map[string]int{oracle.RuleHotRestart: 5}},
 	"handed-queue": {what: "hot restarts of forwarders of two levels, some of whose successors die, while requests queue for overloaded nodes",
 		kinds: []string{"fleet replaced", "successor dies", "successor dies", "predecessor dies", "snow"}, loadFactor: 2, quota: -1, faultyFraction: 0.1, every: 200 * time.Millisecond,
-		floors: map[string]int{oracle.RuleReplacement: 100, oracle.RuleOneOpenAttempt: 20}},
+		floors: map[string]int{oracle.RuleHotRestart: 100, oracle.RuleOneOpenAttempt: 20}},
 	"handed-keys": {what: "nodes remember keys for less time than a request may take, during hot restarts of forwarders of two levels",
 		adjustClasses: shortKeyTTLs, keyedS: 0.6, faultyFraction: 0.5, quota: -1, kinds: []string{"fleet replaced", "fleet replaced", "successor dies", "kill", "snow"}, every: 200 * time.Millisecond, floors: faultFloors},
 	"friday": {what: "Friday evening: floods on chaine, accounts that move to other ingresses, and failing and slow nodes", kinds: []string{"flood", "flood", "shift", "sick", "slow"},
@@ -190,13 +190,13 @@
 	return list
 }
 
-// KindsOf returns the kinds of faults that a scenario names; none means all.
-func KindsOf(name string) []string { return scenarios[name].kinds }
+// ScenarioFaultKinds returns the kinds of faults that a scenario names; none means all.
+func ScenarioFaultKinds(name string) []string { return scenarios[name].kinds }
 
-// Make applies the named scenario to a run: conditions of the nodes, clients, plans, faults, and required occasions per rule. The
+// ApplyScenario applies the named scenario to a run: conditions of the nodes, clients, plans, faults, and required occasions per rule. The
 // caller sets FleetConfig's sizes, Seed, Length and Accounts; the scenario overrides the number of nodes and the accounts if it has
 // its own. kinds and every, if given, replace those of the scenario.
-func Make(name string, sc *Scenario, kinds []string, every time.Duration) error {
+func ApplyScenario(name string, sc *Scenario, kinds []string, every time.Duration) error {
 	s, ok := scenarios[name]
 	if !ok {
 		return fmt.Errorf("unknown scenario %q; known are %v", name, slices.Sorted(maps.Keys(scenarios)))
@@ -219,16 +219,16 @@
 		}
 	}
 	sc.Faults = append(sc.Faults, s.fixedFaults...)
-	sc.Floors = map[string]int{}
+	sc.MinOccasions = map[string]int{}
 	for rule, n := range s.floors {
-		sc.Floors[rule] = int(float64(n) * sc.Length.Minutes())
+		sc.MinOccasions[rule] = int(float64(n) * sc.Length.Minutes())
 	}
 	return nil
 }
 
 // setNodes applies the scenario's number, conditions and model of nodes.
 func (s scenario) setNodes(sc *Scenario) {
-	sc.NodeConditions = node.Rough(s.faultyFraction)
+	sc.NodeConditions = node.FailingConditions(s.faultyFraction)
 	sc.Zones = max(sc.Zones, s.zones)
 	sc.Node.ReportS = s.reportS
 	if s.keyedS > 0 {
@@ -245,7 +245,7 @@
 
 // setClassesAndPlans applies the scenario's classes and plans, and how strictly their limits are checked.
 func (s scenario) setClassesAndPlans(sc *Scenario) {
-	sc.Exact, sc.Quota, sc.CapX, sc.PeerLoss = s.exact, s.quota, s.capX, s.peerLoss
+	sc.Exact, sc.QuotaSlack, sc.ConcurrencyFactor, sc.PeerLoss = s.exact, s.quota, s.capX, s.peerLoss
 	if s.tightHardLimits {
 		sc.Plans = TightenHardLimits(sc.Plans)
 	}
@@ -268,9 +268,9 @@
 	if s.peakLoad > 0 {
 		sc.MeasureOverload, sc.Peak = true, peakInterval(sc.Length)
 		sc.Accounts = OverloadAccounts(sc.Forwarders, float64(sc.Nodes*sc.Node.Cores)*sc.Node.Speed, s.peakLoad, sc.Peak, sc.Seed)
-		sc.Stated = oracle.DefaultLoadSheddingBounds
+		sc.LoadSheddingBounds = oracle.DefaultLoadSheddingBounds
 		if s.adjustBounds != nil {
-			s.adjustBounds(&sc.Stated)
+			s.adjustBounds(&sc.LoadSheddingBounds)
 		}
 		if s.adjustAccounts != nil {
 			s.adjustAccounts(sc.Accounts)
--- a/internal/testbed/simulation/counts_test.go
+++ b/internal/testbed/simulation/counts_test.go
@@ -55,7 +55,7 @@
 			t.Parallel()
 			worst := map[string]float64{}
 			for _, failure := range CountFailures {
-				beyond, short, err := CountWorst(failure, n, 2)
+				beyond, short, err := WorstCountErrors(failure, n, 2)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -75,7 +75,7 @@
 			}
 		})
 	}
-	if _, _, err := CountWorst("rain", 4, 1); err == nil {
-		t.Error("CountWorst accepted an unknown failure, want an error")
+	if _, _, err := WorstCountErrors("rain", 4, 1); err == nil {
+		t.Error("WorstCountErrors accepted an unknown failure, want an error")
 	}
 }
--- a/internal/testbed/simulation/failures.go
+++ b/internal/testbed/simulation/failures.go
@@ -52,9 +52,9 @@
 	return cfg, nil
 }
 
-// CountWorst simulates a failure with the given number of seeds. It returns, by window in seconds, the most that was admitted beyond rate and
-// burst, and the most of the quota that was denied.
-func CountWorst(failure string, ingresses, seeds int) (excess, denied map[int]oracle.Margin, err error) {
+// WorstCountErrors simulates a failure with the given number of seeds. It returns, by window in seconds, the most that was admitted beyond
+// rate and burst, and the most of the quota that was denied.
+func WorstCountErrors(failure string, ingresses, seeds int) (excess, denied map[int]oracle.Margin, err error) {
 	excess, denied = map[int]oracle.Margin{}, map[int]oracle.Margin{}
 	for seed := range uint64(seeds) {
 		cfg, err := CountFailureConfig(failure, ingresses, seed+1)
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -124,7 +124,7 @@
 func (s *Sim) pickNode(n int) *simNode {
 	var list []*simNode
 	for _, x := range s.nodes {
-		if x.listed && x.model != nil && !x.model.Fallen() {
+		if x.listed && x.model != nil && !x.model.IsCollapsed() {
 			list = append(list, x)
 		}
 	}
@@ -187,7 +187,7 @@
 					s.after(s.networkDelay(), func() {
 						attempt.forwarder.finish(attempt, 5)
 						if n.openAttempts[attempt.Handle] == attempt {
-							n.withModel(func(m *node.Model) { m.Leave(s.now, &attempt.Attempt) })
+							n.withModel(func(m *node.Model) { m.Abandon(s.now, &attempt.Attempt) })
 						}
 					})
 				}
@@ -279,7 +279,7 @@
 	"crash": func(s *Sim, x testbed.Fault) { s.crash(s.pickNode(x.A), x) },
 	"lone crash": func(s *Sim, x testbed.Fault) {
 		for _, n := range s.nodes {
-			if n.listed && n.model != nil && !n.model.Fallen() && n.id == "z1" {
+			if n.listed && n.model != nil && !n.model.IsCollapsed() && n.id == "z1" {
 				s.crash(n, x)
 			}
 		}
@@ -307,7 +307,7 @@
 	},
 	"sick": func(s *Sim, x testbed.Fault) {
 		if n := s.pickNode(x.A); n != nil {
-			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { *w = node.Rough(0.4 + 0.6*x.X) })
+			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { *w = node.FailingConditions(0.4 + 0.6*x.X) })
 		}
 	},
 	"node cut":      func(s *Sim, x testbed.Fault) { s.cutNode(x, -1) },
@@ -345,7 +345,7 @@
 // FaultKindNames returns the names of the faults for a fleet of two levels, or of one, in alphabetical order.
 func FaultKindNames(two bool) (list []string) {
 	for _, name := range slices.Sorted(maps.Keys(faultKinds)) {
-		if testbed.Fits(name, two) {
+		if testbed.DrawnByDefault(name, two) {
 			list = append(list, name)
 		}
 	}
@@ -354,7 +354,7 @@
 
 // injectFault injects a fault, if it applies to a fleet of as many levels.
 func (s *Sim) injectFault(x testbed.Fault) {
-	if do := faultKinds[x.Kind]; do != nil && testbed.Plays(x.Kind, len(s.planners) > 0) {
+	if do := faultKinds[x.Kind]; do != nil && testbed.CanInject(x.Kind, len(s.planners) > 0) {
 		s.Hist.AddFault(x.String())
 		do(s, x)
 	}
--- a/internal/testbed/simulation/replace.go
+++ b/internal/testbed/simulation/replace.go
@@ -176,7 +176,7 @@
 				report(forwarder.core)
 			}
 		})
-		s.Hist.AddReplacement(n, from, s.Hist.Now())
+		s.Hist.AddHotRestart(n, from, s.Hist.Now())
 	})
 	var checkEnd func()
 	checkEnd = func() {
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -86,7 +86,7 @@
 	if leftS < 0.05 {
 		return
 	}
-	if a, ok := s.accounts[t.Account]; ok && !a.Once {
+	if a, ok := s.accounts[t.Account]; ok && !a.NoRetries {
 		s.sendRequest(a, class, t.OriginalID, leftS)
 	}
 }
@@ -136,19 +136,19 @@
 		quota, caps = testbed.QuotaSlack, 2
 	}
 	quota, caps = cmp.Or(s.cfg.QuotaSlack, quota), cmp.Or(s.cfg.ConcurrencyFactor, caps)
-	var homes map[string]oracle.GatewayRange
+	var gateways map[string]oracle.GatewayRange
 	if s.cfg.Planners == 0 && s.cfg.QuotaSlack >= 0 {
-		homes = testbed.Homes(s.cfg.Accounts)
+		gateways = testbed.AccountGateways(s.cfg.Accounts)
 	}
 	peak := s.cfg.Peak
 	if peak.To > 0 { // clients start after one second
 		peak.From, peak.To = peak.From+time.Second, peak.To+time.Second
 	}
-	var stated *oracle.LoadSheddingBounds
+	var bounds *oracle.LoadSheddingBounds
 	if s.cfg.MeasureOverload && s.cfg.Overload.Enabled && s.cfg.Peak.To > 0 {
-		stated = &s.cfg.LoadSheddingBounds
+		bounds = &s.cfg.LoadSheddingBounds
 	}
-	return oracle.Config{LoadShedding: stated, Overload: s.cfg.MeasureOverload, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
+	return oracle.Config{LoadShedding: bounds, Overload: s.cfg.MeasureOverload, Peak: peak, AccountGateways: gateways, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
 		ClockRate: MaxClockRate, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.SlowStartSlack, MinOccasions: s.cfg.MinOccasions}
 }
 
--- a/internal/testbed/simulation/scenario.go
+++ b/internal/testbed/simulation/scenario.go
@@ -15,11 +15,11 @@
 
 // MakeOf is Make with a given number of forwarders or ingresses; 0 means the number that Make uses.
 func MakeOf(name string, two bool, forwarders int, seed uint64, lengthS float64) (Config, error) {
-	return Sized(name, two, forwarders, 0, seed, lengthS)
+	return MakeWithSizes(name, two, forwarders, 0, seed, lengthS)
 }
 
-// Sized is MakeOf with a given number of nodes too; 0 means the scenario's number, or 6 if it has none.
-func Sized(name string, two bool, forwarders, nodes int, seed uint64, lengthS float64) (Config, error) {
+// MakeWithSizes is MakeOf with a given number of nodes too; 0 means the scenario's number, or 6 if it has none.
+func MakeWithSizes(name string, two bool, forwarders, nodes int, seed uint64, lengthS float64) (Config, error) {
 	sc := testbed.Scenario{Length: time.Duration(lengthS * float64(time.Second)),
 		FleetConfig: testbed.FleetConfig{Forwarders: 4, Nodes: 6, Classes: testbed.LabClasses, Plans: testbed.LabPlans, Node: testbed.LabNode, Seed: seed}, NodeCount: nodes}
 	if two {
@@ -31,14 +31,14 @@
 	sc.Accounts = testbed.Accounts(16, 10, 3, sc.Forwarders, 3, seed)
 	known := FaultKindNames(two)
 	chosen := known
-	if kinds := testbed.KindsOf(name); len(kinds) > 0 {
+	if kinds := testbed.ScenarioFaultKinds(name); len(kinds) > 0 {
 		chosen = slices.DeleteFunc(slices.Clone(kinds), func(k string) bool { return !slices.Contains(known, k) })
 	}
-	if err := testbed.Make(name, &sc, chosen, 0); err != nil {
+	if err := testbed.ApplyScenario(name, &sc, chosen, 0); err != nil {
 		return Config{}, err
 	}
 	return Config{Forwarders: sc.Forwarders, Planners: sc.Planners, Cells: 4, Nodes: sc.Nodes, Zones: sc.Zones, Classes: sc.Classes, Plans: sc.Plans, Node: sc.Node,
-		NodeConditions: sc.NodeConditions, Accounts: sc.Accounts, ClassFractions: testbed.LabClassFractions, Units: testbed.LabUnits, LengthS: lengthS, Faults: sc.Faults, Exact: sc.Exact, MeasureOverload: sc.MeasureOverload, Peak: sc.Peak, LoadSheddingBounds: sc.Stated, QuotaSlack: sc.Quota, ConcurrencyFactor: sc.CapX, PeerLoss: sc.PeerLoss, Seed: seed}, nil
+		NodeConditions: sc.NodeConditions, Accounts: sc.Accounts, ClassFractions: testbed.LabClassFractions, Units: testbed.LabUnits, LengthS: lengthS, Faults: sc.Faults, Exact: sc.Exact, MeasureOverload: sc.MeasureOverload, Peak: sc.Peak, LoadSheddingBounds: sc.LoadSheddingBounds, QuotaSlack: sc.QuotaSlack, ConcurrencyFactor: sc.ConcurrencyFactor, PeerLoss: sc.PeerLoss, Seed: seed}, nil
 }
 
 // Shrink removes from list, such as the faults of a failing run, the entries that are not needed for fails to return true: without any
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -131,7 +131,7 @@
 func (s *Sim) settings(self, gateways int, peers bool) policy.Settings {
 	return policy.Settings{Self: self, Gateways: gateways, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRequestUnits: 6, PeerMessages: peers, PeerMessageRate: peerMessagesPerS,
 		LoadShedding: s.cfg.Overload, CancelAllowed: true, RetryAfterAllowed: true, MaxAttempts: testbed.MaxAttempts, MaxRetryAfterS: 1, LoadReportInResponse: true, ResponseSlackS: 0.02, SlowStartMinFraction: testbed.StatedSlowStartMinFraction,
-		SlowStartS: testbed.StatedSlowStartS, CollapseMultiple: testbed.StatedMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
+		SlowStartS: testbed.StatedSlowStartS, CollapseMultiple: testbed.StatedFallMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
 }
 
 // checkLeaders checks fencing: no cell may have two planners that lead it at the same time.
--- a/internal/testbed/simulation/sim_attempt.go
+++ b/internal/testbed/simulation/sim_attempt.go
@@ -104,7 +104,7 @@
 			s.after(0.25, func() { a.forwarder.finish(a, policy.ConnectFailed) })
 		}
 		return
-	case n.model == nil || n.model.Fallen():
+	case n.model == nil || n.model.IsCollapsed():
 		s.after(s.networkDelay(), func() { a.forwarder.finish(a, policy.ConnectFailed) })
 		return
 	case n.model.Breaks():
@@ -136,7 +136,7 @@
 	}
 	s.after(s.networkDelay(), func() {
 		if n.openAttempts[a.Handle] == a {
-			n.withModel(func(m *node.Model) { m.Leave(s.now, &a.Attempt) })
+			n.withModel(func(m *node.Model) { m.Abandon(s.now, &a.Attempt) })
 		}
 	})
 }
--- a/internal/testbed/simulation/sim_forwarder.go
+++ b/internal/testbed/simulation/sim_forwarder.go
@@ -191,7 +191,7 @@
 	if request := f.openRequests[id]; request != nil && !request.done {
 		record, s := request.record, f.sim
 		wait := max(retryS, 0.1) + 0.2*s.rng.Float64()
-		if s.accounts[record.Account].Deaf {
+		if s.accounts[record.Account].IgnoresRetryAfter {
 			wait = 0.1 + 0.2*s.rng.Float64()
 		}
 		s.after(wait, func() { s.retryLater(record) })
@@ -235,7 +235,7 @@
 	s := f.sim
 	s.countPeerMessage(data)
 	if s.misreportingIngress == f.number+1 {
-		testbed.Lie(data, s.now)
+		testbed.FalsifyLoadShedState(data, s.now)
 	}
 	for g := range s.forwarders {
 		if g == f.number || to != policy.Broadcast && g != to {
--- a/internal/testbed/simulation/sim_node.go
+++ b/internal/testbed/simulation/sim_node.go
@@ -88,12 +88,12 @@
 	}
 }
 
-// Began implements node.Out.
+// Began implements node.Observer.
 func (n *simNode) Began(_ float64, a *node.Attempt, work float64, repeat bool) {
 	n.sim.Hist.AttemptStarted(n.openAttempts[a.Handle].record, work, repeat)
 }
 
-// Answer implements node.Out.
+// Answer implements node.Observer.
 func (n *simNode) Answer(_ float64, a *node.Attempt, f node.Fate, load float64) {
 	attempt := n.openAttempts[a.Handle]
 	status := policy.Error
@@ -113,7 +113,7 @@
 	n.sim.after(n.sim.networkDelay(), func() { attempt.forwarder.finish(attempt, status) })
 }
 
-// Ended implements node.Out.
+// Ended implements node.Observer.
 func (n *simNode) Ended(_ float64, a *node.Attempt, how string) {
 	attempt := n.openAttempts[a.Handle]
 	if attempt == nil {
@@ -126,8 +126,8 @@
 	}
 }
 
-// Fell implements node.Out.
-func (n *simNode) Fell(float64) {
+// Collapsed implements node.Observer.
+func (n *simNode) Collapsed(float64) {
 	s := n.sim
 	s.Hist.IncarnationCrashed(n.incarnation)
 	s.Hist.AddFault("node " + n.id + " fell over")
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -55,7 +55,7 @@
 	groups := max(1, sc.Forwarders/soakIngressesPerAccountGroup)
 	sc.Accounts = Accounts(20*groups, 10*groups, 3*groups, sc.Forwarders, min(4, sc.Forwarders), number)
 	every := time.Duration((soakMinFaultIntervalMS + rng.Float64()*(soakMaxFaultIntervalMS-soakMinFaultIntervalMS)) * float64(time.Millisecond))
-	if err := Make("soak", &sc, nil, every); err != nil {
+	if err := ApplyScenario("soak", &sc, nil, every); err != nil {
 		return sc, err
 	}
 	return sc, nil
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -30,7 +30,7 @@
 		{At: 2300 * ms, For: time.Second, Kind: "sick", A: 2, X: 0.5},
 		{At: 3 * time.Second, For: time.Second, Kind: "restart", A: 2},
 	}
-	sc.Floors = map[string]int{oracle.RuleDrainEnd: 1, oracle.RuleIngressSelfCheck: 5, oracle.RuleOneOpenAttempt: 3}
+	sc.MinOccasions = map[string]int{oracle.RuleDrainEnd: 1, oracle.RuleIngressSelfCheck: 5, oracle.RuleOneOpenAttempt: 3}
 	var log strings.Builder
 	_, rep, err := Run(sc, &log)
 	if err != nil {
--- a/internal/testbed/upgrade.go
+++ b/internal/testbed/upgrade.go
@@ -111,7 +111,7 @@
 		var err error
 		if from := u.fleet.Hist.Now(); n >= 0 {
 			if err = p.Replace(); err == nil {
-				u.fleet.Hist.AddReplacement(n, from, u.fleet.Hist.Now())
+				u.fleet.Hist.AddHotRestart(n, from, u.fleet.Hist.Now())
 			}
 		} else {
 			p.Term()
@@ -130,8 +130,9 @@
 	}()
 }
 
-// UpgradeAll upgrades the fleet times times, and returns how long each upgrade took. It stops at the first error, also when ctx ends.
-func (f *Fleet) UpgradeAll(ctx context.Context, times int) (took []time.Duration, err error) {
+// UpgradeRepeatedly upgrades the fleet as often as times says, and returns how long each upgrade took. It stops at the first error, also
+// when ctx ends.
+func (f *Fleet) UpgradeRepeatedly(ctx context.Context, times int) (took []time.Duration, err error) {
 	for range times {
 		d, err := f.Upgrade(ctx)
 		if err != nil {
