--- a/cmd/decisiontrace/main.go
+++ b/cmd/decisiontrace/main.go
@@ -19,7 +19,7 @@
 )
 
 type inputs struct {
-	Files []string `arg:"" type:"path" help:"Trace files, or folders with *.trace files."`
+	Files []string `arg:"" type:"path" help:"Trace files, or directories with *.trace files."`
 	From  float64  `help:"Leave out records before this time, in seconds after the first record." default:"0"`
 	To    float64  `help:"Leave out records from this time on, in seconds after the first record; 0 means no limit." default:"0"`
 }
@@ -132,7 +132,7 @@
 
 type plotCmd struct {
 	inputs
-	Out     string  `help:"Folder to which the pictures are written." default:"." type:"existingdir"`
+	Out     string  `help:"Directory to which the pictures are written." default:"." type:"existingdir"`
 	Step    float64 `help:"Width of a bar in seconds." default:"1"`
 	Account string  `help:"Key (8 hex digits) of the account whose available units are drawn. Default: the account with the highest value of rejected requests that fitted its quota and hard limit."`
 }
--- a/cmd/decisiontrace/overload.go
+++ b/cmd/decisiontrace/overload.go
@@ -12,7 +12,7 @@
 )
 
 type overloadCmd struct {
-	Folder string `arg:"" type:"existingdir" help:"Folder written by testbed overload -keep. An SVG picture is written next to each JSON file."`
+	Folder string `arg:"" type:"existingdir" help:"Directory written by testbed overload -keep. An SVG picture is written next to each JSON file."`
 }
 
 func (c *overloadCmd) Run() error {
@@ -21,7 +21,7 @@
 		return err
 	}
 	if len(paths) == 0 {
-		return fmt.Errorf("%s: no *.json files, want a folder written by testbed overload -keep", c.Folder)
+		return fmt.Errorf("%s: no *.json files, want a directory written by testbed overload -keep", c.Folder)
 	}
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
--- a/cmd/eiderspread/main.go
+++ b/cmd/eiderspread/main.go
@@ -34,7 +34,7 @@
 
 func run(args []string) error {
 	flags := flag.NewFlagSet("eiderspread", flag.ContinueOnError)
-	check := flags.Bool("check", false, "check the configuration and the operator's file, and end")
+	check := flags.Bool("check", false, "check the configuration and the operator's file, then exit")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
--- a/cmd/membershipagent/main.go
+++ b/cmd/membershipagent/main.go
@@ -17,13 +17,13 @@
 )
 
 const usage = `usage: membershipagent COMMAND ...
-  run [-check] FILE                  run the agent with its configuration file (see deploy/etcd.toml)
-  nodes FILE list                    list the nodes and drain marks in etcd
-  nodes FILE drain [-hold] [-why W] ID   set the drain mark of a node, with reason W; with -hold only while this command runs
-  nodes FILE undrain ID              remove the drain mark of a node
-  nodes FILE watch                   list the nodes and drain marks, then print changes as they happen
-  lab [flags]                        run a fleet on the stand-in with etcd faults, and check it; lab -h lists the flags
-  standin [flags]                    run a stand-in for etcd on loopback, to try the others; standin -h lists the flags
+  run [-check] FILE                  runs the agent with a configuration file (example: deploy/etcd.toml)
+  nodes FILE list                    lists the nodes and drain marks in etcd
+  nodes FILE drain [-hold] [-why W] ID   sets the drain mark of a node, with reason W; with -hold only while this command runs
+  nodes FILE undrain ID              removes the drain mark of a node
+  nodes FILE watch                   lists the nodes and drain marks, then prints changes as they happen
+  lab [flags]                        runs a fleet on the stand-in with etcd faults and checks the rules; lab -h lists the flags
+  standin [flags]                    runs a stand-in for etcd on loopback, to try the other commands; standin -h lists the flags
 `
 
 func main() {
@@ -63,7 +63,7 @@
 // runAgent runs the agent until ctx ends. SIGHUP reloads its configuration file.
 func runAgent(ctx context.Context, args []string) error {
 	flags := flag.NewFlagSet("run", flag.ContinueOnError)
-	check := flags.Bool("check", false, "validate the file and all files that it names, then exit")
+	check := flags.Bool("check", false, "check the file and the files that it names, then exit")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d times: fail-safe after %s; all cells led again after %s\n", runtime.NumCPU(), o.forwarders,
+	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, all paused %d times: fail-safe after %s; all cells led again after %s\n", runtime.NumCPU(), o.forwarders,
 		o.planners, len(into), medianAndWorst(into), medianAndWorst(back))
 	return nil
 }
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d deaths: all cells led again after %s\n", runtime.NumCPU(), o.forwarders, o.planners, len(back),
+	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, one killed %d times: all cells led again after %s\n", runtime.NumCPU(), o.forwarders, o.planners, len(back),
 		medianAndWorst(back))
 	return nil
 }
--- a/cmd/testbed/sim_totals.go
+++ b/cmd/testbed/sim_totals.go
@@ -91,7 +91,7 @@
 func (t *simTotals) printCounts(seconds, gateways float64) {
 	fmt.Printf("  counts: exact counting would admit %.0f units, %.1f%% of them were withheld; the largest excess of each account adds up to %.1f%% of them\n",
 		t.ideal, 100*t.withheld/t.ideal, 100*t.excess/t.ideal)
-	fmt.Printf("  messages between ingresses: %.1f per second at each, %.1f%% of them beyond the receiver's intake\n",
+	fmt.Printf("  messages between ingresses: %.1f per second at each, %.1f%% of them dropped beyond the receiver's rate limit\n",
 		float64(t.messages)/seconds/gateways, 100*float64(t.droppedMessages)/float64(max(1, t.messages)))
 	if t.slotSeconds > 0 {
 		fmt.Printf("  concurrency limits: %.0f s of attempts within them, %.1f%% of that beyond them\n", t.slotSeconds, 100*t.excessSeconds/t.slotSeconds)
--- a/internal/testbed/clients.go
+++ b/internal/testbed/clients.go
@@ -259,9 +259,9 @@
 func (c *Clients) sendWithRetries(ctx context.Context, a Account, class policy.Class, key string) {
 	began := time.Now()
 	first := ""
-	for try := 0; try <= c.cfg.Retries; try++ {
+	for retry := 0; retry <= c.cfg.Retries; retry++ {
 		left := seconds(class.DeadlineS) - time.Since(began)
-		if left < 50*time.Millisecond || try > 0 && ctx.Err() != nil {
+		if left < 50*time.Millisecond || retry > 0 && ctx.Err() != nil {
 			return
 		}
 		id := c.newRequestID()
--- a/internal/testbed/etcdfleet/faults.go
+++ b/internal/testbed/etcdfleet/faults.go
@@ -226,7 +226,7 @@
 			})
 		})
 	})
-	testbed.AddKind("unlisted", "a node is removed from etcd but not from its roster, and added again", "unlisted", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
+	testbed.AddKind("unlisted", "a node is removed from etcd but not from discovery, and added again", "unlisted", func(f *testbed.Fleet, x testbed.Fault, wait func(time.Duration) bool) {
 		nodes := f.Nodes()
 		if len(nodes) < 4 {
 			return
--- a/internal/testbed/etcdfleet/rig.go
+++ b/internal/testbed/etcdfleet/rig.go
@@ -161,9 +161,9 @@
 	}
 }
 
-// source applies a state change of a node. A drain is announced, by a hash of the node's ID, to the roster only, to etcd and the
-// roster, or to etcd only, a third of the nodes each. in_service and terminated go to both.
-func (r *Rig) source(f *testbed.Fleet, t discovery.Endpoint) (toRoster bool) {
+// source applies a state change of a node. A drain is announced, by a hash of the node's ID, to discovery only, to etcd and discovery,
+// or to etcd only, a third of the nodes each. in_service and terminated go to both.
+func (r *Rig) source(f *testbed.Fleet, t discovery.Endpoint) (toDiscovery bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.hist == nil {
@@ -383,21 +383,21 @@
 // ---- views of the agents ----
 
 // expectedUp returns the sorted IDs of the nodes that a party should list as in_service, given the states in etcd and those
-// announced by the party's roster: at least one source says in_service, and none says otherwise.
-func (r *Rig) expectedUp(party string, rosterStates map[string]string) string {
+// announced to the party by discovery: at least one source says in_service, and none says otherwise.
+func (r *Rig) expectedUp(party string, discoveryStates map[string]string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ids := map[string]bool{}
 	for id := range r.stored {
 		ids[id] = true
 	}
-	for id := range rosterStates {
+	for id := range discoveryStates {
 		ids[id] = true
 	}
 	var up []string
 	for id := range ids {
-		etcdState, rosterState := r.stored[id], rosterStates[id]
-		if (etcdState == "in_service" || rosterState == "in_service") && (etcdState == "" || etcdState == "in_service") && (rosterState == "" || rosterState == "in_service") {
+		etcdState, discoveryState := r.stored[id], discoveryStates[id]
+		if (etcdState == "in_service" || discoveryState == "in_service") && (etcdState == "" || etcdState == "in_service") && (discoveryState == "" || discoveryState == "in_service") {
 			up = append(up, id)
 		}
 	}
@@ -405,8 +405,8 @@
 	return strings.Join(up, " ")
 }
 
-// rosterStates returns the last state of each node that each observer received, by observer and node ID.
-func (r *Rig) rosterStates() map[string]map[string]string {
+// discoveryStates returns the last state of each node that each observer received, by observer and node ID.
+func (r *Rig) discoveryStates() map[string]map[string]string {
 	defer r.hist.Lock()()
 	all := map[string]map[string]string{}
 	for _, t := range r.hist.Notices {
@@ -429,7 +429,7 @@
 	r.mu.Unlock()
 	mismatch := ""
 	for time.Since(began) < maxConvergence && ctx.Err() == nil {
-		rosterStates := r.rosterStates()
+		states := r.discoveryStates()
 		remaining = slices.DeleteFunc(remaining, func(a *agentProc) bool {
 			l, err := a.fetchList()
 			if err != nil {
@@ -443,7 +443,7 @@
 				}
 			}
 			sort.Strings(up)
-			want := r.expectedUp(a.observer, rosterStates[oracle.DiscoverySource(a.observer)])
+			want := r.expectedUp(a.observer, states[oracle.DiscoverySource(a.observer)])
 			mismatch = fmt.Sprintf("%s lists %v as in service, expected [%s]", a.observer, up, want)
 			return strings.Join(up, " ") == want
 		})
@@ -493,7 +493,7 @@
 	fmt.Fprintf(w, "injected faults of etcd: %s\n", strings.Join(list, ", "))
 	n := r.Etcd.Counts()
 	fmt.Fprintf(w, "etcd: %d reads, %d watches, %d leader changes; agents (since their last start): %d full reads, %d broken sessions, "+
-		"%d compacted watches, %d replaced clusters, %d stale answers refused\n", n.Reads, n.Watches, n.LeaderChanges, sum.Etcd.Reads, sum.Etcd.Breaks,
+		"%d compacted watches, %d replaced clusters, %d stale answers rejected\n", n.Reads, n.Watches, n.LeaderChanges, sum.Etcd.Reads, sum.Etcd.Breaks,
 		sum.Etcd.Compacted, sum.Etcd.Replaced, sum.Etcd.Refused)
 	var took []time.Duration
 	unlock := r.hist.Lock()
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -211,7 +211,7 @@
 	"shift": {"accounts shift their load to others of their ingresses at the same time", 1, 0, nil, func(f *Fleet, x Fault, _ func(time.Duration) bool) {
 		f.Front.Shift(0.11 + 0.48*x.X)
 	}},
-	"flood": {"an account of the last plan asks for 3 to 8 times as much", 1, 0, fixedTarget("flood"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
+	"flood": {"an account of the last plan requests 3 to 8 times as many units", 1, 0, fixedTarget("flood"), func(f *Fleet, x Fault, wait func(time.Duration) bool) {
 		list := f.clients.cfg.Accounts
 		a := list[len(list)-1-x.A%min(3, len(list))]
 		f.clients.Flood(a.Name, 3+5*x.X)
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -120,7 +120,7 @@
 }
 
 // CostHeader is the header of the table of costs, in Markdown.
-const CostHeader = "| fleet | tries/s | forwarder us/try | planner us/try | idle forwarder | idle planner | link B/try | idle link kB/s | datagrams/try | overhead p50 ms | p99 ms | service |\n|---|---|---|---|---|---|---|---|---|---|---|---|"
+const CostHeader = "| fleet | requests/s | forwarder us/request | planner us/request | idle forwarder | idle planner | link B/request | idle link kB/s | datagrams/request | overhead p50 ms | p99 ms | service |\n|---|---|---|---|---|---|---|---|---|---|---|---|"
 
 // MeasureTakeovers kills one planner at a time, n times in all. It returns, in ascending order, how long each time it took until every
 // forwarder saw a leader in every cell again.
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -165,7 +165,7 @@
 // Collapsed implements node.Observer.
 func (n *Node) Collapsed(float64) {
 	n.hist.IncarnationCrashed(n.incarnation)
-	n.hist.AddFault("node " + n.ID + " fell over")
+	n.hist.AddFault("node " + n.ID + " collapsed: too much work while cold")
 	n.stop()
 }
 
--- a/internal/testbed/node/model.go
+++ b/internal/testbed/node/model.go
@@ -202,7 +202,7 @@
 		keep = append(keep, sentWork{now, a.work})
 		m.sent = keep
 		if sum > m.cfg.Budget(age) {
-			m.Fall(now)
+			m.Collapse(now)
 			m.out.Ended(now, a, "down")
 			return a.work
 		}
@@ -224,8 +224,8 @@
 	return a.work
 }
 
-// Fall crashes the node for good.
-func (m *Model) Fall(now float64) {
+// Collapse crashes the node; it does not recover.
+func (m *Model) Collapse(now float64) {
 	m.collapsed = true
 	m.out.Collapsed(now)
 	for _, list := range [][]*Attempt{m.working, m.waiting, m.silent} {
--- a/internal/testbed/operators.go
+++ b/internal/testbed/operators.go
@@ -21,7 +21,7 @@
 const (
 	replaceTimeout  = 10 * time.Second      // for the predecessor to end after its successor was started
 	callTimeout     = 2 * time.Second       // of one call
-	callRetry       = 50 * time.Millisecond // interval between tries of a call
+	callRetry       = 50 * time.Millisecond // interval between retries of a call
 	maxAdminLeaseS  = 0.6                   // seconds: planners with longer leases have no admin interface
 	uncordonTimeout = 10 * time.Second      // for an uncordon call to succeed at a program that may be down at first
 )
--- a/internal/testbed/oracle/check.go
+++ b/internal/testbed/oracle/check.go
@@ -23,7 +23,7 @@
 	defer h.Lock()()
 	r := newReport(cfg.MinOccasions)
 	if cfg.MaxLateness > 0 && h.MaxLateness > cfg.MaxLateness {
-		r.Void = fmt.Sprintf("the testbed was late by %v, at most %v is allowed", h.MaxLateness.Round(time.Millisecond), cfg.MaxLateness)
+		r.Void = fmt.Sprintf("the testbed itself was up to %v late, at most %v is allowed", h.MaxLateness.Round(time.Millisecond), cfg.MaxLateness)
 	}
 	classes, plans := map[string]policy.Class{}, map[string]policy.Plan{}
 	for _, class := range cfg.Classes {
--- a/internal/testbed/oracle/report.go
+++ b/internal/testbed/oracle/report.go
@@ -48,7 +48,7 @@
 	Handshakes                        int            // connections opened to backends, where the testbed counts them
 	SlotS, ExcessSlotS                float64        // seconds of open attempts within and beyond concurrency limits
 	PeerMessageKinds                  map[string]int // messages between ingresses by kind, where the testbed counts them
-	PeerMessages, DroppedPeerMessages int            // messages between ingresses, and those beyond the receiver's intake
+	PeerMessages, DroppedPeerMessages int            // messages between ingresses, and those dropped beyond the receiver's rate limit
 	Reasons                           map[int]int    // rejections by reason.Reason, where the testbed knows it
 	minOccasions                      map[string]int
 }
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -42,8 +42,9 @@
 	s.after(1+a.From.Seconds()+s.rng.ExpFloat64()*meanUnits/a.Rate, send)
 }
 
-// sendRequest sends a try of an account's request through one of its ingresses: 60% through the same one for 7 s, the others through a random
-// one. originalID is the ID of the first try, "" for the first try itself; leftS is the time to the deadline in seconds.
+// sendRequest sends a request or a client retry of an account through one of its ingresses: 60% through the same one for 7 s, the others
+// through a random one. originalID is the ID of the original request, "" for that request itself; leftS is the time to the deadline in
+// seconds.
 func (s *Sim) sendRequest(a testbed.Account, class policy.Class, originalID string, leftS float64) {
 	s.lastRequestNumber++
 	id := fmt.Sprint("r", s.lastRequestNumber)
@@ -51,7 +52,7 @@
 	if s.clientRequests[originalID] == nil {
 		s.clientRequests[originalID] = &clientRequest{firstSentAt: s.Hist.Now()}
 	}
-	s.clientRequests[originalID].tries++
+	s.clientRequests[originalID].sent++
 	preferred := int(peerprotocol.HashPoint(a.Name)%1e6) + int(s.now/7) // differs between accounts
 	i := a.First + preferred%a.Spread
 	if s.rng.Float64() < 0.4 {
@@ -68,17 +69,17 @@
 // maxRetries is how often a client retries a rejected request.
 const maxRetries = 2
 
-// clientRequest is the state of a request at its client: when the first try was sent, and how many tries there were.
+// clientRequest is the state of a request at its client: when it was first sent, and how often it was sent, retries included.
 type clientRequest struct {
 	firstSentAt time.Duration
-	tries       int
+	sent        int
 }
 
-// retryLater retries a rejected try for its client, if it has retries and at least 50 ms left.
+// retryLater retries a rejected request for its client, if it has retries and at least 50 ms left.
 func (s *Sim) retryLater(t *oracle.Request) {
 	class := s.class(t.Class)
 	request := s.clientRequests[t.OriginalID]
-	if request == nil || request.tries > maxRetries {
+	if request == nil || request.sent > maxRetries {
 		delete(s.clientRequests, t.OriginalID)
 		return
 	}
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -69,7 +69,7 @@
 	discoveryDelayS     float64                  // by which discovery reports changes of nodes late
 	floodFactors        map[string]float64       // on the request rate, by account
 	accounts            map[string]testbed.Account
-	clientRequests      map[string]*clientRequest // by ID of the first try; deleted only after the last retry
+	clientRequests      map[string]*clientRequest // by ID of the original request; deleted only after the last retry
 	violationCounts     map[string]int
 	firstViolation      string
 	LeaderObservations  int             // leaders that checkLeaders found, over all cells and calls; 0: fencing was never checked
--- a/internal/testbed/simulation/sim_forwarder.go
+++ b/internal/testbed/simulation/sim_forwarder.go
@@ -51,7 +51,7 @@
 	return true
 }
 
-// simRequest is one try of a client's request that a forwarder has accepted.
+// simRequest is a request, or a client retry, that a forwarder has accepted.
 type simRequest struct {
 	policy.Request
 	record      *oracle.Request
@@ -262,8 +262,8 @@
 	return 0
 }
 
-// handleRequest receives a try of a client's request; originalID is the ID of the first try, leftS the time to the deadline in seconds. The
-// client disconnects 50 ms after the deadline.
+// handleRequest receives a request or a client retry; originalID is the ID of the original request, leftS the time to the deadline in
+// seconds. The client disconnects 50 ms after the deadline.
 func (f *simForwarder) handleRequest(q policy.Request, originalID string, leftS float64) {
 	s := f.sim
 	record := &oracle.Request{ID: q.ID, OriginalID: originalID, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.number, Units: q.Units,
--- a/internal/testbed/simulation/sim_node.go
+++ b/internal/testbed/simulation/sim_node.go
@@ -130,7 +130,7 @@
 func (n *simNode) Collapsed(float64) {
 	s := n.sim
 	s.Hist.IncarnationCrashed(n.incarnation)
-	s.Hist.AddFault("node " + n.id + " fell over")
+	s.Hist.AddFault("node " + n.id + " collapsed: too much work while cold")
 	n.listed = false
 	s.after(2, func() { n.notify(policy.Removed) })
 }
