--- a/internal/controlplane/cordon/coordinator.go
+++ b/internal/controlplane/cordon/coordinator.go
@@ -56,9 +56,9 @@
 	backendID      string
 	cordoned       bool
 	phase          phase
-	answered       []bool  // by forwarder, in this phase
+	answered       []bool  // by forwarder: it has answered in this phase
 	answers        int     // number of forwarders in answered
-	highestVersion uint64  // that was read so far
+	highestVersion uint64  // highest version that was read so far
 	proposed       State   // set from the writing phase on
 	effectiveAt    float64 // in awaitingLeaseExpiry: when the state binds every planner that can lead
 	deadline       float64
@@ -83,8 +83,8 @@
 	}
 }
 
-// LinkDown handles the end of a link. The forwarder's answers still count: even if its process has ended and lost the registers, its
-// successor grants no promise for one lease.
+// LinkDown handles the end of a forwarder's link. The forwarder's earlier answers still count. This is safe even if its process has ended
+// and its registers are lost: the process that replaces it grants no promise for one lease.
 func (c *Coordinator) LinkDown(forwarder int) { c.linked[forwarder] = false }
 
 func (c *Coordinator) operationIDs() []uint64 { return slices.Sorted(maps.Keys(c.operations)) }
--- a/internal/controlplane/forwarder/migrate_test.go
+++ b/internal/controlplane/forwarder/migrate_test.go
@@ -155,7 +155,8 @@
 	predecessor.expect()
 	predecessor.core.Reclaim(predecessor.now)
 	predecessor.core.LinkUp(predecessor.now, 0, 7)
-	predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 9}) // not renewed: another planner may hold a newer promise
+	// the forwarder does not renew its promise: another planner may hold a newer one
+	predecessor.receive(0, transport.Message{Kind: transport.KindClaim, Cell: predecessor.cellID(), Epoch: 5, Round: 9})
 	predecessor.expect()
 	if topology.FencingEnabled {
 		predecessor.now += predecessor.core.cfg.LeaseS + 0.01
@@ -211,10 +212,10 @@
 	}
 }
 
-// Guards against two leaders of one cell when the predecessor's state can't be read: its promises may still be valid, so the forwarder grants
-// none for one lease from then on, not from its own start.
+// Guards against two leaders of one cell when the predecessor's state can't be read. The predecessor's promises may still be valid, so the
+// forwarder grants no promise for one lease, counted from the failed Resume and not from the forwarder's start.
 func TestResume_UnreadableParts(t *testing.T) {
-	f := newFixture(t) // the lease that began at its own start has ended
+	f := newFixture(t) // the lease that began at the forwarder's start has ended
 	gateway := &RemoteGateway{core: f.core}
 	if gateway.Resume(f.now, 0, []snapshot.Part{{}}) == nil {
 		t.Error("Resume accepted parts that are not a forwarder's state")
--- a/internal/controlplane/forwarder/usage.go
+++ b/internal/controlplane/forwarder/usage.go
@@ -32,10 +32,10 @@
 // windowUsage is an account's quota window right after an admission.
 type windowUsage struct {
 	plan       int
-	epoch      uint64  // of the leader that made the admission
+	epoch      uint64  // epoch of the leader that made the admission
 	seq        uint32  // sequence number of the admission in that epoch
 	debt       float64 // units charged and not yet refilled
-	receivedAt float64 // when this forwarder received the state, which is after the admission
+	receivedAt float64 // time at which this forwarder received the state, which is after the admission
 }
 
 // supersedes reports whether u is of the same admission as other, or of a later one.
@@ -83,8 +83,8 @@
 	}
 }
 
-// reportUsage reports to a cell's new holder what earlier leaders admitted. It is called after the promise is granted: no older epoch is
-// followed from then on, so no older admission can follow the report.
+// reportUsage reports to a cell's new holder what earlier leaders admitted. It is called after the promise is granted. From then on the
+// forwarder accepts no decisions under an older epoch, so the report misses no admission by an earlier leader.
 func (c *Core) reportUsage(cellID int) {
 	cell := &c.cells[cellID]
 	c.usage.each(c.now, func(account string, usage windowUsage) {
--- a/internal/controlplane/planner/core_test.go
+++ b/internal/controlplane/planner/core_test.go
@@ -182,7 +182,8 @@
 }
 
 // Guards against exceeding a quota after a change of leaders: the previous leader may have admitted units that the new one does not know
-// of. Until all forwarders have reported, an account's quota window must count as empty at the start of the leadership.
+// of. Until all forwarders have reported, the planner must assume that at the start of its leadership no units were left in an account's
+// quota window.
 func TestRequests_WaitForUsageReports(t *testing.T) {
 	core, out, _ := newTestCore(t, policy.Plan{Name: "p", Rate: 1, Burst: 4, Weight: 1})
 	cellID := core.cfg.CellOf("c")
@@ -204,8 +205,8 @@
 	}
 }
 
-// Guards the backend state that modules see: a cordoned backend is draining. Once uncordoned, it counts as started at that moment until
-// discovery reports a start after the cordon.
+// Guards the backend state that modules see: a cordoned backend is draining. After its cordon is lifted, the time of the lifting is taken
+// as its start time, until discovery reports a start after the cordon began.
 func TestCordonOverlay(t *testing.T) {
 	overlay := cordonOverlay{cordonedAt: map[string]float64{}, uncordonedAt: map[string]float64{}}
 	backend := func(state policy.BackendState, startedAt float64) policy.Backend {
--- a/internal/controlplane/planner/leases_test.go
+++ b/internal/controlplane/planner/leases_test.go
@@ -51,8 +51,8 @@
 	grant(10.01, 0, e, 1)
 	grant(10.01, 0, e, 1)
 	grant(10.01, 1, e, 1)
-	grant(10.01, 2, 4, 1)  // of another claim
-	grant(10.01, 2, e, 99) // of an unsent round
+	grant(10.01, 2, 4, 1)  // a grant of another claim
+	grant(10.01, 2, e, 99) // a grant of an unsent round
 	if manager.isLeader(10.01, 0, e) {
 		t.Fatal("planner leads with grants of two of five forwarders")
 	}
@@ -64,7 +64,7 @@
 	if math.Abs(lease.expiresAt-(10+leaseS)) > 1e-9 {
 		t.Errorf("lease expires at %v, want %v", lease.expiresAt, 10+leaseS)
 	}
-	manager.tick(10.06) // with two grants of the renewal, the majority's earliest granted round is still the first
+	manager.tick(10.06) // until three of the five forwarders have granted this renewal, the lease counts from the first round
 	round := lease.round
 	grant(10.07, 0, e, round)
 	grant(10.07, 1, e, round)
@@ -77,7 +77,8 @@
 	}
 	sent = nil
 	manager.expireLeases(10.06 + leaseS)
-	if len(sent) != 5 || sent[0].Kind != transport.KindRelease || sent[0].Epoch != e { // else they would continue to submit requests
+	// without a release, the forwarders would continue to submit requests
+	if len(sent) != 5 || sent[0].Kind != transport.KindRelease || sent[0].Epoch != e {
 		t.Errorf("after the lease expired, got messages %v, want a release of epoch %d to each of 5 forwarders", sent, e)
 	}
 	grant(10.06+leaseS, 3, e, round)
--- a/internal/controlplane/transport/message.go
+++ b/internal/controlplane/transport/message.go
@@ -7,69 +7,72 @@
 // Limits of a frame and its contents.
 const (
 	MaxFrameBytes = 64 << 10 // excluding the four bytes of the frame's length
-	MaxNameBytes  = 128      // of Message.Name; AppendMessage truncates longer names
+	MaxNameBytes  = 128      // longest Message.Name; AppendMessage truncates longer names
 )
 
 // Kind is the kind of a message.
 type Kind uint8
 
-// The kinds of messages. Each comment begins with the sender, F for forwarders and P for planners, and ends with the fields of Message that
-// the kind uses. The values are on the wire.
+// The kinds of messages. Each comment begins with the direction and ends with the fields of Message that the kind uses. The values are on
+// the wire.
 const (
-	// F and P: the first message of a link. See Hello for the fields.
+	// Both directions: the first message of a link. See Hello for the fields.
 	KindHello Kind = 1 + iota
-	// F: reports the latest promise for a cell. Cell, Epoch, Number (the holder's number plus one; 0: none), DurationS (time left),
-	// Requester.
+	// Forwarder to planner: reports the latest promise for a cell. Fields: Cell, Epoch, Number (the holder's number plus one; 0: none),
+	// DurationS (time left), Requester.
 	KindPromiseReport
-	// F: grants a claim, or renews its promise. Cell, Epoch, Round.
+	// Forwarder to planner: grants a claim, or renews its promise. Fields: Cell, Epoch, Round.
 	KindGrant
-	// F: reports the latest admission of an account. Cell, Epoch, Name (account), Plan, Handle (epoch of the KindSend that admitted),
-	// Round (its admission number), Units (debt), DurationS (age), Number (unused).
+	// Forwarder to planner: reports the latest admission of an account. Fields: Cell, Epoch, Name (account), Plan, Handle (epoch of the
+	// KindSend that admitted), Round (its admission number), Units (debt), DurationS (age), Number (unused).
 	KindUsageReport
-	// F: ends a usage report. Cell, Epoch, Flag (the report is complete).
+	// Forwarder to planner: ends a usage report. Fields: Cell, Epoch, Flag (the report is complete).
 	KindUsageReportEnd
-	// F: submits a request. Cell, Epoch, Handle, Class, Plan, Name (account), DurationS (time until the deadline), Units,
-	// Flag (client retry).
+	// Forwarder to planner: submits a request. Fields: Cell, Epoch, Handle, Class, Plan, Name (account), DurationS (time until the
+	// deadline), Units, Flag (client retry).
 	KindRequest
-	// F: reports the end of an attempt. Handle, Number (attempt), Class (status), Flag (the request is completed), DurationS (latency), Load.
+	// Forwarder to planner: reports the end of an attempt. Fields: Handle, Number (attempt), Class (status), Flag (the request is
+	// completed), DurationS (latency), Load.
 	KindOutcome
-	// F: a request needs no more decisions: its client has disconnected or has its answer. Handle. See also KindFromForwarder.
+	// Forwarder to planner: a request needs no more decisions: its client has disconnected or has its answer. Fields: Handle. See also
+	// KindFromForwarder.
 	KindDisconnected
-	// F: reports the result of a health check. Cell, Epoch, Name (backend), Class (status), DurationS (latency), Load.
+	// Forwarder to planner: reports the result of a health check. Fields: Cell, Epoch, Name (backend), Class (status), DurationS (latency),
+	// Load.
 	KindProbeResult
-	// P: asks for a promise, or for its renewal. Cell, Epoch, Round.
+	// Planner to forwarder: asks for a promise, or for its renewal. Fields: Cell, Epoch, Round.
 	KindClaim
-	// P: announces that a majority has granted the claim. Cell, Epoch.
+	// Planner to forwarder: announces that a majority has granted the claim. Fields: Cell, Epoch.
 	KindLeaderAnnouncement
-	// P: ends the promise that was granted to a claim. Cell, Epoch. See also KindFromPlanner.
+	// Planner to forwarder: ends the promise that was granted to a claim. Fields: Cell, Epoch. See also KindFromPlanner.
 	KindRelease
-	// P: asks for a cell that another planner leads. Cell.
+	// Planner to forwarder: asks for a cell that another planner leads. Fields: Cell.
 	KindHandbackRequest
-	// P: starts an attempt. Cell, Epoch, Handle, Name (backend), DurationS (timeout; 0: none), Round (number of the admission under this
-	// epoch), Units (the account's debt).
+	// Planner to forwarder: starts an attempt. Fields: Cell, Epoch, Handle, Name (backend), DurationS (timeout; 0: none), Round (number of
+	// the admission under this epoch), Units (the account's debt).
 	KindSend
-	// P: rejects a request as its final answer. Cell, Epoch, Handle, DurationS (retry after).
+	// Planner to forwarder: rejects a request as its final answer. Fields: Cell, Epoch, Handle, DurationS (retry after).
 	KindReject
-	// P: fails a request as its final answer. Cell, Epoch, Handle.
+	// Planner to forwarder: fails a request as its final answer. Fields: Cell, Epoch, Handle.
 	KindFail
-	// P: cancels an attempt. Cell, Epoch, Handle, Number (attempt).
+	// Planner to forwarder: cancels an attempt. Fields: Cell, Epoch, Handle, Number (attempt).
 	KindCancel
-	// F: withdraws a submitted request, because it goes to another leader. Handle.
+	// Forwarder to planner: withdraws a submitted request, because it goes to another leader. Fields: Handle.
 	KindWithdraw
-	// F: reports how many attempts of an account are in flight that this leader did not decide on. Cell, Epoch, Name (account), Plan,
-	// Number (attempts).
+	// Forwarder to planner: reports how many attempts of an account are in flight that this leader did not decide on. Fields: Cell, Epoch,
+	// Name (account), Plan, Number (attempts).
 	KindOrphans
-	// P: starts a health check. Cell, Epoch, Name (backend).
+	// Planner to forwarder: starts a health check. Fields: Cell, Epoch, Name (backend).
 	KindProbe
-	// P: keeps an idle link open; forwarders send KindPromiseReport for that. No fields.
+	// Planner to forwarder: keeps an idle link open; forwarders send KindPromiseReport for that. No fields.
 	KindHeartbeat
-	// P: reads a cordon register. Handle (operation), Name (backend).
+	// Planner to forwarder: reads a cordon register. Fields: Handle (operation), Name (backend).
 	KindCordonRead
-	// P: asks a forwarder to merge a state into a cordon register. Handle (operation; 0: no answer is wanted), Name (backend),
-	// Epoch (version), Flag (cordoned).
+	// Planner to forwarder: asks a forwarder to merge a state into a cordon register. Fields: Handle (operation; 0: no answer is wanted),
+	// Name (backend), Epoch (version), Flag (cordoned).
 	KindCordonWrite
-	// F: reports the state of a cordon register. Handle (operation that it answers; 0: none), Name (backend), Epoch (version),
-	// Flag (cordoned).
+	// Forwarder to planner: reports the state of a cordon register. Fields: Handle (operation that it answers; 0: none), Name (backend),
+	// Epoch (version), Flag (cordoned).
 	KindCordonState
 	kindCount
 )
@@ -79,8 +82,8 @@
 // unknown cell. A message that peers built before cordons or load shedding must ignore is therefore sent as one of these two kinds, with a
 // reserved handle or cell.
 const (
-	KindCordonCapable Kind = math.MaxUint8 - iota // F and P: the sender supports the cordon kinds, which must not be sent to other peers
-	KindShedLevel                                 // P: a cell's load-shedding level; F: a level relayed to another planner. See ShedLevel
+	KindCordonCapable Kind = math.MaxUint8 - iota // both directions: the sender supports the cordon kinds, which must not be sent to other peers
+	KindShedLevel                                 // planner: a cell's load-shedding level; forwarder: a level that it relays to another planner. See ShedLevel
 )
 
 // Reserved handles of KindDisconnected and cells of KindRelease. The handle of a relayed level carries shedLevelMark.
@@ -90,12 +93,14 @@
 	ShedLevelCell       = 1<<16 - 2 // KindShedLevel from a planner; its Epoch becomes the Handle of the relayed message
 )
 
-// NewForwarderCordonCapable returns the message by which a forwarder sends KindCordonCapable.
+// NewForwarderCordonCapable returns the message with which a forwarder announces that it supports cordons. On the wire it is a
+// KindDisconnected with the reserved handle CordonCapableHandle.
 func NewForwarderCordonCapable() Message {
 	return Message{Kind: KindDisconnected, Handle: CordonCapableHandle}
 }
 
-// NewPlannerCordonCapable returns the message by which a planner sends KindCordonCapable.
+// NewPlannerCordonCapable returns the message with which a planner announces that it supports cordons. On the wire it is a KindRelease with
+// the reserved cell CordonCapableCell.
 func NewPlannerCordonCapable() Message { return Message{Kind: KindRelease, Cell: CordonCapableCell} }
 
 // KindFromForwarder returns the kind of a message that was sent by a forwarder: KindCordonCapable, KindShedLevel or otherwise Message.Kind.
--- a/internal/dataplane/hotrestart/hotrestart.go
+++ b/internal/dataplane/hotrestart/hotrestart.go
@@ -1,6 +1,6 @@
 // Package hotrestart implements the link over which a new process takes over the sockets, the state and the open connections of the process
-// that it replaces. The link carries messages and file descriptors over a Unix socket. The two processes decide what they request, stop and
-// resume, and when.
+// that it replaces. The link carries messages and file descriptors over a Unix socket. The package only carries messages; the two processes
+// decide which messages to send and when, and when to stop and resume their work.
 //
 // The messages, in their order (P is the predecessor, S the successor):
 //
@@ -15,11 +15,12 @@
 // If the successor takes over the decisions on the predecessor's requests, these messages follow until the last of these requests has
 // ended:
 //
-//	P -> S  Event       a request that was read late, the end of an attempt, a client that disconnected
+//	P -> S  Event       a request that the predecessor handles after the hand-over of decisions, the end of an attempt,
+//	                    a client that disconnected
 //	S -> P  Order       an action on a request that the predecessor holds
 //
-// The link ends with either process, or when one side closes it because the other side receives no message in time. The end of the link is
-// therefore no proof that the other process has ended; what it means depends on the messages that were received before.
+// The link ends when either process ends, or when one side closes it because the other side receives no message in time. The end of the
+// link is therefore no proof that the other process has ended; what it means depends on the messages that were received before.
 package hotrestart
 
 import (
@@ -36,7 +37,7 @@
 const MaxBodyBytes = 128 << 10
 
 const (
-	maxDescriptors = 2   // per message
+	maxDescriptors = 2   // largest number of descriptors in one message
 	maxSocketPath  = 100 // bytes; the kernel allows 107
 )
 
--- a/internal/dataplane/ingress/decider_migration_test.go
+++ b/internal/dataplane/ingress/decider_migration_test.go
@@ -191,7 +191,7 @@
 	otherLock.Release()
 	r := startIngress(t, cfg, func(r *testIngress) { newFakeMigratingDecider(r) })
 	cfg.Listen = r.ingress.listener.Addr().String()
-	r.onLoop(func() {}) // by then, it listens for a successor
+	r.onLoop(func() {}) // when this call has returned, the ingress listens for a successor
 	in, err := newIngress(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/ingress/hot_restart_predecessor.go
+++ b/internal/dataplane/ingress/hot_restart_predecessor.go
@@ -20,10 +20,10 @@
 	link          *hotrestart.Link
 	listener      *net.TCPListener
 	peers         *net.UDPConn    // nil: peer messages are off
-	snapshot      []snapshot.Part // the state of its decider: all parts, or none
-	reservedInput int             // bytes of the input budget that are reserved for it
+	snapshot      []snapshot.Part // the state of the predecessor's decider: all parts, or none
+	reservedInput int             // bytes of the input budget that are reserved for the predecessor
 	bootTime      float64         // when the machine started, in Unix seconds by its clock; 0: not known
-	orders        chan []byte     // queue of sendOrders, see decider_migration.go; nil: no decider has migrated
+	orders        chan []byte     // sent to the predecessor by the goroutine sendOrders; nil: this process has not taken over its decisions
 }
 
 // connectPredecessor connects to the running process that this one replaces, and receives its sockets. It returns nil without an error if
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -33,7 +33,7 @@
 type Ingress struct {
 	cfg    ingressconfig.Config
 	log    *slog.Logger
-	clock  monotime.Clock // of any goroutine
+	clock  monotime.Clock // any goroutine may use it
 	events chan event
 	done   chan struct{} // closed when the loop has ended
 
@@ -48,26 +48,26 @@
 
 	listener         *net.TCPListener
 	acceptFor        time.Duration // how long after SIGTERM new connections are still accepted
-	acceptingClients atomic.Bool   // whether this process is ready for clients; of any goroutine
+	acceptingClients atomic.Bool   // whether this process is ready for clients; any goroutine may use it
 	clients          clientTable
 	requests         map[string]*request // by ID: those that are not answered yet or have attempts in flight
 	largeValues      map[*largeValue]struct{}
-	inputBudget      inputbuffer.Budget // bytes for unprocessed input and unread answers; of any goroutine
+	inputBudget      inputbuffer.Budget // bounds the memory for unprocessed input and unread answers, in bytes; any goroutine may use it
 
 	backends    backendPool
 	writeBuffer []byte    // encodes the command that is being written
 	peers       *peerLink // nil: there are no peer messages
 
-	classes     []policy.Class                      // from the newest settings
-	maxAttempts int                                 // from the newest settings
-	schema      atomic.Pointer[callprotocol.Schema] // from the newest settings; of any goroutine
+	classes     []policy.Class                      // as in the newest settings
+	maxAttempts int                                 // as in the newest settings
+	schema      atomic.Pointer[callprotocol.Schema] // as in the newest settings; any goroutine may use it
 
 	watcher           *discovery.Watcher
-	endpointListStale bool // as last logged
+	endpointListStale bool // the last log line on the endpoint list said that it is stale
 
 	admin       *admin.Server      // nil: there is no admin address
 	cordons     *cordontable.Table // backends that operators cordoned; nil outside a fleet if there is no admin address
-	cordonStore *cordontable.Store // keeps them in a file; of the admin server's goroutines; nil in a fleet or without an admin address
+	cordonStore *cordontable.Store // keeps these cordons in a file; used by the admin server's goroutines; nil in a fleet or without an admin address
 
 	drain         drainState
 	drainLogLines int // lines on single connections, logged in this drain or shutdown
@@ -76,7 +76,7 @@
 	successor           successorState                 // hand-over to a process that replaces this one
 	predecessor         *predecessorState              // hand-over from the process that this one replaces; nil: none, or its link has ended
 	predecessorRequests map[string]*predecessorRequest // by ID: held by the predecessor, decided on here; nil: there are none
-	memberLock          *hotrestart.Lock               // of the process that acts for a fleet member; nil outside a fleet or without an admin address
+	memberLock          *hotrestart.Lock               // held by the process that acts for a fleet member; nil outside a fleet or without an admin address
 
 	counters    ingressCounters
 	guardCounts guardCounters
--- a/internal/dataplane/settings/translate.go
+++ b/internal/dataplane/settings/translate.go
@@ -2,10 +2,10 @@
 
 import "eiderspread/policy"
 
-// idempotencies maps the values of a class's key effect.
+// idempotencies maps the values that the setting "effect" of a class may have to idempotencies.
 var idempotencies = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.KeyedIdempotent, "fragile": policy.NonIdempotent}
 
-// keyScopes maps the values of a class's key keyScope; the default is all.
+// keyScopes maps the values that the setting "keyScope" of a class may have to key scopes; without a value it is ScopeAll.
 var keyScopes = map[string]policy.KeyScope{"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone,
 	"cell": policy.ScopeCell}
 
--- a/internal/decision/config/settings.go
+++ b/internal/decision/config/settings.go
@@ -85,7 +85,7 @@
 	SlowStartMinFraction float64 // minimum fraction of its capacity that a backend has at its start
 	SlowStartS           float64 // time after its start at which a backend has its full capacity, seconds
 	CollapseMultiple     float64 // multiple of its current capacity beyond which a backend in slow start collapses; not used by decisions
-	CollapseWindowS      float64 // period over which the work sent to it is added up for CollapseMultiple, seconds
+	CollapseWindowS      float64 // period over which the work sent to a backend is added up for CollapseMultiple, seconds
 
 	LoadShedding loadshed.Config // zero value: off
 
--- a/internal/decision/errorbound/errorbound.go
+++ b/internal/decision/errorbound/errorbound.go
@@ -1,8 +1,8 @@
-// Package errorbound bounds the error of the distributed count of one account in each failure, by formulas of the
-// account and the failure: units admitted beyond rate and burst, units of the quota rejected because of the count,
-// and attempts beyond a concurrency cap. The testbed's invariant checker holds every run to these bounds, and
-// operators are promised them; docs/shared-count.md has the reasons. The package does no I/O; times are in
-// seconds, units are the plan's.
+// Package errorbound bounds three errors that the distributed count of one account can have in each kind of failure:
+// units admitted beyond rate and burst, units of the quota rejected because of the count, and attempts beyond a
+// concurrency cap. Each bound is a formula of the properties of the account and the failure. The testbed's invariant
+// checker holds every run to these bounds, and operators are promised them; docs/shared-count.md has the reasons. The
+// package does no I/O; times are in seconds, units are the plan's.
 package errorbound
 
 import (
@@ -16,8 +16,8 @@
 	ReportIntervalS = 0.1  // between two reports of a member
 	GrantMaxAgeS    = 0.5  // how long a member uses its split of an owner reply
 	MessageDelayS   = 0.04 // longest delay of a message between gateways without faults
-	DetectionS      = 0.6  // until the owner's failure is detected while no request waits: two unanswered reports
-	SuspicionS      = 1.0  // until a suspected gateway is tried again
+	DetectionS      = 0.6  // time until the owner's failure is detected while no request waits: two unanswered reports
+	SuspicionS      = 1.0  // time until a suspected gateway is tried again
 	SlotLeaseS      = 0.5  // lease of a slot that a member reports as in use
 	SlotGraceS      = 0.08 // how much longer the lessor counts the slot as taken
 )
--- a/internal/decision/errorbound/slots.go
+++ b/internal/decision/errorbound/slots.go
@@ -40,11 +40,11 @@
 	switch f.Kind {
 	case NoFault: // the report of an attempt's end is sent at once
 		return 2 * MessageDelayS
-	case MemberLost: // until its leases expire
+	case MemberLost: // the slot stays unused until the member's leases expire
 		return SlotLeaseS + SlotGraceS
-	case OwnerLost: // until the failure is detected and the successor grants slots
+	case OwnerLost: // the slot stays unused until the failure is detected and the successor grants slots
 		return DetectionS + MessageDelayS
-	case OwnerRestarted: // until all leases of its former incarnation have expired
+	case OwnerRestarted: // the slot stays unused until all leases of the owner's former incarnation have expired
 		return SlotLeaseS
 	case MessageLoss:
 		return (SlotLeaseS + SlotGraceS) * f.LossRate
--- a/internal/decision/hardlimit/hardlimit.go
+++ b/internal/decision/hardlimit/hardlimit.go
@@ -16,8 +16,8 @@
 const (
 	// PrefetchS is the time for which prefetched units may be used, in seconds.
 	PrefetchS = 1.0
-	// sendDelayS is the time after PrefetchS during which prefetched units may still be sent, in seconds: the
-	// grant's transit to the member and the wait for a backend.
+	// sendDelayS is the time after PrefetchS during which requests that use prefetched units may still be
+	// sent, in seconds: the grant's transit to the member and the wait for a backend.
 	sendDelayS = 0.5
 )
 
@@ -53,7 +53,7 @@
 	Shared quota.Bucket // used only by the primary owner
 	Unpaid float64      // admitted units that are not yet taken off a bucket
 
-	prefetched decay.Window // units taken off the shared bucket that may still be sent
+	prefetched decay.Window // units that were taken off the shared bucket in advance and whose requests may not have been sent yet
 }
 
 // NewLimiter returns a limiter whose buckets are empty at a time in seconds.
--- a/internal/decision/reason/reason.go
+++ b/internal/decision/reason/reason.go
@@ -124,7 +124,7 @@
 	HardLimitShared     float32 `cbor:"20,keyasint,omitempty"` // units in the hard limit's shared bucket, if this gateway keeps it
 	InFlight            int     `cbor:"21,keyasint,omitempty"` // attempts from this gateway: of the account; with StepQueued: of all accounts
 	InFlightLimit       float32 `cbor:"22,keyasint,omitempty"` // with StepQueued: this gateway's adaptive limit of attempts in flight
-	Attempt             int     `cbor:"23,keyasint,omitempty"` // index of the attempt, or number of attempts
+	Attempt             int     `cbor:"23,keyasint,omitempty"` // index of the step's attempt; if the step concerns no single attempt: number of attempts so far
 	Backend             string  `cbor:"24,keyasint,omitempty"`
 	Status              int     `cbor:"25,keyasint,omitempty"` // with StepEnded: policy.Status of the attempt
 	Requester           int     `cbor:"26,keyasint,omitempty"` // with StepGranted and StepDenied: number of the requesting gateway
--- a/internal/decision/subset/measure.go
+++ b/internal/decision/subset/measure.go
@@ -12,8 +12,9 @@
 	Unselected int     // backends that no gateway prefers
 }
 
-// Measure evaluates a strategy over a fleet. traffic is by gateway, in any unit; size is as for a Strategy. replaced
-// is the list with some backends replaced, other the list of a gateway that does not see some of the backends.
+// Measure evaluates a strategy over the fleet whose backends are ids. traffic has one value per gateway, in any unit.
+// size is passed to the strategy. The parameter replaced is ids with some backends replaced; the parameter other is
+// the list of a gateway that does not see some of the backends.
 func Measure(strategy Strategy, ids []uint64, traffic []float64, size int, replaced, other []uint64) Stats {
 	loads := make([]float64, len(ids))
 	total, preferences, churn, divergence := 0.0, 0, 0, 0
--- a/internal/membership/agent/fuzz_test.go
+++ b/internal/membership/agent/fuzz_test.go
@@ -13,8 +13,8 @@
 	"eiderspread/internal/membership/merge"
 )
 
-// Guards the agent's HTTP server against arbitrary requests: it must not panic, answers in the discovery protocol or with status 404, and
-// sends a watch versions that don't decrease or exceed the current one.
+// Guards the agent's HTTP server against arbitrary requests. It must not panic, and must answer in the discovery protocol or with status
+// 404. The versions that it sends to a watch must not decrease, and must not be greater than the current version.
 func FuzzPublisher(f *testing.F) {
 	f.Add("GET", "/api/targets", "", "a", uint8(0))
 	f.Add("GET", "/api/targets", "watch=1&after=1001", "a", uint8(1))
--- a/internal/membership/agent/moves_test.go
+++ b/internal/membership/agent/moves_test.go
@@ -192,7 +192,7 @@
 			if err != nil || m.Version != version {
 				t.Fatalf("state file holds %+v, error %v; want version %d", m, err, version)
 			}
-			m.Version += 3.6e6 // the version of a clock that was an hour ahead
+			m.Version += 3.6e6 // an agent starts with its clock in ms as the version; this is the version as if that clock had been an hour ahead
 			version = m.Version
 			if err := writeState(cfg.State, m); err != nil {
 				t.Fatal(err)
--- a/internal/membership/cordontable/store.go
+++ b/internal/membership/cordontable/store.go
@@ -45,9 +45,9 @@
 // NewStore returns a store for the file at path. It does not access the file yet.
 func NewStore(path string) *Store { return &Store{path: path, sem: make(chan struct{}, 1)} }
 
-// Update passes the cordons in the file to apply, and writes the cordons that apply returns, unless apply returns an error. If the file does
-// not exist or can't be used, apply gets nil. Update waits until ctx ends for other calls in this process, and up to lockTimeout for other
-// processes.
+// Update calls apply with the cordons in the file and writes the cordons that apply returns, unless it returns an error. If the file does
+// not exist or can't be used, apply is called with nil. If another call in this process is under way, Update waits for it until ctx ends.
+// If another process holds the lock, Update waits for up to lockTimeout.
 func (s *Store) Update(ctx context.Context, apply func(Cordons) (Cordons, error)) error {
 	select {
 	case s.sem <- struct{}{}:
--- a/internal/membership/cordontable/table.go
+++ b/internal/membership/cordontable/table.go
@@ -19,8 +19,8 @@
 
 // Cordon is the last cordon of one backend by an operator. Times are Unix times in milliseconds.
 type Cordon struct {
-	SinceMS      int64 `json:"since_ms"`          // when it was cordoned
-	UncordonedMS int64 `json:"back_ms,omitempty"` // when the cordon was lifted; 0: it is active
+	SinceMS      int64 `json:"since_ms"`          // when the backend was cordoned
+	UncordonedMS int64 `json:"back_ms,omitempty"` // when the cordon was lifted; 0: the cordon is active
 }
 
 func (c Cordon) active() bool { return c.UncordonedMS == 0 }
@@ -32,7 +32,7 @@
 type Table struct {
 	listed  map[string]discovery.Endpoint // by ID, as last reported by discovery, without terminated ones
 	cordons Cordons                       // at most MaxCordons
-	version int64                         // of discovery's last list
+	version int64                         // version of discovery's last list
 }
 
 // New returns a table without endpoints and cordons.
@@ -66,9 +66,9 @@
 	})
 }
 
-// withCordon returns an endpoint with its cordon applied. A backend whose cordon was lifted may have been restarted while it was cordoned.
-// So it counts as started when the cordon was lifted, until discovery reports a start after the cordon began. Planners apply the same rule
-// to the backends of their decision modules.
+// withCordon returns an endpoint with its cordon applied. A backend may have been restarted while it was cordoned. After its cordon is
+// lifted, the time of the lifting is therefore taken as its start time, until discovery reports a start after the cordon began. Planners
+// apply the same rule to the backends of their decision modules.
 func (t *Table) withCordon(endpoint discovery.Endpoint) discovery.Endpoint {
 	cordon, exists := t.cordons[endpoint.ID]
 	switch {
--- a/internal/membership/etcdsource/follower.go
+++ b/internal/membership/etcdsource/follower.go
@@ -38,7 +38,7 @@
 type keyValue struct {
 	Key      string
 	Value    []byte
-	Revision int64 // at which it last changed
+	Revision int64 // revision at which the key last changed
 	Deleted  bool  // the event deletes the key; false in a full read
 }
 
@@ -57,12 +57,12 @@
 // follower keeps the view: the state of the keys at one revision. It does no I/O and belongs to one goroutine.
 type follower struct {
 	synced           bool                 // a full read has been accepted
-	header           Header               // of the view
+	header           Header               // header of the view
 	nodes            map[string]nodeValue // by ID: the last valid value
 	drains           map[string]bool      // by ID: the nodes with a drain mark
 	invalid          map[string]string    // by key: why the key or its value is invalid
 	regressions      int                  // full reads in a row that returned an older state
-	regressedMembers map[uint64]bool      // members that answered these reads
+	regressedMembers map[uint64]bool      // members that answered the reads counted by regressions
 	requiredMembers  int                  // size of regressedMembers from which on an older state is accepted
 	fullReads        int                  // full reads that were accepted
 	duplicateEvents  int                  // events at or below the view's revision, which were ignored
@@ -201,7 +201,8 @@
 	return reports, nil
 }
 
-// applyProgress applies a progress notification: there are no other events up to its revision. An older state is errStaleState.
+// applyProgress applies a progress notification, which states that there are no other events up to its revision. It returns errStaleState
+// if h is older than the view, or of another cluster.
 func (f *follower) applyProgress(h Header) error {
 	if h.olderThan(f.header) {
 		return errStaleState
--- a/internal/membership/merge/merge.go
+++ b/internal/membership/merge/merge.go
@@ -56,7 +56,7 @@
 type Config struct {
 	StaleAfterS   map[string]float64 // by source name: a source becomes stale after this silence
 	OrphanAfterS  float64            // rule 4: time until an orphaned node drains
-	FlapWindowS   float64            // rule 5: returns within this time of each other are flapping
+	FlapWindowS   float64            // rule 5: a node flaps if it stops being up within this time after a return
 	MaxFlapDelayS float64            // rule 5: upper bound of the delay before a return
 }
 
--- a/internal/membership/merge/rules.go
+++ b/internal/membership/merge/rules.go
@@ -18,11 +18,11 @@
 // entry is a node of the list with the history that the rules need. Times are Unix seconds.
 type entry struct {
 	Entry
-	lastKnownAt float64 // last time that a current source reported it, or that all sources were stale
-	leftUpAt    float64 // last time that it stopped being up or was removed
-	returnedAt  float64 // last time that it returned to up
-	returnCount int     // number of returns within FlapWindowS of each other
-	upNotBefore float64 // earliest time of its next return
+	lastKnownAt float64 // last time that a current source reported the node, or that all sources were stale
+	leftUpAt    float64 // last time that the node stopped being up or was removed
+	returnedAt  float64 // last time that the node returned to up
+	returnCount int     // number of returns since the node last stopped being up after more than FlapWindowS
+	upNotBefore float64 // earliest time of the node's next return
 }
 
 // mergedReport is the strictest report of all sources on a node.
--- a/internal/membership/merge/source.go
+++ b/internal/membership/merge/source.go
@@ -19,9 +19,9 @@
 type source struct {
 	name        string
 	state       sourceState
-	lastHeardAt float64         // last time that it reported anything while current; -Inf: never
+	lastHeardAt float64         // last time that the source reported anything while current; -Inf: never
 	reports     map[string]Node // by ID: the last report on each node; a deletion is Removed
-	idReports   map[string]Node // by ID: reports without an address, on any node with the ID; never Up
+	idReports   map[string]Node // by ID: the last report without an address, which applies to any node with that ID; its state is never Up
 	deferred    map[string]Node // by ID: reports that relax an earlier one, received while the source was not current
 }
 
--- a/internal/observability/trace/analyse/table.go
+++ b/internal/observability/trace/analyse/table.go
@@ -50,8 +50,8 @@
 	return row
 }
 
-// SumBy sums the records that filter accepts by key. It sorts the rows by descending FittingValue, then descending Count,
-// then ascending Key.
+// SumBy groups the records that filter accepts by the value of key, and returns one row with the sums of each group. The
+// rows are sorted by descending FittingValue, then descending Count, then ascending Key.
 func (run *Run) SumBy(filter func(Record) bool, key func(Record) string) []Row {
 	rows := map[string]Row{}
 	for _, r := range run.Records {
--- a/internal/observability/trace/file.go
+++ b/internal/observability/trace/file.go
@@ -21,7 +21,7 @@
 type Header struct {
 	Magic     string         `cbor:"1,keyasint"`
 	Version   int            `cbor:"2,keyasint"`
-	Name      string         `cbor:"3,keyasint"` // of the gateway
+	Name      string         `cbor:"3,keyasint"` // name of the gateway
 	Gateway   int            `cbor:"4,keyasint"` // number of the gateway
 	Gateways  int            `cbor:"5,keyasint"` // number of gateways in the fleet
 	StartedAt float64        `cbor:"6,keyasint"` // Unix seconds, by the gateway's clock
@@ -104,7 +104,7 @@
 var ErrNotTrace = errors.New("not a decision trace of the supported version")
 
 // Read reads a trace file up to its last complete item. A truncated file is no error, because a killed process leaves one:
-// Read sets File.Truncated. After the header, a read error of from also counts as truncation.
+// Read sets File.Truncated. After the header, an error while reading also counts as truncation.
 func Read(from io.Reader) (*File, error) {
 	decoder := cbor.NewDecoder(bufio.NewReaderSize(from, 64<<10))
 	f := &File{}
--- a/internal/observability/trace/plots/plots.go
+++ b/internal/observability/trace/plots/plots.go
@@ -89,9 +89,10 @@
 	return append(list[:maxReasons], others)
 }
 
-// AvailableUnits draws the units available to an account over time: one line for what each gateway knew, one line for the units
-// replayed from the first attempts of all gateways, and a dot for each rejection or failure. account is an account's key as in
-// analyse.Keys. The extension of path sets the picture's format. It returns an error if filter accepts no record of the account.
+// AvailableUnits draws the units available to an account over time: one line for each gateway's view, one line for the units
+// that were really left, computed from the first attempts of all gateways, and one dot for each rejection or failure. account
+// is an account's key as in analyse.Keys. The extension of path sets the picture's format. AvailableUnits returns an error if
+// filter accepts no record of the account.
 func AvailableUnits(run *analyse.Run, account string, filter func(analyse.Record) bool, path string) error {
 	views, free, rejections := map[string]plotter.XYs{}, plotter.XYs{}, plotter.XYs{}
 	plan := ""
--- a/internal/observability/trace/recorder.go
+++ b/internal/observability/trace/recorder.go
@@ -30,7 +30,7 @@
 	file     *os.File
 	writer   *Writer
 	maxBytes int64
-	flushes  chan chan error // requests of Flush; each receives stopCause after a write
+	flushes  chan chan error // each is a call of Flush that waits for a write; stopCause as it is after the write is sent to its channel
 	done     chan struct{}
 	log      *slog.Logger
 
--- a/internal/testbed/discovery.go
+++ b/internal/testbed/discovery.go
@@ -21,11 +21,11 @@
 	AddrFor func(party string, t discovery.Endpoint) string
 
 	mu         sync.Mutex
-	version    int64                         // of the list; increases with each change
+	version    int64                         // version of the list; increases with each change
 	list       map[string]discovery.Endpoint // nodes that are not terminated, by ID
-	changes    []change                      // since the last EndWatches, by version
+	changes    []change                      // changes since the last EndWatches, ordered by version
 	changed    chan struct{}                 // closed and replaced with each change
-	delay      time.Duration                 // of new changes
+	delay      time.Duration                 // time for which new changes are held back
 	silent     bool                          // send nothing, not even heartbeats
 	disconnect chan struct{}                 // closed and replaced to end all watches
 	servers    []*http.Server
@@ -125,8 +125,9 @@
 	}
 }
 
-// listsAfter returns the lists that a watch which has received version after is to be sent now: the changes since then, or the full list
-// if the stand-in no longer has all of them. The watch has to call it again when wait has passed or changed is closed.
+// listsAfter returns the lists to send now to a watch whose last received version is after: the changes since that version, without those
+// that are delayed, or the full list if the stand-in no longer has all of these changes. The watch has to call listsAfter again when wait
+// has passed or changed is closed.
 func (r *Discovery) listsAfter(party string, after int64) (list []discovery.List, wait time.Duration, changed, disconnect <-chan struct{}, silent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/etcdfleet/faults.go
+++ b/internal/testbed/etcdfleet/faults.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// rig is the rig that the registered fault kinds act on: one at a time, as a test fleet is one program.
+// rig is the rig that the registered fault kinds act on. One variable is enough because a process runs only one test fleet at a time.
 var rig *Rig
 
 // SetRig makes the fault kinds of this package act on r.
--- a/internal/testbed/etcdstandin/store/store.go
+++ b/internal/testbed/etcdstandin/store/store.go
@@ -29,7 +29,7 @@
 
 // Record is one commit as the append-only file stores it: the resulting changes, not the request.
 type Record struct {
-	Revision int64   `json:"rev,omitempty"` // of Writes
+	Revision int64   `json:"rev,omitempty"` // revision that Writes get
 	Writes   []Write `json:"writes,omitempty"`
 	Compact  int64   `json:"compact,omitempty"`
 	Grant    int64   `json:"grant,omitempty"`  // ID of the granted lease
@@ -54,7 +54,7 @@
 	leases         map[int64]*lease
 	lastLease      int64
 	log            func(Record)
-	record         Record // of the commit in progress
+	record         Record // record of the commit in progress
 }
 
 type lease struct {
@@ -523,8 +523,8 @@
 	return walk(r)
 }
 
-// compareHolds reports whether a comparison holds for each key of its range. A missing key compares as 0; a comparison with its
-// value never holds.
+// compareHolds reports whether a comparison holds for every key of its range. For a missing single key, revisions, version and
+// lease are taken as 0, and a comparison of the value does not hold.
 func (s *Store) compareHolds(c *pb.Compare) bool {
 	list := s.rangeAt(c.Key, c.RangeEnd, s.rev)
 	if len(list) == 0 {
--- a/internal/testbed/etcdstandin/watch.go
+++ b/internal/testbed/etcdstandin/watch.go
@@ -25,9 +25,9 @@
 	member            *member
 	raw               pb.Watch_WatchServer
 	open              []*watch            // guarded by Cluster.mu
-	pending           []*pb.WatchResponse // responses, guarded by Cluster.mu; bounded by the client's requests before it reads
+	pending           []*pb.WatchResponse // responses to send, guarded by Cluster.mu; at most one per request that the client sent without reading
 	progressRequested bool                // the client requested a progress notification; guarded by Cluster.mu
-	wakeup            chan struct{}       // of capacity 1
+	wakeup            chan struct{}       // its capacity is 1; a value makes sendLoop look for something to send
 }
 
 func (w *stream) wake() {
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -86,7 +86,8 @@
 	return !ok && two || ok && (k.level == 0 || k.level < 3 && (k.level == 2) == two)
 }
 
-// CanInject tells whether a kind of fault can be injected into fleets of two levels, or of one, by default or when named.
+// CanInject reports whether a kind of fault can be injected, by default or when named, into a fleet of two levels (two; with planners) or of
+// one level (without planners).
 func CanInject(name string, two bool) bool {
 	return DrawnByDefault(name, two) || kinds[name].level == 5 || kinds[name].level == 4 && !two
 }
--- a/internal/testbed/mutation/mutation.go
+++ b/internal/testbed/mutation/mutation.go
@@ -21,10 +21,10 @@
 
 // Mutation is the removal of one guard.
 type Mutation struct {
-	Name   string // of the guard
-	Rule   string // that the guard enforces, by its name in the oracle's report
+	Name   string // name of the guard
+	Rule   string // rule that the guard enforces, by its name in the oracle's report
 	Edits  []Edit
-	Runs   []string // that need the guard, the likeliest to fail first: arguments of testbed, or agentPrefix and those of membershipagent
+	Runs   []string // runs that need the guard, the likeliest to fail first: arguments of testbed, or agentPrefix and those of membershipagent
 	Unit   string   // package whose unit tests fail as well; "": none
 	Reason string   // why no run catches the mutant, and what the guard is for nevertheless; "": a run must catch it
 }
@@ -33,7 +33,7 @@
 type Result struct {
 	Caught  bool
 	Run     string        // arguments of the run that caught the mutant
-	After   time.Duration // from the start of the first run
+	After   time.Duration // time from the start of the first run until a run caught the mutant
 	Verdict string        // the violated rule and how often it was violated
 	Unit    string        // result of the unit tests: "caught" or "passed"; "": not run
 }
@@ -41,7 +41,7 @@
 // Runner builds and runs mutants of the sources in Root. It writes its files to Dir.
 type Runner struct {
 	Root, Dir string
-	Timeout   time.Duration // of one run
+	Timeout   time.Duration // upper bound for the duration of one run
 }
 
 // Apply writes a mutant's overlay and returns its path. An old text that does not occur exactly once in its file is an
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -21,8 +21,8 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Node is a stand-in backend on a socket: a node.Model with its connections. The history gets each attempt when its last byte has arrived and
-// when it ends.
+// Node is a stand-in backend on a socket: a node.Model with its connections. It records each attempt in the history when the last byte of
+// its command has arrived, and again when the attempt ends.
 type Node struct {
 	ID          string
 	cfg         node.Config
--- a/internal/testbed/oracle/load.go
+++ b/internal/testbed/oracle/load.go
@@ -33,10 +33,10 @@
 	Overall             float64 `json:"Whole"`     // fraction served
 	WorstInterval       float64 `json:"WorstSpan"` // fraction served in the worst interval of intervalS
 	WorstPlan           float64
-	UpperBound          float64            `json:"Bound"` // of Goal, for any fleet; see upperBound
-	Demand              float64            `json:"Asked"` // work requested over the backends' capacity, in the peak; without a peak, in the whole run
+	UpperBound          float64            `json:"Bound"` // no fleet could reach a higher Goal, even if it knew all requests beforehand; see upperBound
+	Demand              float64            `json:"Asked"` // requested work divided by the backends' capacity, in the peak, or in the whole run if it has no peak
 	Plans, Classes      map[string]float64 // fraction served
-	Utilization         float64            `json:"Used"`    // work sent to backends over their capacity, in the same time as Demand
+	Utilization         float64            `json:"Used"`    // work sent to backends, divided by their capacity, in the same time as Demand
 	WorstDecile         float64            `json:"Floor"`   // mean fraction served of the worst tenth of the frequent accounts
 	FrequentAccounts    int                `json:"Often"`   // accounts with at least frequentFrom requests
 	StarvedAccounts     int                `json:"Starved"` // frequent accounts with nothing served
@@ -45,7 +45,7 @@
 	RequestsPerOriginal float64            `json:"Again"`   // requests of clients, with their retries, per original request
 	RecoveryS           float64            `json:"Back"`    // seconds from the end of the peak until two consecutive seconds with recoveredFraction served; below 0: never
 	ServedPerS          float64            // weight served per second, in the same time as Demand
-	Seconds             []LoadSecond       `json:"Second"` // by second of sending
+	Seconds             []LoadSecond       `json:"Second"` // by the second in which the original requests were sent
 	LevelSpread         *LevelSpread       `json:"Spread"` // nil: no load-shedding levels were recorded
 	LoadLevels          []LoadLevels       `json:"Levels"`
 }
@@ -280,7 +280,8 @@
 	}
 }
 
-// measurePeak sets Demand, Utilization and ServedPerS, for the time between from and to in seconds. slots has the capacity of each slot.
+// measurePeak sets Demand, Utilization and ServedPerS for the time from second from to second to. slots is the backends' capacity, in core
+// seconds, in each interval of slotS seconds.
 func (l *Load) measurePeak(h *History, jobs []*job, slots []float64, from, to float64) {
 	requested, served, available := 0.0, 0.0, 0.0
 	for _, attempt := range h.Attempts {
--- a/internal/testbed/oracle/membership.go
+++ b/internal/testbed/oracle/membership.go
@@ -57,8 +57,8 @@
 	s.states[notice.Observer][notice.Node] = append(s.states[notice.Observer][notice.Node], notice)
 }
 
-// between returns the states that a source held of one incarnation of a node between two times, with the one that it already
-// held at the first. A state of another incarnation counts as empty.
+// between returns the states of one incarnation of a node that a source held between the times from and to, beginning with
+// the state held at from. A state of another incarnation is returned as "".
 func between(notices []Notice, startMS int64, from, to time.Duration) (states []string) {
 	stateOf := func(notice Notice) string {
 		if notice.StartMS != 0 && startMS != 0 && notice.StartMS != startMS {
--- a/internal/testbed/peernet.go
+++ b/internal/testbed/peernet.go
@@ -25,15 +25,15 @@
 // PacketConditions is the treatment of datagrams in one direction.
 type PacketConditions struct {
 	Cut                bool
-	UnknownVersion     bool    // with a protocol version that no receiver accepts
-	FalseLoadShedState bool    // with a false load-shedding state, see FalsifyLoadShedState
+	UnknownVersion     bool    // datagrams get a protocol version that no receiver accepts
+	FalseLoadShedState bool    // datagrams get a false load-shedding state, see FalsifyLoadShedState
 	Loss               float64 // fraction that is lost
 	Double             float64 // fraction that is duplicated
 	Delay              time.Duration
 	Jitter             time.Duration // maximum of the random part of the delay, added to Delay
 }
 
-// NewPeerNet returns the network between the ingresses with the addresses to.
+// NewPeerNet returns the network between ingresses. to has the address of each ingress.
 func NewPeerNet(to []string, seed uint64) (*PeerNet, error) {
 	n := len(to)
 	p := &PeerNet{began: time.Now(), rng: rand.New(rand.NewPCG(seed, 13)), sockets: make([][]*net.UDPConn, n), conditions: make([][]PacketConditions, n)}
--- a/internal/testbed/rules.go
+++ b/internal/testbed/rules.go
@@ -26,9 +26,9 @@
 // one level no slack is stated.
 const QuotaSlack = 6.0
 
-// QuotaSeconds returns how many seconds of its quota's rate an account may exceed the quota by, in addition to QuotaSlack: a
-// request that is already counted may queue for a backend for up to the longest latency objective, and the account's window
-// refills meanwhile. With exact it is 0.
+// QuotaSeconds returns the excess over its quota that an account is allowed in addition to QuotaSlack, as a number of seconds
+// at the quota's rate. A request that is already counted may wait for a backend for up to the longest latency objective, while
+// the account's window refills. If exact is set, the result is 0.
 func QuotaSeconds(exact bool, classes []policy.Class) (s float64) {
 	for _, c := range classes {
 		if !exact {
--- a/internal/testbed/simulation/counts_test.go
+++ b/internal/testbed/simulation/counts_test.go
@@ -7,10 +7,11 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Guards against shared counts of one level that leave their error bound, or withhold much of what an exact count admits. Accounts use up to
-// all of 4 or 80 ingresses, some far beyond their quotas, without faults and while ingresses are partitioned, lose messages and die. When
-// owners were suspected after two lost reports at any loss rate, debts were forgiven and hard limits were divided into parts smaller than a
-// request, 80 ingresses withheld 2.1% without faults and admitted more than twice as much beyond the quotas.
+// Guards against errors of shared counts, in a fleet without planners, that exceed their bounds, and against counts that reject much of
+// what an exact count admits. Accounts use up to all of 4 or 80 ingresses, some far beyond their quotas, without faults and while ingresses
+// are partitioned, lose messages and die. Earlier code, which suspected an owner after two lost reports at any loss rate, forgave debts,
+// and divided hard limits into parts smaller than a request, failed: with 80 ingresses and no faults it rejected 2.1% of the units, and it
+// admitted more than twice as much beyond the quotas.
 func TestSharedCountsWithManyIngresses(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// pausePlanner pauses planner n for downS seconds, as a stopped process.
+// pausePlanner suspends planner n for downS seconds, like SIGSTOP. When it resumes, it handles the events that arrived meanwhile.
 func (s *Sim) pausePlanner(n int, downS float64) {
 	planner := s.planners[n]
 	if planner.core == nil || planner.paused {
@@ -313,7 +313,8 @@
 	"node cut":      func(s *Sim, x testbed.Fault) { s.cutNode(x, -1) },
 	"node half cut": func(s *Sim, x testbed.Fault) { s.cutNode(x, x.B%2) },
 	"fleet held":    func(s *Sim, x testbed.Fault) { s.cordonByOperator(x) },
-	// A planner, which may lead, keeps the links to half of the forwarders, and an operator calls a planner that keeps the links to the others.
+	// Planner a, which may be a leader, loses the links to the forwarders of even number, and planner b loses those to the forwarders of odd
+	// number. An operator then calls planner b to cordon a backend.
 	"torn": func(s *Sim, x testbed.Fault) {
 		a := x.A % len(s.planners)
 		b := (a + 1) % len(s.planners)
@@ -352,7 +353,8 @@
 	return list
 }
 
-// injectFault injects a fault, if it applies to a fleet of as many levels.
+// injectFault injects a fault, unless the simulation has no such kind or the kind is not for fleets with this fleet's number of levels
+// (with or without planners).
 func (s *Sim) injectFault(x testbed.Fault) {
 	if do := faultKinds[x.Kind]; do != nil && testbed.CanInject(x.Kind, len(s.planners) > 0) {
 		s.Hist.AddFault(x.String())
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -8,8 +8,9 @@
 	"eiderspread/internal/testbed/oracle"
 )
 
-// Guards the soak on real processes in a short run: ingresses are drained behind a front that does not notice, reload their
-// configuration, are replaced, stall and are killed, and connections are established late and reset. The long form is testbed soak.
+// Guards the soak test on real processes, in a short run: ingresses are drained while the front keeps sending them connections, reload
+// their configuration, are replaced, stall and are killed; connections are established late and reset. The command "testbed soak" makes
+// long runs.
 func TestSoak(t *testing.T) {
 	sc, err := Soak(2, 7*time.Second, FleetConfig{Forwarders: 5, Dir: t.TempDir(), Spawn: spawn, MemoryMB: 256, SlowS: 1})
 	if err != nil {
--- a/policy/account.go
+++ b/policy/account.go
@@ -26,42 +26,42 @@
 	plan         *planState
 	firstGateway int     // first of gatewayCount consecutive gateways of the account, modulo all gateways
 	gatewayCount int     // 0: unknown, as only peers' reports have named the account
-	primaryOwner int     // first of its gateways on the ring, suspected or not
+	primaryOwner int     // first of the account's gateways on the ring, suspected or not
 	lastUsedAt   float64 // last request, or last report received or sent
 	rejectedAt   float64 // last rejection of a request at this gateway
 
 	// Usage at this gateway.
 	demand         decay.Rate // units per second that arrive here, admitted or not
-	admittedUnits  float64    // total since the start
-	inFlight       int        // attempts
+	admittedUnits  float64    // units admitted since newAccount created this state
+	inFlight       int        // attempts in flight
 	unsentAdmitted int        // requests that were admitted and not sent yet
 
 	// As a member: state from the owner's last reply. Not maintained at the owner.
 	ownerReplied    bool    // the owner has replied, or this gateway was the owner before
 	available       float64 // units in the owner's window
-	availableAt     float64 // when available was received
+	availableAt     float64 // time at which available was received
 	ackedUnits      float64 // part of admittedUnits that the owner has counted
-	otherDemand     float64 // of the other gateways
+	otherDemand     float64 // demand at the other gateways, in units per second
 	otherInFlight   int     // attempts from other gateways, and slots leased to them
-	backoffUntil    float64 // until then requests are denied without a quota request
+	backoffUntil    float64 // time until which requests are denied without a quota request
 	ownerLeases     bool    // the owner leases slots
 	leasedSlots     slotlease.MemberLeases
 	prefetched      float64 // units granted in advance
-	prefetchedUntil float64 // when unused prefetched units are returned to the owner
+	prefetchedUntil float64 // time at which unused prefetched units are returned to the owner
 
 	// As a member: exchange with the owner.
-	pending           []*request   // waiting for the owner's decision, in order of arrival
+	pending           []*request   // requests that wait for the owner's decision, in order of arrival
 	reportedPending   int          // requests at the front of pending that the last report included
-	inWaitQueue       bool         // in the owner's wait queue: the owner replies when a slot is free
-	reportQueued      bool         // in Gateway.reports
+	inWaitQueue       bool         // account is in the owner's wait queue: the owner replies when a slot is free
+	reportQueued      bool         // the account is in Gateway.reports
 	reportTo          int          // gateway to which the last report was queued
 	unansweredSince   float64      // start of the wait for the owner's reply; 0: no reply is awaited
 	unansweredReports int          // consecutive reports without a reply
-	awaitingReply     bool         // in Gateway.awaitingReply
+	awaitingReply     bool         // the account is in Gateway.awaitingReply
 	localWindow       quota.Bucket // this gateway's share of the quota, used while the owner is silent
 
 	// As the owner.
-	ledger     *quota.Ledger   // nil: this gateway does not count the account
+	ledger     *quota.Ledger   // nil: this gateway does not count the units that the account uses
 	slotLeases slotlease.Table // slots leased to members, and members that wait for one
 
 	hardLimit hardlimit.Limiter // this gateway's buckets of the hard limit
--- a/policy/client_retry.go
+++ b/policy/client_retry.go
@@ -3,8 +3,8 @@
 const (
 	minTimeoutSamples = 10 // requests of a class before client retries are recognized
 
-	// commonTimeoutFraction is the fraction of a class's requests that must arrive with about the same time
-	// left for that time to count as a timeout of first requests.
+	// commonTimeoutFraction is the smallest fraction of a class's requests that arrive with about the same
+	// time left until the deadline at which this time is taken for a timeout of first requests.
 	commonTimeoutFraction = 0.4
 )
 
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -187,7 +187,7 @@
 // once while slots are scarce.
 func TestSlotLease_MemberRenews(t *testing.T) {
 	g, r, account, _ := newSlotMember(t, 1)
-	g.settings.HedgingAllowed, g.settings.CancelAllowed = false, false // no other attempt runs
+	g.settings.HedgingAllowed, g.settings.CancelAllowed = false, false // so that the request's first attempt stays the only one
 	from, message := ownerReply(t, r, 1, func(reply *record) {
 		reply.Leases, reply.Total, reply.Requested, reply.Slots, reply.LeaseS, reply.InFlight = true, 1, 1, 1, 0.3, 1
 	})
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -23,10 +23,12 @@
 
 // Seconds from Begin, unless the comment says otherwise.
 const (
-	drainNoticeS             = 0.5  // new connections are expected until then
-	drainRejectS             = 1.9  // requests are rejected from then on: they would be too young at the end
-	drainPartialRequestS     = 3.5  // until then connections with a partly received request stay open
-	drainCloseBlockedS       = 3.6  // from then on no young request may wait behind another one
+	drainNoticeS = 0.5 // until then new connections are expected
+	// From then on requests are rejected, because they could be less than drainRecentS old at the end.
+	drainRejectS         = 1.9
+	drainPartialRequestS = 3.5 // until then connections with a partly received request stay open
+	// From then on no request that could be less than drainRecentS old at the end may wait behind another one.
+	drainCloseBlockedS       = 3.6
 	drainCloseAfterResponseS = 3.7  // from then on connections in use are closed
 	drainEndS                = 4.0  // the time that operators allow for a drain
 	drainRecentS             = 2.0  // age in seconds below which no request may be open at the end
@@ -64,9 +66,9 @@
 // RemainingS returns the seconds left of the time that operators allow, at least 0.
 func (d *Drain) RemainingS(now float64) float64 { return max(0, drainEndS-d.Elapsed(now)) }
 
-// CloseIdle reports whether to close a connection that has no open request and was last used at usedAt. With
-// receiving, a part of a request has arrived on it: the client writes slowly, and may still be answered in
-// time.
+// CloseIdle reports whether to close a connection that has no complete open request and was last used at
+// usedAt. receiving means that a part of a request has arrived on it. Such a connection stays open longer,
+// until drainPartialRequestS: its client writes slowly, and may still be answered in time.
 func (d *Drain) CloseIdle(now, usedAt float64, receiving bool) bool {
 	from := drainNoticeS
 	if receiving {
@@ -81,15 +83,15 @@
 }
 
 // CloseBlocked reports whether to end the open requests of a connection because its last request, sent at
-// lastRequestAt, would otherwise be open and too young at the end of the drain. Answers are written in order,
-// so that even a rejection waits behind an open request.
+// lastRequestAt, would otherwise still be open at the end of the drain, and could then be less than
+// drainRecentS old. Answers are written in order, so that even a rejection waits behind an open request.
 func (d *Drain) CloseBlocked(now, lastRequestAt float64) bool {
 	return d.active && now-d.startedAt >= drainCloseBlockedS &&
 		lastRequestAt-d.startedAt > drainEndS-drainRecentS-maxStallS
 }
 
-// Overdue reports whether a connection breaks the operators' rule after the time that they allow: it is idle,
-// and was not opened or used a moment ago, or its last request is too young.
+// Overdue reports whether a connection breaks the operators' rule after the time that they allow: it is
+// idle, and was not opened or used a moment ago, or its last request is less than drainRecentS old.
 func (d *Drain) Overdue(now, acceptedAt, usedAt, lastRequestAt float64, idle bool) bool {
 	switch {
 	case !d.active || now-d.startedAt < drainEndS:
--- a/policy/quota_member.go
+++ b/policy/quota_member.go
@@ -254,8 +254,8 @@
 
 const (
 	replyState     replyKind = iota // no decision: the reply only reports the owner's view of the account
-	replyWaitQueue                  // the owner leases slots to them as slots become free
-	replyGrant                      // the granted units, possibly none, decide them
+	replyWaitQueue                  // the owner leases slots to the pending requests as slots become free
+	replyGrant                      // the granted units, possibly none, decide the pending requests
 )
 
 // String returns the kind's name.
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -15,9 +15,9 @@
 	minSubsetSize      = 8    // lowest number of backends that a gateway prefers
 	meanInFlightTauS   = 1.0  // seconds, time constant of backendState.meanInFlight
 	backendLimitWeight = 1.0  // fraction of its latency-adjusted share of the adaptive limit for a backend
-	crossZoneWeight    = 25.0 // attempts for a backend in another zone, per unit of CrossZoneCost
-	utilizationWeight  = 2.0  // attempts for a backend with a utilization of 1
-	sameBackendWeight  = 4.0  // attempts for each earlier attempt of the request at the same backend
+	crossZoneWeight    = 25.0 // added cost, in attempts in flight, of another zone, per unit of CrossZoneCost
+	utilizationWeight  = 2.0  // added cost, in attempts in flight, of a utilization of 1
+	sameBackendWeight  = 4.0  // added cost, in attempts in flight, of each earlier attempt of the request there
 	errorScoreWeight   = 30.0 // an error score of 1 multiplies the cost by 1 plus this
 	costJitter         = 0.02 // upper bound of the random fraction that is added to the cost to break ties
 )
@@ -144,9 +144,9 @@
 	return score
 }
 
-// attemptCost returns the cost of an attempt at a backend, in attempts in flight there. sharers is how many
-// other gateways prefer the same backend. Their attempts there are unknown: each gateway is assumed to
-// have as many as this one has in the mean.
+// attemptCost returns the cost of an attempt at a backend; the unit is one attempt in flight there. sharers
+// is the number of other gateways that prefer the same backend. It is not known how many attempts these
+// have in flight at the backend; for each, this gateway's own recent mean number there is assumed.
 func (g *Gateway) attemptCost(req *request, backend *backendState, errorScore, sharers float64) float64 {
 	decayFactor := math.Exp((backend.lastSentAt - g.now) / meanInFlightTauS)
 	load := float64(backend.inFlight) + 1 + sharers*backend.meanInFlight*decayFactor
