--- a/cmd/testbed/lab.go
+++ b/cmd/testbed/lab.go
@@ -159,21 +159,21 @@
 }
 
 func (o *labOptions) measureFailsafes(sc testbed.Scenario, out io.Writer) error {
-	into, back, err := testbed.Failsafes(sc.FleetConfig, o.failsafes)
+	into, back, err := testbed.MeasureFailsafes(sc.FleetConfig, o.failsafes)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d times: fail-safe after %s; all cells led again after %s\n", runtime.NumCPU(), o.forwarders,
+	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, all paused %d times: fail-safe after %s; all cells led again after %s\n", runtime.NumCPU(), o.forwarders,
 		o.planners, len(into), medianAndWorst(into), medianAndWorst(back))
 	return nil
 }
 
 func (o *labOptions) measureDeaths(sc testbed.Scenario, out io.Writer) error {
-	back, err := testbed.Deaths(sc.FleetConfig, o.deaths)
+	back, err := testbed.MeasureTakeovers(sc.FleetConfig, o.deaths)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, %d deaths: all cells led again after %s\n", runtime.NumCPU(), o.forwarders, o.planners, len(back),
+	fmt.Fprintf(out, "%d cores, %d forwarders, %d planners, one killed %d times: all cells led again after %s\n", runtime.NumCPU(), o.forwarders, o.planners, len(back),
 		medianAndWorst(back))
 	return nil
 }
@@ -249,7 +249,7 @@
 	if o.shedding {
 		sc.Operator = "[overload]\non = true\n"
 	}
-	if err := testbed.Make(o.scenario, sc, kinds, o.every); err != nil {
+	if err := testbed.ApplyScenario(o.scenario, sc, kinds, o.every); err != nil {
 		return err
 	}
 	if o.replayFile == "" {
--- a/internal/testbed/oracle/report.go
+++ b/internal/testbed/oracle/report.go
@@ -40,7 +40,7 @@
 	ServiceByPlan                     map[string]float64 // -1: no request
 	ServiceByClass                    map[string]float64 // in units, of accounts that stay inside their quotas; -1: no request
 	Retries                           map[string]int     // by class and outcome of the attempt before
-	IdealUnits                        float64            // that an exact count would have admitted, of accounts in Config.Homes
+	IdealUnits                        float64            // that an exact count would have admitted, of accounts in Config.AccountGateways
 	QuotaExcess                       map[int]Margin     // by window in seconds: the most that an account was admitted beyond rate and burst
 	QuotaShortfall                    map[int]Margin     // by window in seconds: the most that an account was denied of its quota
 	WithheldUnits                     float64            // of IdealUnits, not admitted
@@ -48,7 +48,7 @@
 	Handshakes                        int            // connections opened to backends, where the testbed counts them
 	SlotS, ExcessSlotS                float64        // seconds of open attempts within and beyond concurrency limits
 	PeerMessageKinds                  map[string]int // messages between ingresses by kind, where the testbed counts them
-	PeerMessages, DroppedPeerMessages int            // messages between ingresses, and those beyond the receiver's intake
+	PeerMessages, DroppedPeerMessages int            // messages between ingresses, and those dropped beyond the receiver's rate limit
 	Reasons                           map[int]int    // rejections by reason.Reason, where the testbed knows it
 	minOccasions                      map[string]int
 }
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// pausePlanner pauses planner n for downS seconds, as a stopped process.
+// pausePlanner suspends planner n for downS seconds, like SIGSTOP. When it resumes, it handles the events that arrived meanwhile.
 func (s *Sim) pausePlanner(n int, downS float64) {
 	planner := s.planners[n]
 	if planner.core == nil || planner.paused {
@@ -124,7 +124,7 @@
 func (s *Sim) pickNode(n int) *simNode {
 	var list []*simNode
 	for _, x := range s.nodes {
-		if x.listed && x.model != nil && !x.model.Fallen() {
+		if x.listed && x.model != nil && !x.model.IsCollapsed() {
 			list = append(list, x)
 		}
 	}
@@ -187,7 +187,7 @@
 					s.after(s.networkDelay(), func() {
 						attempt.forwarder.finish(attempt, 5)
 						if n.openAttempts[attempt.Handle] == attempt {
-							n.withModel(func(m *node.Model) { m.Leave(s.now, &attempt.Attempt) })
+							n.withModel(func(m *node.Model) { m.Abandon(s.now, &attempt.Attempt) })
 						}
 					})
 				}
@@ -279,7 +279,7 @@
 	"crash": func(s *Sim, x testbed.Fault) { s.crash(s.pickNode(x.A), x) },
 	"lone crash": func(s *Sim, x testbed.Fault) {
 		for _, n := range s.nodes {
-			if n.listed && n.model != nil && !n.model.Fallen() && n.id == "z1" {
+			if n.listed && n.model != nil && !n.model.IsCollapsed() && n.id == "z1" {
 				s.crash(n, x)
 			}
 		}
@@ -307,13 +307,14 @@
 	},
 	"sick": func(s *Sim, x testbed.Fault) {
 		if n := s.pickNode(x.A); n != nil {
-			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { *w = node.Rough(0.4 + 0.6*x.X) })
+			s.changeConditions(x, []*simNode{n}, func(w *node.Conditions) { *w = node.FailingConditions(0.4 + 0.6*x.X) })
 		}
 	},
 	"node cut":      func(s *Sim, x testbed.Fault) { s.cutNode(x, -1) },
 	"node half cut": func(s *Sim, x testbed.Fault) { s.cutNode(x, x.B%2) },
 	"fleet held":    func(s *Sim, x testbed.Fault) { s.cordonByOperator(x) },
-	// A planner, which may lead, keeps the links to half of the forwarders, and an operator calls a planner that keeps the links to the others.
+	// Planner a, which may be a leader, loses the links to the forwarders of even number, and planner b loses those to the forwarders of odd
+	// number. An operator then calls planner b to cordon a backend.
 	"torn": func(s *Sim, x testbed.Fault) {
 		a := x.A % len(s.planners)
 		b := (a + 1) % len(s.planners)
@@ -345,16 +346,17 @@
 // FaultKindNames returns the names of the faults for a fleet of two levels, or of one, in alphabetical order.
 func FaultKindNames(two bool) (list []string) {
 	for _, name := range slices.Sorted(maps.Keys(faultKinds)) {
-		if testbed.Fits(name, two) {
+		if testbed.DrawnByDefault(name, two) {
 			list = append(list, name)
 		}
 	}
 	return list
 }
 
-// injectFault injects a fault, if it applies to a fleet of as many levels.
+// injectFault injects a fault, unless the simulation has no such kind or the kind is not for fleets with this fleet's number of levels
+// (with or without planners).
 func (s *Sim) injectFault(x testbed.Fault) {
-	if do := faultKinds[x.Kind]; do != nil && testbed.Plays(x.Kind, len(s.planners) > 0) {
+	if do := faultKinds[x.Kind]; do != nil && testbed.CanInject(x.Kind, len(s.planners) > 0) {
 		s.Hist.AddFault(x.String())
 		do(s, x)
 	}
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -42,8 +42,9 @@
 	s.after(1+a.From.Seconds()+s.rng.ExpFloat64()*meanUnits/a.Rate, send)
 }
 
-// sendRequest sends a try of an account's request through one of its ingresses: 60% through the same one for 7 s, the others through a random
-// one. originalID is the ID of the first try, "" for the first try itself; leftS is the time to the deadline in seconds.
+// sendRequest sends a request or a client retry of an account through one of its ingresses: 60% through the same one for 7 s, the others
+// through a random one. originalID is the ID of the original request, "" for that request itself; leftS is the time to the deadline in
+// seconds.
 func (s *Sim) sendRequest(a testbed.Account, class policy.Class, originalID string, leftS float64) {
 	s.lastRequestNumber++
 	id := fmt.Sprint("r", s.lastRequestNumber)
@@ -51,7 +52,7 @@
 	if s.clientRequests[originalID] == nil {
 		s.clientRequests[originalID] = &clientRequest{firstSentAt: s.Hist.Now()}
 	}
-	s.clientRequests[originalID].tries++
+	s.clientRequests[originalID].sent++
 	preferred := int(peerprotocol.HashPoint(a.Name)%1e6) + int(s.now/7) // differs between accounts
 	i := a.First + preferred%a.Spread
 	if s.rng.Float64() < 0.4 {
@@ -68,17 +69,17 @@
 // maxRetries is how often a client retries a rejected request.
 const maxRetries = 2
 
-// clientRequest is the state of a request at its client: when the first try was sent, and how many tries there were.
+// clientRequest is the state of a request at its client: when it was first sent, and how often it was sent, retries included.
 type clientRequest struct {
 	firstSentAt time.Duration
-	tries       int
+	sent        int
 }
 
-// retryLater retries a rejected try for its client, if it has retries and at least 50 ms left.
+// retryLater retries a rejected request for its client, if it has retries and at least 50 ms left.
 func (s *Sim) retryLater(t *oracle.Request) {
 	class := s.class(t.Class)
 	request := s.clientRequests[t.OriginalID]
-	if request == nil || request.tries > maxRetries {
+	if request == nil || request.sent > maxRetries {
 		delete(s.clientRequests, t.OriginalID)
 		return
 	}
@@ -86,7 +87,7 @@
 	if leftS < 0.05 {
 		return
 	}
-	if a, ok := s.accounts[t.Account]; ok && !a.Once {
+	if a, ok := s.accounts[t.Account]; ok && !a.NoRetries {
 		s.sendRequest(a, class, t.OriginalID, leftS)
 	}
 }
@@ -136,19 +137,19 @@
 		quota, caps = testbed.QuotaSlack, 2
 	}
 	quota, caps = cmp.Or(s.cfg.QuotaSlack, quota), cmp.Or(s.cfg.ConcurrencyFactor, caps)
-	var homes map[string]oracle.GatewayRange
+	var gateways map[string]oracle.GatewayRange
 	if s.cfg.Planners == 0 && s.cfg.QuotaSlack >= 0 {
-		homes = testbed.Homes(s.cfg.Accounts)
+		gateways = testbed.AccountGateways(s.cfg.Accounts)
 	}
 	peak := s.cfg.Peak
 	if peak.To > 0 { // clients start after one second
 		peak.From, peak.To = peak.From+time.Second, peak.To+time.Second
 	}
-	var stated *oracle.LoadSheddingBounds
+	var bounds *oracle.LoadSheddingBounds
 	if s.cfg.MeasureOverload && s.cfg.Overload.Enabled && s.cfg.Peak.To > 0 {
-		stated = &s.cfg.LoadSheddingBounds
+		bounds = &s.cfg.LoadSheddingBounds
 	}
-	return oracle.Config{LoadShedding: stated, Overload: s.cfg.MeasureOverload, Peak: peak, Homes: homes, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
+	return oracle.Config{LoadShedding: bounds, Overload: s.cfg.MeasureOverload, Peak: peak, AccountGateways: gateways, Gateways: s.cfg.Forwarders, Classes: s.cfg.Classes, Plans: s.cfg.Plans, DrainGraceS: 0.25, AnswerGraceS: 0.1, MaxOverlapS: 0.005, HardLimitSlackS: 0.15, LargestRequest: 6, ConcurrencyFactor: caps, MaxAttempts: testbed.MaxAttempts, QuotaSlack: quota, QuotaSlackS: testbed.QuotaSeconds(s.cfg.Exact, s.cfg.Classes),
 		ClockRate: MaxClockRate, SlowStartFactor: s.cfg.Node.FallMultiple, SlowStartWindowS: s.cfg.Node.FallS, SlowStartSlack: testbed.SlowStartSlack, MinOccasions: s.cfg.MinOccasions}
 }
 
--- a/internal/testbed/simulation/sim.go
+++ b/internal/testbed/simulation/sim.go
@@ -69,7 +69,7 @@
 	discoveryDelayS     float64                  // by which discovery reports changes of nodes late
 	floodFactors        map[string]float64       // on the request rate, by account
 	accounts            map[string]testbed.Account
-	clientRequests      map[string]*clientRequest // by ID of the first try; deleted only after the last retry
+	clientRequests      map[string]*clientRequest // by ID of the original request; deleted only after the last retry
 	violationCounts     map[string]int
 	firstViolation      string
 	LeaderObservations  int             // leaders that checkLeaders found, over all cells and calls; 0: fencing was never checked
@@ -131,7 +131,7 @@
 func (s *Sim) settings(self, gateways int, peers bool) policy.Settings {
 	return policy.Settings{Self: self, Gateways: gateways, Classes: s.cfg.Classes, Plans: s.cfg.Plans, MaxRequestUnits: 6, PeerMessages: peers, PeerMessageRate: peerMessagesPerS,
 		LoadShedding: s.cfg.Overload, CancelAllowed: true, RetryAfterAllowed: true, MaxAttempts: testbed.MaxAttempts, MaxRetryAfterS: 1, LoadReportInResponse: true, ResponseSlackS: 0.02, SlowStartMinFraction: testbed.StatedSlowStartMinFraction,
-		SlowStartS: testbed.StatedSlowStartS, CollapseMultiple: testbed.StatedMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
+		SlowStartS: testbed.StatedSlowStartS, CollapseMultiple: testbed.StatedFallMultiple, CollapseWindowS: testbed.StatedFallS, MinBatchIntervalS: 0.004, Zone: "a"}
 }
 
 // checkLeaders checks fencing: no cell may have two planners that lead it at the same time.
--- a/internal/testbed/simulation/sim_forwarder.go
+++ b/internal/testbed/simulation/sim_forwarder.go
@@ -51,7 +51,7 @@
 	return true
 }
 
-// simRequest is one try of a client's request that a forwarder has accepted.
+// simRequest is a request, or a client retry, that a forwarder has accepted.
 type simRequest struct {
 	policy.Request
 	record      *oracle.Request
@@ -191,7 +191,7 @@
 	if request := f.openRequests[id]; request != nil && !request.done {
 		record, s := request.record, f.sim
 		wait := max(retryS, 0.1) + 0.2*s.rng.Float64()
-		if s.accounts[record.Account].Deaf {
+		if s.accounts[record.Account].IgnoresRetryAfter {
 			wait = 0.1 + 0.2*s.rng.Float64()
 		}
 		s.after(wait, func() { s.retryLater(record) })
@@ -235,7 +235,7 @@
 	s := f.sim
 	s.countPeerMessage(data)
 	if s.misreportingIngress == f.number+1 {
-		testbed.Lie(data, s.now)
+		testbed.FalsifyLoadShedState(data, s.now)
 	}
 	for g := range s.forwarders {
 		if g == f.number || to != policy.Broadcast && g != to {
@@ -262,8 +262,8 @@
 	return 0
 }
 
-// handleRequest receives a try of a client's request; originalID is the ID of the first try, leftS the time to the deadline in seconds. The
-// client disconnects 50 ms after the deadline.
+// handleRequest receives a request or a client retry; originalID is the ID of the original request, leftS the time to the deadline in
+// seconds. The client disconnects 50 ms after the deadline.
 func (f *simForwarder) handleRequest(q policy.Request, originalID string, leftS float64) {
 	s := f.sim
 	record := &oracle.Request{ID: q.ID, OriginalID: originalID, Account: q.Account, Class: q.Class, Plan: q.Plan, Forwarder: f.number, Units: q.Units,
